--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -97,7 +97,7 @@
 	c.outs[id]++
 	c.busy++
 	s := f.servers[server]
-	if s.since == 0 || c.g.servers[server].StartedAt == s.since { // else it has not been told yet
+	if s.since == 0 || c.g.endpoints[server].StartedAt == s.since { // else it has not been told yet
 		s.sent = append(s.sent, now)
 	}
 	end := func(at float64, status AttemptStatus) {
@@ -209,13 +209,13 @@
 		tick := func(float64) {}
 		tick = func(now float64) {
 			gate.g.HandleTimer(now, 1)
-			step := tickS
-			if gate.busy == 0 && len(gate.g.queue) == 0 {
-				step = 4 * tickS
+			step := timerInterval
+			if gate.busy == 0 && len(gate.g.dispatchQueue) == 0 {
+				step = 4 * timerInterval
 			}
 			f.after(now+step, tick)
 		}
-		f.after(100+f.rng.Float64()*tickS, tick)
+		f.after(100+f.rng.Float64()*timerInterval, tick)
 		// It hears of the start up to half a second later, or some seconds, and of one server before the others.
 		late := 0.5
 		if c.trouble {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -35,10 +35,10 @@
 // A limit of two attempts made requests of a small cluster wait while most of the fleet idled.
 func TestFewRequestsAtOnceDoNotWaitForAPartOfTheLimit(t *testing.T) {
 	g, r := large(t)
-	if g.limit >= 3 {
-		t.Fatalf("the part of the limit is %.2f: the test needs one under what comes", g.limit)
+	if g.concurrencyLimit >= 3 {
+		t.Fatalf("the part of the limit is %.2f: the test needs one under what comes", g.concurrencyLimit)
 	}
-	g.stretch = 2 * stretchHigh // while answers are slow as well
+	g.latencyRatio = 2 * highLatencyRatio // while answers are slow as well
 	for i := range 5 {
 		at(g, 100, fmt.Sprint("q", i), "read")
 	}
@@ -56,12 +56,12 @@
 // Where a gateway sees a good part of all requests its limit stays what it was.
 func TestFewGatewaysKeepToTheirLimit(t *testing.T) {
 	g, r := gateway(t, nil)
-	g.stretch = 2 * stretchHigh
+	g.latencyRatio = 2 * highLatencyRatio
 	for i := range 60 {
 		at(g, 100, fmt.Sprint("q", i), "read")
 	}
-	if n := len(r.of("send", "")); float64(n) > g.limit {
-		t.Fatalf("%d attempts out over a limit of %.2f", n, g.limit)
+	if n := len(r.of("send", "")); float64(n) > g.concurrencyLimit {
+		t.Fatalf("%d attempts out over a limit of %.2f", n, g.concurrencyLimit)
 	}
 }
 
@@ -75,7 +75,7 @@
 		t.Fatalf("with two slots %d sent and %d refused of 6, want 2 and 2: two may wait", sent, refused)
 	}
 	end := 0.0
-	for now := 100.0; now < 102; now += tickS {
+	for now := 100.0; now < 102; now += timerInterval {
 		g.HandleTimer(now, 1)
 		if end == 0 && len(r.of("refuse", "")) == 4 {
 			end = now
@@ -112,14 +112,14 @@
 func TestFreeSlotIsToldAtOnce(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	c := send(100, "q", 1)
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Total++; v.Room = 7; v.Out = 1 })
+	from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Total++; v.Remaining = 7; v.InFlight = 1 })
 	g.HandlePeerMessage(100.03, from, b)
-	if len(r.of("send", "q")) != 1 || c.othersOut != 1 {
+	if len(r.of("send", "q")) != 1 || c.othersInFlight != 1 {
 		t.Fatalf("not sent on a grant: %v", r.acts)
 	}
 	g.HandleTimer(100.06, 1)
 	told := len(r.of("tell", ""))
-	g.tokens = 1 // too few for a report that can wait
+	g.reportTokens = 1 // too few for a report that can wait
 	g.HandleOutcome(100.07, Outcome{RequestID: "q", Endpoint: r.of("send", "q")[0].server, Status: OK, RequestDone: true, Elapsed: 0.04})
 	g.HandleTimer(100.08, 1)
 	if len(r.of("tell", "")) != told+1 {
@@ -131,20 +131,20 @@
 func TestMemberAsksAgainForASlot(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	send(100, "q", 1)
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Room = 7; v.Out = 2 })
+	from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Remaining = 7; v.InFlight = 2 })
 	g.HandlePeerMessage(100.03, from, b)
 	if len(r.of("refuse", "q")) != 0 {
 		t.Fatal("refused with room in its quota and time for its aim")
 	}
 	told := len(r.of("tell", ""))
 	now := 100.03
-	for ; len(r.of("tell", "")) == told && now < 101; now += tickS {
+	for ; len(r.of("tell", "")) == told && now < 101; now += timerInterval {
 		g.HandleTimer(now, 1)
 	}
 	if now > 100.3 || now < 100.04 {
 		t.Fatalf("asked again at %.2f, want a short pause", now)
 	}
-	from, b = verdictOf(t, r, 2, func(v *record) { v.Total++; v.Room = 6; v.Out = 1 })
+	from, b = verdictOf(t, r, 2, func(v *usageRecord) { v.Total++; v.Remaining = 6; v.InFlight = 1 })
 	g.HandlePeerMessage(now+0.03, from, b)
 	if len(r.of("send", "q")) != 1 {
 		t.Fatalf("not sent on the grant: %v", r.acts)
@@ -157,15 +157,15 @@
 	g, r, ask := asMember(t, fleet(100))
 	c := ask(100, "q", 2)
 	owner := r.of("tell", "")[0].to
-	for now := 100.0; now < 100+3*askWaitS; now += tickS / 2 {
+	for now := 100.0; now < 100+3*grantTimeout; now += timerInterval / 2 {
 		g.HandleTimer(now, 1)
 		if tells := r.of("tell", ""); len(tells) == 3 {
 			if tells[1].to != owner || tells[2].to != owner || g.owner(c) != owner {
 				t.Fatalf("told %v, the owner is %d", tells, owner)
 			}
-			from, b := verdictOf(t, r, 1, func(v *record) { v.Total += 2; v.Room = 6 })
+			from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Total += 2; v.Remaining = 6 })
 			g.HandlePeerMessage(now, from, b)
-			if len(r.of("send", "q")) != 1 || g.peers[owner].missed != 0 {
+			if len(r.of("send", "q")) != 1 || g.peers[owner].unanswered != 0 {
 				t.Fatal("the answer to the third report is not taken")
 			}
 			return
@@ -177,42 +177,42 @@
 // One missing answer, told to all, made the whole fleet leave a server for seconds and flood the next.
 func TestManyGatewaysLeaveAServerByTheShareItLeavesUnanswered(t *testing.T) {
 	g, _ := large(t)
-	cls, s := g.classes["read"], g.servers["s00"]
+	cls, s := g.classes["read"], g.endpoints["s00"]
 	attempt := func(now float64, id string, st AttemptStatus) {
-		req := &request{Request: Request{ID: id}, cls: cls}
-		g.reqs[id] = req
+		req := &request{Request: Request{ID: id}, class: cls}
+		g.requests[id] = req
 		g.now = now
-		g.begin(req, s)
+		g.startAttempt(req, s)
 		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: st, RequestDone: true, Elapsed: 0.1})
 	}
 	attempt(100, "a", Timeout)
-	if x := g.sickness(s, cls); x <= 0 || x >= hedgeSick {
+	if x := g.outlierScore(s, cls); x <= 0 || x >= suspectScore {
 		t.Fatalf("sickness is %.2f after one attempt without answer: all others would leave too", x)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
-	high := g.sickness(s, cls)
+	high := g.outlierScore(s, cls)
 	if high < 0.8 {
 		t.Fatalf("sickness is %.2f after thirteen attempts without answer", high)
 	}
-	g.news = nil
+	g.gossip = nil
 	attempt(101.5, "c", OK)
-	if x := g.sickness(s, cls); x >= high || x < hedgeSick {
+	if x := g.outlierScore(s, cls); x >= high || x < suspectScore {
 		t.Fatalf("one answer takes sickness from %.2f to %.2f, want a part of it off", high, x)
 	}
-	if len(g.news) != 1 || g.news[0].value >= high {
-		t.Fatalf("the others are not told that it serves again: %v", g.news)
+	if len(g.gossip) != 1 || g.gossip[0].value >= high {
+		t.Fatalf("the others are not told that it serves again: %v", g.gossip)
 	}
 }
 
 // A few gateways see enough themselves: one answer shows that a server is well.
 func TestFewGatewaysTrustOneAnswer(t *testing.T) {
 	g, _ := gateway(t, nil)
-	cls, s := g.classes["read"], g.servers["s1"]
-	g.fails(s, cls, errorSick)
-	g.serves(s, cls)
-	if x := g.sickness(s, cls); x != 0 {
+	cls, s := g.classes["read"], g.endpoints["s1"]
+	g.recordFailure(s, cls, errorScore)
+	g.recordSuccess(s, cls)
+	if x := g.outlierScore(s, cls); x != 0 {
 		t.Fatalf("sickness is %.2f after an answer", x)
 	}
 }
@@ -248,25 +248,25 @@
 // What is given up takes its connection along, and what idles for long is not counted on.
 func TestConnectionsAreCountedOnWhileTheyLast(t *testing.T) {
 	g, r := large(t)
-	g.s.ConnectionIdleTimeout = 10
+	g.settings.ConnectionIdleTimeout = 10
 	at(g, 100, "a", "read")
-	s := g.servers[r.of("send", "a")[0].server]
-	if g.connected(s) {
+	s := g.endpoints[r.of("send", "a")[0].server]
+	if g.hasIdleConnection(s) {
 		t.Fatal("its one connection is in use")
 	}
 	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
-	if !g.connected(s) {
+	if !g.hasIdleConnection(s) {
 		t.Fatal("the connection is free again")
 	}
-	if g.now = 100.1 + 10; g.connected(s) {
+	if g.now = 100.1 + 10; g.hasIdleConnection(s) {
 		t.Fatal("the server may have closed it")
 	}
 	g.now = 100.2
-	req := &request{Request: Request{ID: "b"}, cls: g.classes["read"]}
-	g.reqs["b"] = req
-	g.begin(req, s)
+	req := &request{Request: Request{ID: "b"}, class: g.classes["read"]}
+	g.requests["b"] = req
+	g.startAttempt(req, s)
 	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: s.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
-	if g.connected(s) {
+	if g.hasIdleConnection(s) {
 		t.Fatal("the connection went with what was given up on it")
 	}
 }
@@ -289,18 +289,18 @@
 				now := 105 + float64(i)/50
 				id := fmt.Sprint(round, "-", i)
 				g.now = now
-				g.work = perS * g.classes["read"].lat
-				g.weigh()
+				g.admittedWork = perS * g.classes["read"].meanLatency
+				g.updateLoadEstimates()
 				at(g, now, id, "read")
 				sent := r.of("send", id)
 				if len(sent) != 1 {
 					t.Fatalf("request %s was not sent", id)
 				}
-				s := g.servers[sent[0].server]
+				s := g.endpoints[sent[0].server]
 				if all++; s.StartedAt > 0 {
 					cold++
 				}
-				share = g.coldShare(g.servers["s00"])
+				share = g.warmUpFraction(g.endpoints["s00"])
 				g.HandleOutcome(now, Outcome{RequestID: id, Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
 				r.acts = nil
 			}
@@ -319,13 +319,13 @@
 		list := manyServers(60)
 		list[0].StartedAt = 100 - age
 		g.HandleEndpoints(100, list, true)
-		g.weigh()
-		g.carried = 1e9 // all that was offered
+		g.updateLoadEstimates()
+		g.completedWork = 1e9 // all that was offered
 		for range 60000 {
-			req := &request{cls: g.classes[class]}
-			g.turns(req)
-			if s := g.coldTurn(req); s != nil {
-				s.slowStartTurn -= g.inMeans(req) // as when it is sent
+			req := &request{class: g.classes[class]}
+			g.accrueCredits(req)
+			if s := g.pickWarmingEndpoint(req); s != nil {
+				s.slowStartCredit -= g.relativeCost(req) // as when it is sent
 				n++
 			}
 		}
@@ -344,7 +344,7 @@
 	for _, age := range []float64{0.05, 0.3} {
 		g, r, send := asMemberOfParallel(t)
 		send(100, "first", 1)
-		from, b := verdictOf(t, r, 1, func(v *record) { v.Total++; v.Room = 800; v.Rate = 0 })
+		from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Total++; v.Remaining = 800; v.Demand = 0 })
 		g.HandlePeerMessage(100.03, from, b)
 		first := r.of("send", "first")
 		if len(first) != 1 {
@@ -353,7 +353,7 @@
 		g.HandleOutcome(100.04, Outcome{RequestID: "first", Endpoint: first[0].server, Status: OK, RequestDone: true, Elapsed: 0.01})
 		g.HandleTimer(100.03+age, 1)
 		send(100.03+age, "next", 1)
-		if sent := len(r.of("send", "next")) == 1; sent != (age < slotFreshS) {
+		if sent := len(r.of("send", "next")) == 1; sent != (age < slotFreshness) {
 			t.Errorf("with news %.2f s old: sent is %v", age, sent)
 		}
 	}
@@ -365,7 +365,7 @@
 	wait := func(from, to float64, gap bool) int {
 		g, r := large(t)
 		at(g, 100, "q", "read")
-		for now := 100.0; now < to; now += tickS {
+		for now := 100.0; now < to; now += timerInterval {
 			if !gap || now < from {
 				g.HandleTimer(now, 1)
 			}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -11,84 +11,84 @@
 
 // Times are in seconds.
 const (
-	ringPoints      = 512  // points a gateway, as in the post, but
-	maxRingPoints   = 8192 // on the whole ring no more than about so many
-	batchS          = 0.1  // least time between reports to one owner: "a few times a second"
-	gapS            = 0.1  // no event for so long: this gateway itself stood still
-	poolShare       = 0.5  // of a ceiling, that grants of the first gateway on the ring are paid from
-	unboundedIntake = 1e6  // stands for no bound on it
-	lagS            = 0.05 // added to a verdict's age
-	demandTauS      = 1.5  // memory of what a customer asks for
-	memberS         = 8.0  // a member unheard of a customer for so long asks nothing of it, and is forgotten
-	forgetS         = 10.0 // customers unused for longer are forgotten: after memberS at any owner, so that
+	ringPoints           = 512  // points a gateway, as in the post, but
+	maxRingPoints        = 8192 // on the whole ring no more than about so many
+	minReportInterval    = 0.1  // least time between reports to one owner: "a few times a second"
+	standstillThreshold  = 0.1  // no event for so long: this gateway itself stood still
+	ceilingPoolFraction  = 0.5  // of a ceiling, that grants of the first gateway on the ring are paid from
+	unboundedMessageRate = 1e6  // stands for no bound on it
+	clockUncertainty     = 0.05 // added to a verdict's age
+	demandTimeConstant   = 1.5  // memory of what a customer asks for
+	memberExpiry         = 8.0  // a member unheard of a customer for so long asks nothing of it, and is forgotten
+	customerExpiry       = 10.0 // customers unused for longer are forgotten: after memberS at any owner, so that
 	// the count that starts at 0 then is not taken for units handed back
-	tickS         = 0.02 // how often queue and attempts are looked at
-	startLimit    = 3.0  // attempts out at one server, all gateways together, to begin with
-	stretchHigh   = 0.22 // answers that take this share of their aim shrink a server's limit
-	lookAtAllUpTo = 12   // gateways, up to which each looks at all servers
-	swing         = 4.0  // deviations of chance that many gateways may go above their part of the limit
-	utilS         = 3.0  // a load report counts for so long
-	connShare     = 0.4  // of the time after which idle ones close, for which they are counted on
-	minOwnWeight  = 0.2  // what one of many gateways' attempts weighs in what all tell of a server
-	hedgeSick     = 0.3  // attempts at servers so sick are tried elsewhere early
-	newsStepS     = 0.2  // and so much newer than what is known already; also the least silence that tells
-	busyTauS      = 1.0  // memory of what this gateway keeps out at a server
+	timerInterval                 = 0.02 // how often queue and attempts are looked at
+	initialConcurrencyPerEndpoint = 3.0  // attempts out at one server, all gateways together, to begin with
+	highLatencyRatio              = 0.22 // answers that take this share of their aim shrink a server's limit
+	smallFleetSize                = 12   // gateways, up to which each looks at all servers
+	burstDeviations               = 4.0  // deviations of chance that many gateways may go above their part of the limit
+	loadReportExpiry              = 3.0  // a load report counts for so long
+	reusableIdleFraction          = 0.4  // of the time after which idle ones close, for which they are counted on
+	minVoteWeight                 = 0.2  // what one of many gateways' attempts weighs in what all tell of a server
+	suspectScore                  = 0.3  // attempts at servers so sick are tried elsewhere early
+	minGossipInterval             = 0.2  // and so much newer than what is known already; also the least silence that tells
+	inFlightTimeConstant          = 1.0  // memory of what this gateway keeps out at a server
 )
 
 // Gateway decides for one gateway.
 type Gateway struct {
-	s                Settings
-	act              Actions
-	form             form // of messages
-	rng              *rand.Rand
-	now              float64
-	born             float64
-	boot             uint8
-	seq              uint16
-	gapAt            float64 // when this gateway last came back from a gap of its own
-	inRate           float64 // messages a second that come in
-	inAt             float64
-	tokens           float64 // reports that may be sent
-	tokensAt         float64
-	pending          []int       // peers with reports due
-	waiting          []*customer // with reports unanswered
-	slotless         []*customer // with requests parked
-	limit            float64     // attempts out here, at all servers
-	word             float64     // weight of one attempt here in what all tell of a server
-	swing            float64     // how far out may go above limit, in deviations
-	part             float64     // servers a gateway
-	out              int         // attempts out
-	stretch          float64     // mean of latency over aim
-	spent            float64     // mean time until an answer or a time-out
-	sentAt           float64
-	probes           float64 // that may be sent
-	news             []item
-	byHash           map[uint16]*server
-	classList        []*class
-	maxWorth         float64 // of any class, a unit
-	ring             []ringPoint
-	classes          map[string]*class
-	plans            []*plan
-	byPlan           map[string]*plan
-	servers          map[string]*server
-	order            []*server
-	reqs             map[string]*request
-	live             []*request
-	queue            []*request
-	custs            map[uint32]*customer
-	peers            []peer
-	work             float64 // a second that quotas let in
-	workAt           float64
-	shares           float64 // of their capacity that the servers have by now, in sum
-	up               float64 // so many of them
-	coldShares       float64 // of them those that are cold
-	offered, carried float64 // first tries' work, and what was answered, over about the time of a cold start
-	meanLat          float64 // of the attempts, which stands for their mean work
-	sweepAt          float64
+	settings                   Settings
+	actions                    Actions
+	format                     messageFormat // of messages
+	rng                        *rand.Rand
+	now                        float64
+	startedAt                  float64
+	incarnation                uint8
+	sequence                   uint16
+	resumedAt                  float64 // when this gateway last came back from a gap of its own
+	receivedMessages           float64 // messages a second that come in
+	receivedMessagesAt         float64
+	reportTokens               float64 // reports that may be sent
+	reportTokensAt             float64
+	peersWithReports           []int       // peers with reports due
+	awaitingReply              []*customer // with reports unanswered
+	slotWaiters                []*customer // with requests parked
+	concurrencyLimit           float64     // attempts out here, at all servers
+	voteWeight                 float64     // weight of one attempt here in what all tell of a server
+	burstAllowance             float64     // how far out may go above limit, in deviations
+	endpointsPerGateway        float64     // servers a gateway
+	inFlight                   int         // attempts out
+	latencyRatio               float64     // mean of latency over aim
+	meanAttemptDuration        float64     // mean time until an answer or a time-out
+	lastSentAt                 float64
+	healthCheckCredits         float64 // that may be sent
+	gossip                     []healthUpdate
+	endpointsByHash            map[uint16]*endpoint
+	classesByIndex             []*class
+	maxPriorityWeight          float64 // of any class, a unit
+	ring                       []ringPoint
+	classes                    map[string]*class
+	plansByIndex               []*plan
+	plans                      map[string]*plan
+	endpoints                  map[string]*endpoint
+	endpointOrder              []*endpoint
+	requests                   map[string]*request
+	openRequests               []*request
+	dispatchQueue              []*request
+	customers                  map[uint32]*customer
+	peers                      []peer
+	admittedWork               float64 // a second that quotas let in
+	admittedWorkAt             float64
+	warmedCapacity             float64 // of their capacity that the servers have by now, in sum
+	inServiceCount             float64 // so many of them
+	warmingCapacity            float64 // of them those that are cold
+	offeredWork, completedWork float64 // first tries' work, and what was answered, over about the time of a cold start
+	meanLatency                float64 // of the attempts, which stands for their mean work
+	nextSweepAt                float64
 }
 
 // check tells what is wrong with the settings.
-func check(s Settings, act Actions) error {
+func validate(s Settings, act Actions) error {
 	switch {
 	case act == nil:
 		return fmt.Errorf("no actions given")
@@ -115,86 +115,86 @@
 }
 
 // clock sets the time, and notes when this gateway itself stood still.
-func (g *Gateway) clock(now float64) {
-	if now-g.now > gapS {
-		g.gapAt = now
+func (g *Gateway) advanceClock(now float64) {
+	if now-g.now > standstillThreshold {
+		g.resumedAt = now
 	}
 	g.now = now
 }
 
 // setUp makes the classes, the plans and the ring.
-func (g *Gateway) setUp(points int) {
-	for i, c := range g.s.Classes {
-		g.maxWorth = max(g.maxWorth, c.PriorityWeight)
-		g.classList = append(g.classList, newClass(c, i))
-		g.classes[c.Name] = g.classList[i]
+func (g *Gateway) initialize(points int) {
+	for i, c := range g.settings.Classes {
+		g.maxPriorityWeight = max(g.maxPriorityWeight, c.PriorityWeight)
+		g.classesByIndex = append(g.classesByIndex, newClass(c, i))
+		g.classes[c.Name] = g.classesByIndex[i]
 	}
-	for i, p := range g.s.Plans {
-		g.plans = append(g.plans, &plan{Plan: p, index: i})
-		g.byPlan[p.Name] = g.plans[i]
+	for i, p := range g.settings.Plans {
+		g.plansByIndex = append(g.plansByIndex, &plan{Plan: p, index: i})
+		g.plans[p.Name] = g.plansByIndex[i]
 	}
-	for gw := range g.s.GatewayCount {
+	for gw := range g.settings.GatewayCount {
 		for i := range points {
-			g.ring = append(g.ring, ringPoint{mix(uint64(gw)<<32 | uint64(i)), gw})
+			g.ring = append(g.ring, ringPoint{mixBits(uint64(gw)<<32 | uint64(i)), gw})
 		}
 	}
 	slices.SortFunc(g.ring, func(a, b ringPoint) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.gw, b.gw))
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.gateway, b.gateway))
 	})
 }
 
 // Started takes the start of a streamed answer: the attempt belongs to the client now.
 func (g *Gateway) HandleStreamStarted(now float64, id string, attempt int) {
-	g.clock(now)
-	if r := g.reqs[id]; r != nil {
-		r.stream = true
+	g.advanceClock(now)
+	if r := g.requests[id]; r != nil {
+		r.streaming = true
 	}
 }
 
 // Gone takes the news that the request needs no answer any more.
 func (g *Gateway) HandleClientGone(now float64, id string) {
-	g.clock(now)
-	if r := g.reqs[id]; r != nil && !r.over {
-		g.over(r)
+	g.advanceClock(now)
+	if r := g.requests[id]; r != nil && !r.done {
+		g.finishRequest(r)
 	}
 }
 
 // New returns the gateway's decisions at its start. The list of servers follows through Servers.
 func New(s Settings, seed uint64, now float64, act Actions) (*Gateway, error) {
-	if err := check(s, act); err != nil {
+	if err := validate(s, act); err != nil {
 		return nil, err
 	}
-	g := &Gateway{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, born: now,
-		classes: map[string]*class{}, byPlan: map[string]*plan{}, servers: map[string]*server{},
-		byHash: map[uint16]*server{}, reqs: map[string]*request{}, custs: map[uint32]*customer{},
-		peers: make([]peer, s.GatewayCount), workAt: now, form: formOf(s)}
-	g.boot = uint8(g.rng.Uint32())
-	g.tokens, g.tokensAt = 2, now
-	g.limit = startLimit / float64(s.GatewayCount) // for one server
-	g.word = max(minOwnWeight, min(1, lookAtAllUpTo/float64(s.GatewayCount)))
-	g.swing = swing * max(0, 1-lookAtAllUpTo/float64(s.GatewayCount))
-	g.s.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedIntake)
-	g.setUp(min(ringPoints, max(8, maxRingPoints/s.GatewayCount)))
-	g.act.SetTimer(1, tickS)
+	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, startedAt: now,
+		classes: map[string]*class{}, plans: map[string]*plan{}, endpoints: map[string]*endpoint{},
+		endpointsByHash: map[uint16]*endpoint{}, requests: map[string]*request{}, customers: map[uint32]*customer{},
+		peers: make([]peer, s.GatewayCount), admittedWorkAt: now, format: newMessageFormat(s)}
+	g.incarnation = uint8(g.rng.Uint32())
+	g.reportTokens, g.reportTokensAt = 2, now
+	g.concurrencyLimit = initialConcurrencyPerEndpoint / float64(s.GatewayCount) // for one server
+	g.voteWeight = max(minVoteWeight, min(1, smallFleetSize/float64(s.GatewayCount)))
+	g.burstAllowance = burstDeviations * max(0, 1-smallFleetSize/float64(s.GatewayCount))
+	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
+	g.initialize(min(ringPoints, max(8, maxRingPoints/s.GatewayCount)))
+	g.actions.SetTimer(1, timerInterval)
 	return g, nil
 }
 
 // Timer takes a timer: all work that no event brings.
 func (g *Gateway) HandleTimer(now float64, token uint64) {
-	g.clock(now)
+	g.advanceClock(now)
 	if token != 1 {
 		return
 	}
-	g.act.SetTimer(1, tickS)
-	g.drain()
-	g.watch()
-	g.probe()
-	g.unanswered()
-	g.slots()
-	g.flush()
-	if now > g.sweepAt {
-		g.sweepAt = now + forgetS/4
-		g.forget(forgetS)
-		g.forgetServers()
+	g.actions.SetTimer(1, timerInterval)
+	g.dispatchQueued()
+	g.watchAttempts()
+	g.healthCheckNext()
+	g.retransmit()
+	g.retryQueued()
+	g.sendUsageReports()
+	if now > g.nextSweepAt {
+		g.nextSweepAt = now + customerExpiry/4
+		g.evictIdleCustomers(customerExpiry)
+		g.evictRemovedEndpoints()
 	}
 }
--- a/policy/message_test.go
+++ b/policy/message_test.go
@@ -58,21 +58,21 @@
 
 // Guards the fields of a record, in the form of any settings, against losing more than their rounding.
 func TestRecordsComeOverTheWire(t *testing.T) {
-	for _, f := range []form{plain, {grain: 12.5}, {grain: 3, wide: true}} {
-		for plan := range 3 * headPlans {
-			if !f.wide && plan >= headPlans {
+	for _, f := range []messageFormat{plain, {unitsPerStep: 12.5}, {unitsPerStep: 3, widePlan: true}} {
+		for plan := range 3 * plansInHead {
+			if !f.widePlan && plan >= plansInHead {
 				break
 			}
-			want := record{Key: 7, Plan: plan, Known: true, Total: 40 * f.grain, Room: -2 * f.grain, Rate: 9 * f.grain, Out: 3,
-				Unacked: 5 * f.grain, Want: 20 * f.grain, First: 2 * f.grain, Cheap: 1}
+			want := usageRecord{Key: 7, Plan: plan, Known: true, Total: 40 * f.unitsPerStep, Remaining: -2 * f.unitsPerStep, Demand: 9 * f.unitsPerStep, InFlight: 3,
+				Unacknowledged: 5 * f.unitsPerStep, WantedUnits: 20 * f.unitsPerStep, FirstWantedUnits: 2 * f.unitsPerStep, Cheapness: 1}
 			b := f.appendRecord(appendHeader(nil, 1, 1), want)
-			b[msgCount] = 1
-			b = appendItem(b, item{9, loadItem, 1, 50}, 50)
+			b[countOffset] = 1
+			b = appendItem(b, healthUpdate{9, loadUpdate, 1, 50}, 50)
 			_, _, recs, items, ok := f.parse(b, 50)
 			if !ok || len(recs) != 1 || recs[0] != want {
 				t.Fatalf("%+v: got %+v, want %+v", f, recs, want)
 			}
-			if len(items) != 1 || items[0] != (item{9, loadItem, 1, 50}) {
+			if len(items) != 1 || items[0] != (healthUpdate{9, loadUpdate, 1, 50}) {
 				t.Fatalf("%+v: got %+v", f, items)
 			}
 		}
--- a/policy/parallel.go
+++ b/policy/parallel.go
@@ -8,81 +8,81 @@
 )
 
 // outBy counts the customer's attempts out, which a parallel plan's owner hears of.
-func (g *Gateway) outBy(r *request, n int) {
-	if r.cust == nil {
+func (g *Gateway) adjustInFlight(r *request, n int) {
+	if r.customer == nil {
 		return
 	}
 	// That a slot is free again is told at once where others may wait for it.
-	scarce := n < 0 && r.cust.out+r.cust.othersOut >= r.plan.MaxConcurrent
-	if r.cust.out += n; r.plan.MaxConcurrent > 0 {
-		g.markForReport(r.cust, scarce)
+	scarce := n < 0 && r.customer.inFlight+r.customer.othersInFlight >= r.plan.MaxConcurrent
+	if r.customer.inFlight += n; r.plan.MaxConcurrent > 0 {
+		g.markForReport(r.customer, scarce)
 	}
 }
 
 // slotComes tells whether a request that finds its customer's attempts all out is worth keeping until
 // one of them ends: its units have room, and its aim lets it wait.
-func (g *Gateway) slotComes(r *request) bool {
-	c := r.cust
-	next := g.now + tickS
-	if c == nil || r.plan.MaxConcurrent == 0 || next > r.halfAt || next+r.cls.lat > r.aimAt || !g.mayRetry(r) {
+func (g *Gateway) worthQueueing(r *request) bool {
+	c := r.customer
+	next := g.now + timerInterval
+	if c == nil || r.plan.MaxConcurrent == 0 || next > r.firstWriteBy || next+r.class.meanLatency > r.objectiveAt || !g.mayRetry(r) {
 		return false
 	}
 	room := 0.0
-	if g.owner(c) == g.s.Self {
-		room = g.ledger(c).room
+	if g.owner(c) == g.settings.Self {
+		room = g.ledger(c).remaining
 	} else {
-		room = g.roomNow(c)
+		room = g.remainingUnits(c)
 	}
 	return r.plan.Rate == 0 || r.Units <= room
 }
 
 // park keeps a request until a slot of its customer is free. No more wait than can be out at once, the
 // dearest first: the cheapest gives way at once.
-func (g *Gateway) park(r *request) {
-	c := r.cust
-	if len(c.parked) == 0 {
-		g.slotless = append(g.slotless, c)
+func (g *Gateway) queueForSlot(r *request) {
+	c := r.customer
+	if len(c.slotQueue) == 0 {
+		g.slotWaiters = append(g.slotWaiters, c)
 	}
-	if pause := g.now + max(g.spent, tickS)/float64(2*r.plan.MaxConcurrent); g.owner(c) != g.s.Self {
-		c.parkTill = max(c.parkTill, pause) // the owner is asked again then, not sooner
+	if pause := g.now + max(g.meanAttemptDuration, timerInterval)/float64(2*r.plan.MaxConcurrent); g.owner(c) != g.settings.Self {
+		c.slotRetryAt = max(c.slotRetryAt, pause) // the owner is asked again then, not sooner
 	}
-	c.parked = append(c.parked, r)
-	slices.SortStableFunc(c.parked, func(a, b *request) int { return cmp.Compare(b.prio, a.prio) })
-	if n := len(c.parked) - 1; n >= r.plan.MaxConcurrent {
-		last := c.parked[n]
-		c.parked = c.parked[:n]
-		g.refuse(last, ConcurrencyLimitReached)
+	c.slotQueue = append(c.slotQueue, r)
+	slices.SortStableFunc(c.slotQueue, func(a, b *request) int { return cmp.Compare(b.priority, a.priority) })
+	if n := len(c.slotQueue) - 1; n >= r.plan.MaxConcurrent {
+		last := c.slotQueue[n]
+		c.slotQueue = c.slotQueue[:n]
+		g.reject(last, ConcurrencyLimitReached)
 	}
 }
 
 // slots tries again what waits for a slot, and gives up at once what can't make its aim any more.
-func (g *Gateway) slots() {
-	list := g.slotless
-	g.slotless = nil
+func (g *Gateway) retryQueued() {
+	list := g.slotWaiters
+	g.slotWaiters = nil
 	for _, c := range list {
-		c.parked = slices.DeleteFunc(c.parked, func(r *request) bool {
-			if r.over || g.slotComes(r) {
-				return r.over
+		c.slotQueue = slices.DeleteFunc(c.slotQueue, func(r *request) bool {
+			if r.done || g.worthQueueing(r) {
+				return r.done
 			}
-			g.refuse(r, ConcurrencyLimitReached)
+			g.reject(r, ConcurrencyLimitReached)
 			return true
 		})
-		for len(c.parked) > 0 && g.now >= c.parkTill && len(c.asks) == 0 {
-			r := c.parked[0]
-			v := g.inQuota(r)
-			if v == deny {
+		for len(c.slotQueue) > 0 && g.now >= c.slotRetryAt && len(c.awaitingOwner) == 0 {
+			r := c.slotQueue[0]
+			v := g.admit(r)
+			if v == rejectRequest {
 				break
 			}
-			c.parked = slices.Delete(c.parked, 0, 1)
-			if v == wait {
-				g.ask(r)
+			c.slotQueue = slices.Delete(c.slotQueue, 0, 1)
+			if v == askOwner {
+				g.awaitOwner(r)
 			} else {
-				g.take(r, false)
-				g.place(r)
+				g.reserve(r, false)
+				g.dispatch(r)
 			}
 		}
-		if len(c.parked) > 0 {
-			g.slotless = append(g.slotless, c)
+		if len(c.slotQueue) > 0 {
+			g.slotWaiters = append(g.slotWaiters, c)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,7 +45,7 @@
 }
 
 // plain is the form that messages take with the tests' settings.
-var plain = form{grain: 1}
+var plain = messageFormat{unitsPerStep: 1}
 
 func testSettings() Settings {
 	return Settings{
@@ -90,7 +90,7 @@
 		d = 4
 	}
 	g.HandleRequest(now, Request{ID: id, Class: class, Plan: plan, Customer: "c-" + plan, Deadline: now + d,
-		FirstGateway: 0, GatewayCount: g.s.GatewayCount, Units: units})
+		FirstGateway: 0, GatewayCount: g.settings.GatewayCount, Units: units})
 }
 
 func TestQuotaIsHeldAndRefills(t *testing.T) {
@@ -244,7 +244,7 @@
 	for i := range 200 {
 		ask(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
-	if len(g.queue) == 0 {
+	if len(g.dispatchQueue) == 0 {
 		t.Fatal("nothing waits, the test shows nothing")
 	}
 	g.HandleEndpoints(100.1, []Endpoint{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
@@ -356,7 +356,7 @@
 	if n := sent(2000, 2); n != 2000 {
 		t.Fatalf("%d of 2000 sent", n)
 	}
-	sent(patienceKept, 0.9)
+	sent(maxRetryObservations, 0.9)
 	if n := sent(200, 0.9); n != 200 {
 		t.Errorf("%d of 200 sent, after as many as count came with the new time", n)
 	}
@@ -431,14 +431,14 @@
 		}
 		g.HandleTimer(now, 1)
 	}
-	most := int((forgetS + forgetS/2) / 0.1)
-	if len(g.servers) > most || len(g.byHash) > most || len(g.custs) > most {
-		t.Errorf("%d servers, %d hashes and %d customers are kept, %d at most wanted", len(g.servers), len(g.byHash),
-			len(g.custs), most)
+	most := int((customerExpiry + customerExpiry/2) / 0.1)
+	if len(g.endpoints) > most || len(g.endpointsByHash) > most || len(g.customers) > most {
+		t.Errorf("%d servers, %d hashes and %d customers are kept, %d at most wanted", len(g.endpoints), len(g.endpointsByHash),
+			len(g.customers), most)
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
-	if kept := g.custs[uint32(hashOf("held")>>32)]; len(r.of("send", "held")) != 1 || kept == nil {
+	if kept := g.customers[uint32(hashCustomer("held")>>32)]; len(r.of("send", "held")) != 1 || kept == nil {
 		t.Error("a customer with an attempt out is forgotten")
 	}
 }
@@ -446,12 +446,12 @@
 // Guards the count of an owner: a member that has forgotten a customer starts its count at 0, which must
 // not be taken for units handed back, nor the new ones be lost, whoever of the two has forgotten what.
 func TestOwnerAndMemberForgetInStep(t *testing.T) {
-	for _, pause := range []float64{1, memberS - 1, memberS + 1, forgetS - 0.5, forgetS + 0.5, 2 * forgetS, 4 * forgetS} {
+	for _, pause := range []float64{1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry} {
 		g, r, pump := pair(t)
 		var q Request
 		for i := range 100 { // a customer of g[0] that asks at g[1] alone
 			q = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
-			if g[1].owner(g[1].customer(q)) == 0 {
+			if g[1].owner(g[1].findCustomer(q)) == 0 {
 				break
 			}
 		}
@@ -547,7 +547,7 @@
 
 func TestRestartedOwnerIsRefilledByTheNextBatch(t *testing.T) {
 	g, r, pump := pair(t)
-	own := g[0].customer(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).prime
+	own := g[0].findCustomer(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
 	m, seen := 1-own, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
@@ -573,8 +573,8 @@
 			fresh.HandlePeerMessage(104.3, m, a.data)
 		}
 	}
-	c := fresh.custs[uint32(hashOf("c-basic")>>32)]
-	if c == nil || fresh.ledger(c).room > 4 {
+	c := fresh.customers[uint32(hashCustomer("c-basic")>>32)]
+	if c == nil || fresh.ledger(c).remaining > 4 {
 		t.Fatal("the restarted owner grants a fresh window")
 	}
 }
@@ -586,21 +586,21 @@
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if g.walk(&customer{hash: hashOf(name), entries: g.s.GatewayCount}, false) != g.s.Self {
+		if g.ringSuccessor(&customer{hash: hashCustomer(name), gatewayCount: g.settings.GatewayCount}, false) != g.settings.Self {
 			break
 		}
 	}
 	return g, r, func(now float64, id string, units float64) *customer {
-		g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, Deadline: now + 2, GatewayCount: g.s.GatewayCount,
+		g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "basic", Customer: name, Deadline: now + 2, GatewayCount: g.settings.GatewayCount,
 			Units: units})
-		return g.custs[uint32(hashOf(name)>>32)]
+		return g.customers[uint32(hashCustomer(name)>>32)]
 	}
 }
 
 func fleet(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
 // verdictOf is the owner's answer to the last report a gateway has sent.
-func verdictOf(t *testing.T, r *recorder, seq uint16, change func(*record)) (from int, data []byte) {
+func verdictOf(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
 	tells := r.of("tell", "")
 	if len(tells) == 0 {
@@ -611,10 +611,10 @@
 	if !ok || len(recs) == 0 {
 		t.Fatal("no report was told")
 	}
-	v := record{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, Want: recs[0].Want}
+	v := usageRecord{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, WantedUnits: recs[0].WantedUnits}
 	change(&v)
 	b := plain.appendRecord(appendHeader(nil, 9, seq), v)
-	b[msgCount] = 1
+	b[countOffset] = 1
 	return last.to, b
 }
 
@@ -627,7 +627,7 @@
 		if len(r.of("send", ""))+len(r.of("refuse", "")) != 0 {
 			t.Fatal("a gateway of a hundred decided alone")
 		}
-		from, b := verdictOf(t, r, 1, func(v *record) { v.Total += grant; v.Room = 1 })
+		from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Total += grant; v.Remaining = 1 })
 		g.HandlePeerMessage(100.03, from, b)
 		if sent := len(r.of("send", "q")); sent != int(grant/2) || sent+len(r.of("refuse", "q")) != 1 {
 			t.Fatalf("granted %v of 2 units: %v", grant, r.acts)
@@ -639,12 +639,12 @@
 	g, r := gateway(t, fleet(100))
 	granted := 0.0
 	for i := range 30 {
-		b := plain.appendRecord(appendHeader(nil, 1, 1), record{Key: 77, Plan: 0, Want: 1, First: 1})
-		b[msgCount] = 1
+		b := plain.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1})
+		b[countOffset] = 1
 		g.HandlePeerMessage(100, 1+i, b)
 		tells := r.of("tell", "")
 		_, _, recs, _, _ := plain.parse(tells[len(tells)-1].data, 100)
-		if granted += recs[0].Total; i == 29 && recs[0].Hold == 0 {
+		if granted += recs[0].Total; i == 29 && recs[0].Backoff == 0 {
 			t.Fatal("an owner asked thirty times at once did not tell its members to hold")
 		}
 	}
@@ -656,18 +656,18 @@
 // A grant that its member did not use must not stay set aside.
 func TestUnusedGrantIsGivenBack(t *testing.T) {
 	g, _ := gateway(t, fleet(100))
-	tell := func(seq uint16, r record) {
+	tell := func(seq uint16, r usageRecord) {
 		b := plain.appendRecord(appendHeader(nil, 1, seq), r)
-		b[msgCount] = 1
+		b[countOffset] = 1
 		g.HandlePeerMessage(100, 1, b)
 	}
-	tell(1, record{Key: 77, Want: 6, First: 6})
-	tell(2, record{Key: 77, Want: 6, First: 6}) // takeReport again, as the answer was lost
-	if room := g.custs[77].led.room; room != 2 {
+	tell(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
+	tell(2, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6}) // takeReport again, as the answer was lost
+	if room := g.customers[77].ledger.remaining; room != 2 {
 		t.Fatalf("room is %v after 6 of 8 were set aside, told twice", room)
 	}
-	tell(3, record{Key: 77})
-	if room := g.custs[77].led.room; room != 8 {
+	tell(3, usageRecord{Key: 77})
+	if room := g.customers[77].ledger.remaining; room != 8 {
 		t.Fatalf("room is %v after the grant was handed back", room)
 	}
 }
@@ -680,13 +680,13 @@
 	for ; len(r.of("send", ""))+len(r.of("refuse", "")) == 0 && now < 101; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if len(r.of("send", "q")) != 1 || now > 100+(askTries+1)*(askWaitS+tickS) {
+	if len(r.of("send", "q")) != 1 || now > 100+(maxGrantAttempts+1)*(grantTimeout+timerInterval) {
 		t.Fatalf("no local window by %v", now)
 	}
-	if tells := r.of("tell", ""); len(tells) < askTries || tells[len(tells)-1].to == first {
+	if tells := r.of("tell", ""); len(tells) < maxGrantAttempts || tells[len(tells)-1].to == first {
 		t.Fatalf("a silent owner was never passed over: %v", tells)
 	}
-	if g.alive(first) {
+	if g.reachable(first) {
 		t.Fatal("an owner that left all unanswered counts as alive")
 	}
 }
@@ -697,10 +697,10 @@
 	ask(100, "q", 2)
 	first := r.of("tell", "")[0].to
 	g.HandleTimer(100.5, 1)
-	if !g.alive(first) || len(r.of("tell", "")) != 1 {
+	if !g.reachable(first) || len(r.of("tell", "")) != 1 {
 		t.Fatal("a gap of this gateway counted as silence of another")
 	}
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Total += 2 })
+	from, b := verdictOf(t, r, 1, func(v *usageRecord) { v.Total += 2 })
 	g.HandlePeerMessage(100.5, from, b)
 	if len(r.of("send", "q")) != 1 {
 		t.Fatal("the verdict that came meanwhile was not used")
@@ -756,16 +756,16 @@
 // Guards round 26 (i1620fa): the fleet grew from 37 to 189 servers while the limit stayed.
 func TestLimitGoesWithTheNumberOfServers(t *testing.T) {
 	g, _ := gateway(t, alone)
-	before := g.limit
+	before := g.concurrencyLimit
 	var more []Endpoint
 	for i := range 27 {
 		more = append(more, Endpoint{ID: fmt.Sprint("m", i), Zone: "a"})
 	}
-	if g.HandleEndpoints(101, more, false); g.limit != 10*before {
-		t.Fatalf("limit %v with 3 servers, %v with 30", before, g.limit)
+	if g.HandleEndpoints(101, more, false); g.concurrencyLimit != 10*before {
+		t.Fatalf("limit %v with 3 servers, %v with 30", before, g.concurrencyLimit)
 	}
 	g.HandleEndpoints(102, nil, true)
-	if g.HandleEndpoints(103, more, true); g.limit <= 0 {
+	if g.HandleEndpoints(103, more, true); g.concurrencyLimit <= 0 {
 		t.Fatal("an empty list left no limit")
 	}
 }
@@ -773,17 +773,17 @@
 // Guards round 27 (class_fail): servers that answer other classes left one unanswered for good.
 func TestServerSickForOneClassServesTheOthers(t *testing.T) {
 	g, r := gateway(t, alone)
-	for _, k := range g.classList {
-		k.lat, k.n = 0.05, 100
+	for _, k := range g.classesByIndex {
+		k.meanLatency, k.successes = 0.05, 100
 	}
-	sick := g.servers["s1"]
+	sick := g.endpoints["s1"]
 	ask(g, 100, "q", "read", "wide", 1)
 	r.acts = nil
-	g.reqs["q"].attempts[0].srv = sick
+	g.requests["q"].attempts[0].endpoint = sick
 	for now := 100.02; now < 100.5; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if g.sickness(sick, g.classes["read"]) < 0.9 || g.sickness(sick, g.classes["pay"]) > 0 {
+	if g.outlierScore(sick, g.classes["read"]) < 0.9 || g.outlierScore(sick, g.classes["pay"]) > 0 {
 		t.Fatal("silence for a class is not told from silence for all")
 	}
 	if a := r.of("send", "q"); len(a) != 1 || a[0].server == "s1" {
@@ -811,22 +811,22 @@
 func TestNewsOfServersIsToldOn(t *testing.T) {
 	a, ra, ask := asMember(t, fleet(100))
 	b, rb := gateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
-	a.fails(a.servers["s2"], a.classes["pay"], 1)
-	a.report(a.servers["s1"], &LoadReport{Utilization: 0.6})
+	a.recordFailure(a.endpoints["s2"], a.classes["pay"], 1)
+	a.recordLoadReport(a.endpoints["s1"], &LoadReport{Utilization: 0.6})
 	ask(100, "q", 2)
 	b.HandlePeerMessage(100.01, 0, ra.of("tell", "")[0].data)
-	if b.sickness(b.servers["s2"], b.classes["pay"]) < 0.9 || b.sickness(b.servers["s2"], b.classes["read"]) > 0 {
+	if b.outlierScore(b.endpoints["s2"], b.classes["pay"]) < 0.9 || b.outlierScore(b.endpoints["s2"], b.classes["read"]) > 0 {
 		t.Fatal("sickness was not told on")
 	}
-	if u := b.servers["s1"].util; u < 0.59 || u > 0.61 {
+	if u := b.endpoints["s1"].utilization; u < 0.59 || u > 0.61 {
 		t.Fatalf("use told is %v", u)
 	}
 	_, _, _, items, _ := plain.parse(rb.of("tell", "")[0].data, 100)
 	if len(items) != 2 {
 		t.Fatalf("%d news told on, want 2", len(items))
 	}
-	old := b.servers["s1"].utilAt
-	if b.takeNews(item{b.servers["s1"].hash, loadItem, 0.1, old - 1}); b.servers["s1"].util < 0.5 {
+	old := b.endpoints["s1"].utilizationAt
+	if b.mergeGossip(healthUpdate{b.endpoints["s1"].hash, loadUpdate, 0.1, old - 1}); b.endpoints["s1"].utilization < 0.5 {
 		t.Fatal("older news overtook newer")
 	}
 }
@@ -849,11 +849,11 @@
 func TestSilentOwnerLeavesTheRing(t *testing.T) {
 	g, _, ask := asMember(t, nil)
 	c := ask(100, "q", 1)
-	g.peers[1].missed, g.peers[1].missAt = maxMissed, 100
+	g.peers[1].unanswered, g.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owner(c) != 0 {
 		t.Fatal("a silent owner still owns")
 	}
-	if g.now = 100 + silentRetryS + 0.01; g.owner(c) != 1 {
+	if g.now = 100 + unreachablePeriod + 0.01; g.owner(c) != 1 {
 		t.Fatal("a silent owner is never tried again")
 	}
 }
@@ -873,7 +873,7 @@
 	if sent, _ := try("first", "x", 0.8); sent != 1 {
 		t.Fatal("a first try with little time was refused, of a customer that was never turned away")
 	}
-	g.customer(Request{Customer: "x", Plan: "basic"}).refusedAt = 149
+	g.findCustomer(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
 	if sent, refused := try("late", "x", 0.8); sent != 0 || refused != 1 {
 		t.Fatal("a try past its aim was sent on")
 	}
@@ -891,14 +891,14 @@
 func TestOddInputIsIgnored(t *testing.T) {
 	g, r := gateway(t, nil)
 	n := len(r.acts)
-	good := plain.appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Plan: 15})
+	good := plain.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 5, Plan: 15})
 	for i := range good {
 		g.HandlePeerMessage(100, 1, good[:i])
 	}
 	g.HandlePeerMessage(100, 9, good)
 	g.HandlePeerMessage(100, -1, good)
-	g.HandlePeerMessage(100, 1, append([]byte{msgVersion + 1}, good[1:]...))
-	good[msgCount] = 1
+	g.HandlePeerMessage(100, 1, append([]byte{messageVersion + 1}, good[1:]...))
+	good[countOffset] = 1
 	g.HandlePeerMessage(100, 1, good)
 	g.HandlePeerMessage(100, 1, append(good, 1, 2, 3))
 	g.HandlePeerMessage(100, 1, make([]byte, 4000))
@@ -986,10 +986,10 @@
 // A young count believes the room that a member hands back, even where its window has just turned.
 func TestYoungCountTakesTheRoomHandedBack(t *testing.T) {
 	g, _ := gateway(t, nil)
-	b := plain.appendRecord(appendHeader(nil, 1, 1), record{Key: 5, Known: true, Total: 0, Room: 1})
-	b[msgCount] = 1
+	b := plain.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1})
+	b[countOffset] = 1
 	g.HandlePeerMessage(104, 1, b)
-	if room := g.ledger(g.custs[5]).room; room > 1 {
+	if room := g.ledger(g.customers[5]).remaining; room > 1 {
 		t.Fatalf("room is %v after a member handed back 1", room)
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -9,9 +9,9 @@
 
 // Times are in seconds.
 const (
-	freshS      = 0.5  // a verdict no older is split; with an older one the owner is asked
-	slotFreshS  = 0.1  // the same for attempts out, which change with every request
-	cheapLeaves = 0.18 // of the burst, that the cheapest work leaves to dearer work of its customer
+	grantFreshness       = 0.5  // a verdict no older is split; with an older one the owner is asked
+	slotFreshness        = 0.1  // the same for attempts out, which change with every request
+	cheapReserveFraction = 0.18 // of the burst, that the cheapest work leaves to dearer work of its customer
 )
 
 type plan struct {
@@ -21,76 +21,76 @@
 
 // customer is what a gateway keeps of one customer.
 type customer struct {
-	key            uint32
-	hash           uint64
-	plan           *plan
-	first, entries int // entries 0: known from others' reports alone
-	prime          int // first on the ring of its gateways
-	usedAt         float64
-	refusedAt      float64 // when a request was last refused for want of quota or room
-	total          float64 // own count of what was let in, ever
-	acked          float64 // as the owner last took it in
-	demand         float64 // units a second asked for here
-	demandAt       float64
-	out            int
-	known          bool    // the owner has reported
-	room, roomAt   float64 // as last reported
-	others         float64 // what the others are asked for
-	othersOut      int
-	holdTill       float64    // the owner refuses until then
-	asks           []*request // wait for the owner's word
-	parked         []*request // wait for an attempt of a parallel plan to end
-	parkTill       float64    // they are not tried again before
-	asked          int        // of them, told to the owner
-	tries          int
-	waitFrom       float64 // since when a report is unanswered, 0: none
-	waiting        bool    // in Gateway.waiting
-	dirty          bool    // to be reported
-	askOf          int     // to this gateway
-	ceil, ceilAt   float64
-	pool, poolAt   float64
-	local, localAt float64
-	led            *ledger
+	key                                    uint32
+	hash                                   uint64
+	plan                                   *plan
+	firstGateway, gatewayCount             int // entries 0: known from others' reports alone
+	primaryOwner                           int // first on the ring of its gateways
+	usedAt                                 float64
+	rejectedAt                             float64 // when a request was last refused for want of quota or room
+	totalUnits                             float64 // own count of what was let in, ever
+	acknowledgedUnits                      float64 // as the owner last took it in
+	demand                                 float64 // units a second asked for here
+	demandAt                               float64
+	inFlight                               int
+	heardFromOwner                         bool    // the owner has reported
+	reportedRemaining, reportedRemainingAt float64 // as last reported
+	othersDemand                           float64 // what the others are asked for
+	othersInFlight                         int
+	backoffUntil                           float64    // the owner refuses until then
+	awaitingOwner                          []*request // wait for the owner's word
+	slotQueue                              []*request // wait for an attempt of a parallel plan to end
+	slotRetryAt                            float64    // they are not tried again before
+	askedCount                             int        // of them, told to the owner
+	retransmissions                        int
+	awaitingReplySince                     float64 // since when a report is unanswered, 0: none
+	awaitingReply                          bool    // in Gateway.waiting
+	reportScheduled                        bool    // to be reported
+	reportTo                               int     // to this gateway
+	ceilingUnits, ceilingUnitsAt           float64
+	ceilingPool, ceilingPoolAt             float64
+	localUnits, localUnitsAt               float64
+	ledger                                 *ledger
 }
 
 // roomNow is the room as a member knows it.
-func (g *Gateway) roomNow(c *customer) float64 {
-	if c.led != nil {
+func (g *Gateway) remainingUnits(c *customer) float64 {
+	if c.ledger != nil {
 		// Ownership moved on: what was counted here is the best start for a member.
-		c.room, c.roomAt, c.known, c.acked, c.led = g.ledger(c).room, g.now, true, c.total, nil
+		c.reportedRemaining, c.reportedRemainingAt, c.heardFromOwner, c.acknowledgedUnits, c.ledger = g.ledger(c).remaining, g.now, true, c.totalUnits, nil
 	}
-	return min(c.plan.Burst, c.room+c.plan.Rate*(g.now-c.roomAt)) - max(c.total-c.acked, 0)
+	return min(c.plan.Burst, c.reportedRemaining+c.plan.Rate*(g.now-c.reportedRemainingAt)) - max(c.totalUnits-c.acknowledgedUnits, 0)
 }
 
 // customer finds or makes what is kept of a customer.
-func (g *Gateway) customer(q Request) *customer {
-	h := hashOf(q.Customer)
+func (g *Gateway) findCustomer(q Request) *customer {
+	h := hashCustomer(q.Customer)
 	key := uint32(h >> 32)
-	c := g.custs[key]
+	c := g.customers[key]
 	if c == nil {
-		c = g.newCustomer(key, g.byPlan[q.Plan])
+		c = g.newCustomer(key, g.plans[q.Plan])
 	}
-	if c.entries == 0 {
-		c.hash, c.first, c.entries = h, q.FirstGateway, q.GatewayCount
-		if c.entries <= 0 || c.entries > g.s.GatewayCount {
-			c.first, c.entries = 0, g.s.GatewayCount
+	if c.gatewayCount == 0 {
+		c.hash, c.firstGateway, c.gatewayCount = h, q.FirstGateway, q.GatewayCount
+		if c.gatewayCount <= 0 || c.gatewayCount > g.settings.GatewayCount {
+			c.firstGateway, c.gatewayCount = 0, g.settings.GatewayCount
 		}
-		c.prime = g.walk(c, false)
+		c.primaryOwner = g.ringSuccessor(c, false)
 	}
 	c.usedAt = g.now
 	return c
 }
 
 // forget drops customers unused for so long of which nothing is left to tell.
-func (g *Gateway) forget(age float64) {
-	for k, c := range g.custs {
-		idle := c.out == 0 && len(c.asks) == 0 && len(c.parked) == 0 && !c.dirty && !c.waiting
-		if g.now-c.usedAt > age && idle && g.fresh(c) {
-			delete(g.custs, k)
-		} else if c.led != nil {
-			for i, m := range c.led.members {
-				if g.now-m.at > memberS {
-					delete(c.led.members, i)
+func (g *Gateway) evictIdleCustomers(age float64) {
+	for k, c := range g.customers {
+		idle := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotQueue) == 0 && !c.reportScheduled && !c.awaitingReply
+		if g.now-c.usedAt > age && idle && g.isPristine(c) {
+			delete(g.customers, k)
+		} else if c.ledger != nil {
+			for i, m := range c.ledger.members {
+				if g.now-m.reportedAt > memberExpiry {
+					delete(c.ledger.members, i)
 				}
 			}
 		}
@@ -98,140 +98,140 @@
 }
 
 // verdict is what quota and ceiling say of a first send.
-type verdict int
+type admission int
 
 const (
-	deny verdict = iota
-	pass
-	wait // the owner is asked
+	rejectRequest admission = iota
+	admitRequest
+	askOwner // the owner is asked
 )
 
 // newCustomer is a customer as a gateway knows it when it is first heard of: with a full window, but
 // an empty split of its ceiling, filling since this gateway's start.
 func (g *Gateway) newCustomer(key uint32, p *plan) *customer {
-	c := &customer{key: key, plan: p, prime: g.s.Self, room: p.Burst, roomAt: g.now, usedAt: g.now,
-		refusedAt: math.Inf(-1),
-		ceilAt:    g.born, poolAt: g.born}
-	g.custs[key] = c
+	c := &customer{key: key, plan: p, primaryOwner: g.settings.Self, reportedRemaining: p.Burst, reportedRemainingAt: g.now, usedAt: g.now,
+		rejectedAt:     math.Inf(-1),
+		ceilingUnitsAt: g.startedAt, ceilingPoolAt: g.startedAt}
+	g.customers[key] = c
 	return c
 }
 
 // inQuota decides on the ordinary path: the owner by its count, a member by its split of the room it
 // last heard. Where that can't tell, since the split is under one request or the news is old, the
 // request waits for the owner's word, which is the post's own call.
-func (g *Gateway) inQuota(r *request) verdict {
-	c, p := r.cust, r.plan
-	if g.owner(c) == g.s.Self && g.fits(g.ledger(c), c, r.Units, r.cheap) &&
-		(g.ceilingHolds(c, r.Units) || g.poolHolds(c, r.Units)) {
-		return pass
-	} else if g.owner(c) == g.s.Self {
-		return deny
-	}
-	room, age, mine := g.roomNow(c), g.now-c.roomAt, g.demandNow(c)
+func (g *Gateway) admit(r *request) admission {
+	c, p := r.customer, r.plan
+	if g.owner(c) == g.settings.Self && g.hasCapacity(g.ledger(c), c, r.Units, r.cheapness) &&
+		(g.ceilingHasCapacity(c, r.Units) || g.ceilingPoolHasCapacity(c, r.Units)) {
+		return admitRequest
+	} else if g.owner(c) == g.settings.Self {
+		return rejectRequest
+	}
+	room, age, mine := g.remainingUnits(c), g.now-c.reportedRemainingAt, g.currentDemand(c)
 	switch {
-	case len(c.asks) > 0:
-		return wait
-	case g.now < c.holdTill:
-		return deny
-	case p.MaxConcurrent > 0 && (age > slotFreshS || c.out+c.othersOut+1 >= p.MaxConcurrent), !g.ceilingHolds(c, r.Units):
-		return wait
+	case len(c.awaitingOwner) > 0:
+		return askOwner
+	case g.now < c.backoffUntil:
+		return rejectRequest
+	case p.MaxConcurrent > 0 && (age > slotFreshness || c.inFlight+c.othersInFlight+1 >= p.MaxConcurrent), !g.ceilingHasCapacity(c, r.Units):
+		return askOwner
 	}
 	need := r.Units
-	if mine+c.others > p.Rate {
-		need += r.cheap * cheapLeaves * p.Burst
+	if mine+c.othersDemand > p.Rate {
+		need += r.cheapness * cheapReserveFraction * p.Burst
 	}
-	switch old := !c.known || age > freshS; {
+	switch old := !c.heardFromOwner || age > grantFreshness; {
 	case p.Rate == 0:
-		return pass
-	case old && need*float64(c.entries) <= min(room, room-(c.others-p.Rate)*age):
-		return pass // each of the customer's gateways may think the same at this moment
-	case !old && need <= max(room*mine/max(mine+c.others, 1e-9), room-2*c.others*(age+lagS)):
-		return pass
-	case r.Units > room && age < batchS:
-		return deny
-	}
-	return wait
+		return admitRequest
+	case old && need*float64(c.gatewayCount) <= min(room, room-(c.othersDemand-p.Rate)*age):
+		return admitRequest // each of the customer's gateways may think the same at this moment
+	case !old && need <= max(room*mine/max(mine+c.othersDemand, 1e-9), room-2*c.othersDemand*(age+clockUncertainty)):
+		return admitRequest
+	case r.Units > room && age < minReportInterval:
+		return rejectRequest
+	}
+	return askOwner
 }
 
 // fits tells whether the owner's count has room. While the customer asks for more than its rate, the
 // cheaper a class is a unit, the more room it must leave to dearer ones.
-func (g *Gateway) fits(l *ledger, c *customer, units, cheap float64) bool {
+func (g *Gateway) hasCapacity(l *ledger, c *customer, units, cheap float64) bool {
 	p := c.plan
-	if p.MaxConcurrent > 0 && c.out+l.outs(g.now, -1) >= p.MaxConcurrent {
+	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(g.now, -1) >= p.MaxConcurrent {
 		return false
 	} else if p.Rate == 0 {
 		return true
 	}
-	if g.demandNow(c)+l.demandNow(g.now) > p.Rate {
-		units += cheap * cheapLeaves * p.Burst
+	if g.currentDemand(c)+l.currentDemand(g.now) > p.Rate {
+		units += cheap * cheapReserveFraction * p.Burst
 	}
-	return units <= l.room
+	return units <= l.remaining
 }
 
 // take charges a first send to quota and ceiling when it is let in.
-func (g *Gateway) take(r *request, paid bool) {
-	c := r.cust
+func (g *Gateway) reserve(r *request, paid bool) {
+	c := r.customer
 	if c == nil {
 		return
 	}
 	switch {
 	case paid:
-	case g.ceilingHolds(c, r.Units):
-		c.ceil -= r.Units
+	case g.ceilingHasCapacity(c, r.Units):
+		c.ceilingUnits -= r.Units
 	default:
-		c.pool -= r.Units
+		c.ceilingPool -= r.Units
 	}
-	r.taken = true
+	r.charged = true
 	g.charge(c, r.Units)
 }
 
 func (g *Gateway) charge(c *customer, units float64) {
-	if g.owner(c) == g.s.Self {
+	if g.owner(c) == g.settings.Self {
 		l := g.ledger(c)
-		l.room = max(l.room-units, min(l.room, 0))
+		l.remaining = max(l.remaining-units, min(l.remaining, 0))
 	}
-	c.total += units
-	if c.total > c.acked || units < 0 {
+	c.totalUnits += units
+	if c.totalUnits > c.acknowledgedUnits || units < 0 {
 		g.markForReport(c, false)
 	}
 }
 
 // localHolds is the local window, where no owner answers: this gateway's count alone, and its part
 // of the rate alone, as the others may go on serving the same customer.
-func (g *Gateway) localHolds(c *customer, units float64) bool {
-	p, n := c.plan, float64(c.entries)
-	if p.MaxConcurrent > 0 && c.out+c.othersOut >= p.MaxConcurrent {
+func (g *Gateway) reserveLocal(c *customer, units float64) bool {
+	p, n := c.plan, float64(c.gatewayCount)
+	if p.MaxConcurrent > 0 && c.inFlight+c.othersInFlight >= p.MaxConcurrent {
 		return false
 	}
-	c.local = min(max(p.Burst/n, float64(g.s.MaxRequestUnits)), c.local+p.Rate/n*(g.now-c.localAt))
-	c.localAt = g.now
-	if p.Rate > 0 && units > min(c.local, g.roomNow(c)) {
+	c.localUnits = min(max(p.Burst/n, float64(g.settings.MaxRequestUnits)), c.localUnits+p.Rate/n*(g.now-c.localUnitsAt))
+	c.localUnitsAt = g.now
+	if p.Rate > 0 && units > min(c.localUnits, g.remainingUnits(c)) {
 		return false
 	}
-	c.local -= units
+	c.localUnits -= units
 	return true
 }
 
 // ceilingHolds brings this gateway's fixed split of half the ceiling up to now and tells whether
 // units fit. A split starts empty, as a restarted gateway may just have spent its own.
-func (g *Gateway) ceilingHolds(c *customer, units float64) bool {
-	p, n := c.plan, float64(max(c.entries, 1))
+func (g *Gateway) ceilingHasCapacity(c *customer, units float64) bool {
+	p, n := c.plan, float64(max(c.gatewayCount, 1))
 	if p.CeilingRate <= 0 {
 		return true
 	}
-	part := (1 - poolShare) / n
-	c.ceil = min(p.CeilingBurst*part, c.ceil+p.CeilingRate*part*(g.now-c.ceilAt))
-	c.ceilAt = g.now
-	return units <= c.ceil
+	part := (1 - ceilingPoolFraction) / n
+	c.ceilingUnits = min(p.CeilingBurst*part, c.ceilingUnits+p.CeilingRate*part*(g.now-c.ceilingUnitsAt))
+	c.ceilingUnitsAt = g.now
+	return units <= c.ceilingUnits
 }
 
 // poolHolds does so for the other part, which the first gateway on the customer's ring pays grants from.
 // It is the same one for all, whoever is silent, so the parts add up whatever is lost or restarted.
-func (g *Gateway) poolHolds(c *customer, units float64) bool {
-	if c.prime != g.s.Self || c.plan.CeilingRate <= 0 {
+func (g *Gateway) ceilingPoolHasCapacity(c *customer, units float64) bool {
+	if c.primaryOwner != g.settings.Self || c.plan.CeilingRate <= 0 {
 		return false
 	}
-	c.pool = min(c.plan.CeilingBurst*poolShare, c.pool+c.plan.CeilingRate*poolShare*(g.now-c.poolAt))
-	c.poolAt = g.now
-	return units <= c.pool
+	c.ceilingPool = min(c.plan.CeilingBurst*ceilingPoolFraction, c.ceilingPool+c.plan.CeilingRate*ceilingPoolFraction*(g.now-c.ceilingPoolAt))
+	c.ceilingPoolAt = g.now
+	return units <= c.ceilingPool
 }
--- a/policy/repeat_test.go
+++ b/policy/repeat_test.go
@@ -11,7 +11,7 @@
 // from the first attempt that may have run, and one that never ran opens none.
 func TestFurtherAttemptsCarryTheEndOfTheKeysWindow(t *testing.T) {
 	const ttl = 2.0
-	left := func(now, first float64) float64 { return first + ttl - lagS - now }
+	left := func(now, first float64) float64 { return first + ttl - clockUncertainty - now }
 	for name, tc := range map[string]struct {
 		class  string
 		events func(g *Gateway)
@@ -65,7 +65,7 @@
 			ask(g, 100, "k", "cell", "wide", 1)
 			g.HandleEndpoints(100.1, []Endpoint{moved, {ID: "s2", Zone: "a", Cell: 1}, {ID: "s3", Zone: moved.Zone, Cell: moved.Cell}}, true)
 			g.HandleOutcome(100.2, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
-			for now := 100.22; now < 102; now += tickS {
+			for now := 100.22; now < 102; now += timerInterval {
 				g.HandleTimer(now, 1)
 			}
 			if sends := r.of("send", "k"); len(sends) != 1 {
@@ -92,7 +92,7 @@
 func TestNothingRunsTwiceWhateverHappens(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		ttl := []float64{0.02, lagS, 0.1, 0.3, 1, 3}[rng.IntN(6)]
+		ttl := []float64{0.02, clockUncertainty, 0.1, 0.3, 1, 3}[rng.IntN(6)]
 		g, r := gateway(t, func(s *Settings) {
 			s.GatewayCount, s.MaxAttempts, s.Hedging = 1, 2+rng.IntN(6), rng.IntN(2) == 0
 			s.Classes = nil
@@ -115,7 +115,7 @@
 			g.HandleEndpoints(now, l, true)
 		}
 		list(100)
-		class := g.s.Classes[rng.IntN(4)]
+		class := g.settings.Classes[rng.IntN(4)]
 		ask(g, 100, "k", class.Name, "wide", 1)
 		var made []*sentOnce
 		seen := 0
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -9,118 +9,118 @@
 
 // Times are in seconds.
 const (
-	reportShare = 0.45 // of peerIntake that a gateway's own reports may take
-	askWaitS    = 0.08 // how long a request waits for the owner's word before it is asked again
-	reportWaitS = 0.3  // the same for reports with no request waiting
-	askTries    = 4    // then the local window decides
-	newsSent    = 6    // with each message
-	newsS       = 2.0  // while it is no older
+	reportFraction   = 0.45 // of peerIntake that a gateway's own reports may take
+	grantTimeout     = 0.08 // how long a request waits for the owner's word before it is asked again
+	reportTimeout    = 0.3  // the same for reports with no request waiting
+	maxGrantAttempts = 4    // then the local window decides
+	gossipPerMessage = 6    // with each message
+	gossipExpiry     = 2.0  // while it is no older
 )
 
 type peer struct {
-	missed  int     // reports without an answer since it was last heard
-	missAt  float64 // the last of them
-	toldAt  float64
-	boot    uint8
-	seq     uint16
-	reports []*customer
-	pending bool // in Gateway.pending
-	urgent  bool // a request waits
+	unanswered       int     // reports without an answer since it was last heard
+	lastUnansweredAt float64 // the last of them
+	lastSentAt       float64
+	incarnation      uint8
+	sequence         uint16
+	reports          []*customer
+	pending          bool // in Gateway.pending
+	urgent           bool // a request waits
 }
 
 // expect has the customer's reports looked after until they are answered.
-func (g *Gateway) expect(c *customer) {
-	if !c.waiting {
-		c.waiting = true
-		g.waiting = append(g.waiting, c)
+func (g *Gateway) expectReply(c *customer) {
+	if !c.awaitingReply {
+		c.awaitingReply = true
+		g.awaitingReply = append(g.awaitingReply, c)
 	}
 }
 
-func (g *Gateway) header() []byte {
-	g.seq++
-	return appendHeader(make([]byte, 0, msgLimit), g.boot, g.seq)
+func (g *Gateway) messageHeader() []byte {
+	g.sequence++
+	return appendHeader(make([]byte, 0, maxMessageSize), g.incarnation, g.sequence)
 }
 
 // fresh tells that window and ceiling are as full as those of a customer never heard of.
-func (g *Gateway) fresh(c *customer) bool {
+func (g *Gateway) isPristine(c *customer) bool {
 	const eps = 1e-9
-	p, n := c.plan, float64(max(c.entries, 1))
+	p, n := c.plan, float64(max(c.gatewayCount, 1))
 	room := 0.0
-	if c.led != nil {
-		room = g.ledger(c).room
+	if c.ledger != nil {
+		room = g.ledger(c).remaining
 	} else {
-		room = g.roomNow(c)
+		room = g.remainingUnits(c)
 	}
-	local := c.local + p.Rate/n*(g.now-c.localAt)
-	if p.Rate > 0 && (room < p.Burst-eps || local < max(p.Burst/n, float64(g.s.MaxRequestUnits))) {
+	local := c.localUnits + p.Rate/n*(g.now-c.localUnitsAt)
+	if p.Rate > 0 && (room < p.Burst-eps || local < max(p.Burst/n, float64(g.settings.MaxRequestUnits))) {
 		return false
 	}
 	if p.CeilingRate <= 0 {
 		return true
 	}
-	g.ceilingHolds(c, 0)
-	g.poolHolds(c, 0)
-	full := c.ceil >= p.CeilingBurst*(1-poolShare)/n-eps
-	return full && (c.prime != g.s.Self || c.pool >= p.CeilingBurst*poolShare-eps)
+	g.ceilingHasCapacity(c, 0)
+	g.ceilingPoolHasCapacity(c, 0)
+	full := c.ceilingUnits >= p.CeilingBurst*(1-ceilingPoolFraction)/n-eps
+	return full && (c.primaryOwner != g.settings.Self || c.ceilingPool >= p.CeilingBurst*ceilingPoolFraction-eps)
 }
 
 // due puts the customer on the list of what a peer is to be told.
-func (g *Gateway) due(c *customer, peer int) {
+func (g *Gateway) scheduleReport(c *customer, peer int) {
 	p := &g.peers[peer]
-	c.dirty, c.askOf = true, peer
+	c.reportScheduled, c.reportTo = true, peer
 	p.reports = append(p.reports, c)
 	if !p.pending {
 		p.pending = true
-		g.pending = append(g.pending, peer)
+		g.peersWithReports = append(g.peersWithReports, peer)
 	}
 }
 
 // late tells whether a message is older than one taken in already, or comes twice.
-func (p *peer) late(boot uint8, seq uint16) bool {
-	if boot == p.boot && p.seq != 0 && int16(seq-p.seq) <= 0 {
+func (p *peer) stale(boot uint8, seq uint16) bool {
+	if boot == p.incarnation && p.sequence != 0 && int16(seq-p.sequence) <= 0 {
 		return true
 	}
-	p.boot, p.seq = boot, seq
+	p.incarnation, p.sequence = boot, seq
 	return false
 }
 
 // markForReport marks the customer for the next report to its owner.
 func (g *Gateway) markForReport(c *customer, urgent bool) {
 	o := g.owner(c)
-	if o == g.s.Self {
-		c.acked = c.total
+	if o == g.settings.Self {
+		c.acknowledgedUnits = c.totalUnits
 		return
 	}
-	if !c.dirty || c.askOf != o {
-		g.due(c, o)
+	if !c.reportScheduled || c.reportTo != o {
+		g.scheduleReport(c, o)
 	}
 	g.peers[o].urgent = g.peers[o].urgent || urgent
 }
 
 // ask holds the request until its customer's owner has spoken.
-func (g *Gateway) ask(r *request) {
-	c := r.cust
-	c.asks, r.asking = append(c.asks, r), true
-	if len(c.asks) > 1 {
+func (g *Gateway) awaitOwner(r *request) {
+	c := r.customer
+	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
+	if len(c.awaitingOwner) > 1 {
 		return // it joins the next report
 	}
-	c.tries, c.waitFrom = 0, g.now
-	g.expect(c)
+	c.retransmissions, c.awaitingReplySince = 0, g.now
+	g.expectReply(c)
 	g.markForReport(c, true)
-	g.flush()
+	g.sendUsageReports()
 }
 
 // flush sends what is due to peers. All hear about as much as all send, so each gateway keeps its own
 // reports to a share of what one takes in; answers come on top.
-func (g *Gateway) flush() {
-	share := g.s.PeerMessageRate * reportShare
-	g.tokens = min(max(2, share*batchS*2), g.tokens+share*(g.now-g.tokensAt))
-	g.tokensAt = g.now
-	g.pending = slices.DeleteFunc(g.pending, func(i int) bool {
+func (g *Gateway) sendUsageReports() {
+	share := g.settings.PeerMessageRate * reportFraction
+	g.reportTokens = min(max(2, share*minReportInterval*2), g.reportTokens+share*(g.now-g.reportTokensAt))
+	g.reportTokensAt = g.now
+	g.peersWithReports = slices.DeleteFunc(g.peersWithReports, func(i int) bool {
 		p := &g.peers[i]
-		if p.urgent && g.tokens >= 1 || g.tokens >= 2 && g.now-p.toldAt >= batchS {
-			g.tokens--
-			g.tell(i)
+		if p.urgent && g.reportTokens >= 1 || g.reportTokens >= 2 && g.now-p.lastSentAt >= minReportInterval {
+			g.reportTokens--
+			g.sendUsageReport(i)
 		}
 		p.pending = len(p.reports) > 0
 		return !p.pending
@@ -128,156 +128,156 @@
 }
 
 // tell reports to a peer as owner.
-func (g *Gateway) tell(i int) {
+func (g *Gateway) sendUsageReport(i int) {
 	p, n := &g.peers[i], 0
-	b := g.header()
+	b := g.messageHeader()
 	for _, c := range p.reports {
-		if len(b)+g.form.size() > msgLimit {
+		if len(b)+g.format.recordSize() > maxMessageSize {
 			break
 		}
-		if n++; c.askOf != i || !c.dirty {
+		if n++; c.reportTo != i || !c.reportScheduled {
 			continue
 		}
-		c.dirty = false
+		c.reportScheduled = false
 		c.usedAt = g.now
-		r := record{Key: c.key, Plan: c.plan.index, Known: c.known, Flag: i == c.prime, Total: c.total,
-			Room: g.roomNow(c), Rate: g.demandNow(c), Out: c.out, Unacked: max(c.total-c.acked, 0)}
-		c.asked = len(c.asks)
-		for k, q := range c.asks {
-			if r.Want += q.Units; k == 0 {
-				r.First, r.Cheap = q.Units, q.cheap
+		r := usageRecord{Key: c.key, Plan: c.plan.index, Known: c.heardFromOwner, CeilingPool: i == c.primaryOwner, Total: c.totalUnits,
+			Remaining: g.remainingUnits(c), Demand: g.currentDemand(c), InFlight: c.inFlight, Unacknowledged: max(c.totalUnits-c.acknowledgedUnits, 0)}
+		c.askedCount = len(c.awaitingOwner)
+		for k, q := range c.awaitingOwner {
+			if r.WantedUnits += q.Units; k == 0 {
+				r.FirstWantedUnits, r.Cheapness = q.Units, q.cheapness
 			}
 		}
-		b = g.form.appendRecord(b, r)
-		if c.waitFrom == 0 || c.asked > 0 {
-			c.waitFrom = g.now
+		b = g.format.appendRecord(b, r)
+		if c.awaitingReplySince == 0 || c.askedCount > 0 {
+			c.awaitingReplySince = g.now
 		}
-		g.expect(c)
+		g.expectReply(c)
 	}
 	p.reports = slices.Delete(p.reports, 0, n)
-	p.toldAt, p.urgent = g.now, p.urgent && len(p.reports) > 0
-	g.post(i, b)
+	p.lastSentAt, p.urgent = g.now, p.urgent && len(p.reports) > 0
+	g.sendMessage(i, b)
 }
 
 // post sends a message with records, and with what is new of servers in the room left.
-func (g *Gateway) post(to int, b []byte) {
-	if len(b) == msgHeader {
+func (g *Gateway) sendMessage(to int, b []byte) {
+	if len(b) == headerSize {
 		return
 	}
-	b[msgCount] = byte((len(b) - msgHeader) / g.form.size())
-	for i := len(g.news) - 1; i >= max(0, len(g.news)-newsSent) && len(b)+msgItem <= msgLimit; i-- {
-		if n := g.news[i]; g.now-n.at < newsS && n.class < loadByte {
+	b[countOffset] = byte((len(b) - headerSize) / g.format.recordSize())
+	for i := len(g.gossip) - 1; i >= max(0, len(g.gossip)-gossipPerMessage) && len(b)+updateSize <= maxMessageSize; i-- {
+		if n := g.gossip[i]; g.now-n.at < gossipExpiry && n.class < loadUpdateByte {
 			b = appendItem(b, n, g.now)
 		}
 	}
-	g.act.SendToPeer(to, b)
+	g.actions.SendToPeer(to, b)
 }
 
 // unanswered looks after reports without a reply: they are told again, after a second silence to the
 // next on the ring, and after a third the request falls back to the local window. A gap in this
 // gateway's own time is nobody's silence.
-func (g *Gateway) unanswered() {
-	for _, c := range g.waiting {
-		most := reportWaitS
-		if len(c.asks) > 0 {
-			most = askWaitS
+func (g *Gateway) retransmit() {
+	for _, c := range g.awaitingReply {
+		most := reportTimeout
+		if len(c.awaitingOwner) > 0 {
+			most = grantTimeout
 		}
-		if c.waitFrom > 0 && g.now-max(c.waitFrom, g.gapAt) > most {
-			if !c.dirty { // it was told
-				p := &g.peers[c.askOf]
-				p.missed, p.missAt = p.missed+1, g.now
+		if c.awaitingReplySince > 0 && g.now-max(c.awaitingReplySince, g.resumedAt) > most {
+			if !c.reportScheduled { // it was told
+				p := &g.peers[c.reportTo]
+				p.unanswered, p.lastUnansweredAt = p.unanswered+1, g.now
 			}
-			c.tries++
-			c.waitFrom, c.asked = 0, 0
-			if c.tries >= askTries {
-				c.tries = 0
-				g.resolve(c, len(c.asks), func(r *request) bool { return g.localHolds(c, r.Units) }, false)
+			c.retransmissions++
+			c.awaitingReplySince, c.askedCount = 0, 0
+			if c.retransmissions >= maxGrantAttempts {
+				c.retransmissions = 0
+				g.settleAwaiting(c, len(c.awaitingOwner), func(r *request) bool { return g.reserveLocal(c, r.Units) }, false)
 			} else {
-				g.markForReport(c, len(c.asks) > 0)
-				if len(c.asks) > 0 {
-					c.waitFrom = g.now
+				g.markForReport(c, len(c.awaitingOwner) > 0)
+				if len(c.awaitingOwner) > 0 {
+					c.awaitingReplySince = g.now
 				}
 			}
 		}
-		c.waiting = c.waitFrom > 0
+		c.awaitingReply = c.awaitingReplySince > 0
 	}
-	g.waiting = slices.DeleteFunc(g.waiting, func(c *customer) bool { return !c.waiting })
+	g.awaitingReply = slices.DeleteFunc(g.awaitingReply, func(c *customer) bool { return !c.awaitingReply })
 }
 
 // resolve ends the wait of the first n requests that asked.
-func (g *Gateway) resolve(c *customer, n int, ok func(*request) bool, paid bool) {
-	list := c.asks[:n]
-	c.asks = slices.Clone(c.asks[n:])
+func (g *Gateway) settleAwaiting(c *customer, n int, ok func(*request) bool, paid bool) {
+	list := c.awaitingOwner[:n]
+	c.awaitingOwner = slices.Clone(c.awaitingOwner[n:])
 	for _, r := range list {
-		switch r.asking = false; {
-		case r.over:
-		case ok(r) && (paid || g.ceilingHolds(c, r.Units)):
-			g.take(r, paid)
-			g.place(r)
-		case g.slotComes(r):
-			g.park(r)
+		switch r.awaitingOwner = false; {
+		case r.done:
+		case ok(r) && (paid || g.ceilingHasCapacity(c, r.Units)):
+			g.reserve(r, paid)
+			g.dispatch(r)
+		case g.worthQueueing(r):
+			g.queueForSlot(r)
 		default:
-			g.refuse(r, QuotaExceeded)
+			g.reject(r, QuotaExceeded)
 		}
 	}
 }
 
 // Peer takes a message of another gateway. Reports are answered at once, all in one message.
 func (g *Gateway) HandlePeerMessage(now float64, from int, data []byte) {
-	g.clock(now)
-	boot, seq, recs, items, ok := g.form.parse(data, now)
-	if !ok || from < 0 || from >= len(g.peers) || from == g.s.Self {
+	g.advanceClock(now)
+	boot, seq, recs, items, ok := g.format.parse(data, now)
+	if !ok || from < 0 || from >= len(g.peers) || from == g.settings.Self {
 		return
 	}
 	p := &g.peers[from]
-	if p.late(boot, seq) {
+	if p.stale(boot, seq) {
 		return
 	}
-	p.missed = 0
-	g.inRate, g.inAt = g.inRate*math.Exp(g.inAt-now)+1, now
+	p.unanswered = 0
+	g.receivedMessages, g.receivedMessagesAt = g.receivedMessages*math.Exp(g.receivedMessagesAt-now)+1, now
 	for _, n := range items {
-		g.takeNews(n)
+		g.mergeGossip(n)
 	}
-	b := g.header()
+	b := g.messageHeader()
 	for _, r := range recs {
-		c := g.custs[r.Key]
+		c := g.customers[r.Key]
 		switch {
-		case r.Plan >= len(g.plans):
-		case r.Owner && c != nil && c.askOf == from:
-			g.heard(c, r)
+		case r.Plan >= len(g.plansByIndex):
+		case r.Owner && c != nil && c.reportTo == from:
+			g.applyGrant(c, r)
 		case !r.Owner:
 			if c == nil {
-				c = g.newCustomer(r.Key, g.plans[r.Plan])
+				c = g.newCustomer(r.Key, g.plansByIndex[r.Plan])
 			}
 			c.usedAt = now
-			b = g.form.appendRecord(b, g.count(c, from, r))
+			b = g.format.appendRecord(b, g.applyUsageReport(c, from, r))
 		}
 	}
-	g.post(from, b)
-	g.slots()
-	g.flush()
+	g.sendMessage(from, b)
+	g.retryQueued()
+	g.sendUsageReports()
 }
 
 // heard takes in what the owner says.
-func (g *Gateway) heard(c *customer, r record) {
-	most := c.total + g.form.quarters(r.Total-c.total)
-	c.known, c.room, c.roomAt, c.acked = true, r.Room, g.now, most
-	c.others, c.othersOut = r.Rate, r.Out
-	if r.Want > 0 && c.asked > 0 {
-		n := min(c.asked, len(c.asks))
-		c.asked, c.tries, c.holdTill = 0, 0, g.now+r.Hold
-		g.resolve(c, n, func(q *request) bool { return c.total+q.Units <= most+g.form.slack() }, r.Flag)
-		if r.Hold > 0 {
-			g.resolve(c, len(c.asks), func(*request) bool { return false }, false)
+func (g *Gateway) applyGrant(c *customer, r usageRecord) {
+	most := c.totalUnits + g.format.roundDifference(r.Total-c.totalUnits)
+	c.heardFromOwner, c.reportedRemaining, c.reportedRemainingAt, c.acknowledgedUnits = true, r.Remaining, g.now, most
+	c.othersDemand, c.othersInFlight = r.Demand, r.InFlight
+	if r.WantedUnits > 0 && c.askedCount > 0 {
+		n := min(c.askedCount, len(c.awaitingOwner))
+		c.askedCount, c.retransmissions, c.backoffUntil = 0, 0, g.now+r.Backoff
+		g.settleAwaiting(c, n, func(q *request) bool { return c.totalUnits+q.Units <= most+g.format.roundingSlack() }, r.CeilingPool)
+		if r.Backoff > 0 {
+			g.settleAwaiting(c, len(c.awaitingOwner), func(*request) bool { return false }, false)
 		}
 	}
-	if c.acked = min(most, c.total); most > c.total || len(c.asks) > 0 && c.asked == 0 {
-		g.markForReport(c, len(c.asks) > 0)
+	if c.acknowledgedUnits = min(most, c.totalUnits); most > c.totalUnits || len(c.awaitingOwner) > 0 && c.askedCount == 0 {
+		g.markForReport(c, len(c.awaitingOwner) > 0)
 	}
-	if len(c.asks) == 0 {
-		c.waitFrom, c.tries = 0, 0
-	} else if c.asked == 0 {
-		c.waitFrom = g.now
-		g.expect(c)
+	if len(c.awaitingOwner) == 0 {
+		c.awaitingReplySince, c.retransmissions = 0, 0
+	} else if c.askedCount == 0 {
+		c.awaitingReplySince = g.now
+		g.expectReply(c)
 	}
 }
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -9,19 +9,19 @@
 
 // Times are in seconds.
 const (
-	hedgeX     = 4.0   // and others after so many mean latencies
-	silentX    = 6.0   // a server that answers nothing for so many mean latencies is in doubt
-	hedgeShare = 0.4   // of the aim: an attempt in doubt this old is tried elsewhere
-	guardS     = 0.004 // margin on deadlines
+	hedgeLatencies         = 4.0   // and others after so many mean latencies
+	silentLatencies        = 6.0   // a server that answers nothing for so many mean latencies is in doubt
+	hedgeObjectiveFraction = 0.4   // of the aim: an attempt in doubt this old is tried elsewhere
+	deadlineMargin         = 0.004 // margin on deadlines
 )
 
 type attempt struct {
-	srv    *server
-	in     group // of the server as it was sent there
-	sentAt float64
-	done   bool
-	called bool // cancelled by us
-	seen   bool // its silence was taken in
+	endpoint        *endpoint
+	group           group // of the server as it was sent there
+	sentAt          float64
+	done            bool
+	cancelled       bool // cancelled by us
+	silenceRecorded bool // its silence was taken in
 }
 
 // group is where a server stands among those that drop the repeats of the same key.
@@ -30,7 +30,7 @@
 	cell int
 }
 
-func (s *server) group() group { return group{s.Zone, s.Cell} }
+func (s *endpoint) group() group { return group{s.Zone, s.Cell} }
 
 // sameGroup tells whether the servers of two groups drop the repeats of the same key.
 func sameGroup(scope DedupScope, a, b group) bool {
@@ -38,156 +38,158 @@
 }
 
 // mayHaveRun notes the first attempt that may have run.
-func (r *request) mayHaveRun(a *attempt) {
-	if r.ran == nil {
-		r.ran, r.ranIn, r.ranAt = a.srv, a.in, a.sentAt
+func (r *request) recordFirstExecuted(a *attempt) {
+	if r.firstExecuted == nil {
+		r.firstExecuted, r.firstExecutedGroup, r.firstExecutedAt = a.endpoint, a.group, a.sentAt
 	}
 }
 
 // drops tells whether a server drops the request if it has run already. The group of the one where it may
 // have counts as it was then, and as it is by now: a list may change it.
-func (r *request) drops(s *server) bool {
-	return r.ran == nil || r.cls.Idempotency != IdempotencyKey ||
-		sameGroup(r.cls.DedupScope, r.ranIn, s.group()) && sameGroup(r.cls.DedupScope, r.ran.group(), s.group())
+func (r *request) deduplicates(s *endpoint) bool {
+	return r.firstExecuted == nil || r.class.Idempotency != IdempotencyKey ||
+		sameGroup(r.class.DedupScope, r.firstExecutedGroup, s.group()) && sameGroup(r.class.DedupScope, r.firstExecuted.group(), s.group())
 }
 
 // begin counts an attempt as out.
-func (g *Gateway) begin(r *request, s *server) {
-	if g.now-s.sentAt > connShare*g.s.ConnectionIdleTimeout {
-		s.conns = s.inflight
+func (g *Gateway) startAttempt(r *request, s *endpoint) {
+	if g.now-s.lastSentAt > reusableIdleFraction*g.settings.ConnectionIdleTimeout {
+		s.connections = s.inFlight
 	}
-	s.inflight++
-	s.conns = max(s.conns, s.inflight)
-	g.out++
-	r.out++
-	g.sentAt, s.sentAt = g.now, g.now
-	g.outBy(r, 1)
-	r.attempts = append(r.attempts, attempt{srv: s, in: s.group(), sentAt: g.now})
+	s.inFlight++
+	s.connections = max(s.connections, s.inFlight)
+	g.inFlight++
+	r.inFlight++
+	g.lastSentAt, s.lastSentAt = g.now, g.now
+	g.adjustInFlight(r, 1)
+	r.attempts = append(r.attempts, attempt{endpoint: s, group: s.group(), sentAt: g.now})
 }
 
 // ended finds the attempt and counts it as done; nil if there is none out.
-func (g *Gateway) ended(o Outcome) (*request, *attempt) {
-	r := g.reqs[o.RequestID]
+func (g *Gateway) endAttempt(o Outcome) (*request, *attempt) {
+	r := g.requests[o.RequestID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
 		return nil, nil
 	}
 	a := &r.attempts[o.Attempt]
 	a.done = true
-	a.srv.inflight--
+	a.endpoint.inFlight--
 	if o.Status != OK && o.Status != Error && o.Status != Rejected {
-		a.srv.conns = max(a.srv.conns-1, 0) // what is given up takes its connection with it
+		a.endpoint.connections = max(a.endpoint.connections-1, 0) // what is given up takes its connection with it
 	}
-	g.out--
-	r.out--
-	g.outBy(r, -1)
+	g.inFlight--
+	r.inFlight--
+	g.adjustInFlight(r, -1)
 	return r, a
 }
 
-func (g *Gateway) send(r *request, s *server) {
-	s.busy = s.busy*math.Exp((s.sentAt-g.now)/busyTauS) + min(s.speed*r.cls.lat/busyTauS, 1)
-	g.begin(r, s)
-	if g.coldShare(s) < 1 {
-		s.slowStartTurn -= g.inMeans(r)
+func (g *Gateway) sendAttempt(r *request, s *endpoint) {
+	s.meanInFlight = s.meanInFlight*math.Exp((s.lastSentAt-g.now)/inFlightTimeConstant) + min(s.latencyFactor*r.class.meanLatency/inFlightTimeConstant, 1)
+	g.startAttempt(r, s)
+	if g.warmUpFraction(s) < 1 {
+		s.slowStartCredit -= g.relativeCost(r)
 	}
 	whole := 0.0
-	if r.ran != nil && r.cls.Idempotency == IdempotencyKey {
-		whole = max(r.windowEnd()-g.now, guardS) // what is sent once a dial is up must keep the window too
+	if r.firstExecuted != nil && r.class.Idempotency == IdempotencyKey {
+		whole = max(r.idempotencyWindowEnd()-g.now, deadlineMargin) // what is sent once a dial is up must keep the window too
 	}
-	g.act.Send(r.ID, s.ID, max(r.endAt()-g.now, guardS), whole)
+	g.actions.Send(r.ID, s.ID, max(r.lastUsefulAt()-g.now, deadlineMargin), whole)
 }
 
 // Outcome takes the end of an attempt.
 func (g *Gateway) HandleOutcome(now float64, o Outcome) {
-	g.clock(now)
-	r, a := g.ended(o)
+	g.advanceClock(now)
+	r, a := g.endAttempt(o)
 	if r == nil {
 		return
 	}
-	g.report(a.srv, o.Load)
-	g.learn(r, a, o)
+	g.recordLoadReport(a.endpoint, o.Load)
+	g.recordOutcome(r, a, o)
 	r.written = r.written || o.Status != ConnectFailed && o.Status != NotSent
 	if o.Status != Rejected && o.Status != ConnectFailed && o.Status != NotSent {
-		r.mayHaveRun(a)
+		r.recordFirstExecuted(a)
 	}
-	if o.Status == OK && g.s.ActualUnitsInReply && r.taken && o.ActualUnits > 0 {
-		g.charge(r.cust, o.ActualUnits-r.Units)
+	if o.Status == OK && g.settings.ActualUnitsInReply && r.charged && o.ActualUnits > 0 {
+		g.charge(r.customer, o.ActualUnits-r.Units)
 	}
-	if r.over || o.RequestDone || o.Status == OK {
-		g.over(r)
-	} else if r.out == 0 && !r.stream {
-		g.place(r)
+	if r.done || o.RequestDone || o.Status == OK {
+		g.finishRequest(r)
+	} else if r.inFlight == 0 && !r.streaming {
+		g.dispatch(r)
 	}
-	g.drain()
-	g.slots()
+	g.dispatchQueued()
+	g.retryQueued()
 }
 
 // endAt is when an answer is no longer worth the servers' work: after the aim, for
 // the share of the time left in which it still earns something.
-func (r *request) endAt() float64 {
-	return r.aimAt + r.cls.LateWeightFraction*max(r.Deadline-r.aimAt, 0)
+func (r *request) lastUsefulAt() float64 {
+	return r.objectiveAt + r.class.LateWeightFraction*max(r.Deadline-r.objectiveAt, 0)
 }
 
 // mayRetry tells whether another attempt is allowed and worth it.
 func (g *Gateway) mayRetry(r *request) bool {
-	if len(r.attempts) >= max(1, g.s.MaxAttempts) || g.now+r.cls.lat > r.endAt() ||
-		!r.written && g.now > r.halfAt {
+	if len(r.attempts) >= max(1, g.settings.MaxAttempts) || g.now+r.class.meanLatency > r.lastUsefulAt() ||
+		!r.written && g.now > r.firstWriteBy {
 		return false
 	}
-	return r.ran == nil || r.cls.Idempotency == Idempotent || r.cls.Idempotency == IdempotencyKey && g.now <= r.windowEnd()
+	return r.firstExecuted == nil || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotencyKey && g.now <= r.idempotencyWindowEnd()
 }
 
 // whyNoRetry tells why mayRetry does not hold.
-func (g *Gateway) whyNoRetry(r *request) Reason {
-	if len(r.attempts) > 0 && g.now+r.cls.lat <= r.endAt() {
+func (g *Gateway) retryRefusal(r *request) Reason {
+	if len(r.attempts) > 0 && g.now+r.class.meanLatency <= r.lastUsefulAt() {
 		return AttemptsExhausted
 	}
 	return DeadlineTooClose
 }
 
 // windowEnd is when the servers that may have run a keyed request cease to drop its repeats.
-func (r *request) windowEnd() float64 { return r.ranAt + r.cls.IdempotencyWindow - lagS }
+func (r *request) idempotencyWindowEnd() float64 {
+	return r.firstExecutedAt + r.class.IdempotencyWindow - clockUncertainty
+}
 
 // watch looks at the attempts that are out: a server that leaves a class unanswered for long is sick
 // for it, and what waits is tried elsewhere where allowed.
-func (g *Gateway) watch() {
-	g.live = slices.DeleteFunc(g.live, func(r *request) bool { return r.over && r.out == 0 })
-	for _, r := range g.live {
-		if r.asking && g.now+tickS > min(r.endAt()-r.cls.lat, r.halfAt) {
-			g.refuse(r, OwnerUnreachable)
+func (g *Gateway) watchAttempts() {
+	g.openRequests = slices.DeleteFunc(g.openRequests, func(r *request) bool { return r.done && r.inFlight == 0 })
+	for _, r := range g.openRequests {
+		if r.awaitingOwner && g.now+timerInterval > min(r.lastUsefulAt()-r.class.meanLatency, r.firstWriteBy) {
+			g.reject(r, OwnerUnreachable)
 			continue
 		}
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if !a.done && !a.seen && g.now-max(a.sentAt, g.gapAt) > max(silentX*r.cls.lat, newsStepS) &&
-				a.srv.okAt[r.cls.index] < a.sentAt {
-				a.seen = true
-				g.fails(a.srv, r.cls, 1)
+			if !a.done && !a.silenceRecorded && g.now-max(a.sentAt, g.resumedAt) > max(silentLatencies*r.class.meanLatency, minGossipInterval) &&
+				a.endpoint.lastSuccessAt[r.class.index] < a.sentAt {
+				a.silenceRecorded = true
+				g.recordFailure(a.endpoint, r.class, 1)
 			}
 		}
-		if r.over || r.stream || r.out != 1 || r.cls.Idempotency == NonIdempotent {
+		if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 			continue
 		}
 		a := &r.attempts[len(r.attempts)-1]
-		age, ill := g.now-max(a.sentAt, g.gapAt), g.sickness(a.srv, r.cls) > hedgeSick
-		early := !ill && (!g.s.Hedging || age < hedgeX*r.cls.lat || len(g.queue) > 0)
-		if early || a.done || a.called || age < hedgeShare*r.cls.LatencyObjective {
+		age, ill := g.now-max(a.sentAt, g.resumedAt), g.outlierScore(a.endpoint, r.class) > suspectScore
+		early := !ill && (!g.settings.Hedging || age < hedgeLatencies*r.class.meanLatency || len(g.dispatchQueue) > 0)
+		if early || a.done || a.cancelled || age < hedgeObjectiveFraction*r.class.LatencyObjective {
 			continue
 		}
-		ran := r.ran
-		r.mayHaveRun(a)
-		s := (*server)(nil)
+		ran := r.firstExecuted
+		r.recordFirstExecuted(a)
+		s := (*endpoint)(nil)
 		if g.mayRetry(r) {
-			s = g.choose(r)
+			s = g.pickEndpoint(r)
 		}
 		switch {
-		case s == nil || s == a.srv:
-			r.ran = ran
-		case g.s.Hedging:
-			g.send(r, s)
-		case g.s.Cancellation:
-			a.called = true
-			g.act.Cancel(r.ID, len(r.attempts)-1)
+		case s == nil || s == a.endpoint:
+			r.firstExecuted = ran
+		case g.settings.Hedging:
+			g.sendAttempt(r, s)
+		case g.settings.Cancellation:
+			a.cancelled = true
+			g.actions.Cancel(r.ID, len(r.attempts)-1)
 		}
 	}
-	g.weigh()
+	g.updateLoadEstimates()
 }
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -10,17 +10,17 @@
 
 // Times are in seconds.
 const (
-	maxMissed    = 3   // a peer that leaves so many unanswered is silent: it leaves the ring
-	silentRetryS = 1.0 // for so long
+	maxUnansweredReports = 3   // a peer that leaves so many unanswered is silent: it leaves the ring
+	unreachablePeriod    = 1.0 // for so long
 )
 
 type ringPoint struct {
-	at uint64
-	gw int
+	hash    uint64
+	gateway int
 }
 
 // mix spreads the bits of x (the finaliser of splitmix64).
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -28,39 +28,39 @@
 }
 
 // hashOf is a customer's point on the ring.
-func hashOf(customer string) uint64 {
+func hashCustomer(customer string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(customer))
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
 // walk goes on the ring from the customer's point to the first gateway that serves it, and with
 // skip to the first that is not silent.
-func (g *Gateway) walk(c *customer, skip bool) int {
-	after := func(p ringPoint, h uint64) int { return cmp.Compare(p.at, h) }
+func (g *Gateway) ringSuccessor(c *customer, skip bool) int {
+	after := func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) }
 	i, _ := slices.BinarySearchFunc(g.ring, c.hash, after)
 	for n := range g.ring {
-		gw := g.ring[(i+n)%len(g.ring)].gw
-		if d := (gw - c.first + g.s.GatewayCount) % g.s.GatewayCount; d < c.entries && (!skip || g.alive(gw)) {
+		gw := g.ring[(i+n)%len(g.ring)].gateway
+		if d := (gw - c.firstGateway + g.settings.GatewayCount) % g.settings.GatewayCount; d < c.gatewayCount && (!skip || g.reachable(gw)) {
 			return gw
 		}
 	}
-	return g.s.Self
+	return g.settings.Self
 }
 
 // alive tells that a peer answers: reports in a row without one take it off the ring for a while.
-func (g *Gateway) alive(gw int) bool {
+func (g *Gateway) reachable(gw int) bool {
 	p := &g.peers[gw]
-	return gw == g.s.Self || p.missed < maxMissed || g.now-p.missAt > silentRetryS
+	return gw == g.settings.Self || p.unanswered < maxUnansweredReports || g.now-p.lastUnansweredAt > unreachablePeriod
 }
 
 // owner is the gateway that counts the customer.
 func (g *Gateway) owner(c *customer) int {
 	switch {
-	case !g.s.PeerMessages || c.entries == 1:
-		return g.s.Self
-	case c.entries == 0 || g.alive(c.prime):
-		return c.prime
+	case !g.settings.PeerMessages || c.gatewayCount == 1:
+		return g.settings.Self
+	case c.gatewayCount == 0 || g.reachable(c.primaryOwner):
+		return c.primaryOwner
 	}
-	return g.walk(c, true)
+	return g.ringSuccessor(c, true)
 }
