--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,6 +7,11 @@
 	"slices"
 )
 
+// Times are in seconds.
+const (
+	clockUncertainty = 0.05 // added to a verdict's age
+)
+
 // Times are in seconds.
 const (
 	hedgeLatencies         = 4.0   // and others after so many mean latencies
--- a/policy/endpoint_choice.go
+++ b/policy/endpoint_choice.go
@@ -6,6 +6,14 @@
 	"math"
 )
 
+// Times are in seconds.
+const (
+	smallFleetSize       = 12  // gateways, up to which each looks at all servers
+	loadReportExpiry     = 3.0 // a load report counts for so long
+	reusableIdleFraction = 0.4 // of the time after which idle ones close, for which they are counted on
+	inFlightTimeConstant = 1.0 // memory of what this gateway keeps out at a server
+)
+
 // Times are in seconds.
 const (
 	minEndpointsConsidered = 2    // healthy servers looked at for a request, at least
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -7,6 +7,14 @@
 	"slices"
 )
 
+// endpointTable holds the endpoints by their list.
+type endpointTable struct {
+	endpoints           map[string]*endpoint
+	endpointOrder       []*endpoint
+	endpointsByHash     map[uint16]*endpoint
+	endpointsPerGateway float64 // servers a gateway
+}
+
 // list takes in a list of servers; it calls restarted for each that has started anew.
 func (g *Gateway) applyEndpointList(list []Endpoint, whole bool, restarted func(*endpoint)) {
 	for _, s := range g.endpointOrder {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -11,81 +11,31 @@
 
 // Times are in seconds.
 const (
-	ringPoints           = 512  // points a gateway, as in the post, but
-	maxRingPoints        = 8192 // on the whole ring no more than about so many
-	minReportInterval    = 0.1  // least time between reports to one owner: "a few times a second"
-	ceilingPoolFraction  = 0.5  // of a ceiling, that grants of the first gateway on the ring are paid from
-	unboundedMessageRate = 1e6  // stands for no bound on it
-	clockUncertainty     = 0.05 // added to a verdict's age
-	demandTimeConstant   = 1.5  // memory of what a customer asks for
-	memberExpiry         = 8.0  // a member unheard of a customer for so long asks nothing of it, and is forgotten
-	customerExpiry       = 10.0 // customers unused for longer are forgotten: after memberS at any owner, so that
-	// the count that starts at 0 then is not taken for units handed back
-	timerInterval                 = 0.02 // how often queue and attempts are looked at
-	initialConcurrencyPerEndpoint = 3.0  // attempts out at one server, all gateways together, to begin with
-	highLatencyRatio              = 0.22 // answers that take this share of their aim shrink a server's limit
-	smallFleetSize                = 12   // gateways, up to which each looks at all servers
-	burstDeviations               = 4.0  // deviations of chance that many gateways may go above their part of the limit
-	loadReportExpiry              = 3.0  // a load report counts for so long
-	reusableIdleFraction          = 0.4  // of the time after which idle ones close, for which they are counted on
-	minVoteWeight                 = 0.2  // what one of many gateways' attempts weighs in what all tell of a server
-	suspectScore                  = 0.3  // attempts at servers so sick are tried elsewhere early
-	minGossipInterval             = 0.2  // and so much newer than what is known already; also the least silence that tells
-	inFlightTimeConstant          = 1.0  // memory of what this gateway keeps out at a server
+	timerInterval = 0.02 // how often queue and attempts are looked at
 )
 
 // Gateway decides for one gateway.
 type Gateway struct {
-	settings                   Settings
-	actions                    Actions
-	format                     messageFormat // of messages
-	rng                        *rand.Rand
-	clock                      *eventClock
-	startedAt                  float64
-	incarnation                uint8
-	sequence                   uint16
-	receivedMessages           float64 // messages a second that come in
-	receivedMessagesAt         float64
-	reportTokens               float64 // reports that may be sent
-	reportTokensAt             float64
-	peersWithReports           []int       // peers with reports due
-	awaitingReply              []*customer // with reports unanswered
-	slotWaiters                []*customer // with requests parked
-	concurrencyLimit           float64     // attempts out here, at all servers
-	voteWeight                 float64     // weight of one attempt here in what all tell of a server
-	burstAllowance             float64     // how far out may go above limit, in deviations
-	endpointsPerGateway        float64     // servers a gateway
-	inFlight                   int         // attempts out
-	latencyRatio               float64     // mean of latency over aim
-	meanAttemptDuration        float64     // mean time until an answer or a time-out
-	lastSentAt                 float64
-	healthCheckCredits         float64 // that may be sent
-	gossip                     []healthUpdate
-	endpointsByHash            map[uint16]*endpoint
-	classesByIndex             []*class
-	maxPriorityWeight          float64 // of any class, a unit
-	ring                       []ringPoint
-	classes                    map[string]*class
-	plansByIndex               []*plan
-	plans                      map[string]*plan
-	endpoints                  map[string]*endpoint
-	endpointOrder              []*endpoint
-	requests                   map[string]*request
-	openRequests               []*request
-	dispatchQueue              []*request
-	customers                  map[uint32]*customer
-	peers                      []peer
-	admittedWork               float64 // a second that quotas let in
-	admittedWorkAt             float64
-	warmedCapacity             float64 // of their capacity that the servers have by now, in sum
-	inServiceCount             float64 // so many of them
-	warmingCapacity            float64 // of them those that are cold
-	offeredWork, completedWork float64 // first tries' work, and what was answered, over about the time of a cold start
-	meanLatency                float64 // of the attempts, which stands for their mean work
-	nextSweepAt                float64
+	settings Settings
+	actions  Actions
+	rng      *rand.Rand
+	clock    *eventClock
+
+	peerProtocol
+	slotQueue
+	concurrencyLimiter
+	outlierDetector
+	healthChecker
+	gossipBuffer
+	endpointTable
+	slowStart
+	ownerRing
+	classTable
+	customerTable
+	requestTable
 }
 
-// check tells what is wrong with the settings.
+// validate tells what is wrong with the settings.
 func validate(s Settings, act Actions) error {
 	switch {
 	case act == nil:
@@ -154,10 +104,12 @@
 	if err := validate(s, act); err != nil {
 		return nil, err
 	}
-	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}, startedAt: now,
-		classes: map[string]*class{}, plans: map[string]*plan{}, endpoints: map[string]*endpoint{},
-		endpointsByHash: map[uint16]*endpoint{}, requests: map[string]*request{}, customers: map[uint32]*customer{},
-		peers: make([]peer, s.GatewayCount), admittedWorkAt: now, format: newMessageFormat(s)}
+	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}}
+	g.classes, g.plans = map[string]*class{}, map[string]*plan{}
+	g.endpoints, g.endpointsByHash = map[string]*endpoint{}, map[uint16]*endpoint{}
+	g.requests, g.customers = map[string]*request{}, map[uint32]*customer{}
+	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
+	g.startedAt, g.admittedWorkAt = now, now
 	g.incarnation = uint8(g.rng.Uint32())
 	g.reportTokens, g.reportTokensAt = 2, now
 	g.concurrencyLimit = initialConcurrencyPerEndpoint / float64(s.GatewayCount) // for one server
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -6,6 +6,11 @@
 	"math"
 )
 
+// Times are in seconds.
+const (
+	memberExpiry = 8.0 // a member unheard of a customer for so long asks nothing of it, and is forgotten
+)
+
 // Times are in seconds.
 const (
 	ownerQueryFraction = 0.5 // of peerIntake that members refused by their owner may ask for again
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,6 +6,17 @@
 	"math"
 )
 
+// Times are in seconds.
+const (
+	minVoteWeight = 0.2 // what one of many gateways' attempts weighs in what all tell of a server
+	suspectScore  = 0.3 // attempts at servers so sick are tried elsewhere early
+)
+
+// outlierDetector holds how much this gateway trusts its own attempts.
+type outlierDetector struct {
+	voteWeight float64 // weight of one attempt here in what all tell of a server
+}
+
 // Times are in seconds.
 const (
 	healthCheckInterval        = 1.0  // load probes, where load reports come with probes alone
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,6 +7,23 @@
 	"math"
 )
 
+// Times are in seconds.
+const (
+	ceilingPoolFraction = 0.5  // of a ceiling, that grants of the first gateway on the ring are paid from
+	demandTimeConstant  = 1.5  // memory of what a customer asks for
+	customerExpiry      = 10.0 // customers unused for longer are forgotten: after memberS at any owner, so that
+	// the count that starts at 0 then is not taken for units handed back
+)
+
+// customerTable holds the customers and their plans.
+type customerTable struct {
+	customers    map[uint32]*customer
+	plans        map[string]*plan
+	plansByIndex []*plan
+	startedAt    float64
+	nextSweepAt  float64
+}
+
 // Times are in seconds.
 const (
 	grantFreshness       = 0.5  // a verdict no older is split; with an older one the owner is asked
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -8,6 +8,17 @@
 	"slices"
 )
 
+// Times are in seconds.
+const (
+	ringPoints    = 512  // points a gateway, as in the post, but
+	maxRingPoints = 8192 // on the whole ring no more than about so many
+)
+
+// ownerRing holds the points of all gateways.
+type ownerRing struct {
+	ring []ringPoint
+}
+
 // Times are in seconds.
 const (
 	maxUnansweredReports = 3   // a peer that leaves so many unanswered is silent: it leaves the ring
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -7,6 +7,11 @@
 	"slices"
 )
 
+// slotQueue holds the customers with requests that wait for a concurrency slot.
+type slotQueue struct {
+	slotWaiters []*customer // with requests parked
+}
+
 // outBy counts the customer's attempts out, which a parallel plan's owner hears of.
 func (g *Gateway) adjustInFlight(r *request, n int) {
 	if r.customer == nil {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,6 +6,18 @@
 	"math"
 )
 
+// slowStart holds the estimates from which warming endpoints get their share.
+type slowStart struct {
+	admittedWork    float64 // a second that quotas let in
+	admittedWorkAt  float64
+	warmedCapacity  float64 // of their capacity that the servers have by now, in sum
+	inServiceCount  float64 // so many of them
+	warmingCapacity float64 // of them those that are cold
+	offeredWork     float64 // first tries' work, and what was answered, over about the time of a cold start
+	completedWork   float64 // first tries' work, and what was answered, over about the time of a cold start
+	meanLatency     float64 // of the attempts, which stands for their mean work
+}
+
 // Times are in seconds.
 const (
 	minCompletedFraction   = 0.5  // of what is offered, taken for carried: a gateway that is new has carried nothing yet
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -7,6 +7,26 @@
 	"slices"
 )
 
+// Times are in seconds.
+const (
+	minReportInterval    = 0.1 // least time between reports to one owner: "a few times a second"
+	unboundedMessageRate = 1e6 // stands for no bound on it
+)
+
+// peerProtocol holds the exchange of usage reports with other gateways.
+type peerProtocol struct {
+	format             messageFormat // of messages
+	incarnation        uint8
+	sequence           uint16
+	receivedMessages   float64 // messages a second that come in
+	receivedMessagesAt float64
+	reportTokens       float64 // reports that may be sent
+	reportTokensAt     float64
+	peersWithReports   []int       // peers with reports due
+	awaitingReply      []*customer // with reports unanswered
+	peers              []peer
+}
+
 // Times are in seconds.
 const (
 	reportFraction   = 0.45 // of peerIntake that a gateway's own reports may take
