--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"reedlead/internal/ingress"
+	"reedlead/internal/proxy"
 )
 
 const (
@@ -43,7 +43,7 @@
 	defer signal.Stop(hup)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := ingress.RetryAtStart(ctx, func() (ingress.Config, error) { return ingress.ReadConfig(path) })
+	cfg, err := proxy.RetryAtStart(ctx, func() (proxy.Config, error) { return proxy.ReadConfig(path) })
 	if err != nil {
 		return err
 	}
@@ -58,17 +58,17 @@
 		}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("ingress", cfg.Name)
-	reread := make(chan ingress.Config)
+	reread := make(chan proxy.Config)
 	done := make(chan struct{})
 	defer close(done)
 	go rereadOn(hup, done, path, cfg, reread, log)
-	return ingress.Run(ctx, cfg, reread, log)
+	return proxy.Run(ctx, cfg, reread, log)
 }
 
 // rereadOn reads the configuration again at each signal and hands it on. What can't be read is logged,
 // and the ingress goes on as it is.
-func rereadOn(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config,
-	to chan<- ingress.Config, log *slog.Logger,
+func rereadOn(hup <-chan os.Signal, done <-chan struct{}, path string, first proxy.Config,
+	to chan<- proxy.Config, log *slog.Logger,
 ) {
 	for {
 		select {
@@ -76,14 +76,14 @@
 		case <-done:
 			return
 		}
-		cfg, err := ingress.ReadConfig(path)
-		for ingress.Transient(err) { // the ingress may make room meanwhile; the signal must not be lost for it
+		cfg, err := proxy.ReadConfig(path)
+		for proxy.Transient(err) { // the ingress may make room meanwhile; the signal must not be lost for it
 			select {
 			case <-time.After(retryEvery):
 			case <-done:
 				return
 			}
-			cfg, err = ingress.ReadConfig(path)
+			cfg, err = proxy.ReadConfig(path)
 		}
 		if err != nil {
 			log.Error("configuration not taken over", "error", err)
--- a/internal/ingress/backends.go
+++ b/internal/proxy/backends.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"math"
@@ -46,64 +46,64 @@
 }
 
 // Send implements policy.Actions.
-func (in *Ingress) Send(id, server string, timeoutS, writeWithinS float64) {
-	r := in.requests[id]
+func (p *Proxy) Send(id, server string, timeoutS, writeWithinS float64) {
+	r := p.requests[id]
 	if r == nil {
-		in.warn("send for a request that is not open", "id", id)
+		p.warn("send for a request that is not open", "id", id)
 		return
 	}
 	a := &attempt{
-		req: r, be: in.backends.byID[server], number: len(r.attempts), sentAt: in.now, until: r.deadline,
+		req: r, be: p.backends.byID[server], number: len(r.attempts), sentAt: p.now, until: r.deadline,
 		writeDeadline: math.Inf(1),
 	}
 	if timeoutS != 0 {
-		a.until = min(a.until, in.now+timeoutS)
+		a.until = min(a.until, p.now+timeoutS)
 	}
 	if writeWithinS != 0 {
-		a.writeDeadline = in.now + writeWithinS
+		a.writeDeadline = p.now + writeWithinS
 	}
 	a.kind = kindOf(r)
 	r.attempts = append(r.attempts, a)
 	r.out++
 	switch {
-	case len(r.attempts) > max(1, in.cfg.Settings.MaxAttempts) || (in.unsendable(a) || in.superseded(r)) && timeoutS >= 0:
-		in.finishDeferred(a, policy.NotSent)
+	case len(r.attempts) > max(1, p.cfg.Settings.MaxAttempts) || (p.unsendable(a) || p.superseded(r)) && timeoutS >= 0:
+		p.finishDeferred(a, policy.NotSent)
 	case timeoutS < 0:
-		in.finishDeferred(a, policy.Timeout)
+		p.finishDeferred(a, policy.Timeout)
 	default:
-		in.start(a)
+		p.start(a)
 	}
 }
 
 // Cancel implements policy.Actions.
-func (in *Ingress) Cancel(id string, number int) {
-	if r := in.requests[id]; r != nil && number >= 0 && number < len(r.attempts) && !r.attempts[number].done {
-		in.finishDeferred(r.attempts[number], policy.Cancelled)
+func (p *Proxy) Cancel(id string, number int) {
+	if r := p.requests[id]; r != nil && number >= 0 && number < len(r.attempts) && !r.attempts[number].done {
+		p.finishDeferred(r.attempts[number], policy.Cancelled)
 	}
 }
 
 // Probe implements policy.Actions.
-func (in *Ingress) HealthCheck(server string) {
-	a := &attempt{be: in.backends.byID[server], sentAt: in.now, until: in.now + probeS, writeDeadline: math.Inf(1)}
+func (p *Proxy) HealthCheck(server string) {
+	a := &attempt{be: p.backends.byID[server], sentAt: p.now, until: p.now + probeS, writeDeadline: math.Inf(1)}
 	if a.be == nil {
-		in.warn("probe of a backend that is not listed", "id", server)
+		p.warn("probe of a backend that is not listed", "id", server)
 		return
 	}
-	in.start(a)
+	p.start(a)
 }
 
 // unsendable tells that no byte of the attempt may be written any more.
-func (in *Ingress) unsendable(a *attempt) bool {
-	return a.be == nil || a.be.state != policy.InService || a.req != nil && a.req.over || in.now >= a.until
+func (p *Proxy) unsendable(a *attempt) bool {
+	return a.be == nil || a.be.state != policy.InService || a.req != nil && a.req.over || p.now >= a.until
 }
 
 // superseded tells that what would make a send of the request needless or wrong has come, though the loop
 // has not heard of it: an answer lies in the socket of an earlier attempt, or the client has left. A request
 // that was only just read is no exception: it may have lain in its socket for long.
-func (in *Ingress) superseded(r *request) bool { return in.answerWaits(r) || in.hungUp(r.client) }
+func (p *Proxy) superseded(r *request) bool { return p.answerWaits(r) || p.hungUp(r.client) }
 
 // answerWaits tells that an attempt of the request has ended, though the loop has not heard of it.
-func (in *Ingress) answerWaits(r *request) bool {
+func (p *Proxy) answerWaits(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
 		return c != nil && !a.done && (c.dead.Load() || !c.busy.Load() || !silent(c.raw))
@@ -112,28 +112,28 @@
 
 // hungUp tells that the client has closed its connection, and takes its leave then, once the module's
 // current event is over.
-func (in *Ingress) hungUp(c *client) bool {
+func (p *Proxy) hungUp(c *client) bool {
 	if c.closed || !closedByPeer(c.raw) {
 		return c.closed
 	}
-	in.deferred = append(in.deferred, func() { in.clientGone(c, peerClosed, nil) })
+	p.deferred = append(p.deferred, func() { p.clientGone(c, peerClosed, nil) })
 	return true
 }
 
 // start writes the attempt to an idle connection, or has it wait for a new one.
-func (in *Ingress) start(a *attempt) {
-	a.timer = in.after(a.until-in.now, func() { in.expire(a) })
-	if c := in.takeIdle(a.be); c != nil {
-		in.write(c, a)
-	} else if !in.dialFor(a) {
-		in.warn("send not made: too many connections", "open", in.backends.open)
-		in.finishDeferred(a, policy.NotSent)
+func (p *Proxy) start(a *attempt) {
+	a.timer = p.after(a.until-p.now, func() { p.expire(a) })
+	if c := p.takeIdle(a.be); c != nil {
+		p.write(c, a)
+	} else if !p.dialFor(a) {
+		p.warn("send not made: too many connections", "open", p.backends.open)
+		p.finishDeferred(a, policy.NotSent)
 	}
 }
 
 // command appends what the attempt sends when its writing begins at a time, and tells how many seconds it may take
 // beyond the usual, which its client has left and the backend is not told of.
-func (in *Ingress) command(b []byte, a *attempt, at float64) (command []byte, reserve float64) {
+func (p *Proxy) command(b []byte, a *attempt, at float64) (command []byte, reserve float64) {
 	if a.req == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
@@ -145,44 +145,44 @@
 }
 
 // expire stops waiting for an attempt. What was never wholly written has not run.
-func (in *Ingress) expire(a *attempt) {
+func (p *Proxy) expire(a *attempt) {
 	switch {
 	case a.done:
 	case a.conn == nil:
-		in.finish(a, result{status: policy.NotSent}, in.now)
-	case in.cutOff(a.conn):
-		in.finish(a, result{status: policy.ConnectFailed}, in.now)
+		p.finish(a, result{status: policy.NotSent}, p.now)
+	case p.cutOff(a.conn):
+		p.finish(a, result{status: policy.ConnectFailed}, p.now)
 	default:
-		in.finish(a, result{status: policy.Timeout}, in.now)
+		p.finish(a, result{status: policy.Timeout}, p.now)
 	}
 }
 
 // finishDeferred ends an attempt now and reports it once the module's current event is over.
-func (in *Ingress) finishDeferred(a *attempt, status policy.AttemptStatus) {
+func (p *Proxy) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
-	in.detach(a)
-	in.deferred = append(in.deferred, func() { in.report(a, result{status: status}, in.now) })
+	p.detach(a)
+	p.deferred = append(p.deferred, func() { p.report(a, result{status: status}, p.now) })
 }
 
 // finish ends an attempt and reports it.
-func (in *Ingress) finish(a *attempt, res result, at float64) {
+func (p *Proxy) finish(a *attempt, res result, at float64) {
 	if a.done {
 		return
 	}
 	a.done = true
-	in.detach(a)
-	in.report(a, res, at)
+	p.detach(a)
+	p.report(a, res, at)
 }
 
 // detach gives up what an attempt still holds: giving up a connection in use means closing it.
-func (in *Ingress) detach(a *attempt) {
-	in.stopTimer(a.timer)
+func (p *Proxy) detach(a *attempt) {
+	p.stopTimer(a.timer)
 	if a.conn != nil {
 		why := attemptGivenUp
 		if a.conn.dead.Load() {
 			why = notUsable
 		}
-		in.closeConn(a.conn, why, nil)
+		p.closeConn(a.conn, why, nil)
 		a.conn = nil
 	} else if a.be != nil {
 		a.be.waiting = slices.DeleteFunc(a.be.waiting, func(w *attempt) bool { return w == a })
@@ -190,24 +190,24 @@
 }
 
 // report answers the client, if this is what it waits for, and tells the module.
-func (in *Ingress) report(a *attempt, res result, at float64) {
+func (p *Proxy) report(a *attempt, res result, at float64) {
 	spent := max(at-a.sentAt, 0)
-	in.traceEnded(a, res, at)
+	p.traceEnded(a, res, at)
 	if a.req == nil {
-		in.decider.HandleHealthCheck(in.now, policy.HealthCheckResult{Endpoint: a.be.ID, Status: res.status, Elapsed: spent, Load: res.load})
+		p.decider.HandleHealthCheck(p.now, policy.HealthCheckResult{Endpoint: a.be.ID, Status: res.status, Elapsed: spent, Load: res.load})
 		return
 	}
 	r := a.req
 	r.out--
 	if res.status == policy.OK {
-		in.answer(r, res.value, served)
+		p.answer(r, res.value, served)
 	}
-	in.forget(r)
+	p.forget(r)
 	server := ""
 	if a.be != nil {
 		server = a.be.ID
 	}
-	in.decider.HandleOutcome(in.now, policy.Outcome{
+	p.decider.HandleOutcome(p.now, policy.Outcome{
 		RequestID: r.ID, Endpoint: server, Attempt: a.number, Status: res.status,
 		RequestDone: r.over, Elapsed: spent, Load: res.load,
 	})
--- a/internal/ingress/client_write.go
+++ b/internal/proxy/client_write.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 }
 
 // flush writes the answers that are due, in the order of their commands.
-func (in *Ingress) flush(c *client) {
+func (p *Proxy) flush(c *client) {
 	if c.closed {
 		return
 	}
@@ -48,17 +48,17 @@
 	}
 	clear(c.slots[:n])
 	c.slots = c.slots[:copy(c.slots, c.slots[n:])]
-	c.usedAt, c.used = in.now, true
+	c.usedAt, c.used = p.now, true
 	if !c.writing {
-		in.push(c)
-	} else if !in.hold(c, len(c.pending)-before) {
-		in.clientGone(c, memoryBudget, nil)
+		p.push(c)
+	} else if !p.hold(c, len(c.pending)-before) {
+		p.clientGone(c, memoryBudget, nil)
 	}
 }
 
 // hold takes from the budget for what the client has not read.
-func (in *Ingress) hold(c *client, n int) bool {
-	if !in.input.take(n) {
+func (p *Proxy) hold(c *client, n int) bool {
+	if !p.input.take(n) {
 		return false
 	}
 	c.held += n
@@ -85,12 +85,12 @@
 
 // push writes what is pending: at once what the socket takes, the rest on a goroutine of its own, which
 // ends with the connection, or when the client has taken nothing for too long.
-func (in *Ingress) push(c *client) {
-	in.input.give(c.held)
+func (p *Proxy) push(c *client) {
+	p.input.give(c.held)
 	c.held = 0
-	n, err := in.tryWrite(c.raw, c.pending)
+	n, err := p.tryWrite(c.raw, c.pending)
 	if err != nil {
-		in.clientGone(c, writeFailed, err)
+		p.clientGone(c, writeFailed, err)
 		return
 	}
 	c.sent(n)
@@ -99,35 +99,35 @@
 		if c.pending = c.pending[:0]; cap(c.pending) > 4*readSize {
 			c.pending = nil
 		}
-		in.written(c)
+		p.written(c)
 		return
 	}
-	if !in.hold(c, len(rest)) {
-		in.clientGone(c, memoryBudget, nil)
+	if !p.hold(c, len(rest)) {
+		p.clientGone(c, memoryBudget, nil)
 		return
 	}
-	in.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
+	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
 	c.writing, c.pending = true, nil
-	progressed := func() { c.progressAt.set(in.clock.now()) }
+	progressed := func() { c.progressAt.set(p.clock.now()) }
 	progressed()
 	go func() {
-		err := in.writeAll(c.conn, c.raw, rest, in.clients.stallTimeout, progressed)
-		in.post(in.clock.now(), func() { in.pushed(c, len(rest), err) })
+		err := p.writeAll(c.conn, c.raw, rest, p.clients.stallTimeout, progressed)
+		p.post(p.clock.now(), func() { p.pushed(c, len(rest), err) })
 	}()
 }
 
 // pushed takes the end of a write that the loop did not wait for.
-func (in *Ingress) pushed(c *client, n int, err error) {
+func (p *Proxy) pushed(c *client, n int, err error) {
 	c.writing = false
 	switch {
 	case c.closed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		in.clientGone(c, unreadAnswers, err)
+		p.clientGone(c, unreadAnswers, err)
 	case err != nil:
-		in.clientGone(c, writeFailed, err)
+		p.clientGone(c, writeFailed, err)
 	default:
 		c.sent(n)
-		in.push(c)
+		p.push(c)
 	}
 }
 
@@ -137,21 +137,21 @@
 }
 
 // written ends a connection on which nothing more is owed, if it is to end.
-func (in *Ingress) written(c *client) {
+func (p *Proxy) written(c *client) {
 	switch {
 	case c.ending && !c.lingered:
 		c.conn.CloseWrite()
 	case c.ending:
-		in.closeClient(c, lastAnswerWritten, nil)
-	case in.leaving && len(c.slots) == 0:
-		in.endIdle(c, draining)
+		p.closeClient(c, lastAnswerWritten, nil)
+	case p.leaving && len(c.slots) == 0:
+		p.endIdle(c, draining)
 	}
 }
 
 // writeAll writes all of b, for as long as the other end takes some of it within each stall timeout. No deadline
 // of its own outlives it. One that passed while this process stood still is no stall: the socket is asked before
 // that is told.
-func (in *Ingress) writeAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
+func (p *Proxy) writeAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
 	defer conn.SetWriteDeadline(time.Time{})
 	last := time.Now()
 	for {
@@ -163,7 +163,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		more, failed := in.tryWrite(raw, b)
+		more, failed := p.tryWrite(raw, b)
 		if failed != nil {
 			return failed
 		}
@@ -182,8 +182,8 @@
 
 // tryWrite writes what the socket takes without waiting, which may be nothing. No deadline of the connection matters
 // to it.
-func (in *Ingress) tryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
-	closed := raw.Control(func(fd uintptr) { n, err = in.calls.write(int(fd), b) })
+func (p *Proxy) tryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
+	closed := raw.Control(func(fd uintptr) { n, err = p.calls.write(int(fd), b) })
 	switch {
 	case closed != nil:
 		return 0, closed
--- a/internal/ingress/client_write_test.go
+++ b/internal/proxy/client_write_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"errors"
@@ -28,7 +28,7 @@
 
 // TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
-	in := &Ingress{calls: realCalls()}
+	p := &Proxy{calls: realCalls()}
 	near, far := connected(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -36,14 +36,14 @@
 	}
 	const stall = 20 * time.Millisecond
 	go io.Copy(io.Discard, far)
-	if err := in.writeAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
+	if err := p.writeAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	if err := in.writeAll(near, raw, []byte("short"), stall, func() {}); err != nil {
+	if err := p.writeAll(near, raw, []byte("short"), stall, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * stall) // the deadline of that write has passed by now
-	if n, err := in.tryWrite(raw, []byte("x")); n != 1 || err != nil {
+	if n, err := p.tryWrite(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("the loop's write: %d, %v", n, err)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
@@ -55,7 +55,7 @@
 // against one that never ends.
 func TestWriteAllGoesByProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
-	in := &Ingress{calls: realCalls()}
+	p := &Proxy{calls: realCalls()}
 	near, far := connected(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	done, progressed := make(chan error, 1), make(chan struct{}, 1<<10)
 	go func() {
-		done <- in.writeAll(near, raw, make([]byte, 64<<20), stall, func() {
+		done <- p.writeAll(near, raw, make([]byte, 64<<20), stall, func() {
 			select {
 			case progressed <- struct{}{}:
 			default:
--- a/internal/ingress/clients.go
+++ b/internal/proxy/clients.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"bytes"
@@ -121,45 +121,45 @@
 
 // sweep closes what has idled for long, so that clients that keep a connection for good hold none of
 // the memory either. What has never spoken is its reader's to answer.
-func (s *clientSet) sweep(in *Ingress) {
+func (s *clientSet) sweep(p *Proxy) {
 	for c := range s.all {
-		if c.spoke && c.idle() && in.now-c.usedAt > clientIdleTimeoutS {
-			in.endIdle(c, idleTimeout)
+		if c.spoke && c.idle() && p.now-c.usedAt > clientIdleTimeoutS {
+			p.endIdle(c, idleTimeout)
 		}
 		// Its reader waits for a permit and does not see the end.
 		if len(c.slots)+len(c.unsent) >= maxPipelined && closedByPeer(c.raw) {
-			in.clientGone(c, peerClosed, nil)
+			p.clientGone(c, peerClosed, nil)
 		}
 	}
-	s.trim(in) // nobody new may come to it who would have others make room
+	s.trim(p) // nobody new may come to it who would have others make room
 }
 
 // trim has idle connections go while more are open than may be.
-func (s *clientSet) trim(in *Ingress) {
+func (s *clientSet) trim(p *Proxy) {
 	if s.staying() > s.limit {
-		s.full(in, nil)
+		s.full(p, nil)
 	}
 }
 
 // closeIdle closes each connection that waits for no answer.
-func (s *clientSet) closeIdle(in *Ingress) {
+func (s *clientSet) closeIdle(p *Proxy) {
 	for c := range s.all {
 		if c.idle() {
-			in.endIdle(c, draining)
+			p.endIdle(c, draining)
 		}
 	}
 }
 
 // endIdle closes a connection between requests. Its reader may be in the middle of a command, and what it
 // posted may lie in the queue: the connection ends when it stands still and nothing of the kind was left.
-func (in *Ingress) endIdle(c *client, why closeReason) {
+func (p *Proxy) endIdle(c *client, why closeReason) {
 	switch {
 	case c.closed || c.asked:
 	case c.ending: // what still comes is dropped
-		in.closeClient(c, why, nil)
+		p.closeClient(c, why, nil)
 	default:
 		c.asked, c.used, c.closing = true, false, why
-		in.clients.going++
+		p.clients.going++
 		c.pausing.Store(true)
 		c.conn.SetReadDeadline(past)
 	}
@@ -169,37 +169,37 @@
 var past = time.Unix(1, 0)
 
 // paused takes the word of a reader that it stands still. All that it read before has been handled.
-func (in *Ingress) paused(c *client) {
+func (p *Proxy) paused(c *client) {
 	if c.closed {
 		return
 	}
-	if (in.leaving || !c.used) && c.idle() && len(c.buf.b) == 0 && silent(c.raw) {
-		in.closeGracefully(c)
+	if (p.leaving || !c.used) && c.idle() && len(c.buf.b) == 0 && silent(c.raw) {
+		p.closeGracefully(c)
 		return
 	}
 	c.asked = false
-	in.clients.going--
+	p.clients.going--
 	c.pausing.Store(false)
 	c.resume <- struct{}{}
-	in.clients.trim(in) // another one has to go in its place
+	p.clients.trim(p) // another one has to go in its place
 }
 
 // closeGracefully ends a connection on which nothing is owed. Bytes may come in this very moment: a close over them
 // would reset the connection, and with it destroy answers that the client has not received yet. So where one was
 // written of late only the sending side is shut down, and what still comes is read and dropped until the client
 // closes too; it sends what it had asked meanwhile once more.
-func (in *Ingress) closeGracefully(c *client) {
-	if in.now-c.usedAt > answerInFlightS {
-		in.closeClient(c, c.closing, nil)
+func (p *Proxy) closeGracefully(c *client) {
+	if p.now-c.usedAt > answerInFlightS {
+		p.closeClient(c, c.closing, nil)
 		return
 	}
-	in.shutDown(c)
+	p.shutDown(c)
 	c.discard.Store(true)
 	c.resume <- struct{}{}
 }
 
 // shutDown ends the sending side of a connection.
-func (in *Ingress) shutDown(c *client) {
+func (p *Proxy) shutDown(c *client) {
 	c.shut = true
 	c.conn.CloseWrite()
 }
@@ -232,7 +232,7 @@
 
 // full tells that more connections are open, the newcomer aside, than may be served, after those of the
 // lowest rank, and of them those unused for longest, were closed to make room.
-func (s *clientSet) full(in *Ingress, newcomer *client) bool {
+func (s *clientSet) full(p *Proxy, newcomer *client) bool {
 	for {
 		others, lowest := 0, 0
 		var first *client
@@ -240,7 +240,7 @@
 			if c == newcomer || c.asked { // as good as gone
 				continue
 			}
-			if others++; !c.idle() && !c.stalled(in.now) {
+			if others++; !c.idle() && !c.stalled(p.now) {
 				continue
 			}
 			if rank := c.rank(); first == nil || rank < lowest || rank == lowest && c.usedAt < first.usedAt {
@@ -254,31 +254,31 @@
 			return true
 		}
 		if first.writing {
-			in.clientGone(first, evicted, nil)
+			p.clientGone(first, evicted, nil)
 		} else {
-			in.endIdle(first, evicted)
+			p.endIdle(first, evicted)
 		}
 	}
 }
 
 // accept takes connections until the loop gives the listener a deadline, and then those that have come
 // before it closes the listener: they count as taken too.
-func (in *Ingress) accept(l *net.TCPListener) {
+func (p *Proxy) accept(l *net.TCPListener) {
 	defer func() {
 		l.Close()
-		in.post(in.clock.now(), func() { in.accepted = true })
+		p.post(p.clock.now(), func() { p.accepted = true })
 	}()
 	number := uint64(0)
 	calm := 0 // waits for a connection that none came in, after the deadline
-	words := newVocabulary(in.cfg.Settings.Settings)
+	words := newVocabulary(p.cfg.Settings.Settings)
 	for {
 		select {
-		case in.clients.room <- struct{}{}:
-		case <-in.done:
+		case p.clients.room <- struct{}{}:
+		case <-p.done:
 			return
 		}
 		from := time.Now()
-		conn, err := in.calls.accept(l)
+		conn, err := p.calls.accept(l)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -289,7 +289,7 @@
 			if calm > 1 {
 				return
 			}
-			<-in.clients.room
+			<-p.clients.room
 			l.SetDeadline(time.Now().Add(listenerQuiet))
 			continue
 		}
@@ -299,46 +299,46 @@
 				conn.Close()
 			}
 		}
-		at := in.clock.now()
+		at := p.clock.now()
 		if err != nil {
-			<-in.clients.room
-			in.post(at, func() {
-				in.warn("accept failed", "error", err)
-				in.makeRoomFor(err)
+			<-p.clients.room
+			p.post(at, func() {
+				p.warn("accept failed", "error", err)
+				p.makeRoomFor(err)
 			})
-			in.calls.wait(scarceRetry) // out of descriptors: others must end first
+			p.calls.wait(scarceRetry) // out of descriptors: others must end first
 			continue
 		}
 		number++
 		c := &client{
-			number: number, conn: steadyConn{conn, in.calls.wait}, raw: raw, permits: make(chan struct{}, maxPipelined), quit: make(chan struct{}),
-			resume: make(chan struct{}, 1), buf: buffer{budget: &in.input}, arrivals: arrivals{emptyAt: in.pace.keptUpUntil(at)},
+			number: number, conn: steadyConn{conn, p.calls.wait}, raw: raw, permits: make(chan struct{}, maxPipelined), quit: make(chan struct{}),
+			resume: make(chan struct{}, 1), buf: buffer{budget: &p.input}, arrivals: arrivals{emptyAt: p.pace.keptUpUntil(at)},
 		}
-		in.post(at, func() { in.addClient(c) })
-		go c.read(in, words)
+		p.post(at, func() { p.addClient(c) })
+		go c.read(p, words)
 	}
 }
 
-func (in *Ingress) addClient(c *client) {
-	c.surplus = in.clients.full(in, c)
-	if c.surplus && in.clients.staying() >= in.clients.limit+in.clients.surplus {
-		in.warn("client turned away: too many connections", "open", in.clients.open())
-		in.closeClient(c, tooManyConnections, nil)
+func (p *Proxy) addClient(c *client) {
+	c.surplus = p.clients.full(p, c)
+	if c.surplus && p.clients.staying() >= p.clients.limit+p.clients.surplus {
+		p.warn("client turned away: too many connections", "open", p.clients.open())
+		p.closeClient(c, tooManyConnections, nil)
 		return
 	}
-	c.openedAt, c.usedAt = in.now, in.now
-	in.clients.all[c] = struct{}{}
-	if in.leaving { // it came before the listener closed, and so does what it asks
-		in.after(lateClientGrace.Seconds(), func() { in.endIdle(c, draining) })
+	c.openedAt, c.usedAt = p.now, p.now
+	p.clients.all[c] = struct{}{}
+	if p.leaving { // it came before the listener closed, and so does what it asks
+		p.after(lateClientGrace.Seconds(), func() { p.endIdle(c, draining) })
 	}
 }
 
 // read parses what the client sends, and posts each command with the time of its last byte. Its
 // deadline runs while a command is unfinished, and until there was one at all.
-func (c *client) read(in *Ingress, words *vocabulary) {
+func (c *client) read(p *Proxy, words *vocabulary) {
 	defer c.buf.free()
 	timed := true
-	until := time.Now().Add(in.clients.commandTimeout)
+	until := time.Now().Add(p.clients.commandTimeout)
 	limit := func(at time.Time) {
 		until = at
 		if c.conn.SetReadDeadline(at); c.pausing.Load() {
@@ -349,19 +349,19 @@
 	for {
 		room := c.buf.room()
 		if room == nil {
-			c.refuse(in, in.clock.now(), errNoRoom)
+			c.refuse(p, p.clock.now(), errNoRoom)
 			return
 		}
-		began := in.clock.now()
+		began := p.clock.now()
 		n, err := c.conn.Read(room)
-		at := in.clock.now()
+		at := p.clock.now()
 		var came arrival
 		if n > 0 {
 			c.began.Store(true)
-			came = c.arrivals.took(c.raw, &in.pace, began, at, n == len(room))
+			came = c.arrivals.took(c.raw, &p.pace, began, at, n == len(room))
 		}
 		c.buf.grew(n)
-		used, ok := c.commands(in, at, came, words)
+		used, ok := c.commands(p, at, came, words)
 		if !ok {
 			return
 		}
@@ -369,12 +369,12 @@
 		c.buf.drop(used)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && c.pausing.Load():
-			in.post(at, func() { in.paused(c) })
+			p.post(at, func() { p.paused(c) })
 			select {
 			case <-c.resume:
 				if c.discard.Load() {
 					c.dropInput(shutdownTimeout)
-					in.post(in.clock.now(), func() { in.closeClient(c, c.closing, nil) })
+					p.post(p.clock.now(), func() { p.closeClient(c, c.closing, nil) })
 					return
 				}
 				limit(until)
@@ -384,14 +384,14 @@
 		case errors.Is(err, os.ErrDeadlineExceeded) && timed && time.Now().Before(until):
 			limit(until) // left over from a pause that has ended
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.refuse(in, at, errors.New("no whole command in time"))
+			c.refuse(p, at, errors.New("no whole command in time"))
 			return
 		case err != nil:
-			in.post(at, func() { in.clientGone(c, peerClosed, err) })
+			p.post(at, func() { p.clientGone(c, peerClosed, err) })
 			return
 		case unfinished && (used > 0 || !timed):
 			timed = true
-			limit(time.Now().Add(in.clients.commandTimeout))
+			limit(time.Now().Add(p.clients.commandTimeout))
 		case !unfinished && timed:
 			timed = false
 			limit(time.Time{})
@@ -401,30 +401,30 @@
 
 // commands posts the whole commands that have come and returns their length, or false when the
 // connection has ended or is about to.
-func (c *client) commands(in *Ingress, at float64, came arrival, words *vocabulary) (used int, ok bool) {
+func (c *client) commands(p *Proxy, at float64, came arrival, words *vocabulary) (used int, ok bool) {
 	var space [8][]byte
 	c.arrivals.mark(len(c.buf.b), came)
 	defer func() { c.arrivals.drop(used) }()
 	for used < len(c.buf.b) {
 		args, size, bad := resp.ParseCommand(c.buf.b[used:], space[:0])
 		if bad != nil {
-			c.refuse(in, at, resp.SyntaxError{Cause: bad})
+			c.refuse(p, at, resp.SyntaxError{Cause: bad})
 			return 0, false
 		}
 		if size == 0 {
 			break
 		}
-		if !c.takePermit(in) {
+		if !c.takePermit(p) {
 			return 0, false
 		}
-		if bad := c.command(in, at, c.arrivals.of(used+size), words, args); bad != nil {
+		if bad := c.command(p, at, c.arrivals.of(used+size), words, args); bad != nil {
 			if c.errors++; c.errors == maxClientErrors {
 				<-c.permits // the last answer takes none
-				c.refuse(in, at, bad)
+				c.refuse(p, at, bad)
 				return 0, false
 			}
 			answer := errorOf(bad)
-			in.post(at, func() { in.answerAtOnce(c, answer, false) })
+			p.post(at, func() { p.answerAtOnce(c, answer, false) })
 		}
 		used += size
 	}
@@ -435,20 +435,20 @@
 
 // refuse answers what can't be taken and ends the connection. What still comes is read for a while:
 // closing on unread bytes would reset the connection and might take the answer with it.
-func (c *client) refuse(in *Ingress, at float64, bad error) {
+func (c *client) refuse(p *Proxy, at float64, bad error) {
 	answer := errorOf(bad)
-	in.post(at, func() { in.answerAtOnce(c, answer, true) })
+	p.post(at, func() { p.answerAtOnce(c, answer, true) })
 	gone := c.dropInput(lingerTimeout)
-	in.post(in.clock.now(), func() {
+	p.post(p.clock.now(), func() {
 		if c.lingered = true; gone || c.idle() {
-			in.clientGone(c, protocolError, bad)
+			p.clientGone(c, protocolError, bad)
 		} // else once the answers before the last one are written
 	})
 }
 
 // command posts one whole command, which was read and had come at given times, or returns what is wrong with it,
 // worded for the client.
-func (c *client) command(in *Ingress, at, came float64, words *vocabulary, args [][]byte) error {
+func (c *client) command(p *Proxy, at, came float64, words *vocabulary, args [][]byte) error {
 	switch {
 	case len(args) == 0:
 		return errors.New("empty command")
@@ -457,16 +457,16 @@
 		if err != nil {
 			return err
 		}
-		if !in.input.take(call.size) {
-			in.post(at, func() {
-				in.refuseAtOnce(c, call, inputUsedUp)
+		if !p.input.take(call.size) {
+			p.post(at, func() {
+				p.refuseAtOnce(c, call, inputUsedUp)
 			})
 			return nil
 		}
 		call.keep()
-		in.post(at, func() { in.take(c, call, came) })
+		p.post(at, func() { p.take(c, call, came) })
 	case bytes.EqualFold(args[0], []byte("PING")):
-		in.post(at, func() { in.ping(c) })
+		p.post(at, func() { p.ping(c) })
 	default:
 		return fmt.Errorf("unknown command %.40q", args[0])
 	}
@@ -474,44 +474,44 @@
 }
 
 // answerAtOnce answers a command that never reaches the module.
-func (in *Ingress) answerAtOnce(c *client, answer []byte, last bool) {
+func (p *Proxy) answerAtOnce(c *client, answer []byte, last bool) {
 	if c.closed || c.shut {
 		return
 	}
 	c.spoke = true
 	c.slots = append(c.slots, &slot{answer: answer, last: last})
-	in.flush(c)
+	p.flush(c)
 }
 
 // clientGone takes a client's hang-up: nothing is owed for what it had asked.
-func (in *Ingress) clientGone(c *client, why closeReason, err error) {
+func (p *Proxy) clientGone(c *client, why closeReason, err error) {
 	if c.closed {
 		return
 	}
 	slots := c.slots
-	in.closeClient(c, why, err)
+	p.closeClient(c, why, err)
 	for _, s := range slots {
 		if s.req != nil && !s.req.over {
-			in.traceGone(s.req)
-			in.end(s.req)
-			in.decider.HandleClientGone(in.now, s.req.ID)
+			p.traceGone(s.req)
+			p.end(s.req)
+			p.decider.HandleClientGone(p.now, s.req.ID)
 		}
 	}
 }
 
-func (in *Ingress) closeClient(c *client, why closeReason, err error) {
+func (p *Proxy) closeClient(c *client, why closeReason, err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	in.logClientClosed(c, why, err)
-	in.input.give(c.held)
+	p.logClientClosed(c, why, err)
+	p.input.give(c.held)
 	c.slots, c.pending, c.held = nil, nil, 0
 	if c.asked {
-		in.clients.going--
+		p.clients.going--
 	}
 	close(c.quit)
 	c.conn.Close()
-	delete(in.clients.all, c)
-	<-in.clients.room
+	delete(p.clients.all, c)
+	<-p.clients.room
 }
--- a/internal/ingress/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import "os"
 
@@ -23,27 +23,27 @@
 
 // checkDescriptors makes room before a call fails that has nobody to tell of it, and gives the bound on
 // clients back once there is room again.
-func (in *Ingress) checkDescriptors() {
-	if s := &in.clients; !in.makeRoomFor(in.spare()) && s.limit < s.configured {
+func (p *Proxy) checkDescriptors() {
+	if s := &p.clients; !p.makeRoomFor(p.spare()) && s.limit < s.configured {
 		s.limit = min(s.configured, s.limit+max(1, s.configured/backShare))
 	}
 }
 
 // makeRoomFor tells whether a call failed for want of descriptors. Idle connections make room then: those to
 // backends first, which cost a new one at most, and clients that are owed nothing, those idle for longest first.
-func (in *Ingress) makeRoomFor(err error) bool {
+func (p *Proxy) makeRoomFor(err error) bool {
 	if !outOfDescriptors(err) {
 		return false
 	}
-	s := &in.clients
+	s := &p.clients
 	n := max(1, s.staying()/shedShare)
-	in.warn("no descriptor left", "clients", s.open(), "backends", in.backends.open)
+	p.warn("no descriptor left", "clients", s.open(), "backends", p.backends.open)
 	for range max(1, n/2) {
-		if !in.evictIdle() {
+		if !p.evictIdle() {
 			break
 		}
 	}
 	s.limit = max(minClients, min(s.limit, s.staying()-n))
-	s.full(in, nil)
+	s.full(p, nil)
 	return true
 }
--- a/internal/ingress/discovery.go
+++ b/internal/proxy/discovery.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"bytes"
@@ -83,23 +83,23 @@
 }
 
 // takeList applies a list to the pools and tells the module.
-func (in *Ingress) takeList(t targets) {
-	in.starts.sample(in.clock.now(), in.clock.wall())
+func (p *Proxy) takeList(t targets) {
+	p.starts.sample(p.clock.now(), p.clock.wall())
 	list := make([]policy.Endpoint, 0, len(t.Servers))
 	for _, s := range t.Servers {
 		list = append(list, policy.Endpoint{
 			ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: targetStates[s.State],
-			Weight: s.Weight, StartedAt: in.starts.of(s.ID, s.StartedMS),
+			Weight: s.Weight, StartedAt: p.starts.of(s.ID, s.StartedMS),
 		})
 	}
-	in.backends.apply(in, t)
-	in.starts.forget(func(id string) bool { return in.backends.byID[id] != nil })
-	in.decider.HandleEndpoints(in.now, list, t.Full)
+	p.backends.apply(p, t)
+	p.starts.forget(func(id string) bool { return p.backends.byID[id] != nil })
+	p.decider.HandleEndpoints(p.now, list, t.Full)
 }
 
 // watcher follows discovery. One goroutine owns it at a time.
 type watcher struct {
-	in      *Ingress
+	in      *Proxy
 	http    *http.Client
 	addr    string
 	version int64 // the last that was taken in
@@ -115,12 +115,12 @@
 // watchDiscovery keeps a watch open for as long as ctx lasts, and moves it at once when the
 // configuration was read again. An agent at another address may count its versions in its own way,
 // so the whole list is asked for there. What is known stays until that has come.
-func (in *Ingress) watchDiscovery(ctx context.Context, reread <-chan Config) {
+func (p *Proxy) watchDiscovery(ctx context.Context, reread <-chan Config) {
 	w := &watcher{
-		in: in, addr: in.cfg.Discovery, version: in.cfg.Known.Version,
+		in: p, addr: p.cfg.Discovery, version: p.cfg.Known.Version,
 		http: &http.Client{Transport: &http.Transport{
 			DisableKeepAlives: true, DisableCompression: true,
-			DialContext: in.calls.dialAgent,
+			DialContext: p.calls.dialAgent,
 		}},
 	}
 	bad := minUselessPause
@@ -136,11 +136,11 @@
 				return
 			}
 			seen, addr := w.version, w.addr
-			in.post(in.clock.now(), func() {
-				in.warn("watch ended", "error", err, "address", addr, "version", seen)
-				in.makeRoomFor(err)
+			p.post(p.clock.now(), func() {
+				p.warn("watch ended", "error", err, "address", addr, "version", seen)
+				p.makeRoomFor(err)
 			})
-			pause := min(in.askAgain, maxPause)
+			pause := min(p.askAgain, maxPause)
 			if seen != before || !errors.Is(err, errWasted) {
 				bad = minUselessPause
 			} else { // an agent that refuses or is silent is asked soon, but lists cost
@@ -151,7 +151,7 @@
 			case cfg := <-reread:
 				w.move(cfg)
 				bad = minUselessPause
-			case <-in.pause(pause):
+			case <-p.pause(pause):
 			}
 		case cfg := <-reread:
 			stop()
--- a/internal/ingress/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"bytes"
--- a/internal/ingress/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"context"
@@ -92,19 +92,19 @@
 		}
 	}()
 	cfg := growthConfig(size, l.Addr().String())
-	in, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), realCalls())
 	if err != nil {
 		b.Fatal(err)
 	}
-	decider, err := policy.New(cfg.Settings.Settings, cfg.Seed, in.now, in)
+	decider, err := policy.New(cfg.Settings.Settings, cfg.Seed, p.now, p)
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	var before, after syscall.Rusage
-	go func() { defer close(ended); in.serve(ctx, nil, decider) }()
-	conn, err := net.Dial("tcp", in.listener.Addr().String())
+	go func() { defer close(ended); p.serve(ctx, nil, decider) }()
+	conn, err := net.Dial("tcp", p.listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/ingress/loop.go
+++ b/internal/proxy/loop.go
@@ -1,6 +1,6 @@
-// Package ingress carries out on real sockets what the decision module asks for, and reports to it
+// Package proxy carries out on real sockets what the decision module asks for, and reports to it
 // what came of it. It decides nothing about quotas, backends or further attempts.
-package ingress
+package proxy
 
 import (
 	"cmp"
@@ -86,7 +86,7 @@
 
 // Ingress is one gateway on real sockets. Its loop alone owns the gateway and all that is not said
 // to belong to another goroutine.
-type Ingress struct {
+type Proxy struct {
 	cfg    Config
 	log    *slog.Logger
 	clock  clock
@@ -128,22 +128,22 @@
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
 // configuration that comes on reread, which may be nil, the address of discovery is taken over.
 func Run(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger) error {
-	in, err := open(ctx, cfg, log, realCalls())
+	p, err := open(ctx, cfg, log, realCalls())
 	if err != nil {
 		return err
 	}
-	gate, err := policy.New(cfg.Settings.Settings, cfg.Seed, in.now, in)
+	gate, err := policy.New(cfg.Settings.Settings, cfg.Seed, p.now, p)
 	if err != nil {
-		in.close()
+		p.close()
 		return fmt.Errorf("settings: %w", err)
 	}
-	in.serve(ctx, reread, gate)
+	p.serve(ctx, reread, gate)
 	return nil
 }
 
 // open makes an ingress and its sockets; nothing is read from them yet.
-func open(ctx context.Context, cfg Config, log *slog.Logger, calls systemCalls) (*Ingress, error) {
-	in := &Ingress{
+func open(ctx context.Context, cfg Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
+	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes), pause: time.After, silence: watchSilence,
@@ -152,103 +152,103 @@
 		calls:    calls,
 		turn:     func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
 	}
-	in.now = in.clock.now()
-	in.starts.sample(in.now, in.clock.wall())
-	in.readyAt = in.now + readyTimeout.Seconds()
-	in.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
-	in.input.readAheadLeft = int64(float64(in.input.left.Load()) * readAheadBudgetShare)
-	in.clients.init(cfg.Sockets)
-	in.backends.init(cfg, calls)
+	p.now = p.clock.now()
+	p.starts.sample(p.now, p.clock.wall())
+	p.readyAt = p.now + readyTimeout.Seconds()
+	p.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
+	p.input.readAheadLeft = int64(float64(p.input.left.Load()) * readAheadBudgetShare)
+	p.clients.init(cfg.Sockets)
+	p.backends.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	in.listener, err = retryAtStart(ctx, func() (*net.TCPListener, error) { return calls.listen(addr) }, calls.wait, time.Now)
+	p.listener, err = retryAtStart(ctx, func() (*net.TCPListener, error) { return calls.listen(addr) }, calls.wait, time.Now)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if cfg.Settings.PeerMessages {
-		if in.peers, err = in.openPeers(ctx); err != nil {
-			in.listener.Close()
+		if p.peers, err = p.openPeers(ctx); err != nil {
+			p.listener.Close()
 			return nil, err
 		}
 	}
-	return in, nil
+	return p, nil
 }
 
-func (in *Ingress) close() {
-	in.listener.Close()
-	if in.peers != nil {
-		in.peers.close()
+func (p *Proxy) close() {
+	p.listener.Close()
+	if p.peers != nil {
+		p.peers.close()
 	}
 }
 
 // serve starts the readers and runs the loop to the end of the drain.
-func (in *Ingress) serve(ctx context.Context, reread <-chan Config, gate decider) {
-	defer in.close()
+func (p *Proxy) serve(ctx context.Context, reread <-chan Config, gate decider) {
+	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	in.decider = gate
-	in.takeList(in.cfg.Known)
-	go in.watchDiscovery(background, reread)
-	go in.accept(in.listener)
-	if in.peers != nil {
-		go in.peers.receive()
+	p.decider = gate
+	p.takeList(p.cfg.Known)
+	go p.watchDiscovery(background, reread)
+	go p.accept(p.listener)
+	if p.peers != nil {
+		go p.peers.receive()
 	}
-	in.every(sweepEvery, func() {
-		in.starts.sample(in.clock.now(), in.clock.wall())
-		in.backends.sweep(in)
-		in.clients.sweep(in)
-		in.checkDescriptors()
+	p.every(sweepEvery, func() {
+		p.starts.sample(p.clock.now(), p.clock.wall())
+		p.backends.sweep(p)
+		p.clients.sweep(p)
+		p.checkDescriptors()
 	})
-	in.loop(ctx)
+	p.loop(ctx)
 }
 
 // loop handles events one at a time until the drain is complete.
-func (in *Ingress) loop(ctx context.Context) {
-	defer close(in.done)
+func (p *Proxy) loop(ctx context.Context) {
+	defer close(p.done)
 	term := ctx.Done()
-	for !in.leaving || !in.accepted || in.clients.open() > 0 {
-		in.arm()
+	for !p.leaving || !p.accepted || p.clients.open() > 0 {
+		p.arm()
 		select {
-		case e := <-in.events:
-			in.handle(e)
-		case <-in.wake.C:
-			in.wakeAt = 0
-			in.fire()
+		case e := <-p.events:
+			p.handle(e)
+		case <-p.wake.C:
+			p.wakeAt = 0
+			p.fire()
 		case <-term:
 			term = nil
-			in.log.Info("draining")
-			in.after(in.acceptFor.Seconds(), in.leave)
-			in.after(in.drainFor.Seconds(), in.stop)
+			p.log.Info("draining")
+			p.after(p.acceptFor.Seconds(), p.leave)
+			p.after(p.drainFor.Seconds(), p.stop)
 		}
 	}
 }
 
 // post hands the loop an event of another goroutine.
-func (in *Ingress) post(at float64, do func()) {
+func (p *Proxy) post(at float64, do func()) {
 	select {
-	case in.events <- event{at, do}:
-	case <-in.done:
+	case p.events <- event{at, do}:
+	case <-p.done:
 	}
 }
 
 // handle runs one event and what it left to do. A panic costs the event, not the process.
-func (in *Ingress) handle(e event) {
-	in.now = max(in.now, e.at)
-	in.guard(e.do)
-	for len(in.deferred) > 0 {
-		do := in.deferred[0]
-		in.deferred = in.deferred[1:]
-		in.guard(do)
+func (p *Proxy) handle(e event) {
+	p.now = max(p.now, e.at)
+	p.guard(e.do)
+	for len(p.deferred) > 0 {
+		do := p.deferred[0]
+		p.deferred = p.deferred[1:]
+		p.guard(do)
 	}
-	in.deferred = nil
+	p.deferred = nil
 }
 
-func (in *Ingress) guard(do func()) {
+func (p *Proxy) guard(do func()) {
 	defer func() {
-		if p := recover(); p != nil {
-			in.warn("event failed", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil {
+			p.warn("event failed", "panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
 		}
 	}()
 	do()
@@ -256,10 +256,10 @@
 
 // leave ends the time in which new connections are taken. From here on all that is open has time until
 // stop: clients go on sending on connections that stay open.
-func (in *Ingress) leave() {
-	in.leaving = true
-	in.listener.SetDeadline(time.Now())
-	in.clients.closeIdle(in)
+func (p *Proxy) leave() {
+	p.leaving = true
+	p.listener.SetDeadline(time.Now())
+	p.clients.closeIdle(p)
 }
 
 // drainTimeout is how long after the signal a drain may take.
@@ -306,86 +306,86 @@
 }
 
 // after runs do on the loop, delay seconds from now.
-func (in *Ingress) after(delay float64, do func()) *timer {
-	t := &timer{at: in.now + delay, do: do}
-	heap.Push(&in.timers, t)
+func (p *Proxy) after(delay float64, do func()) *timer {
+	t := &timer{at: p.now + delay, do: do}
+	heap.Push(&p.timers, t)
 	return t
 }
 
 // stopTimer lets go of a timer and all that it holds; nil and one that has run are fine.
-func (in *Ingress) stopTimer(t *timer) {
+func (p *Proxy) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
-		heap.Remove(&in.timers, t.index)
+		heap.Remove(&p.timers, t.index)
 	}
 }
 
-func (in *Ingress) every(d time.Duration, do func()) {
-	in.after(d.Seconds(), func() {
-		in.every(d, do)
+func (p *Proxy) every(d time.Duration, do func()) {
+	p.after(d.Seconds(), func() {
+		p.every(d, do)
 		do()
 	})
 }
 
 // arm sets the one system timer to the earliest of the heap, unless it rings before that anyway.
-func (in *Ingress) arm() {
-	if len(in.timers) == 0 || in.wakeAt != 0 && in.wakeAt <= in.timers[0].at {
+func (p *Proxy) arm() {
+	if len(p.timers) == 0 || p.wakeAt != 0 && p.wakeAt <= p.timers[0].at {
 		return
 	}
-	in.wakeAt = in.timers[0].at
-	in.pace.dueAt.set(in.wakeAt)
-	in.wake.Reset(max(0, time.Duration((in.wakeAt-in.clock.now())*float64(time.Second))))
+	p.wakeAt = p.timers[0].at
+	p.pace.dueAt.set(p.wakeAt)
+	p.wake.Reset(max(0, time.Duration((p.wakeAt-p.clock.now())*float64(time.Second))))
 }
 
 // fire runs the timers that are due. What has come goes first, an answer, a hang-up or a list: else a copy
 // would be sent beside the answer, or an attempt timed out that is done.
-func (in *Ingress) fire() {
-	now := in.clock.now()
-	if in.stoodStill(now) {
-		in.pace.noteStandstill(in.timers[0].at, now)
+func (p *Proxy) fire() {
+	now := p.clock.now()
+	if p.stoodStill(now) {
+		p.pace.noteStandstill(p.timers[0].at, now)
 		for n := range readersTurns {
-			if in.turn(); len(in.events) == 0 && n > 0 {
+			if p.turn(); len(p.events) == 0 && n > 0 {
 				break
 			}
-			in.takeIn()
+			p.takeIn()
 		}
 	}
 	for {
-		in.takeIn()
-		if len(in.timers) == 0 || in.timers[0].at > now {
+		p.takeIn()
+		if len(p.timers) == 0 || p.timers[0].at > now {
 			return
 		}
-		in.handle(event{now, heap.Pop(&in.timers).(*timer).do})
+		p.handle(event{now, heap.Pop(&p.timers).(*timer).do})
 	}
 }
 
 // stoodStill tells by an overdue timer that this process did.
-func (in *Ingress) stoodStill(now float64) bool {
-	return len(in.timers) > 0 && now-in.timers[0].at > lateS
+func (p *Proxy) stoodStill(now float64) bool {
+	return len(p.timers) > 0 && now-p.timers[0].at > lateS
 }
 
 // takeIn handles what is in the queue by now.
-func (in *Ingress) takeIn() {
-	for range len(in.events) {
-		in.handle(<-in.events)
+func (p *Proxy) takeIn() {
+	for range len(p.events) {
+		p.handle(<-p.events)
 	}
 }
 
 // ---- policy.Actions, but for those of requests and attempts ----
 
 // SetTimer implements policy.Actions.
-func (in *Ingress) SetTimer(token uint64, delayS float64) {
-	in.after(max(delayS, 0), func() { in.decider.HandleTimer(in.now, token) })
+func (p *Proxy) SetTimer(token uint64, delayS float64) {
+	p.after(max(delayS, 0), func() { p.decider.HandleTimer(p.now, token) })
 }
 
 // Tell implements policy.Actions.
-func (in *Ingress) SendToPeer(gateway int, data []byte) {
-	if in.peers != nil {
-		in.peers.tell(gateway, data)
+func (p *Proxy) SendToPeer(gateway int, data []byte) {
+	if p.peers != nil {
+		p.peers.tell(gateway, data)
 	}
 }
 
 // Log implements policy.Actions.
-func (in *Ingress) Log(text string) { in.log.Info(text) }
+func (p *Proxy) Log(text string) { p.log.Info(text) }
 
 // logLimiter bounds how often faults of others are logged.
 type logLimiter struct {
@@ -396,11 +396,11 @@
 const maxWarningsPerSecond = 5
 
 // warn logs a fault of somebody else, unless there were many within this second. Loop only.
-func (in *Ingress) warn(what string, args ...any) {
-	if second := int64(in.now); second != in.logLimit.second {
-		in.logLimit = logLimiter{second: second}
+func (p *Proxy) warn(what string, args ...any) {
+	if second := int64(p.now); second != p.logLimit.second {
+		p.logLimit = logLimiter{second: second}
 	}
-	if in.logLimit.n++; in.logLimit.n <= maxWarningsPerSecond {
-		in.log.Warn(what, args...)
+	if p.logLimit.n++; p.logLimit.n <= maxWarningsPerSecond {
+		p.log.Warn(what, args...)
 	}
 }
--- a/internal/ingress/pool.go
+++ b/internal/proxy/pool.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"bytes"
@@ -91,7 +91,7 @@
 
 // apply takes in a list or a change of it. A send that waits for a dial to a backend that may get
 // nothing new is given back to the module at once.
-func (s *backendSet) apply(in *Ingress, t targets) {
+func (s *backendSet) apply(p *Proxy, t targets) {
 	listed := map[string]bool{}
 	for _, e := range t.Servers {
 		listed[e.ID] = true
@@ -103,13 +103,13 @@
 		moved := be.Addr != e.Addr || be.StartedMS != e.StartedMS
 		be.target, be.state = e, targetStates[e.State]
 		if moved || be.state != policy.InService {
-			s.retire(in, be)
+			s.retire(p, be)
 		}
 	}
 	for id, be := range s.byID {
 		if t.Full && !listed[id] {
 			be.state = policy.Removed
-			s.retire(in, be)
+			s.retire(p, be)
 		}
 		if be.state == policy.Removed {
 			delete(s.byID, id) // its attempts keep it until they end
@@ -118,37 +118,37 @@
 }
 
 // retire closes a backend's idle connections and, unless it is up, ends what waits for a dial.
-func (s *backendSet) retire(in *Ingress, be *backend) {
+func (s *backendSet) retire(p *Proxy, be *backend) {
 	for len(be.idle) > 0 {
-		in.closeConn(be.idle[len(be.idle)-1], backendRetired, nil)
+		p.closeConn(be.idle[len(be.idle)-1], backendRetired, nil)
 	}
 	if be.state == policy.InService {
 		return
 	}
 	for len(be.waiting) > 0 {
-		in.finishDeferred(be.waiting[0], policy.NotSent)
+		p.finishDeferred(be.waiting[0], policy.NotSent)
 	}
 }
 
 // sweep retires what has idled for long.
-func (s *backendSet) sweep(in *Ingress) {
+func (s *backendSet) sweep(p *Proxy) {
 	for _, be := range s.byID {
-		for len(be.idle) > 0 && in.now-be.idle[0].idleAt > s.idleS {
-			in.closeConn(be.idle[0], idleTimeout, nil)
+		for len(be.idle) > 0 && p.now-be.idle[0].idleAt > s.idleS {
+			p.closeConn(be.idle[0], idleTimeout, nil)
 		}
 	}
 }
 
 // evictIdle closes the idle connection that was used longest ago.
-func (in *Ingress) evictIdle() bool {
+func (p *Proxy) evictIdle() bool {
 	var oldest *backConn
-	for _, be := range in.backends.byID {
+	for _, be := range p.backends.byID {
 		if len(be.idle) > 0 && (oldest == nil || be.idle[0].idleAt < oldest.idleAt) {
 			oldest = be.idle[0]
 		}
 	}
 	if oldest != nil {
-		in.closeConn(oldest, evicted, nil)
+		p.closeConn(oldest, evicted, nil)
 	}
 	return oldest != nil
 }
@@ -176,15 +176,15 @@
 // takeIdle takes a connection out of the pool, nil if there is none of use: the one used last of those
 // that have rested, else the one that has rested longest. One on which bytes wait that nobody asked for,
 // or that has ended, though its reader has not come to it yet, must not get a command.
-func (in *Ingress) takeIdle(be *backend) *backConn {
+func (p *Proxy) takeIdle(be *backend) *backConn {
 	for len(be.idle) > 0 {
 		i := len(be.idle) - 1
-		for i > 0 && in.now-be.idle[i].idleAt < restS {
+		for i > 0 && p.now-be.idle[i].idleAt < restS {
 			i--
 		}
 		c := be.idle[i]
-		if c.dead.Load() || in.now-c.idleAt > in.backends.idleS || !silent(c.raw) {
-			in.closeConn(c, notUsable, nil)
+		if c.dead.Load() || p.now-c.idleAt > p.backends.idleS || !silent(c.raw) {
+			p.closeConn(c, notUsable, nil)
 			continue
 		}
 		be.idle = slices.Delete(be.idle, i, i+1)
@@ -226,101 +226,101 @@
 )
 
 // dialFor has the attempt wait for a new connection; false if there may be no more of them.
-func (in *Ingress) dialFor(a *attempt) bool {
-	if in.backends.open >= in.backends.limit && !in.evictIdle() {
+func (p *Proxy) dialFor(a *attempt) bool {
+	if p.backends.open >= p.backends.limit && !p.evictIdle() {
 		return false
 	}
 	a.be.waiting = append(a.be.waiting, a)
 	a.be.dials++
-	in.backends.open++
-	go in.dial(a.be, a.be.target)
+	p.backends.open++
+	go p.dial(a.be, a.be.target)
 	return true
 }
 
 // dial makes one connection. Its goroutine ends with the dial's time-out at the latest.
-func (in *Ingress) dial(be *backend, at target) {
-	from := in.clock.now()
-	conn, err := in.backends.dial(at.Addr)
-	for first := true; ownFault(err) && in.clock.now()-from < in.backends.ownRetry.Seconds(); first = false {
+func (p *Proxy) dial(be *backend, at target) {
+	from := p.clock.now()
+	conn, err := p.backends.dial(at.Addr)
+	for first := true; ownFault(err) && p.clock.now()-from < p.backends.ownRetry.Seconds(); first = false {
 		if failed := err; first {
-			in.post(in.clock.now(), func() { in.makeRoomFor(failed) })
+			p.post(p.clock.now(), func() { p.makeRoomFor(failed) })
 		}
-		in.calls.wait(scarceRetry)
-		conn, err = in.backends.dial(at.Addr)
+		p.calls.wait(scarceRetry)
+		conn, err = p.backends.dial(at.Addr)
 	}
 	var c *backConn
 	if err == nil {
-		c = &backConn{be: be, at: at, conn: steadyConn{conn.(connection), in.calls.wait}}
+		c = &backConn{be: be, at: at, conn: steadyConn{conn.(connection), p.calls.wait}}
 		if c.raw, err = c.conn.SyscallConn(); err != nil {
 			conn.Close()
 			c = nil
 		}
 	}
-	in.post(in.clock.now(), func() { in.dialed(be, c, err) })
+	p.post(p.clock.now(), func() { p.dialed(be, c, err) })
 }
 
 // dialed gives a new connection to the attempt that has waited longest, or takes its failure.
-func (in *Ingress) dialed(be *backend, c *backConn, err error) {
+func (p *Proxy) dialed(be *backend, c *backConn, err error) {
 	be.dials--
 	failed := policy.ConnectFailed
 	if c == nil {
-		in.backends.open--
-		in.warn("dial failed", "backend", be.ID, "error", err)
-		if in.makeRoomFor(err); ownFault(err) {
+		p.backends.open--
+		p.warn("dial failed", "backend", be.ID, "error", err)
+		if p.makeRoomFor(err); ownFault(err) {
 			failed = policy.NotSent // it tells nothing of the backend
 		}
 	} else {
-		go c.read(in)
-		if in.usable(c) {
-			in.give(c)
+		go c.read(p)
+		if p.usable(c) {
+			p.give(c)
 		} else {
 			if !c.dead.Load() || c.at.Addr != be.Addr {
 				failed = policy.NotSent // the backend is another one by now: it tells nothing of that
 			}
-			in.closeConn(c, notUsable, nil)
+			p.closeConn(c, notUsable, nil)
 		}
 	}
 	for len(be.waiting) > be.dials {
-		if c := in.takeIdle(be); c != nil {
-			in.give(c)
+		if c := p.takeIdle(be); c != nil {
+			p.give(c)
 			continue
 		}
-		in.finish(be.waiting[0], result{status: failed}, in.now)
+		p.finish(be.waiting[0], result{status: failed}, p.now)
 	}
 }
 
 // usable tells that the connection may carry another command: its backend still stands where it was
 // dialled, in the group for which the module chose it, and may be sent to.
-func (in *Ingress) usable(c *backConn) bool {
+func (p *Proxy) usable(c *backConn) bool {
 	return !c.closed && !c.dead.Load() && c.be.state == policy.InService && c.at.Addr == c.be.Addr &&
 		c.at.StartedMS == c.be.StartedMS && c.at.Zone == c.be.Zone && c.at.Cell == c.be.Cell
 }
 
 // give puts a connection to use for what waits, else into the pool.
-func (in *Ingress) give(c *backConn) {
+func (p *Proxy) give(c *backConn) {
 	be := c.be
 	for len(be.waiting) > 0 {
 		a := be.waiting[0]
 		be.waiting = be.waiting[1:]
-		if in.unsendable(a) || a.req != nil && in.superseded(a.req) {
-			in.finishDeferred(a, policy.NotSent)
+		if p.unsendable(a) || a.req != nil && p.superseded(a.req) {
+			p.finishDeferred(a, policy.NotSent)
 			continue
 		}
-		in.write(c, a)
+		p.write(c, a)
 		return
 	}
-	in.release(c)
+	p.release(c)
 }
 
 // release puts a connection into the pool. It does not go to what waits: that has a dial under way,
 // and a second copy of the answer may be right behind.
-func (in *Ingress) release(c *backConn) {
+func (p *Proxy) release(c *backConn) {
 	c.attempt = nil
-	if !in.usable(c) {
-		in.closeConn(c, notUsable, nil)
+	if !p.usable(c) {
+		p.closeConn(c, notUsable, nil)
 		return
 	}
-	c.idleAt = in.now
+	c.idleAt = p.now
 	c.be.idle = append(c.be.idle, c)
 }
 
@@ -328,43 +328,43 @@
 // ends with the connection. The last byte of an attempt goes out in its time or never: the loop's time is
 // that of what it handles, and may be well behind the clock; a dial and a backend that reads slowly take
 // time as well.
-func (in *Ingress) write(c *backConn, a *attempt) {
-	from := in.clock.now()
+func (p *Proxy) write(c *backConn, a *attempt) {
+	from := p.clock.now()
 	if from >= min(a.writeDeadline, a.until) {
-		in.release(c)
-		in.finishDeferred(a, policy.NotSent)
+		p.release(c)
+		p.finishDeferred(a, policy.NotSent)
 		return
 	}
 	var reserve float64
-	in.bytes, reserve = in.command(in.bytes[:0], a, from)
-	b := in.bytes
-	if cap(in.bytes) > 4*readSize {
-		in.bytes = nil
+	p.bytes, reserve = p.command(p.bytes[:0], a, from)
+	b := p.bytes
+	if cap(p.bytes) > 4*readSize {
+		p.bytes = nil
 	}
 	a.conn, c.attempt = c, a
 	c.written.Store(false)
 	c.busy.Store(true)
 	c.began.set(from)
-	n, err := in.tryWrite(c.raw, b)
+	n, err := p.tryWrite(c.raw, b)
 	switch {
 	case err != nil:
-		in.closeConn(c, writeFailed, err)
-		in.finishDeferred(a, policy.ConnectFailed)
+		p.closeConn(c, writeFailed, err)
+		p.finishDeferred(a, policy.ConnectFailed)
 	case n == len(b):
 		c.written.Store(true)
-		in.traceSent(a, c.at, from, in.clock.now())
+		p.traceSent(a, c.at, from, p.clock.now())
 	default:
 		rest := bytes.Clone(b[n:])
 		c.writing.Lock() // only its own reader takes it besides, for a moment at its end
-		c.conn.SetWriteDeadline(in.clock.at(min(a.writeDeadline, a.until, from+reserve+in.backends.writeSlack)))
+		c.conn.SetWriteDeadline(p.clock.at(min(a.writeDeadline, a.until, from+reserve+p.backends.writeSlack)))
 		go func() {
 			defer c.writing.Unlock()
 			_, err := c.conn.Write(rest)
-			in.backends.wrote(c)
+			p.backends.wrote(c)
 			if err == nil {
 				c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, it may be used again
 				c.written.Store(true)
-				in.traceSent(a, c.at, from, in.clock.now())
+				p.traceSent(a, c.at, from, p.clock.now())
 			} else {
 				c.writeErr = err
 				c.conn.Close() // its reader reports it
@@ -375,45 +375,45 @@
 
 // cutOff tells that the command on the connection was never wholly written, and closes it then. While the
 // rest is being written nobody knows: it is closed first, and the writer asked, who ends with it.
-func (in *Ingress) cutOff(c *backConn) bool {
+func (p *Proxy) cutOff(c *backConn) bool {
 	if c.written.Load() {
 		return false
 	}
-	in.closeConn(c, attemptGivenUp, nil)
+	p.closeConn(c, attemptGivenUp, nil)
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	return !c.written.Load()
 }
 
-func (in *Ingress) closeConn(c *backConn, why closeReason, err error) {
+func (p *Proxy) closeConn(c *backConn, why closeReason, err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	in.logBackendClosed(c, why, err)
+	p.logBackendClosed(c, why, err)
 	c.dead.Store(true)
 	c.conn.Close()
-	in.backends.open--
+	p.backends.open--
 	c.be.idle = slices.DeleteFunc(c.be.idle, func(i *backConn) bool { return i == c })
 }
 
 // read takes the replies of one connection and notices its end, also while it idles.
-func (c *backConn) read(in *Ingress) {
-	buf := buffer{budget: &in.input}
+func (c *backConn) read(p *Proxy) {
+	buf := buffer{budget: &p.input}
 	defer buf.free()
 	var past answers
 	var ended error // what the last read met
 	for {
 		room := buf.room()
 		if room == nil {
-			c.spoilt(in, in.clock.now(), nil, errNoRoom)
+			c.spoilt(p, p.clock.now(), nil, errNoRoom)
 			break
 		}
 		n, err := c.conn.Read(room)
 		ended = err
-		at := in.clock.now()
+		at := p.clock.now()
 		if n > 0 && !c.busy.Load() {
-			in.post(at, func() { in.warn("bytes that nobody asked for", "backend", c.be.ID, "bytes", n) })
+			p.post(at, func() { p.warn("bytes that nobody asked for", "backend", c.be.ID, "bytes", n) })
 			break // what follows can't be told apart
 		}
 		buf.grew(n)
@@ -422,18 +422,18 @@
 			bad = resp.ErrOversized
 		}
 		if bad != nil {
-			c.spoilt(in, at, buf.b, bad)
+			c.spoilt(p, at, buf.b, bad)
 			break
 		}
 		if size > 0 {
 			res := parseReply(buf.b[:size])
 			if res.spoilt != "" {
-				c.spoilt(in, at, buf.b, errors.New(res.spoilt))
+				c.spoilt(p, at, buf.b, errors.New(res.spoilt))
 				break
 			}
 			// Bytes of a copy that were on their way when the next command was written are told by this.
-			if past.copied(buf.b[:size], res.status, c.began.get()-in.backends.copyS) {
-				c.spoilt(in, at, buf.b, errCopy)
+			if past.copied(buf.b[:size], res.status, c.began.get()-p.backends.copyS) {
+				c.spoilt(p, at, buf.b, errCopy)
 				break
 			}
 			past.add(buf.b[:size], res.status, at)
@@ -443,7 +443,7 @@
 				c.dead.Store(true)
 			}
 			c.busy.Store(false)
-			in.post(at, func() { in.replied(c, res, at) })
+			p.post(at, func() { p.replied(c, res, at) })
 			if stray {
 				break
 			}
@@ -459,8 +459,8 @@
 		ended = c.writeErr
 	}
 	c.writing.Unlock()
-	at := in.clock.now()
-	in.post(at, func() { in.lost(c, ended, at) })
+	at := p.clock.now()
+	p.post(at, func() { p.lost(c, ended, at) })
 }
 
 // answers are the last ones of a connection, by which a copy of one is known.
@@ -494,41 +494,41 @@
 }
 
 // spoilt ends the connection's attempt for what came in place of an answer.
-func (c *backConn) spoilt(in *Ingress, at float64, got []byte, why error) {
+func (c *backConn) spoilt(p *Proxy, at float64, got []byte, why error) {
 	c.dead.Store(true)
 	start := string(got[:min(len(got), 40)])
-	in.post(at, func() {
-		in.warn("bad reply", "backend", c.be.ID, "why", why, "bytes", start)
-		in.replied(c, spoilt(why.Error()), at)
+	p.post(at, func() {
+		p.warn("bad reply", "backend", c.be.ID, "why", why, "bytes", start)
+		p.replied(c, spoilt(why.Error()), at)
 	})
 }
 
 // replied ends the attempt that the connection carries.
-func (in *Ingress) replied(c *backConn, res result, at float64) {
+func (p *Proxy) replied(c *backConn, res result, at float64) {
 	a := c.attempt
 	if c.closed || a == nil {
 		return
 	}
 	if res.status == policy.OK && res.probe != (a.req == nil) {
 		c.dead.Store(true)
-		in.warn("bad reply", "backend", c.be.ID, "why", "a reply to something else")
+		p.warn("bad reply", "backend", c.be.ID, "why", "a reply to something else")
 		res = spoilt("a reply to something else")
 	}
 	if c.written.Load() && !c.dead.Load() {
 		a.conn = nil
-		in.release(c)
+		p.release(c)
 	}
-	in.finish(a, res, at)
+	p.finish(a, res, at)
 }
 
 // lost takes the end of a connection.
-func (in *Ingress) lost(c *backConn, err error, at float64) {
-	in.closeConn(c, peerClosed, err)
+func (p *Proxy) lost(c *backConn, err error, at float64) {
+	p.closeConn(c, peerClosed, err)
 	if a := c.attempt; a != nil && !a.done {
 		status := policy.Reset
 		if !c.written.Load() {
 			status = policy.ConnectFailed
 		}
-		in.finish(a, result{status: status}, at)
+		p.finish(a, result{status: status}, at)
 	}
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"bufio"
@@ -89,7 +89,7 @@
 // rig is an ingress on loopback sockets with a stand-in module.
 type rig struct {
 	t    *testing.T
-	in   *Ingress
+	in   *Proxy
 	mod  *module
 	end  chan struct{}
 	term context.CancelFunc
@@ -123,18 +123,18 @@
 
 func start(t *testing.T, cfg Config, change func(*rig)) *rig {
 	t.Helper()
-	in, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{t: t, in: in, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan Config)}
-	in.backends.copyS = 0 // the tests' answers are alike
-	in.backends.writeSlack = 3600
-	in.askAgain = time.Hour // a test that is slow is asked once
+	r := &rig{t: t, in: p, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan Config)}
+	p.backends.copyS = 0 // the tests' answers are alike
+	p.backends.writeSlack = 3600
+	p.askAgain = time.Hour // a test that is slow is asked once
 	quiet := make(chan struct{})
 	if cfg.Discovery == noDiscovery { // asked once, so that no event comes of it later
-		in.pause = func(time.Duration) <-chan time.Time {
+		p.pause = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
 		}
@@ -146,15 +146,15 @@
 	}
 	go func() {
 		defer close(r.end)
-		in.serve(ctx, r.reread, r.mod)
+		p.serve(ctx, r.reread, r.mod)
 	}()
 	get(t, quiet)
 	t.Cleanup(func() {
 		cancel()
 		r.do(func() {
-			in.clients.all = map[*client]struct{}{}
-			in.requests = map[string]*request{}
-			in.leaving, in.accepted = true, true
+			p.clients.all = map[*client]struct{}{}
+			p.requests = map[string]*request{}
+			p.leaving, p.accepted = true, true
 		})
 		<-r.end
 	})
@@ -534,7 +534,7 @@
 func TestBadInput(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	r := start(t, testConfig("127.0.0.1:1"), nil)
-	for want, in := range map[string]string{
+	for want, p := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
 		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
 		"-ERR Protocol error: invalid number":         "*-1\r\n",
@@ -562,19 +562,19 @@
 		"-ERR field k is missing":                     command("CALL.POST", customer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
 		c := r.client()
-		io.WriteString(c, in)
+		io.WriteString(c, p)
 		if got := c.line(); !strings.HasPrefix(got, want) {
-			t.Errorf("%q: got %q, want %q", in[:min(len(in), 60)], got, want)
+			t.Errorf("%q: got %q, want %q", p[:min(len(p), 60)], got, want)
 			continue
 		}
 		if strings.Contains(want, "Protocol") {
 			if got := c.line(); got != "" {
-				t.Errorf("%q: %q behind the error", in, got)
+				t.Errorf("%q: %q behind the error", p, got)
 			}
 			continue
 		}
 		if c.send("PING"); c.line() != "+PONG" {
-			t.Errorf("%q: the connection is of no use afterwards", in)
+			t.Errorf("%q: the connection is of no use afterwards", p)
 		}
 	}
 	if len(r.mod.requests) != 0 {
--- a/internal/ingress/read_ahead.go
+++ b/internal/proxy/read_ahead.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"io"
@@ -20,7 +20,7 @@
 )
 
 // takePermit waits until the connection may have another command open; false if it has ended.
-func (c *client) takePermit(in *Ingress) bool {
+func (c *client) takePermit(p *Proxy) bool {
 	select {
 	case c.permits <- struct{}{}:
 		return true
@@ -38,29 +38,29 @@
 		case <-look.C:
 		}
 		if !ended {
-			ended = c.readAhead(in)
+			ended = c.readAhead(p)
 		}
 	}
 }
 
 // readAhead takes in what has come without waiting for more, as far as there is room for it. It tells the loop, and
 // returns true, if the connection has ended.
-func (c *client) readAhead(in *Ingress) (ended bool) {
-	for len(c.buf.b) < maxReadAhead && in.input.left.Load() > in.input.readAheadLeft {
+func (c *client) readAhead(p *Proxy) (ended bool) {
+	for len(c.buf.b) < maxReadAhead && p.input.left.Load() > p.input.readAheadLeft {
 		room := c.buf.room()
 		if room == nil {
 			return false
 		}
-		at := in.clock.now()
+		at := p.clock.now()
 		n, err := receive(c.raw, room)
 		if scarce(err) {
 			return false
 		}
 		if err != nil {
-			in.post(at, func() { in.clientGone(c, peerClosed, err) })
+			p.post(at, func() { p.clientGone(c, peerClosed, err) })
 			return true
 		}
-		came := c.arrivals.took(c.raw, &in.pace, at, at, n == len(room))
+		came := c.arrivals.took(c.raw, &p.pace, at, at, n == len(room))
 		c.buf.grew(n)
 		c.arrivals.mark(len(c.buf.b), came)
 		if n < len(room) {
--- a/internal/ingress/reason.go
+++ b/internal/proxy/reason.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"context"
@@ -49,7 +49,7 @@
 
 // logClientClosed tells why a client's connection ended. Lines about connections on which nothing was owed may
 // be thinned, those about others never.
-func (in *Ingress) logClientClosed(c *client, why closeReason, err error) {
+func (p *Proxy) logClientClosed(c *client, why closeReason, err error) {
 	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", string(why)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
@@ -57,30 +57,30 @@
 	owed := c.owed()
 	unwritten := c.held + len(c.pending)
 	if len(owed) == 0 && unwritten == 0 {
-		in.log.Debug("client connection closed", attrs...)
+		p.log.Debug("client connection closed", attrs...)
 		return
 	}
 	level := slog.LevelWarn
 	if why == peerClosed { // its requests are its own to give up
 		level = slog.LevelInfo
 	}
-	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", in.now-c.openedAt,
-		"last_answer_before", in.now-c.usedAt)
-	in.log.Log(context.Background(), level, "client connection closed", attrs...)
+	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", p.now-c.openedAt,
+		"last_answer_before", p.now-c.usedAt)
+	p.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
 // logBackendClosed tells why a connection to a backend ended, with the request whose attempt it carried.
-func (in *Ingress) logBackendClosed(c *backConn, why closeReason, err error) {
+func (p *Proxy) logBackendClosed(c *backConn, why closeReason, err error) {
 	attrs := []any{"backend", c.be.ID, "address", c.at.Addr, "reason", string(why)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	a := c.attempt
 	if a == nil || a.req == nil {
-		in.log.Debug("backend connection closed", attrs...)
+		p.log.Debug("backend connection closed", attrs...)
 		return
 	}
 	attrs = append(attrs, "id", a.req.ID, "try", a.number, "written", c.written.Load(),
-		"after", time.Duration((in.now-a.sentAt)*float64(time.Second)).String())
-	in.log.Info("backend connection closed", attrs...)
+		"after", time.Duration((p.now-a.sentAt)*float64(time.Second)).String())
+	p.log.Info("backend connection closed", attrs...)
 }
--- a/internal/ingress/requests.go
+++ b/internal/proxy/requests.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"math"
@@ -25,36 +25,36 @@
 // ping tells the front that this ingress can serve. While discovery is down and the list that it was started
 // with names no backend of use, it is ready all the same after a moment: it answers what comes, and has its
 // place when discovery is back.
-func (in *Ingress) ping(c *client) {
-	if !in.backends.ready() && in.now < in.readyAt {
-		in.answerAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
+func (p *Proxy) ping(c *client) {
+	if !p.backends.ready() && p.now < p.readyAt {
+		p.answerAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
-	in.answerAtOnce(c, redcon.AppendString(nil, "PONG"), false)
+	p.answerAtOnce(c, redcon.AppendString(nil, "PONG"), false)
 }
 
 // take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
-func (in *Ingress) take(c *client, q *call, came float64) {
+func (p *Proxy) take(c *client, q *call, came float64) {
 	taken := false
 	defer func() {
 		if !taken {
-			in.input.give(q.size)
+			p.input.give(q.size)
 		}
 	}()
 	switch {
 	case c.closed, c.shut:
 		return
-	case in.stopped:
-		in.refuseAtOnce(c, q, processEnds)
+	case p.stopped:
+		p.refuseAtOnce(c, q, processEnds)
 		return
-	case c.surplus && in.clients.full(in, c):
-		in.refuseAtOnce(c, q, connectionsUsedUp)
+	case c.surplus && p.clients.full(p, c):
+		p.refuseAtOnce(c, q, connectionsUsedUp)
 		return
-	case in.requests[q.ID] != nil:
-		in.answerAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
+	case p.requests[q.ID] != nil:
+		p.answerAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
 		return
-	case in.cfg.Settings.MostHeld > 0 && len(in.requests) >= in.cfg.Settings.MostHeld:
-		in.refuseAtOnce(c, q, tooManyHeld)
+	case p.cfg.Settings.MostHeld > 0 && len(p.requests) >= p.cfg.Settings.MostHeld:
+		p.refuseAtOnce(c, q, tooManyHeld)
 		return
 	}
 	taken = true
@@ -62,49 +62,49 @@
 	r := &request{call: q, client: c, slot: &slot{}, cameAt: came, deadline: came + q.waitS}
 	r.slot.req = r
 	c.slots = append(c.slots, r.slot)
-	c.usedAt = in.now
-	in.requests[q.ID] = r
-	in.traceTaken(r)
+	c.usedAt = p.now
+	p.requests[q.ID] = r
+	p.traceTaken(r)
 	// The module answers well before; should it fail to, the client hears all the same.
-	r.timer = in.after(r.deadline+in.cfg.Settings.ReplySlack-in.now, func() {
-		in.warn("no answer from the module in time", "id", r.ID)
-		in.fail(r, noDecision)
-		in.decider.HandleClientGone(in.now, r.ID)
+	r.timer = p.after(r.deadline+p.cfg.Settings.ReplySlack-p.now, func() {
+		p.warn("no answer from the module in time", "id", r.ID)
+		p.fail(r, noDecision)
+		p.decider.HandleClientGone(p.now, r.ID)
 	})
 	q.Request.Deadline = r.deadline
 	handed := false
 	defer func() { // a panic in the module must not leave a request that nothing was sent for hanging
 		if !handed && len(r.attempts) == 0 {
-			in.fail(r, noDecision)
+			p.fail(r, noDecision)
 		}
 	}()
-	in.decider.HandleRequest(in.now, q.Request)
+	p.decider.HandleRequest(p.now, q.Request)
 	handed = true
 }
 
 // Refuse implements policy.Actions.
-func (in *Ingress) Reject(id string, retryInS float64, why policy.Reason) {
-	if r := in.requests[id]; r != nil {
-		in.answer(r, in.busy(retryInS), why)
+func (p *Proxy) Reject(id string, retryInS float64, why policy.Reason) {
+	if r := p.requests[id]; r != nil {
+		p.answer(r, p.busy(retryInS), why)
 	}
 }
 
-func (in *Ingress) busy(retryInS float64) []byte {
-	if retryInS <= 0 || !in.cfg.Settings.RetryAfter {
+func (p *Proxy) busy(retryInS float64) []byte {
+	if retryInS <= 0 || !p.cfg.Settings.RetryAfter {
 		return redcon.AppendError(nil, "BUSY")
 	}
 	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryInS*1000))))
 }
 
 // Fail implements policy.Actions.
-func (in *Ingress) Fail(id string, why policy.Reason) {
-	if r := in.requests[id]; r != nil {
-		in.fail(r, why)
+func (p *Proxy) Fail(id string, why policy.Reason) {
+	if r := p.requests[id]; r != nil {
+		p.fail(r, why)
 	}
 }
 
-func (in *Ingress) fail(r *request, why policy.Reason) {
-	in.answer(r, redcon.AppendError(nil, "ERR failed"), why)
+func (p *Proxy) fail(r *request, why policy.Reason) {
+	p.answer(r, redcon.AppendError(nil, "ERR failed"), why)
 }
 
 // Why this side refuses a request, or fails it, beside what the module decides.
@@ -118,76 +118,76 @@
 )
 
 // refuseAtOnce refuses a request that the module never hears of.
-func (in *Ingress) refuseAtOnce(c *client, q *call, why policy.Reason) {
-	in.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
-	in.answerAtOnce(c, in.busy(in.cfg.Settings.MaxRetryAfter), false)
+func (p *Proxy) refuseAtOnce(c *client, q *call, why policy.Reason) {
+	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
+	p.answerAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
 }
 
 // answer gives the final answer, the first time that it is called for a request, and why it is no value.
-func (in *Ingress) answer(r *request, answer []byte, why policy.Reason) {
+func (p *Proxy) answer(r *request, answer []byte, why policy.Reason) {
 	if r.over {
 		return
 	}
 	r.slot.answer = answer
-	in.traceAnswer(r, answer, why)
-	in.end(r)
-	in.flush(r.client)
+	p.traceAnswer(r, answer, why)
+	p.end(r)
+	p.flush(r.client)
 }
 
 // end notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
-func (in *Ingress) end(r *request) {
+func (p *Proxy) end(r *request) {
 	r.over = true
-	in.cutOffUnwritten(r)
-	in.stopTimer(r.timer)
-	in.input.give(r.size)
+	p.cutOffUnwritten(r)
+	p.stopTimer(r.timer)
+	p.input.give(r.size)
 	r.args = nil
-	in.forget(r)
+	p.forget(r)
 }
 
 // cutOffUnwritten ends the attempts of a request that is over whose commands are not wholly written: with its last
 // byte one would begin after the request's end.
-func (in *Ingress) cutOffUnwritten(r *request) {
+func (p *Proxy) cutOffUnwritten(r *request) {
 	for _, a := range r.attempts {
 		if a.done || a.conn == nil || a.conn.written.Load() {
 			continue
 		}
 		status := policy.Cancelled
-		if in.cutOff(a.conn) {
+		if p.cutOff(a.conn) {
 			status = policy.NotSent
 		}
-		in.finishDeferred(a, status)
+		p.finishDeferred(a, status)
 	}
 }
 
-func (in *Ingress) forget(r *request) {
+func (p *Proxy) forget(r *request) {
 	if r.over && r.out == 0 {
-		delete(in.requests, r.ID)
+		delete(p.requests, r.ID)
 	}
 }
 
 // stop ends a drain that takes too long: what is still owed fails while its client can hear of it. What comes
 // after that is refused at once, until its connection stands still for long enough to be closed.
-func (in *Ingress) stop() {
-	in.stopped = true
-	if !in.leaving {
-		in.leave()
+func (p *Proxy) stop() {
+	p.stopped = true
+	if !p.leaving {
+		p.leave()
 	}
-	for _, r := range in.requests {
+	for _, r := range p.requests {
 		if !r.over {
-			in.fail(r, processEnds)
-			in.decider.HandleClientGone(in.now, r.ID)
+			p.fail(r, processEnds)
+			p.decider.HandleClientGone(p.now, r.ID)
 		}
 	}
-	in.clients.closeIdle(in)
-	in.after(drainSpare.Seconds()/2, func() {
-		for c := range in.clients.all {
-			in.shutDown(c)
+	p.clients.closeIdle(p)
+	p.after(drainSpare.Seconds()/2, func() {
+		for c := range p.clients.all {
+			p.shutDown(c)
 		}
 	})
-	in.after(drainSpare.Seconds()*3/4, func() {
-		for c := range in.clients.all {
-			in.closeClient(c, drainDeadline, nil)
+	p.after(drainSpare.Seconds()*3/4, func() {
+		for c := range p.clients.all {
+			p.closeClient(c, drainDeadline, nil)
 		}
-		in.accepted = true // else its place is taken, and SIGKILL comes
+		p.accepted = true // else its place is taken, and SIGKILL comes
 	})
 }
--- a/internal/ingress/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"context"
@@ -150,11 +150,11 @@
 			cfg := testConfig()
 			cfg.Settings.Settings.PeerMessages = true
 			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
-			in, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), calls)
+			p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), calls)
 			if err != nil {
 				t.Fatal(err)
 			}
-			in.close()
+			p.close()
 		})
 	}
 	for name, number := range map[string]syscall.Errno{"for good": syscall.EACCES, "for too long": syscall.ENFILE} {
--- a/internal/ingress/trace.go
+++ b/internal/proxy/trace.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"context"
@@ -21,24 +21,24 @@
 }
 
 // tracing tells whether anybody reads a trace. It never changes.
-func (in *Ingress) tracing() bool { return in.log.Enabled(context.Background(), slog.LevelDebug) }
+func (p *Proxy) tracing() bool { return p.log.Enabled(context.Background(), slog.LevelDebug) }
 
 // traceTaken tells that a request was taken: when its last byte had come, when the loop got to it, and its time.
-func (in *Ingress) traceTaken(r *request) {
-	if in.tracing() {
-		in.log.Debug("taken", "id", r.ID, "connection", r.client.number, "came", r.cameAt, "at", in.clock.now(),
+func (p *Proxy) traceTaken(r *request) {
+	if p.tracing() {
+		p.log.Debug("taken", "id", r.ID, "connection", r.client.number, "came", r.cameAt, "at", p.clock.now(),
 			"deadline", r.deadline)
 	}
 }
 
 // traceSent tells that the last byte of an attempt was written. Safe for any goroutine that the attempt
 // was handed to: what it reads does not change any more.
-func (in *Ingress) traceSent(a *attempt, to target, from, at float64) {
-	if !in.tracing() || a.req == nil {
+func (p *Proxy) traceSent(a *attempt, to target, from, at float64) {
+	if !p.tracing() || a.req == nil {
 		return
 	}
-	class := in.class(a.req)
-	in.log.Debug("sent", "id", a.req.ID, "try", a.number, "kind", string(a.kind), "class", class.Name, "effect", effectNames[class.Idempotency],
+	class := p.class(a.req)
+	p.log.Debug("sent", "id", a.req.ID, "try", a.number, "kind", string(a.kind), "class", class.Name, "effect", effectNames[class.Idempotency],
 		"scope", scopeNames[class.DedupScope], "ttl", class.IdempotencyWindow, "backend", to.ID, "zone", to.Zone, "cell", to.Cell,
 		"started", float64(to.StartedMS)/1000, "read", a.req.cameAt, "from", from, "at", at,
 		"until", a.until,
@@ -46,34 +46,34 @@
 }
 
 // traceEnded tells how an attempt ended.
-func (in *Ingress) traceEnded(a *attempt, res result, at float64) {
-	if in.tracing() && a.req != nil {
-		in.log.Debug("ended", "id", a.req.ID, "try", a.number, "status", statusNames[res.status], "at", at,
+func (p *Proxy) traceEnded(a *attempt, res result, at float64) {
+	if p.tracing() && a.req != nil {
+		p.log.Debug("ended", "id", a.req.ID, "try", a.number, "status", statusNames[res.status], "at", at,
 			"spoilt", res.spoilt)
 	}
 }
 
 // traceAnswer tells a request's final answer, by its first word.
-func (in *Ingress) traceAnswer(r *request, answer []byte, why policy.Reason) {
-	if in.tracing() {
+func (p *Proxy) traceAnswer(r *request, answer []byte, why policy.Reason) {
+	if p.tracing() {
 		word := "value"
 		if len(answer) > 4 && answer[0] == '-' {
 			word = string(answer[1:4])
 		}
-		in.log.Debug("answered", "id", r.ID, "word", word, "reason", string(why), "at", in.clock.now())
+		p.log.Debug("answered", "id", r.ID, "word", word, "reason", string(why), "at", p.clock.now())
 	}
 }
 
 // traceGone tells that a request's client was found to have left.
-func (in *Ingress) traceGone(r *request) {
-	if in.tracing() {
-		in.log.Debug("gone", "id", r.ID, "at", in.clock.now())
+func (p *Proxy) traceGone(r *request) {
+	if p.tracing() {
+		p.log.Debug("gone", "id", r.ID, "at", p.clock.now())
 	}
 }
 
 // class is that of a request, as the settings have it.
-func (in *Ingress) class(r *request) policy.Class {
-	for _, c := range in.cfg.Settings.Classes {
+func (p *Proxy) class(r *request) policy.Class {
+	for _, c := range p.cfg.Settings.Classes {
 		if c.Name == r.Class {
 			return c
 		}
--- a/internal/ingress/window_test.go
+++ b/internal/proxy/window_test.go
@@ -1,4 +1,4 @@
-package ingress
+package proxy
 
 import (
 	"net"
@@ -11,8 +11,8 @@
 )
 
 // passes waits until the clock has passed a time.
-func passes(in *Ingress, at float64) {
-	for in.clock.now() < at {
+func passes(p *Proxy, at float64) {
+	for p.clock.now() < at {
 		time.Sleep(time.Millisecond)
 	}
 }
