--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -9,7 +9,8 @@
 func TestMalformedInputIsIgnored(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	n := len(r.actions)
-	good := testFormat.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 5, Plan: 15})
+	good := encodeRecord(1, usageRecord{Key: 5, Plan: 15})
+	good[countOffset] = 0
 	for i := range good {
 		g.HandlePeerMessage(100, 1, good[:i])
 	}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -18,9 +18,9 @@
 	if u := b.endpoints["s1"].utilization; u < 0.59 || u > 0.61 {
 		t.Fatalf("use told is %v", u)
 	}
-	_, _, _, items, _ := testFormat.parse(rb.ofKind("send_to_peer", "")[0].data, 100)
-	if len(items) != 2 {
-		t.Fatalf("%d news told on, want 2", len(items))
+	reply, err := testFormat.decode(rb.ofKind("send_to_peer", "")[0].data, 100)
+	if err != nil || len(reply.updates) != 2 {
+		t.Fatalf("%d updates passed on, want 2 (%v)", len(reply.updates), err)
 	}
 	old := b.endpoints["s1"].utilizationAt
 	if b.mergeGossip(healthUpdate{b.endpoints["s1"].hash, loadUpdate, 0.1, old - 1}); b.endpoints["s1"].utilization < 0.5 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -170,15 +170,14 @@
 		t.Fatal("nothing was told")
 	}
 	last := tells[len(tells)-1]
-	_, _, recs, _, ok := testFormat.parse(last.data, 0)
-	if !ok || len(recs) == 0 {
+	report, err := testFormat.decode(last.data, 0)
+	if err != nil || len(report.records) == 0 {
 		t.Fatal("no report was told")
 	}
-	v := usageRecord{Key: recs[0].Key, Plan: recs[0].Plan, Owner: true, Known: true, Total: recs[0].Total, WantedUnits: recs[0].WantedUnits}
+	asked := report.records[0]
+	v := usageRecord{Key: asked.Key, Plan: asked.Plan, Owner: true, Known: true, Total: asked.Total, WantedUnits: asked.WantedUnits}
 	change(&v)
-	b := testFormat.appendRecord(appendHeader(nil, 9, seq), v)
-	b[countOffset] = 1
-	return last.to, b
+	return last.to, testFormat.encode(message{incarnation: 9, sequence: seq, records: []usageRecord{v}}, 0)
 }
 
 // largeFleet returns one gateway of a fleet of 80, with 60 servers in three zones of four cells each.
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -110,12 +110,14 @@
 	g, r := newTestGateway(t, ofGateways(100))
 	granted := 0.0
 	for i := range 30 {
-		b := testFormat.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1})
-		b[countOffset] = 1
+		b := encodeRecord(1, usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1})
 		g.HandlePeerMessage(100, 1+i, b)
 		tells := r.ofKind("send_to_peer", "")
-		_, _, recs, _, _ := testFormat.parse(tells[len(tells)-1].data, 100)
-		if granted += recs[0].Total; i == 29 && recs[0].Backoff == 0 {
+		reply, err := testFormat.decode(tells[len(tells)-1].data, 100)
+		if err != nil || len(reply.records) != 1 {
+			t.Fatalf("the reply has %d records, want 1 (%v)", len(reply.records), err)
+		}
+		if granted += reply.records[0].Total; i == 29 && reply.records[0].Backoff == 0 {
 			t.Fatal("an owner asked thirty times at once did not tell its members to hold")
 		}
 	}
@@ -128,8 +130,7 @@
 func TestUnusedGrantIsReturned(t *testing.T) {
 	g, _ := newTestGateway(t, ofGateways(100))
 	tell := func(seq uint16, r usageRecord) {
-		b := testFormat.appendRecord(appendHeader(nil, 1, seq), r)
-		b[countOffset] = 1
+		b := encodeRecord(seq, r)
 		g.HandlePeerMessage(100, 1, b)
 	}
 	tell(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
@@ -146,8 +147,7 @@
 // A young count believes the room that a member hands back, even where its window has just turned.
 func TestNewLedgerTakesRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	b := testFormat.appendRecord(appendHeader(nil, 1, 1), usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1})
-	b[countOffset] = 1
+	b := encodeRecord(1, usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1})
 	g.HandlePeerMessage(104, 1, b)
 	if room := g.ledger(g.customers[5]).remaining; room > 1 {
 		t.Fatalf("room is %v after a member handed back 1", room)
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -2,56 +2,145 @@
 
 import (
 	"encoding/binary"
+	"errors"
+	"fmt"
 	"math"
 )
 
-// The bytes of a message between gateways: a header, then records of fixed
-// size. What goes in, when and to whom is decided in reports.go.
-
+// The layout of a peer message: a header, then usage records, then health updates, each of a fixed size. All
+// numbers are big-endian. The header holds the version, the sender's incarnation, the sequence number (two
+// bytes) and the number of records; the health updates take what is left of the message.
 const (
 	messageVersion = 2
-	headerSize     = 5
-	countOffset    = 4 // where the number of records stands
-	updateSize     = 5
-	loadUpdate     = -1   // in place of a class: the item is a server's use
-	loadUpdateByte = 255  // how that is written; classes from there on are not told of
-	updateAgeStep  = 0.02 // seconds
-	baseRecordSize = 17
-	maxMessageSize = 256
-	backoffStep    = 0.05 // seconds
+	maxMessageSize = 256 // bytes
+	headerSize     = 5   // bytes
+
+	incarnationOffset = 1
+	sequenceOffset    = 2
+	countOffset       = 4 // of the number of records
 )
 
-// Widths of the fields of a record, which its form must fit to the settings.
+// The layout of a usage record: the offsets of its fields, in bytes.
 const (
-	maxRequestSteps = 48.0   // wire units that one request may take; some may ask together
-	maxWindowSteps  = 7500.0 // that a window may hold
-	maxRateSteps    = 15000.0
-	plansInHead     = 32   // plans that the head of a record tells apart
-	maxPlans        = 8192 // with one more byte
+	keyOffset            = 0
+	flagsOffset          = 4 // three flags in the high bits, the low bits of the plan's index in the others
+	totalOffset          = 5
+	remainingOffset      = 7
+	demandOffset         = 9
+	inFlightOffset       = 11
+	unacknowledgedOffset = 13
+	wantedOffset         = 14
+	firstWantedOffset    = 15 // an owner's record has the backoff in this place
+	cheapnessOffset      = 16
+	planHighOffset       = 17 // present only with more than plansInFlags plans
+	baseRecordSize       = 17
+
+	ownerFlag       = 1 << 7
+	knownFlag       = 1 << 6
+	ceilingPoolFlag = 1 << 5
+)
+
+// The layout of a health update: the endpoint's hash (two bytes), the class, the value and the age.
+const (
+	updateClassOffset = 2
+	updateValueOffset = 3
+	updateAgeOffset   = 4
+	updateSize        = 5 // bytes
+
+	loadUpdateByte = 255 // in place of a class: a load update; classes from this index on are not published
+)
+
+// The steps in which fractional values are written.
+const (
+	stepsPerUnit          = 4             // units and rates are written in quarters
+	backoffStep   Seconds = 0.05          // of usageRecord.Backoff
+	updateAgeStep Seconds = 0.02          // of a health update's age
+	maxByte               = math.MaxUint8 // stands for a fraction of 1
+)
+
+// The largest values that the fields of a record hold. Units are scaled so that those of the settings fit.
+const (
+	maxRequestSteps = 48.0    // wire units of one request; a record may ask for several requests
+	maxWindowSteps  = 7500.0  // wire units of one quota window
+	maxRateSteps    = 15000.0 // wire units a second of one quota
+
+	minRemainingSteps = -256.0 // quarters of a wire unit
+	maxRemainingSteps = 32000.0
+
+	plansInFlags = 32   // plans that the flags byte tells apart
+	maxPlans     = 8192 // with the further byte of a wide record
+)
+
+// The reasons for which a message is not decoded.
+var (
+	errMessageVersion = errors.New("peer message of another version")
+	errMessageLength  = errors.New("peer message of invalid length")
 )
 
-// form is how records are written: all gateways have the same settings, and so the same form.
+// message is what one gateway sends to another.
+type message struct {
+	incarnation uint8  // of the sending process
+	sequence    uint16 // increases with each message of an incarnation, and wraps around
+	records     []usageRecord
+	updates     []healthUpdate
+}
+
+// usageRecord is what two gateways exchange about one customer. In a member's record to the owner, Total is
+// the member's own count, Demand the demand at the member, and Remaining the units that the owner last
+// reported to it. In an owner's record, Total is the member's count as the owner has acknowledged or reserved
+// it, Demand the demand at all other gateways, and Remaining what is left of the whole quota.
+type usageRecord struct {
+	Key              uint32  // 32 bits of the customer's hash
+	Plan             int     // index of the plan in the settings
+	Owner            bool    // the sender is the customer's owner
+	Known            bool    // Remaining was reported or counted, and is not a guess
+	CeilingPool      bool    // member: the owner is the primary owner; owner: its ceiling pool pays the grant
+	Total            float64 // units, in quarters, modulo 16384
+	Remaining        float64 // units, in quarters, -64 to 8000
+	Demand           float64 // units a second, in quarters, up to 16383.75
+	InFlight         int     // attempts in flight, up to 65535
+	Unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; members only
+	WantedUnits      float64 // units of waiting requests, up to 63.75; owner: copied from the member's record
+	FirstWantedUnits float64 // units of the first waiting request, up to 63.75; members only
+	Cheapness        float64 // of the first waiting request, 0 to 1; members only
+	Backoff          Seconds // time before which a retry is pointless, up to 12.75; owners only
+}
+
+// scale returns the record with all units multiplied by factor.
+func (r usageRecord) scale(factor float64) usageRecord {
+	r.Total *= factor
+	r.Remaining *= factor
+	r.Demand *= factor
+	r.Unacknowledged *= factor
+	r.WantedUnits *= factor
+	r.FirstWantedUnits *= factor
+	return r
+}
+
+// messageFormat encodes and decodes peer messages. It follows from the settings, which all gateways share, so
+// that all of a fleet use the same one.
 type messageFormat struct {
-	unitsPerStep float64 // units in one unit on the wire
-	widePlan     bool    // plans take one more byte
+	unitsPerStep float64 // units in one unit on the wire, at least 1
+	widePlan     bool    // records have a further byte for the plan
 }
 
-func newMessageFormat(s Settings) messageFormat {
-	f := messageFormat{unitsPerStep: 1, widePlan: len(s.Plans) > plansInHead}
-	burst := 0.0
-	for _, p := range s.Plans {
-		burst = max(burst, p.Burst)
-		f.unitsPerStep = max(f.unitsPerStep, p.Rate/maxRateSteps)
+// newMessageFormat returns the format that holds the largest values the settings allow.
+func newMessageFormat(settings Settings) messageFormat {
+	format := messageFormat{unitsPerStep: 1, widePlan: len(settings.Plans) > plansInFlags}
+	largestBurst := 0.0
+	for _, plan := range settings.Plans {
+		largestBurst = max(largestBurst, plan.Burst)
+		format.unitsPerStep = max(format.unitsPerStep, plan.Rate/maxRateSteps)
 	}
-	first := float64(s.MaxRequestUnits)
-	if first <= 0 {
-		first = burst // none larger is ever inside its quota
+	largestRequest := float64(settings.MaxRequestUnits)
+	if largestRequest <= 0 {
+		largestRequest = largestBurst // no larger request is ever within its quota
 	}
-	f.unitsPerStep = max(f.unitsPerStep, first/maxRequestSteps, burst/maxWindowSteps)
-	return f
+	format.unitsPerStep = max(format.unitsPerStep, largestRequest/maxRequestSteps, largestBurst/maxWindowSteps)
+	return format
 }
 
-// size is that of one record.
+// recordSize is the size of one record in bytes.
 func (f messageFormat) recordSize() int {
 	if f.widePlan {
 		return baseRecordSize + 1
@@ -59,115 +148,158 @@
 	return baseRecordSize
 }
 
-// in puts the units of a record into others, so many of which make one of its own.
-func (r usageRecord) scale(grain float64) usageRecord {
-	for _, x := range []*float64{&r.Total, &r.Remaining, &r.Demand, &r.Unacknowledged, &r.WantedUnits, &r.FirstWantedUnits} {
-		*x *= grain
+// recordsFit tells whether a message holds this number of records.
+func (f messageFormat) recordsFit(records int) bool {
+	return headerSize+records*f.recordSize() <= maxMessageSize
+}
+
+// updatesBeside is the number of health updates that a message holds beside this number of records.
+func (f messageFormat) updatesBeside(records int) int {
+	return (maxMessageSize - headerSize - records*f.recordSize()) / updateSize
+}
+
+// roundDifference rounds the difference of two counts, of which one has been encoded, to wire steps. It undoes the wrap-around of usageRecord.Total.
+func (f messageFormat) roundDifference(units float64) float64 {
+	steps := int16(int64(math.Floor(units/f.unitsPerStep*stepsPerUnit + 0.5)))
+	return float64(steps) / stepsPerUnit * f.unitsPerStep
+}
+
+// roundingSlack is the number of units that a grant may lose by its encoding.
+func (f messageFormat) roundingSlack() float64 { return (f.unitsPerStep-1)/stepsPerUnit + 1e-9 }
+
+// encode returns the message as it is sent at the time now.
+func (f messageFormat) encode(m message, now Seconds) []byte {
+	data := make([]byte, 0, maxMessageSize)
+	data = append(data, messageVersion, m.incarnation)
+	data = binary.BigEndian.AppendUint16(data, m.sequence)
+	data = append(data, byte(len(m.records)))
+	for _, record := range m.records {
+		data = f.appendRecord(data, record)
 	}
-	return r
+	for _, update := range m.updates {
+		data = appendUpdate(data, update, now)
+	}
+	return data
+}
+
+func (f messageFormat) appendRecord(data []byte, record usageRecord) []byte {
+	record = record.scale(1 / f.unitsPerStep)
+	data = binary.BigEndian.AppendUint32(data, record.Key)
+	data = append(data, recordFlags(record))
+	data = binary.BigEndian.AppendUint16(data, uint16(int64(math.Floor(record.Total*stepsPerUnit+0.5))))
+	remaining := clamp(record.Remaining*stepsPerUnit, minRemainingSteps, maxRemainingSteps)
+	data = binary.BigEndian.AppendUint16(data, uint16(int16(remaining)))
+	data = binary.BigEndian.AppendUint16(data, uint16(clamp(record.Demand*stepsPerUnit, 0, math.MaxUint16)))
+	data = binary.BigEndian.AppendUint16(data, uint16(clamp(float64(record.InFlight), 0, math.MaxUint16)))
+	firstWanted := math.Ceil(record.FirstWantedUnits * stepsPerUnit)
+	if record.Owner {
+		firstWanted = math.Ceil(record.Backoff / backoffStep)
+	}
+	data = append(data,
+		clampToByte(record.Unacknowledged*stepsPerUnit),
+		clampToByte(math.Ceil(record.WantedUnits*stepsPerUnit)),
+		clampToByte(firstWanted),
+		clampToByte(record.Cheapness*maxByte))
+	if f.widePlan {
+		data = append(data, byte(record.Plan/plansInFlags))
+	}
+	return data
 }
 
-// quarters rounds a difference of two counts, of which one has come over the wire.
-func (f messageFormat) roundDifference(x float64) float64 {
-	return float64(int16(int64(math.Floor(x/f.unitsPerStep*4+0.5)))) / 4 * f.unitsPerStep
+func recordFlags(record usageRecord) byte {
+	flags := byte(record.Plan % plansInFlags)
+	if record.Owner {
+		flags |= ownerFlag
+	}
+	if record.Known {
+		flags |= knownFlag
+	}
+	if record.CeilingPool {
+		flags |= ceilingPoolFlag
+	}
+	return flags
 }
 
-// slack is what rounding may take from a grant.
-func (f messageFormat) roundingSlack() float64 { return (f.unitsPerStep-1)/4 + 1e-9 }
+// appendUpdate writes the update with its age, as gateways do not share a clock.
+func appendUpdate(data []byte, update healthUpdate, now Seconds) []byte {
+	data = binary.BigEndian.AppendUint16(data, update.endpointHash)
+	return append(data,
+		byte(update.class),
+		clampToByte(update.value*maxByte),
+		clampToByte((now-update.at)/updateAgeStep))
+}
 
-// record is what two gateways tell each other of one customer. From a member to
-// the owner, Total is the member's count, Rate what it is asked for, Room the room
-// it last heard. From the owner, Total is the count it has taken in or set aside,
-// Rate what all others are asked for, Room the room left of the whole quota.
-type usageRecord struct {
-	Key              uint32  // 32 bits of the customer's hash
-	Plan             int     // the plan's place in the settings
-	Owner            bool    // the sender speaks as the owner
-	Known            bool    // Room stands for something heard or counted
-	CeilingPool      bool    // member: the owner is the first on the ring; owner: the grant is paid from its ceiling
-	Total            float64 // units, in quarters, modulo 16384
-	Remaining        float64 // units, in quarters, -64 to 8k
-	Demand           float64 // units a second, in quarters, up to 16k
-	InFlight         int     // attempts out now, up to 65535
-	Unacknowledged   float64 // units not yet taken in by any owner, up to 63.75; member only
-	WantedUnits      float64 // units of requests that wait, up to 63.75; owner: above 0 if it answers such a report
-	FirstWantedUnits float64 // of the first of them, up to 63.75; member only
-	Cheapness        float64 // how cheap it is, 0 to 1; member only
-	Backoff          float64 // seconds until it is worth asking again, up to 12.75; owner only
-}
-
-func appendHeader(b []byte, boot uint8, seq uint16) []byte {
-	return append(b, messageVersion, boot, byte(seq>>8), byte(seq), 0)
-}
-
-func clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
-
-func (f messageFormat) appendRecord(b []byte, r usageRecord) []byte {
-	r = r.scale(1 / f.unitsPerStep)
-	head := byte(r.Plan % plansInHead)
-	for i, on := range []bool{r.Owner, r.Known, r.CeilingPool} {
-		if on {
-			head |= 1 << (7 - i)
-		}
-	}
-	b = append(binary.BigEndian.AppendUint32(b, r.Key), head)
-	b = binary.BigEndian.AppendUint16(b, uint16(int64(math.Floor(r.Total*4+0.5))))
-	b = binary.BigEndian.AppendUint16(b, uint16(int16(clamp(r.Remaining*4, -256, 32000))))
-	b = binary.BigEndian.AppendUint16(b, uint16(clamp(r.Demand*4, 0, math.MaxUint16)))
-	b = binary.BigEndian.AppendUint16(b, uint16(clamp(float64(r.InFlight), 0, math.MaxUint16)))
-	first := math.Ceil(r.FirstWantedUnits * 4)
-	if r.Owner {
-		first = math.Ceil(r.Backoff / backoffStep)
-	}
-	b = append(b, byte(clamp(r.Unacknowledged*4, 0, 255)), byte(clamp(math.Ceil(r.WantedUnits*4), 0, 255)),
-		byte(clamp(first, 0, 255)), byte(clamp(r.Cheapness*255, 0, 255)))
+// decode returns the message of data, which was received at the time now.
+func (f messageFormat) decode(data []byte, now Seconds) (message, error) {
+	if len(data) < headerSize || len(data) > maxMessageSize {
+		return message{}, fmt.Errorf("%w: %d bytes", errMessageLength, len(data))
+	}
+	if data[0] != messageVersion {
+		return message{}, fmt.Errorf("%w: %d", errMessageVersion, data[0])
+	}
+	count := int(data[countOffset])
+	body := data[headerSize:]
+	updatesLength := len(body) - count*f.recordSize()
+	if updatesLength < 0 || updatesLength%updateSize != 0 {
+		return message{}, fmt.Errorf("%w: %d bytes with %d records", errMessageLength, len(data), count)
+	}
+	decoded := message{
+		incarnation: data[incarnationOffset],
+		sequence:    binary.BigEndian.Uint16(data[sequenceOffset:]),
+	}
+	for range count {
+		decoded.records = append(decoded.records, f.decodeRecord(body))
+		body = body[f.recordSize():]
+	}
+	for len(body) > 0 {
+		decoded.updates = append(decoded.updates, decodeUpdate(body, now))
+		body = body[updateSize:]
+	}
+	return decoded, nil
+}
+
+// decodeRecord decodes the record at the start of data.
+func (f messageFormat) decodeRecord(data []byte) usageRecord {
+	flags := data[flagsOffset]
+	record := usageRecord{
+		Key:            binary.BigEndian.Uint32(data[keyOffset:]),
+		Plan:           int(flags % plansInFlags),
+		Owner:          flags&ownerFlag != 0,
+		Known:          flags&knownFlag != 0,
+		CeilingPool:    flags&ceilingPoolFlag != 0,
+		Total:          float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
+		Remaining:      float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
+		Demand:         float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
+		InFlight:       int(binary.BigEndian.Uint16(data[inFlightOffset:])),
+		Unacknowledged: float64(data[unacknowledgedOffset]) / stepsPerUnit,
+		WantedUnits:    float64(data[wantedOffset]) / stepsPerUnit,
+		Cheapness:      float64(data[cheapnessOffset]) / maxByte,
+	}
+	if record.Owner {
+		record.Backoff = float64(data[firstWantedOffset]) * backoffStep
+	} else {
+		record.FirstWantedUnits = float64(data[firstWantedOffset]) / stepsPerUnit
+	}
 	if f.widePlan {
-		b = append(b, byte(r.Plan/plansInHead))
-	}
-	return b
-}
-
-func appendItem(b []byte, n healthUpdate, now float64) []byte {
-	b = binary.BigEndian.AppendUint16(b, n.endpointHash)
-	return append(b, byte(n.class), byte(clamp(n.value*255, 0, 255)), byte(clamp((now-n.at)/updateAgeStep, 0, 255)))
-}
-
-// parse returns false for anything that is not a whole message of this version.
-func (f messageFormat) parse(b []byte, now float64) (boot uint8, seq uint16, recs []usageRecord, items []healthUpdate, ok bool) {
-	if len(b) < headerSize || len(b) > maxMessageSize || b[0] != messageVersion {
-		return 0, 0, nil, nil, false
-	}
-	boot, seq = b[1], binary.BigEndian.Uint16(b[2:])
-	n := int(b[countOffset])
-	b = b[headerSize:]
-	if len(b) < n*f.recordSize() || (len(b)-n*f.recordSize())%updateSize != 0 {
-		return 0, 0, nil, nil, false
-	}
-	for ; n > 0; n, b = n-1, b[f.recordSize():] {
-		r := usageRecord{
-			Key: binary.BigEndian.Uint32(b), Plan: int(b[4] % plansInHead), Owner: b[4]>>7 == 1, Known: b[4]>>6&1 == 1,
-			CeilingPool: b[4]>>5&1 == 1, Total: float64(binary.BigEndian.Uint16(b[5:])) / 4,
-			Remaining: float64(int16(binary.BigEndian.Uint16(b[7:]))) / 4,
-			Demand:    float64(binary.BigEndian.Uint16(b[9:])) / 4, InFlight: int(binary.BigEndian.Uint16(b[11:])),
-			Unacknowledged: float64(b[13]) / 4, WantedUnits: float64(b[14]) / 4, Cheapness: float64(b[16]) / 255,
-		}
-		if r.Owner {
-			r.Backoff = float64(b[15]) * backoffStep
-		} else {
-			r.FirstWantedUnits = float64(b[15]) / 4
-		}
-		if f.widePlan {
-			r.Plan += int(b[baseRecordSize]) * plansInHead
-		}
-		recs = append(recs, r.scale(f.unitsPerStep))
-	}
-	for ; len(b) > 0; b = b[updateSize:] {
-		class := int(b[2])
-		if class == loadUpdateByte {
-			class = loadUpdate
-		}
-		at := now - float64(b[4])*updateAgeStep
-		items = append(items, healthUpdate{binary.BigEndian.Uint16(b), class, float64(b[3]) / 255, at})
-	}
-	return boot, seq, recs, items, true
+		record.Plan += int(data[planHighOffset]) * plansInFlags
+	}
+	return record.scale(f.unitsPerStep)
+}
+
+// decodeUpdate decodes the health update at the start of data.
+func decodeUpdate(data []byte, now Seconds) healthUpdate {
+	class := int(data[updateClassOffset])
+	if class == loadUpdateByte {
+		class = loadUpdate
+	}
+	return healthUpdate{
+		endpointHash: binary.BigEndian.Uint16(data),
+		class:        class,
+		value:        float64(data[updateValueOffset]) / maxByte,
+		at:           now - float64(data[updateAgeOffset])*updateAgeStep,
+	}
 }
+
+func clamp(value, low, high float64) float64 { return min(max(value, low), high) }
+
+func clampToByte(value float64) byte { return byte(clamp(value, 0, maxByte)) }
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"bytes"
+	"errors"
 	"fmt"
 	"testing"
 )
@@ -59,24 +61,84 @@
 // Guards the fields of a record, in the form of any settings, against losing more than their rounding.
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, f := range []messageFormat{testFormat, {unitsPerStep: 12.5}, {unitsPerStep: 3, widePlan: true}} {
-		for plan := range 3 * plansInHead {
-			if !f.widePlan && plan >= plansInHead {
+		for plan := range 3 * plansInFlags {
+			if !f.widePlan && plan >= plansInFlags {
 				break
 			}
 			want := usageRecord{
 				Key: 7, Plan: plan, Known: true, Total: 40 * f.unitsPerStep, Remaining: -2 * f.unitsPerStep, Demand: 9 * f.unitsPerStep, InFlight: 3,
 				Unacknowledged: 5 * f.unitsPerStep, WantedUnits: 20 * f.unitsPerStep, FirstWantedUnits: 2 * f.unitsPerStep, Cheapness: 1,
 			}
-			b := f.appendRecord(appendHeader(nil, 1, 1), want)
-			b[countOffset] = 1
-			b = appendItem(b, healthUpdate{9, loadUpdate, 1, 50}, 50)
-			_, _, recs, items, ok := f.parse(b, 50)
-			if !ok || len(recs) != 1 || recs[0] != want {
-				t.Fatalf("%+v: got %+v, want %+v", f, recs, want)
+			update := healthUpdate{endpointHash: 9, class: loadUpdate, value: 1, at: 50}
+			sent := message{incarnation: 3, sequence: 700, records: []usageRecord{want}, updates: []healthUpdate{update}}
+			got, err := f.decode(f.encode(sent, 50), 50)
+			if err != nil || got.incarnation != sent.incarnation || got.sequence != sent.sequence {
+				t.Fatalf("%+v: got %+v and error %v, want %+v", f, got, err, sent)
 			}
-			if len(items) != 1 || items[0] != (healthUpdate{9, loadUpdate, 1, 50}) {
-				t.Fatalf("%+v: got %+v", f, items)
+			if len(got.records) != 1 || got.records[0] != want {
+				t.Fatalf("%+v: got %+v, want %+v", f, got.records, want)
+			}
+			if len(got.updates) != 1 || got.updates[0] != update {
+				t.Fatalf("%+v: got %+v, want %+v", f, got.updates, update)
 			}
 		}
 	}
 }
+
+// encodeRecord returns a message of one record, as the first incarnation of another gateway sends it.
+func encodeRecord(sequence uint16, record usageRecord) []byte {
+	return testFormat.encode(message{incarnation: 1, sequence: sequence, records: []usageRecord{record}}, 0)
+}
+
+// Guards the layout that the gateways of a fleet share: a change of one byte needs a new version.
+func TestMessageLayout(t *testing.T) {
+	format := messageFormat{unitsPerStep: 1, widePlan: true}
+	sent := message{
+		incarnation: 3, sequence: 0x0102,
+		records: []usageRecord{
+			{
+				Key: 0x0a0b0c0d, Plan: 2*plansInFlags + 5, Known: true, Total: 64.25, Remaining: -1, Demand: 2.5,
+				InFlight: 258, Unacknowledged: 1.75, WantedUnits: 2, FirstWantedUnits: 1, Cheapness: 1,
+			},
+			{Key: 7, Owner: true, CeilingPool: true, WantedUnits: 2, Backoff: 0.5},
+		},
+		updates: []healthUpdate{
+			{endpointHash: 0x0908, class: 4, value: 0.6, at: 99},
+			{endpointHash: 0x0706, class: loadUpdate, value: 1, at: 100},
+		},
+	}
+	want := []byte{
+		messageVersion, 3, 0x01, 0x02, 2,
+		0x0a, 0x0b, 0x0c, 0x0d, knownFlag | 5, 0x01, 0x01, 0xff, 0xfc, 0, 10, 1, 2, 7, 8, 4, 255, 2,
+		0, 0, 0, 7, ownerFlag | ceilingPoolFlag, 0, 0, 0, 0, 0, 0, 0, 0, 0, 8, 10, 0, 0,
+		0x09, 0x08, 4, 153, 50,
+		0x07, 0x06, loadUpdateByte, 255, 0,
+	}
+	if got := format.encode(sent, 100); !bytes.Equal(got, want) {
+		t.Fatalf("encoded as\n%v, want\n%v", got, want)
+	}
+}
+
+// Guards the receiver against messages cut short, extended, or of another version.
+func TestDecodeTellsWhatIsMalformed(t *testing.T) {
+	good := encodeRecord(1, usageRecord{Key: 5})
+	for name, tc := range map[string]struct {
+		data []byte
+		want error
+	}{
+		"empty":            {nil, errMessageLength},
+		"header cut":       {good[:headerSize-1], errMessageLength},
+		"record cut":       {good[:len(good)-1], errMessageLength},
+		"update cut":       {append(bytes.Clone(good), 1, 2, 3), errMessageLength},
+		"too long":         {make([]byte, maxMessageSize+1), errMessageLength},
+		"another version":  {append([]byte{messageVersion + 1}, good[1:]...), errMessageVersion},
+		"whole":            {good, nil},
+		"whole, an update": {append(bytes.Clone(good), 1, 2, 3, 4, 5), nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := testFormat.decode(tc.data, 100); !errors.Is(err, tc.want) {
+				t.Errorf("got error %v, want %v", err, tc.want)
+			}
+		})
+	}
+}
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -33,8 +33,6 @@
 	grantTimeout     = 0.08 // how long a request waits for the owner's word before it is asked again
 	reportTimeout    = 0.3  // the same for reports with no request waiting
 	maxGrantAttempts = 4    // then the local window decides
-	gossipPerMessage = 6    // with each message
-	gossipExpiry     = 2.0  // while it is no older
 )
 
 type peer struct {
@@ -56,9 +54,10 @@
 	}
 }
 
-func (g *Gateway) messageHeader() []byte {
+// newMessage returns an empty message with the next sequence number.
+func (g *Gateway) newMessage() message {
 	g.sequence++
-	return appendHeader(make([]byte, 0, maxMessageSize), g.incarnation, g.sequence)
+	return message{incarnation: g.incarnation, sequence: g.sequence}
 }
 
 // fresh tells that window and ceiling are as full as those of a customer never heard of.
@@ -150,9 +149,9 @@
 // tell reports to a peer as owner.
 func (g *Gateway) sendUsageReport(i int) {
 	p, n := &g.peers[i], 0
-	b := g.messageHeader()
+	m := g.newMessage()
 	for _, c := range p.reports {
-		if len(b)+g.format.recordSize() > maxMessageSize {
+		if !g.format.recordsFit(len(m.records) + 1) {
 			break
 		}
 		if n++; c.reportTo != i || !c.reportScheduled {
@@ -170,7 +169,7 @@
 				r.FirstWantedUnits, r.Cheapness = q.Units, q.cheapness
 			}
 		}
-		b = g.format.appendRecord(b, r)
+		m.records = append(m.records, r)
 		if c.awaitingReplySince == 0 || c.askedCount > 0 {
 			c.awaitingReplySince = g.clock.now
 		}
@@ -178,21 +177,16 @@
 	}
 	p.reports = slices.Delete(p.reports, 0, n)
 	p.lastSentAt, p.urgent = g.clock.now, p.urgent && len(p.reports) > 0
-	g.sendMessage(i, b)
+	g.sendMessage(i, m)
 }
 
 // post sends a message with records, and with what is new of servers in the room left.
-func (g *Gateway) sendMessage(to int, b []byte) {
-	if len(b) == headerSize {
+func (g *Gateway) sendMessage(to int, m message) {
+	if len(m.records) == 0 {
 		return
 	}
-	b[countOffset] = byte((len(b) - headerSize) / g.format.recordSize())
-	for i := len(g.gossip) - 1; i >= max(0, len(g.gossip)-gossipPerMessage) && len(b)+updateSize <= maxMessageSize; i-- {
-		if n := g.gossip[i]; g.clock.now-n.at < gossipExpiry && n.class < loadUpdateByte {
-			b = appendItem(b, n, g.clock.now)
-		}
-	}
-	g.actions.SendToPeer(to, b)
+	m.updates = g.recent(g.format.updatesBeside(len(m.records)), g.clock.now)
+	g.actions.SendToPeer(to, g.format.encode(m, g.clock.now))
 }
 
 // unanswered looks after reports without a reply: they are told again, after a second silence to the
@@ -247,21 +241,21 @@
 // Peer takes a message of another gateway. Reports are answered at once, all in one message.
 func (g *Gateway) HandlePeerMessage(now float64, from int, data []byte) {
 	g.clock.advance(now)
-	boot, seq, recs, items, ok := g.format.parse(data, now)
-	if !ok || from < 0 || from >= len(g.peers) || from == g.settings.Self {
+	received, err := g.format.decode(data, now)
+	if err != nil || from < 0 || from >= len(g.peers) || from == g.settings.Self {
 		return
 	}
 	p := &g.peers[from]
-	if p.stale(boot, seq) {
+	if p.stale(received.incarnation, received.sequence) {
 		return
 	}
 	p.unanswered = 0
 	g.receivedMessages, g.receivedMessagesAt = g.receivedMessages*math.Exp(g.receivedMessagesAt-now)+1, now
-	for _, n := range items {
+	for _, n := range received.updates {
 		g.mergeGossip(n)
 	}
-	b := g.messageHeader()
-	for _, r := range recs {
+	reply := g.newMessage()
+	for _, r := range received.records {
 		c := g.customers[r.Key]
 		switch {
 		case r.Plan >= len(g.plansByIndex):
@@ -272,10 +266,10 @@
 				c = g.newCustomer(r.Key, g.plansByIndex[r.Plan])
 			}
 			c.usedAt = now
-			b = g.format.appendRecord(b, g.applyUsageReport(c, from, r))
+			reply.records = append(reply.records, g.applyUsageReport(c, from, r))
 		}
 	}
-	g.sendMessage(from, b)
+	g.sendMessage(from, reply)
 	g.retryQueued()
 	g.sendUsageReports()
 }
