--- /dev/null
+++ b/cmd/audit/audit_test.go
@@ -0,0 +1,125 @@
+package main
+
+import (
+	"strings"
+	"testing"
+)
+
+// logFormat is how a version words the lines that the tests need.
+type logFormat struct {
+	sent, ended, completed string
+	// The words of the version for the classes, a rejecting endpoint and a rejecting reply.
+	idempotent, key, nonIdempotent, rejected string
+}
+
+var formats = map[string]logFormat{
+	"present version": {
+		sent: `0.1 time=x level=DEBUG msg="attempt sent" gateway=n0 id=a attempt=%T kind=first class=c ` +
+			"idempotency=%E dedup_scope=cell idempotency_window=1 endpoint=s1 zone=%Z cell=2 endpoint_started=0 " +
+			"arrived=100 write_started=%A at=%A client_closed=%L\n",
+		ended:      `0.2 time=x level=DEBUG msg="attempt ended" gateway=n0 id=a attempt=0 status=%S at=%A` + "\n",
+		completed:  `0.3 level=DEBUG msg="request completed" id=a reply=%W at=102` + "\n",
+		idempotent: "idempotent", key: "idempotency_key", nonIdempotent: "non_idempotent", rejected: "rejected",
+	},
+	"version before": {
+		sent: "0.1 time=x level=DEBUG msg=sent ingress=n0 id=a try=%T class=c effect=%E scope=cell ttl=1 " +
+			"backend=s1 zone=%Z cell=2 started=0 read=100 from=%A at=%A left=%L\n",
+		ended:      "0.2 time=x level=DEBUG msg=ended ingress=n0 id=a try=0 status=%S at=%A\n",
+		completed:  "0.3 level=DEBUG msg=answered id=a word=%W at=102\n",
+		idempotent: "safe", key: "keyed", nonIdempotent: "unsafe", rejected: "full",
+	},
+}
+
+// sentLine is the line of an attempt, with the given placeholders replaced, a pair of name and value each.
+func (f logFormat) sentLine(pairs ...string) string {
+	defaults := []string{"%T", "0", "%E", f.key, "%Z", "a", "%A", "100", "%L", "false"}
+	return strings.NewReplacer(append(pairs, defaults...)...).Replace(f.sent)
+}
+
+// endedLine is the line of the end of attempt 0.
+func (f logFormat) endedLine(status, at string) string {
+	return strings.NewReplacer("%S", status, "%A", at).Replace(f.ended)
+}
+
+func (f logFormat) completedLine(reply string) string {
+	return strings.Replace(f.completed, "%W", reply, 1)
+}
+
+// Guards against violations that the audit misses, and against false ones, in the lines of both versions.
+func TestAttemptsThatMustNotExecuteAgain(t *testing.T) {
+	for version, f := range formats {
+		for name, tc := range map[string]struct{ log, want string }{
+			"one attempt":                  {f.sentLine(), ""},
+			"retry within the window":      {f.sentLine() + f.sentLine("%T", "1", "%A", "100.9"), ""},
+			"retry after the window":       {f.sentLine() + f.sentLine("%T", "1", "%A", "101.25"), "0.250 s after the idempotency window"},
+			"retry in another dedup group": {f.sentLine() + f.sentLine("%T", "1", "%Z", "b"), "outside the deduplication scope"},
+			"window counts from the first that may have executed": {
+				f.sentLine() + f.endedLine(f.rejected, "100.1") +
+					f.sentLine("%T", "1", "%A", "100.5") + f.sentLine("%T", "2", "%A", "101.25"), "",
+			},
+			"non-idempotent after an error": {
+				f.sentLine("%E", f.nonIdempotent) + f.endedLine("error", "100.1") +
+					f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2"), "must not execute twice",
+			},
+			"non-idempotent after a rejection": {
+				f.sentLine("%E", f.nonIdempotent) + f.endedLine(f.rejected, "100.1") +
+					f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2"), "",
+			},
+			"non-idempotent before the rejection came": {
+				f.sentLine("%E", f.nonIdempotent) + f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2") +
+					f.endedLine(f.rejected, "100.3"), "must not execute twice",
+			},
+			"idempotent": {f.sentLine("%E", f.idempotent) + f.sentLine("%E", f.idempotent, "%T", "1", "%A", "109"), ""},
+			"rejected though it may have executed": {
+				f.sentLine() + f.endedLine("reset", "100.1") + f.completedLine("BUS"), "rejected at 102.000",
+			},
+			"rejected where nothing has executed": {
+				f.sentLine() + f.endedLine(f.rejected, "100.1") + f.completedLine("BUS"), "",
+			},
+			"attempt after the final reply": {f.completedLine("value") + f.sentLine(), "after the final reply"},
+		} {
+			t.Run(version+"/"+name, func(t *testing.T) {
+				a := newAudit()
+				if err := a.read("n0.log", strings.NewReader(tc.log)); err != nil {
+					t.Fatal(err)
+				}
+				got := strings.Join(a.violations, "\n")
+				if (tc.want == "") != (got == "") || !strings.Contains(got, tc.want) {
+					t.Errorf("got %q, want %q", got, tc.want)
+				}
+			})
+		}
+	}
+}
+
+// Guards against attempts for disconnected clients that are not counted.
+func TestAttemptsForDisconnectedClientsAreCounted(t *testing.T) {
+	for version, f := range formats {
+		t.Run(version, func(t *testing.T) {
+			a := newAudit()
+			log := f.sentLine() + f.sentLine("%T", "1", "%A", "100.5", "%L", "true")
+			if err := a.read("n0.log", strings.NewReader(log)); err != nil {
+				t.Fatal(err)
+			}
+			for _, want := range []string{"disconnected clients: 1, 0.500 s", "attempts 2, of them retries 1"} {
+				if got := a.report(); !strings.Contains(got, want) {
+					t.Errorf("got %q, want %q", got, want)
+				}
+			}
+		})
+	}
+}
+
+// Guards the reading of quoted values, and of words without a value.
+func TestParseLine(t *testing.T) {
+	values := parseLine(`0.1 level=DEBUG msg="request completed" id=a=b reason="" word` + "\n")
+	want := logValues{"level": "DEBUG", "msg": "request completed", "id": "a=b", "reason": ""}
+	if len(values) != len(want) {
+		t.Errorf("got %v, want %v", values, want)
+	}
+	for key, value := range want {
+		if values[key] != value {
+			t.Errorf("%s: got %q, want %q", key, values[key], value)
+		}
+	}
+}
--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -57,7 +57,7 @@
 			return fmt.Errorf("EDGE_LOG: %w", err)
 		}
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("ingress", cfg.Name)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", cfg.Name)
 	reread := make(chan proxy.Config)
 	done := make(chan struct{})
 	defer close(done)
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -67,7 +67,7 @@
 	refused := r.client()
 	refused.send(look("b")...)
 	refused.line()
-	log.line(t, "answered", "id=b", "word=BUS", "reason=quota_exceeded")
+	log.line(t, "request completed", "id=b", "reply=BUS", "reason=quota_exceeded")
 	refused.Conn.Write([]byte("junk\r\n"))
 	refused.line()
 	refused.Close()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -64,7 +64,7 @@
 	c.slots = append(c.slots, r.slot)
 	c.usedAt = p.now
 	p.requests[q.ID] = r
-	p.traceTaken(r)
+	p.traceAcceptedRequest(r)
 	// The module answers well before; should it fail to, the client hears all the same.
 	r.timer = p.after(r.deadline+p.cfg.Settings.ReplySlack-p.now, func() {
 		p.warn("no answer from the module in time", "id", r.ID)
@@ -129,7 +129,7 @@
 		return
 	}
 	r.slot.answer = answer
-	p.traceAnswer(r, answer, why)
+	p.traceReply(r, answer, why)
 	p.end(r)
 	p.flush(r.client)
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -7,71 +7,84 @@
 	"reedlead/policy"
 )
 
-// The trace: with a log at debug level each request's way can be followed by its id, through every
-// ingress that it came to. cmd/audit reads it.
-
-var effectNames = map[policy.Idempotency]string{policy.Idempotent: "safe", policy.IdempotencyKey: "keyed", policy.NonIdempotent: "unsafe"}
-
-var scopeNames = map[policy.DedupScope]string{policy.DedupFleet: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}
-
-var statusNames = map[policy.AttemptStatus]string{
-	policy.OK: "ok", policy.Error: "error", policy.Rejected: "full",
-	policy.Timeout: "timeout", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
-	policy.Cancelled: "cancelled", policy.NotSent: "not_sent",
-}
+// The trace follows each request by its id, through every gateway that it came to, in the log at debug level. Its
+// messages and keys are read by cmd/audit; times are in seconds of the process's own clock.
+const (
+	traceAccepted     = "request accepted"
+	traceAttemptSent  = "attempt sent"
+	traceAttemptEnded = "attempt ended"
+	traceCompleted    = "request completed"
+	traceClientGone   = "client disconnected"
+)
 
-// tracing tells whether anybody reads a trace. It never changes.
+// tracing tells whether the trace is logged. It never changes.
 func (p *Proxy) tracing() bool { return p.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// traceTaken tells that a request was taken: when its last byte had come, when the loop got to it, and its time.
-func (p *Proxy) traceTaken(r *request) {
-	if p.tracing() {
-		p.log.Debug("taken", "id", r.ID, "connection", r.client.number, "came", r.cameAt, "at", p.clock.now(),
-			"deadline", r.deadline)
+// traceAcceptedRequest logs when a request's last byte had arrived, when the loop handled it, and its deadline.
+func (p *Proxy) traceAcceptedRequest(r *request) {
+	if !p.tracing() {
+		return
 	}
+	p.log.Debug(
+		traceAccepted, "id", r.ID, "connection", r.client.number,
+		"arrived", r.cameAt, "at", p.clock.now(), "deadline", r.deadline,
+	)
 }
 
-// traceSent tells that the last byte of an attempt was written. Safe for any goroutine that the attempt
-// was handed to: what it reads does not change any more.
-func (p *Proxy) traceSent(a *attempt, to target, from, at float64) {
+// traceSent logs that the last byte of an attempt was written, at the time at; its writing had started at
+// writeStarted. Safe for any goroutine that the attempt was handed to: what it reads does not change any more.
+func (p *Proxy) traceSent(a *attempt, to target, writeStarted, at float64) {
 	if !p.tracing() || a.req == nil {
 		return
 	}
 	class := p.class(a.req)
-	p.log.Debug("sent", "id", a.req.ID, "try", a.number, "kind", string(a.kind), "class", class.Name, "effect", effectNames[class.Idempotency],
-		"scope", scopeNames[class.DedupScope], "ttl", class.IdempotencyWindow, "backend", to.ID, "zone", to.Zone, "cell", to.Cell,
-		"started", float64(to.StartedMS)/1000, "read", a.req.cameAt, "from", from, "at", at,
-		"until", a.until,
-		"deadline", a.req.deadline, "left", closedByPeer(a.req.client.raw))
+	p.log.Debug(
+		traceAttemptSent, "id", a.req.ID, "attempt", a.number, "kind", string(a.kind),
+		"class", class.Name, "idempotency", class.Idempotency.String(),
+		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
+		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
+		"arrived", a.req.cameAt, "write_started", writeStarted, "at", at,
+		"timeout_at", a.until, "deadline", a.req.deadline, "client_closed", closedByPeer(a.req.client.raw),
+	)
 }
 
-// traceEnded tells how an attempt ended.
+// traceEnded logs how an attempt ended.
 func (p *Proxy) traceEnded(a *attempt, res result, at float64) {
-	if p.tracing() && a.req != nil {
-		p.log.Debug("ended", "id", a.req.ID, "try", a.number, "status", statusNames[res.status], "at", at,
-			"spoilt", res.spoilt)
+	if !p.tracing() || a.req == nil {
+		return
 	}
+	p.log.Debug(
+		traceAttemptEnded, "id", a.req.ID, "attempt", a.number, "status", res.status.String(), "at", at,
+		"malformed", res.spoilt,
+	)
 }
 
-// traceAnswer tells a request's final answer, by its first word.
-func (p *Proxy) traceAnswer(r *request, answer []byte, why policy.Reason) {
-	if p.tracing() {
-		word := "value"
-		if len(answer) > 4 && answer[0] == '-' {
-			word = string(answer[1:4])
-		}
-		p.log.Debug("answered", "id", r.ID, "word", word, "reason", string(why), "at", p.clock.now())
+// traceReply logs a request's final reply, by the kind of it, and why it is not a value.
+func (p *Proxy) traceReply(r *request, reply []byte, why policy.Reason) {
+	if !p.tracing() {
+		return
 	}
+	p.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", p.clock.now())
 }
 
-// traceGone tells that a request's client was found to have left.
+// replyKind is "value", or of an error the first three letters of its code.
+func replyKind(reply []byte) string {
+	const codeLength = 3
+	if len(reply) > 1+codeLength && reply[0] == '-' {
+		return string(reply[1 : 1+codeLength])
+	}
+	return "value"
+}
+
+// traceGone logs that a request's client was found to have disconnected.
 func (p *Proxy) traceGone(r *request) {
-	if p.tracing() {
-		p.log.Debug("gone", "id", r.ID, "at", p.clock.now())
+	if !p.tracing() {
+		return
 	}
+	p.log.Debug(traceClientGone, "id", r.ID, "at", p.clock.now())
 }
 
-// class is that of a request, as the settings have it.
+// class is that of a request, as the settings describe it.
 func (p *Proxy) class(r *request) policy.Class {
 	for _, c := range p.cfg.Settings.Classes {
 		if c.Name == r.Class {
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -21,12 +21,14 @@
 	return l.b.Write(p)
 }
 
-// Guards the trace that cmd/audit reads: what was sent, how it ended, the answer; and nothing of it in a
-// usual log.
+// Guards the trace that cmd/audit reads: each attempt, how it ended, the reply; and nothing of it at the
+// usual level.
 func TestTrace(t *testing.T) {
 	for level, want := range map[slog.Level]string{
-		slog.LevelDebug: `(?s)msg=taken id=a connection=1 came=\d.* at=\d.* deadline=\d.*\n.*msg=sent id=a try=0 kind=first class=look effect=safe scope=all ttl=0 backend=s0 .* read=\d.* at=\d.* left=false\n` +
-			`.*msg=ended id=a try=0 status=ok .*\n.*msg=answered id=a word=value `,
+		slog.LevelDebug: `(?s)msg="request accepted" id=a connection=1 arrived=\d.* at=\d.* deadline=\d.*\n` +
+			`.*msg="attempt sent" id=a attempt=0 kind=first class=look idempotency=idempotent dedup_scope=all ` +
+			`idempotency_window=0 endpoint=s0 .* arrived=\d.* at=\d.* client_closed=false\n` +
+			`.*msg="attempt ended" id=a attempt=0 status=ok .*\n.*msg="request completed" id=a reply=value `,
 		slog.LevelInfo: `^$`,
 	} {
 		addr, conns := listen(t)
