--- /dev/null
+++ b/internal/proxy/attempts_test.go
@@ -0,0 +1,240 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"reedlead/internal/resp"
+	"reedlead/policy"
+
+	"github.com/tidwall/redcon"
+)
+
+// Guards against a changed command or value: all goes through byte for byte but d, which tells what
+// is left of the time.
+func TestRequestAndValuePassUnchanged(t *testing.T) {
+	addr, conns := listen(t)
+	r := start(t, testConfig(addr), sendTo(300))
+	c := r.client()
+	body := "b\r\n\x00\xff*$"
+	c.send("CALL.POST", customer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1,x=y", body)
+	b := get(t, conns)
+	want := []string{"CALL.POST", customer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=N,units=2,spread=2,first=1,x=y", body}
+	got := b.command()
+	var left int
+	if len(got) == 5 {
+		before, rest, _ := strings.Cut(got[3], ",d=")
+		value, after, _ := strings.Cut(rest, ",")
+		left, _ = strconv.Atoi(value)
+		got[3] = before + ",d=N," + after
+	}
+	if !slices.Equal(got, want) {
+		t.Fatalf("backend got %q, want %q", got, want)
+	}
+	if left < 1 || left > 300000 { // the attempt's time-out, less what the dial took
+		t.Errorf("d is %d", left)
+	}
+	q := get(t, r.mod.requests)
+	if q.Class != "hold" || q.Plan != "basic" || q.Customer != customer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
+		t.Errorf("the module got %+v", q)
+	}
+	reply := "*3\r\n$7\r\n\r\n$1\r\n!\r\n$-1\r\n"
+	b.Write(redcon.AppendBulkString([]byte(reply), "cpu_share=0.25,served_ps=140,svc_ms=14.5,new=1"))
+	if head := c.line(); head != "$7" {
+		t.Fatalf("client got %q", head)
+	}
+	value := make([]byte, 9)
+	if io.ReadFull(c.r, value); string(value) != "\r\n$1\r\n!\r\n" {
+		t.Errorf("client got %q", value)
+	}
+	o := get(t, r.mod.outcomes)
+	if o.Status != policy.OK || !o.RequestDone || o.Load == nil || o.Load.Utilization != 0.25 || o.Load.ServiceTimeMS != 14.5 || o.Load.Queued != -1 {
+		t.Errorf("the module got %+v", o)
+	}
+}
+
+// Guards the table of outcomes: what may have run must never be told as not run, nor the reverse.
+func TestOutcomes(t *testing.T) {
+	closed, conns := listen(t)
+	for name, tc := range map[string]struct {
+		reply string // "" closes after the command
+		want  policy.AttemptStatus
+		load  bool
+	}{
+		"value":            {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", policy.OK, false},
+		"error":            {"-ERR failed\r\n", policy.Error, false},
+		"error and load":   {"-ERR failed cpu_share=0.5\r\n", policy.Error, true},
+		"busy and load":    {"-BUSY cpu_share=0.5\r\n", policy.Rejected, true},
+		"closed":           {"", policy.Reset, false},
+		"half and closed":  {"*3\r\n$10\r\nab", policy.Reset, false},
+		"noise":            {"\x00\x01\x02", policy.Error, false},
+		"oversized length": {"*3\r\n$65537\r\nab", policy.Error, false},
+		"negative length":  {"*3\r\n$-7\r\n", policy.Error, false},
+		"null value":       {"*3\r\n$-1\r\n$-1\r\n$-1\r\n", policy.Error, false},
+		"no array":         {"$1\r\nv\r\n", policy.Error, false},
+		"empty array":      {"*0\r\n", policy.Error, false},
+		"unreadable load":  {"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\n%=%\r\n", policy.OK, false},
+		"value and more":   {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$1\r\nw\r\n", policy.OK, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := start(t, testConfig(closed), sendTo(0))
+			c := r.client()
+			c.send(look("a")...)
+			b := get(t, conns)
+			b.command()
+			if io.WriteString(b, tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
+				b.Close()
+			}
+			o := get(t, r.mod.outcomes)
+			if o.Status != tc.want || o.RequestDone != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
+				t.Errorf("got %+v, want status %v", o, tc.want)
+			}
+			if tc.want == policy.OK {
+				if c.line() != "$1" || c.line() != "v" {
+					t.Error("the client did not get the value")
+				}
+			}
+		})
+	}
+	t.Run("refused", func(t *testing.T) {
+		l, _ := net.Listen("tcp", "127.0.0.1:0")
+		l.Close()
+		r := start(t, testConfig(l.Addr().String()), sendTo(0))
+		r.client().send(look("a")...)
+		if o := get(t, r.mod.outcomes); o.Status != policy.ConnectFailed {
+			t.Errorf("got %+v", o)
+		}
+	})
+}
+
+// Guards against a connection that is used again after its attempt was given up: the late reply
+// would answer another request.
+func TestGivenUpAttemptClosesItsConnection(t *testing.T) {
+	addr, conns := listen(t)
+	for _, how := range []string{"timeout", "cancel"} {
+		t.Run(how, func(t *testing.T) {
+			r := start(t, testConfig(addr), sendTo(0))
+			c := r.client()
+			c.send(look("a")...)
+			b := get(t, conns)
+			b.command()
+			want := policy.Timeout
+			if how == "cancel" {
+				want = policy.Cancelled
+				r.do(func() { r.in.Cancel("a", 0); r.in.Cancel("a", 0) })
+			} else {
+				r.do(func() { r.in.expire(r.in.requests["a"].attempts[0]) })
+			}
+			if o := get(t, r.mod.outcomes); o.Status != want || o.RequestDone {
+				t.Errorf("got %+v, want %v", o, want)
+			}
+			if b.command() != nil {
+				t.Error("more was sent on a connection that was given up")
+			}
+			r.do(func() { r.in.Reject("a", 0.25, policy.QuotaExceeded) })
+			if got := c.line(); got != "-BUSY 250" {
+				t.Errorf("client got %q", got)
+			}
+			if len(r.mod.outcomes) != 0 {
+				t.Error("one attempt was reported twice")
+			}
+		})
+	}
+}
+
+// Guards against a send after the news of a drain: what waits for a dial is looked at again before
+// its first byte.
+func TestSendWaitingForADialIsCheckedAgain(t *testing.T) {
+	addr, conns := listen(t)
+	for name, change := range map[string]func(*rig){
+		"draining": func(r *rig) {
+			r.in.takeList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}})
+		},
+		"gone": func(r *rig) { r.in.takeList(targets{Full: true}) },
+		"over": func(r *rig) { r.in.Reject("a", 0, policy.QuotaExceeded) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			dialing, free := make(chan struct{}), make(chan struct{})
+			r := start(t, testConfig(addr), func(r *rig) {
+				sendTo(0)(r)
+				dial := r.in.backends.dial
+				r.in.backends.dial = func(addr string) (net.Conn, error) {
+					close(dialing)
+					<-free
+					return dial(addr)
+				}
+			})
+			r.client().send(look("a")...)
+			get(t, dialing)
+			r.do(func() { change(r) })
+			close(free)
+			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent {
+				t.Errorf("got %+v", o)
+			}
+			b := get(t, conns)
+			r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
+			if got := b.command(); got != nil {
+				t.Errorf("the backend got %q", got)
+			}
+		})
+	}
+}
+
+// Guards the probe's own path: its report reaches the module, and its connection serves on.
+func TestProbe(t *testing.T) {
+	addr, conns := listen(t)
+	r := start(t, testConfig(addr), nil)
+	r.do(func() { r.in.HealthCheck("s0") })
+	b := get(t, conns)
+	if got := b.command(); fmt.Sprint(got) != "[INFO load]" {
+		t.Fatalf("the backend got %q", got)
+	}
+	io.WriteString(b, "$13\r\ncpu_share=0.5\r\n")
+	if p := get(t, r.mod.probed); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
+		t.Errorf("got %+v", p)
+	}
+}
+
+// Guards the edge between the two ways in which a broken connection may end an attempt: a command of
+// which the socket took only a part has not run, and one that is written in the end is served.
+func TestCommandThatTheSocketTakesInParts(t *testing.T) {
+	l, r := smallSockets(t, nil)
+	body := strings.Repeat("x", resp.MaxValue)
+	post := func(id string) *wire {
+		c := r.client()
+		c.send("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body)
+		get(t, r.mod.requests)
+		return c
+	}
+	post("a")
+	b, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.untilPartIsWritten("a")
+	b.Close()
+	if o := get(t, r.mod.outcomes); o.Status != policy.ConnectFailed {
+		t.Errorf("a command that was cut off: %+v", o)
+	}
+	c := post("b")
+	b, err = l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := newWire(t, b)
+	if args := w.command(); len(args) != 5 || args[4] != body {
+		t.Error("the command did not come whole")
+	}
+	io.WriteString(w, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	if c.line() != "$1" || c.line() != "v" {
+		t.Error("not served")
+	}
+	if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+		t.Errorf("got %+v", o)
+	}
+}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/resp"
 	"reedlead/policy"
 )
 
@@ -228,3 +229,141 @@
 		}
 	}
 }
+
+// Guards against answers out of order or given twice: a connection's answers come in the order of
+// its commands whatever the order of the decisions, and the first one for a request stands.
+func TestPipelinedAnswersComeOnceAndInOrder(t *testing.T) {
+	r := start(t, testConfig("127.0.0.1:1"), nil)
+	c := r.client()
+	io.WriteString(c, command(look("a")...)+command(look("b")...)+command("PING")+command("SELECT", "0"))
+	get(t, r.mod.requests)
+	get(t, r.mod.requests)
+	r.do(func() {
+		r.in.Reject("b", 1, policy.QuotaExceeded)
+		r.in.Fail("b", policy.DeadlineTooClose)
+		r.in.Fail("a", policy.DeadlineTooClose)
+		r.in.Reject("a", 1, policy.QuotaExceeded)
+	})
+	c.send("PING")
+	for i, want := range []string{"-ERR failed", "-BUSY 1000", "+PONG", "-ERR unknown command \"SELECT\"", "+PONG"} {
+		if got := c.line(); got != want {
+			t.Errorf("answer %d is %q, want %q", i, got, want)
+		}
+	}
+}
+
+// Guards against a module that goes on working for a client that has left.
+func TestHangUpReachesTheModule(t *testing.T) {
+	addr, conns := listen(t)
+	r := start(t, testConfig(addr), sendTo(0))
+	c := r.client()
+	c.send(look("a")...)
+	b := get(t, conns)
+	b.command()
+	c.Close()
+	if id := get(t, r.mod.gone); id != "a" {
+		t.Errorf("gone: %q", id)
+	}
+	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	if o := get(t, r.mod.outcomes); o.Status != policy.OK || !o.RequestDone {
+		t.Errorf("got %+v", o)
+	}
+}
+
+// Guards against a crash or a hang on what can't be read.
+func TestBadInput(t *testing.T) {
+	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
+	r := start(t, testConfig("127.0.0.1:1"), nil)
+	for want, p := range map[string]string{
+		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
+		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
+		"-ERR Protocol error: invalid number":         "*-1\r\n",
+		"-ERR Protocol error: invalid number of ":     "*99999999\r\n",
+		"-ERR Protocol error: value over 64 KiB":      "*5\r\n$65537\r\n",
+		"-ERR Protocol error: value and length":       "*1\r\n$1\r\nabc\r\n",
+		"-ERR Protocol error: line too long":          "*" + strings.Repeat("1", 2*resp.MaxLine),
+		"-ERR Protocol error: malformed line":         "*1\n",
+		"-ERR empty command":                          "*0\r\n",
+		"-ERR unknown command \"NOVEL\"":              command("NOVEL"),
+		"-ERR wrong number of arguments for CALL.GET": command("CALL.GET", customer),
+		"-ERR customer must be":                       command("CALL.GET", "00000002b4d65521", "a", fields),
+		"-ERR the request's id":                       command("CALL.GET", customer, "", fields),
+		"-ERR field d: invalid value \"soon\"":        command("CALL.GET", customer, "a", strings.Replace(fields, "100", "soon", 1)),
+		"-ERR field d: invalid value \"NaN\"":         command("CALL.GET", customer, "a", strings.Replace(fields, "100", "NaN", 1)),
+		"-ERR field c: invalid value":                 command("CALL.GET", customer, "a", strings.Replace(fields, "look", "x", 1)),
+		"-ERR field t: invalid value":                 command("CALL.GET", customer, "a", strings.Replace(fields, "basic", "x", 1)),
+		"-ERR field units: invalid value":             command("CALL.GET", customer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
+		"-ERR field spread: invalid value":            command("CALL.GET", customer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
+		"-ERR field first: invalid value":             command("CALL.GET", customer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
+		"-ERR field first is missing":                 command("CALL.GET", customer, "a", strings.TrimSuffix(fields, ",first=1")),
+		"-ERR field c is given twice":                 command("CALL.GET", customer, "a", fields+",c=look"),
+		"-ERR malformed field":                        command("CALL.GET", customer, "a", fields+","),
+		"-ERR class bill does not go with CALL.GET":   command("CALL.GET", customer, "a", strings.Replace(fields, "look", "bill", 1)),
+		"-ERR field k is missing":                     command("CALL.POST", customer, "a", strings.Replace(fields, "look", "hold", 1), ""),
+	} {
+		c := r.client()
+		io.WriteString(c, p)
+		if got := c.line(); !strings.HasPrefix(got, want) {
+			t.Errorf("%q: got %q, want %q", p[:min(len(p), 60)], got, want)
+			continue
+		}
+		if strings.Contains(want, "Protocol") {
+			if got := c.line(); got != "" {
+				t.Errorf("%q: %q behind the error", p, got)
+			}
+			continue
+		}
+		if c.send("PING"); c.line() != "+PONG" {
+			t.Errorf("%q: the connection is of no use afterwards", p)
+		}
+	}
+	if len(r.mod.requests) != 0 {
+		t.Error("the module was asked about what could not be read")
+	}
+}
+
+// Guards against running out of descriptors: the connection that idles longest makes room.
+func TestIdleClientsMakeRoom(t *testing.T) {
+	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.limit = 2 })
+	var conns []*wire
+	for range 3 {
+		c := r.client()
+		if c.send("PING"); c.line() != "+PONG" {
+			t.Fatal("not served")
+		}
+		conns = append(conns, c)
+	}
+	if conns[0].line() != "" {
+		t.Error("the connection that idled longest is open")
+	}
+	if conns[2].send("PING"); conns[2].line() != "+PONG" {
+		t.Error("the newest connection was closed")
+	}
+}
+
+// Guards against requests lost to the bound on descriptors: a connection beyond it was closed, and with
+// it the request that had come along. It is refused in words, and served once another one idles.
+func TestSurplusClientsAreRefusedInWords(t *testing.T) {
+	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.limit, r.in.clients.surplus = 1, 1 })
+	busy := r.client()
+	busy.send(look("a")...)
+	get(t, r.mod.requests)
+	surplus := r.client()
+	surplus.send(look("b")...)
+	if got := surplus.line(); got != "-BUSY 1000" {
+		t.Errorf("beyond the bound: %q", got)
+	}
+	next := r.client() // an idle one of the surplus makes room for it
+	next.send(look("b")...)
+	if got := next.line(); got != "-BUSY 1000" || surplus.line() != "" {
+		t.Errorf("beyond the bound, once more: %q", got)
+	}
+	if len(r.mod.requests) != 0 {
+		t.Error("the module was asked about a request that was refused for it")
+	}
+	r.do(func() { r.in.Fail("a", policy.DeadlineTooClose) })
+	next.send(look("c")...)
+	if q := get(t, r.mod.requests); q.ID != "c" || busy.line() != "-ERR failed" || busy.line() != "" {
+		t.Errorf("with room made: %+v", q)
+	}
+}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -194,3 +194,47 @@
 		})
 	}
 }
+
+// Guards against requests lost at a planned restart: connections that still come are taken, and what
+// was taken is answered before the process ends.
+func TestTermDrains(t *testing.T) {
+	addr, conns := listen(t)
+	r := start(t, testConfig(addr), func(r *rig) {
+		sendTo(0)(r)
+		r.in.acceptFor, r.in.drainFor = time.Hour, time.Hour // until the test says so
+	})
+	idle, old := r.client(), r.client()
+	idle.send("PING")
+	idle.line()
+	old.send(look("a")...)
+	b := get(t, conns)
+	b.command()
+	r.term()
+	late := r.client() // the listener is open for longer than connections come
+	if late.send("PING"); late.line() != "+PONG" {
+		t.Fatal("a connection after the signal was not served")
+	}
+	r.do(r.in.leave)
+	if idle.line() != "" || late.line() != "" {
+		t.Error("connections between requests were not closed")
+	}
+	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	if old.line() != "$1" || old.line() != "v" || old.line() != "" {
+		t.Error("what was taken was not answered, or the connection stayed open")
+	}
+	get(t, r.end)
+
+	r = start(t, testConfig(addr), func(r *rig) { r.in.acceptFor, r.in.drainFor = time.Millisecond, time.Hour })
+	r.term()
+	get(t, r.end) // by itself, once the time for late connections is over
+
+	r = start(t, testConfig(addr), nil)
+	c := r.client()
+	c.send(look("mute")...)
+	get(t, r.mod.requests)
+	r.do(func() { r.in.leave(); r.in.stop() })
+	if got := c.line(); got != "-ERR failed" || c.line() != "" {
+		t.Errorf("at the end of a drain that took too long: %q", got)
+	}
+	get(t, r.end)
+}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -301,3 +301,34 @@
 		t.Errorf("got %+v", o)
 	}
 }
+
+// Guards against a request written to a connection that its backend has closed while it idled,
+// which would end as a reset that may have run.
+func TestPooledConnections(t *testing.T) {
+	addr, conns := listen(t)
+	r := start(t, testConfig(addr), sendTo(0))
+	c := r.client()
+	serve := func(id string, b *wire) {
+		t.Helper()
+		b.command()
+		io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+		if c.line() != "$1" || c.line() != "v" {
+			t.Fatal("not served: " + id)
+		}
+		get(t, r.mod.outcomes)
+	}
+	c.send(look("a")...)
+	b := get(t, conns)
+	serve("a", b)
+	c.send(look("b")...)
+	serve("b", b) // the same connection
+	b.Close()
+	r.until("the pool notices the close", func() bool { return r.in.backends.open == 0 })
+	c.send(look("c")...)
+	b = get(t, conns)
+	serve("c", b)
+	r.do(func() { r.in.now += r.in.backends.idleS + 1; r.in.backends.sweep(r.in) })
+	if b.command() != nil {
+		t.Error("a connection that idled for long was used")
+	}
+}
