--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,7 +8,7 @@
 	"os"
 
 	"reedlead/internal/settings"
-	"reedlead/internal/wire"
+	"reedlead/internal/simwire"
 	"reedlead/policy"
 )
 
@@ -22,16 +22,16 @@
 // host is what one process holds: its gateways, and the numbered lists of servers.
 type host struct {
 	now   float64
-	in    *wire.Reader
-	out   *wire.Writer
-	line  wire.Line
+	in    *simwire.Reader
+	out   *simwire.Writer
+	line  simwire.Line
 	gates map[int]*policy.Gateway
 	lists map[int][]policy.Endpoint
 }
 
 // actions writes the actions of one gateway.
 type actions struct {
-	w *wire.Writer
+	w *simwire.Writer
 	i int
 }
 
@@ -73,7 +73,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
-		in: wire.NewReader(in), out: wire.NewWriter(out),
+		in: simwire.NewReader(in), out: simwire.NewWriter(out),
 		gates: map[int]*policy.Gateway{}, lists: map[int][]policy.Endpoint{},
 	}
 	inBatch := false
@@ -183,7 +183,7 @@
 
 // fields reads fields of a line and keeps the first error.
 type fields struct {
-	l   *wire.Line
+	l   *simwire.Line
 	err error
 }
 
@@ -216,7 +216,7 @@
 }
 
 func (f *fields) load() *policy.LoadReport {
-	r := settings.NoLoad
+	r := settings.EmptyLoadReport
 	some, err := f.l.Pairs("load", func(name string, v float64) { settings.SetLoad(&r, name, v) })
 	if keep(f, some, err) {
 		return &r
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -91,7 +91,7 @@
 	if c.Settings, err = settings.Parse(f.Settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if c.Settings.DialTimeoutS <= 0 || c.Settings.ConnectionIdleTimeout <= 0 {
+	if c.Settings.DialTimeout <= 0 || c.Settings.ConnectionIdleTimeout <= 0 {
 		return c, fmt.Errorf("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
 	}
 	c.Known.Full = true
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -52,7 +52,7 @@
 func growthConfig(size growthSize, addr string) Config {
 	c := Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024, MemoryMB: 192, Seed: 1,
-		Settings: settings.Settings{DialTimeoutS: 1, Settings: policy.Settings{
+		Settings: settings.Settings{DialTimeout: time.Second, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
 			MaxRequestUnits: 6, MaxAttempts: 4, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true, PeerMessages: true, PeerMessageRate: 40,
 			SlowStartMinCapacity: 0.15, SlowStartDuration: 14, OverloadMultiple: 2.5, OverloadWindow: 1, HandshakeCost: 0.02,
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -102,7 +102,7 @@
 func testConfig(backends ...string) Config {
 	c := Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024,
-		Settings: settings.Settings{DialTimeoutS: 60, Settings: policy.Settings{
+		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
 			MaxAttempts: 5, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true,
 			Classes: []policy.Class{
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -147,7 +147,7 @@
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes), pause: time.After, silence: watchSilence,
-		askAgain: askAgainAfter(cfg.Settings.StopSendingS),
+		askAgain: askAgainAfter(cfg.Settings.DrainNotice.Seconds()),
 		alarm:    func(d time.Duration, do func()) alarm { return time.AfterFunc(d, do) },
 		calls:    calls,
 		turn:     func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -74,7 +74,7 @@
 	s.copyS = copyS
 	s.writeSlack = writeSlack
 	s.idleS = cfg.Settings.ConnectionIdleTimeout * idleShare
-	timeout := time.Duration(cfg.Settings.DialTimeoutS * float64(time.Second))
+	timeout := cfg.Settings.DialTimeout
 	s.dial = func(addr string) (net.Conn, error) { return calls.dial(addr, timeout) }
 	s.ownRetry = min(timeout, maxOwnRetry)
 }
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -68,7 +68,7 @@
 // parseLoad reads a load report, nil if there is none or if any of it is out of range: it came
 // spoilt then, and what else it says is worth no more.
 func parseLoad(text string) *policy.LoadReport {
-	load, some := settings.NoLoad, false
+	load, some := settings.EmptyLoadReport, false
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(value, 64)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -53,7 +53,7 @@
 	case p.requests[q.ID] != nil:
 		p.answerAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
 		return
-	case p.cfg.Settings.MostHeld > 0 && len(p.requests) >= p.cfg.Settings.MostHeld:
+	case p.cfg.Settings.MaxOpenRequests > 0 && len(p.requests) >= p.cfg.Settings.MaxOpenRequests:
 		p.refuseAtOnce(c, q, tooManyHeld)
 		return
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,24 @@
-// Package settings reads the settings object that the simulator's first message and a
-// real ingress's configuration both carry.
+// Package settings reads the settings object that the simulator's ENLIST message and the configuration file of a
+// gateway both carry, and translates its words to those of the code. Nothing else uses the words of the wire.
 package settings
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"time"
 
 	"reedlead/policy"
 )
 
-// wireSettings is the settings object as the wire words it; unknown keys are skipped.
+// Errors that Parse wraps.
+var (
+	ErrUnknownEffect = errors.New("unknown effect")
+	ErrUnknownScope  = errors.New("unknown keyScope")
+)
+
+// wireSettings is the settings object in the words of the wire. Unknown keys are skipped. Suffixes give the unit: S
+// for seconds, PerS for a second.
 type wireSettings struct {
 	Balancers  int    `json:"balancers"`
 	Me         int    `json:"me"`
@@ -76,85 +85,161 @@
 	TickS float64 `json:"tickS"`
 }
 
-var effects = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotencyKey, "fragile": policy.NonIdempotent}
+var idempotencyByEffect = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent,
+	"dedup":     policy.IdempotencyKey,
+	"fragile":   policy.NonIdempotent,
+}
 
-var scopes = map[string]policy.DedupScope{
-	"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
+var dedupScopes = map[string]policy.DedupScope{
+	"":     policy.DedupFleet,
+	"all":  policy.DedupFleet,
+	"zone": policy.DedupZone,
 	"cell": policy.DedupCell,
 }
 
-// Settings is what the module is told, and beside it what only a real ingress has to know.
+// Where endpoints report their load, by feedback.how.
+const (
+	loadInHealthChecks = "probe"
+	loadInReplies      = "answers"
+)
+
+// Settings are those of the decision module, and beside them what only the network side has to know.
 type Settings struct {
 	policy.Settings
-	DialTimeoutS float64 // a connection not made by then has failed
-	MostHeld     int     // open requests at most; 0: no such limit
-	StopSendingS float64 // after the news of a drain, within which sends must end; 0: not told
+	// DialTimeout bounds the time that a connection to an endpoint may take to be made.
+	DialTimeout time.Duration
+	// MaxOpenRequests bounds the requests without a final reply; 0 stands for no such bound.
+	MaxOpenRequests int
+	// DrainNotice is how long after it is told that an endpoint drains a gateway may still send to it; 0 stands
+	// for not given.
+	DrainNotice time.Duration
 }
 
-// Parse translates the settings; whether they make sense is for policy.New to say.
+// Parse translates the settings. Whether their values make sense is for policy.New to say.
 func Parse(text []byte) (Settings, error) {
-	var w wireSettings
-	if err := json.Unmarshal(text, &w); err != nil {
+	var wire wireSettings
+	if err := json.Unmarshal(text, &wire); err != nil {
 		return Settings{}, err
 	}
 	s := Settings{
-		DialTimeoutS: w.Limits.DialTimeoutS, MostHeld: w.Limits.MostHeld,
-		StopSendingS: w.Rules.StopSendingS,
+		Settings:        wire.policySettings(),
+		DialTimeout:     seconds(wire.Limits.DialTimeoutS),
+		MaxOpenRequests: wire.Limits.MostHeld,
+		DrainNotice:     seconds(wire.Rules.StopSendingS),
 	}
-	s.Settings = policy.Settings{
-		Self: w.Me, GatewayCount: w.Balancers, Zone: w.MyZone,
-		MaxRequestUnits: w.FamilyInfo.MaxUnits, ActualUnitsInReply: w.FamilyInfo.TruedUp, PeerMessageRate: w.FamilyInfo.PeerIntake,
-		PeerMessages: w.Limits.PeerMessages, HealthChecks: w.Limits.Probes, Cancellation: w.Limits.Cancel,
-		Hedging: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
-		MaxAttempts: w.Limits.MaxAttempts, MaxRetryAfter: w.Limits.MaxRetryAfterS,
-		LoadReportInHealthCheck: w.Feedback.How == "probe", LoadReportInReply: w.Feedback.How == "answers",
-		ReplySlack: w.Rules.AnswerSlackS, SlowStartMinCapacity: w.Rules.ColdFrom, SlowStartDuration: w.Rules.ColdS,
-		OverloadMultiple: w.Rules.FallMultiple, OverloadWindow: w.Rules.FallS,
-		BatchInterval: w.TickS, CrossZoneCost: w.Prices.CrossZone, HandshakeCost: w.Prices.Handshake,
-		ConnectionIdleTimeout: w.Limits.ConnIdleS, WorstPlanWeight: w.ScoreParts.WorstTenant,
+	var err error
+	if s.Classes, err = wire.classes(); err != nil {
+		return Settings{}, err
 	}
+	s.Plans = wire.plans()
+	return s, nil
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// policySettings translates all but classes and plans.
+func (w *wireSettings) policySettings() policy.Settings {
+	return policy.Settings{
+		Self:         w.Me,
+		GatewayCount: w.Balancers,
+		Zone:         w.MyZone,
+
+		MaxRequestUnits:    w.FamilyInfo.MaxUnits,
+		ActualUnitsInReply: w.FamilyInfo.TruedUp,
+		PeerMessageRate:    w.FamilyInfo.PeerIntake,
+
+		PeerMessages: w.Limits.PeerMessages,
+		HealthChecks: w.Limits.Probes,
+		Cancellation: w.Limits.Cancel,
+		Hedging:      w.Limits.ParallelTries,
+		RetryAfter:   w.Limits.RetryAfter,
+
+		MaxAttempts:   w.Limits.MaxAttempts,
+		MaxRetryAfter: w.Limits.MaxRetryAfterS,
+
+		LoadReportInHealthCheck: w.Feedback.How == loadInHealthChecks,
+		LoadReportInReply:       w.Feedback.How == loadInReplies,
+
+		ReplySlack:           w.Rules.AnswerSlackS,
+		SlowStartMinCapacity: w.Rules.ColdFrom,
+		SlowStartDuration:    w.Rules.ColdS,
+		OverloadMultiple:     w.Rules.FallMultiple,
+		OverloadWindow:       w.Rules.FallS,
+
+		BatchInterval:         w.TickS,
+		CrossZoneCost:         w.Prices.CrossZone,
+		HandshakeCost:         w.Prices.Handshake,
+		ConnectionIdleTimeout: w.Limits.ConnIdleS,
+		WorstPlanWeight:       w.ScoreParts.WorstTenant,
+	}
+}
+
+func (w *wireSettings) classes() ([]policy.Class, error) {
+	var classes []policy.Class
 	for _, p := range w.Profiles {
-		effect, ok := effects[p.Effect]
+		idempotency, ok := idempotencyByEffect[p.Effect]
 		if !ok {
-			return s, fmt.Errorf("class %s: unknown effect %q", p.Name, p.Effect)
+			return nil, fmt.Errorf("class %s: %w %q", p.Name, ErrUnknownEffect, p.Effect)
 		}
-		scope, ok := scopes[p.KeyScope]
+		scope, ok := dedupScopes[p.KeyScope]
 		if !ok {
-			return s, fmt.Errorf("class %s: unknown keyScope %q", p.Name, p.KeyScope)
+			return nil, fmt.Errorf("class %s: %w %q", p.Name, ErrUnknownScope, p.KeyScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{
-			Name: p.Name, LatencyObjective: p.AimS, ObjectiveWorkFactor: p.AimStretch,
-			Timeout: p.DeadlineS, PriorityWeight: p.Worth, LateWeightFraction: p.LateWorth, Idempotency: effect, DedupScope: scope,
-			IdempotencyWindow: p.KeyTTLS, Streaming: p.Stream,
+		classes = append(classes, policy.Class{
+			Name:                p.Name,
+			LatencyObjective:    p.AimS,
+			ObjectiveWorkFactor: p.AimStretch,
+			Timeout:             p.DeadlineS,
+			PriorityWeight:      p.Worth,
+			LateWeightFraction:  p.LateWorth,
+			Idempotency:         idempotency,
+			DedupScope:          scope,
+			IdempotencyWindow:   p.KeyTTLS,
+			Streaming:           p.Stream,
 		})
 	}
+	return classes, nil
+}
+
+func (w *wireSettings) plans() []policy.Plan {
+	var plans []policy.Plan
 	for _, p := range w.Packages {
-		s.Plans = append(s.Plans, policy.Plan{
-			Name: p.Name, Rate: p.UnitsPerS, Burst: p.PeakUnits,
-			MaxConcurrent: p.Parallel, WeightFactor: p.Pays, OverQuotaWeightFraction: p.ExtraWorth, OverQuotaCostFraction: p.ExcessCost,
-			CeilingRate: p.HardRate, CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack,
+		plans = append(plans, policy.Plan{
+			Name:                    p.Name,
+			Rate:                    p.UnitsPerS,
+			Burst:                   p.PeakUnits,
+			MaxConcurrent:           p.Parallel,
+			WeightFactor:            p.Pays,
+			OverQuotaWeightFraction: p.ExtraWorth,
+			OverQuotaCostFraction:   p.ExcessCost,
+			CeilingRate:             p.HardRate,
+			CeilingBurst:            p.CapDepth,
+			CeilingSlack:            p.CeilingSlack,
 		})
 	}
-	return s, nil
+	return plans
 }
 
-// NoLoad is a load report in which nothing was reported yet.
-var NoLoad = policy.LoadReport{InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1}
+// EmptyLoadReport is a load report without any value.
+var EmptyLoadReport = policy.LoadReport{
+	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
+}
 
-// SetLoad puts a value into a load report by its name in the settings; unknown names are passed over.
-func SetLoad(r *policy.LoadReport, name string, v float64) {
+// SetLoad puts a value into a load report by its name on the wire; unknown names are ignored.
+func SetLoad(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "busy_reqs":
-		r.InFlight = v
+		report.InFlight = value
 	case "pending":
-		r.Queued = v
+		report.Queued = value
 	case "cpu_share":
-		r.Utilization = v
+		report.Utilization = value
 	case "svc_ms":
-		r.ServiceTimeMS = v
+		report.ServiceTimeMS = value
 	case "served_ps":
-		r.ServedPerS = v
+		report.ServedPerS = value
 	case "failed_ps":
-		r.FailedPerS = v
+		report.FailedPerS = value
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"testing"
+	"time"
 
 	"reedlead/policy"
 )
@@ -15,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.GatewayCount != 3 || s.Self != 1 || s.ConnectionIdleTimeout != 15 || s.DialTimeoutS != 0.25 || s.MostHeld != 20000 || s.MaxAttempts != 5 {
+	if s.GatewayCount != 3 || s.Self != 1 || s.ConnectionIdleTimeout != 15 || s.DialTimeout != 250*time.Millisecond || s.MaxOpenRequests != 20000 || s.MaxAttempts != 5 {
 		t.Errorf("got %+v", s)
 	}
 	if len(s.Classes) != 1 || s.Classes[0].Idempotency != policy.NonIdempotent || len(s.Plans) != 1 || s.Plans[0].CeilingBurst != 147 {
@@ -33,7 +34,7 @@
 }
 
 func TestSetLoadByName(t *testing.T) {
-	l := NoLoad
+	l := EmptyLoadReport
 	for i, name := range []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "new"} {
 		SetLoad(&l, name, float64(i))
 	}
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire reads and writes the lines of the simulator's protocol. It knows
 // their form, not what to do about them.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
