--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -24,7 +24,7 @@
 		s := g.endpoints[e.ID]
 		if s == nil {
 			s = newEndpoint(g)
-			s.hash = uint16(hashCustomer(e.ID))
+			s.hash = uint16(hashName(e.ID))
 			s.slowStartCredit = g.initialCredit(s)
 			g.endpoints[e.ID] = s
 			g.indexByHash(s)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -6,7 +6,6 @@
 	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 )
 
 // Times are in seconds.
@@ -29,7 +28,7 @@
 	gossipBuffer
 	endpointTable
 	slowStart
-	ownerRing
+	ring ownerRing
 	classTable
 	customerTable
 	requestTable
@@ -62,8 +61,8 @@
 	return nil
 }
 
-// setUp makes the classes, the plans and the ring.
-func (g *Gateway) initialize(points int) {
+// setUp makes the classes and the plans.
+func (g *Gateway) initialize() {
 	for i, c := range g.settings.Classes {
 		g.maxPriorityWeight = max(g.maxPriorityWeight, c.PriorityWeight)
 		g.classesByIndex = append(g.classesByIndex, newClass(c, i))
@@ -73,14 +72,6 @@
 		g.plansByIndex = append(g.plansByIndex, &plan{Plan: p, index: i})
 		g.plans[p.Name] = g.plansByIndex[i]
 	}
-	for gw := range g.settings.GatewayCount {
-		for i := range points {
-			g.ring = append(g.ring, ringPoint{mixBits(uint64(gw)<<32 | uint64(i)), gw})
-		}
-	}
-	slices.SortFunc(g.ring, func(a, b ringPoint) int {
-		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.gateway, b.gateway))
-	})
 }
 
 // Started takes the start of a streamed answer: the attempt belongs to the client now.
@@ -116,7 +107,8 @@
 	g.voteWeight = max(minVoteWeight, min(1, smallFleetSize/float64(s.GatewayCount)))
 	g.burstAllowance = burstDeviations * max(0, 1-smallFleetSize/float64(s.GatewayCount))
 	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
-	g.initialize(min(ringPoints, max(8, maxRingPoints/s.GatewayCount)))
+	g.ring = newOwnerRing(s.GatewayCount)
+	g.initialize()
 	g.actions.SetTimer(1, timerInterval)
 	return g, nil
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -147,7 +147,7 @@
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if g.ringSuccessor(&customer{hash: hashCustomer(name), gatewayCount: g.settings.GatewayCount}, false) != g.settings.Self {
+		if g.findPrimaryOwner(&customer{hash: hashName(name), gatewayCount: g.settings.GatewayCount}) != g.settings.Self {
 			break
 		}
 	}
@@ -156,7 +156,7 @@
 			ID: id, Class: "read", Plan: "basic", Customer: name, Deadline: now + 2, GatewayCount: g.settings.GatewayCount,
 			Units: units,
 		})
-		return g.customers[uint32(hashCustomer(name)>>32)]
+		return g.customers[uint32(hashName(name)>>32)]
 	}
 }
 
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -100,7 +100,7 @@
 			fresh.HandlePeerMessage(104.3, m, a.data)
 		}
 	}
-	c := fresh.customers[uint32(hashCustomer("c-basic")>>32)]
+	c := fresh.customers[uint32(hashName("c-basic")>>32)]
 	if c == nil || fresh.ledger(c).remaining > 4 {
 		t.Fatal("the restarted owner grants a fresh window")
 	}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -158,7 +158,8 @@
 	return (maxMessageSize - headerSize - records*f.recordSize()) / updateSize
 }
 
-// roundDifference rounds the difference of two counts, of which one has been encoded, to wire steps. It undoes the wrap-around of usageRecord.Total.
+// roundDifference rounds the difference of two counts, of which one has been encoded, to wire steps. It
+// undoes the wrap-around of usageRecord.Total.
 func (f messageFormat) roundDifference(units float64) float64 {
 	steps := int16(int64(math.Floor(units/f.unitsPerStep*stepsPerUnit + 0.5)))
 	return float64(steps) / stepsPerUnit * f.unitsPerStep
--- /dev/null
+++ b/policy/owner.go
@@ -0,0 +1,50 @@
+package policy
+
+// The owner of a customer: the one gateway that counts the customer's window against the whole quota.
+
+const (
+	maxUnansweredReports         = 3   // reports in a row without a reply, after which a peer is unreachable
+	unreachablePeriod    Seconds = 1.0 // until an unreachable peer is tried again, from its last silence on
+)
+
+// receives tells whether the customer's requests come to a gateway, of gatewayCount in the fleet.
+func (c *customer) receives(gateway, gatewayCount int) bool {
+	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
+	return distance < c.gatewayCount
+}
+
+// findPrimaryOwner returns the customer's owner as long as all gateways are reachable.
+func (g *Gateway) findPrimaryOwner(c *customer) int {
+	return g.ringSuccessor(c, func(int) bool { return true })
+}
+
+// ringSuccessor returns the first accepted gateway on the ring of those that receive the customer's requests,
+// or this one if there is none.
+func (g *Gateway) ringSuccessor(c *customer, accept func(gateway int) bool) int {
+	owner, found := g.ring.successor(c.hash, func(gateway int) bool {
+		return c.receives(gateway, g.settings.GatewayCount) && accept(gateway)
+	})
+	if !found {
+		return g.settings.Self
+	}
+	return owner
+}
+
+// reachable tells whether a peer replies. Several reports in a row without a reply take it off the ring for a
+// while, so that another gateway stands in as owner.
+func (g *Gateway) reachable(gateway int) bool {
+	p := &g.peers[gateway]
+	return gateway == g.settings.Self || p.unanswered < maxUnansweredReports ||
+		g.clock.now-p.lastUnansweredAt > unreachablePeriod
+}
+
+// owner returns the gateway that counts the customer now.
+func (g *Gateway) owner(c *customer) int {
+	switch {
+	case !g.settings.PeerMessages || c.gatewayCount == 1:
+		return g.settings.Self
+	case c.gatewayCount == 0 || g.reachable(c.primaryOwner):
+		return c.primaryOwner
+	}
+	return g.ringSuccessor(c, g.reachable)
+}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -81,7 +81,7 @@
 
 // customer finds or makes what is kept of a customer.
 func (g *Gateway) findCustomer(q Request) *customer {
-	h := hashCustomer(q.Customer)
+	h := hashName(q.Customer)
 	key := uint32(h >> 32)
 	c := g.customers[key]
 	if c == nil {
@@ -92,7 +92,7 @@
 		if c.gatewayCount <= 0 || c.gatewayCount > g.settings.GatewayCount {
 			c.firstGateway, c.gatewayCount = 0, g.settings.GatewayCount
 		}
-		c.primaryOwner = g.ringSuccessor(c, false)
+		c.primaryOwner = g.findPrimaryOwner(c)
 	}
 	c.usedAt = g.clock.now
 	return c
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -68,7 +68,7 @@
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
-	if kept := g.customers[uint32(hashCustomer("held")>>32)]; len(r.ofKind("send", "held")) != 1 || kept == nil {
+	if kept := g.customers[uint32(hashName("held")>>32)]; len(r.ofKind("send", "held")) != 1 || kept == nil {
 		t.Error("a customer with an attempt out is forgotten")
 	}
 }
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -1,77 +1,69 @@
 package policy
 
-// The ring of gateway numbers on which customers find their owner.
-
 import (
 	"cmp"
 	"hash/fnv"
 	"slices"
 )
 
-// Times are in seconds.
+// The number of points of the ring: more points spread customers more evenly, fewer take less memory.
 const (
-	ringPoints    = 512  // points a gateway, as in the post, but
-	maxRingPoints = 8192 // on the whole ring no more than about so many
-)
-
-// ownerRing holds the points of all gateways.
-type ownerRing struct {
-	ring []ringPoint
-}
-
-// Times are in seconds.
-const (
-	maxUnansweredReports = 3   // a peer that leaves so many unanswered is silent: it leaves the ring
-	unreachablePeriod    = 1.0 // for so long
+	ringPoints    = 512  // points of one gateway
+	minRingPoints = 8    // points of one gateway in the largest fleets
+	maxRingPoints = 8192 // points of all gateways, beyond which each gets fewer
 )
 
+// ringPoint is one of the points of a gateway.
 type ringPoint struct {
 	hash    uint64
 	gateway int
 }
 
-// mix spreads the bits of x (the finaliser of splitmix64).
-func mixBits(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+// ownerRing is a consistent-hash ring of gateway numbers. All gateways of a fleet compute the same one.
+type ownerRing struct {
+	points []ringPoint // sorted by hash
 }
 
-// hashOf is a customer's point on the ring.
-func hashCustomer(customer string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(customer))
-	return mixBits(h.Sum64())
+// newOwnerRing returns the ring of the gateways 0 to gatewayCount-1.
+func newOwnerRing(gatewayCount int) ownerRing {
+	perGateway := min(ringPoints, max(minRingPoints, maxRingPoints/gatewayCount))
+	points := make([]ringPoint, 0, gatewayCount*perGateway)
+	for gateway := range gatewayCount {
+		for i := range perGateway {
+			hash := mixBits(uint64(gateway)<<32 | uint64(i))
+			points = append(points, ringPoint{hash: hash, gateway: gateway})
+		}
+	}
+	slices.SortFunc(points, func(a, b ringPoint) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.gateway, b.gateway))
+	})
+	return ownerRing{points: points}
 }
 
-// walk goes on the ring from the customer's point to the first gateway that serves it, and with
-// skip to the first that is not silent.
-func (g *Gateway) ringSuccessor(c *customer, skip bool) int {
-	after := func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) }
-	i, _ := slices.BinarySearchFunc(g.ring, c.hash, after)
-	for n := range g.ring {
-		gw := g.ring[(i+n)%len(g.ring)].gateway
-		if d := (gw - c.firstGateway + g.settings.GatewayCount) % g.settings.GatewayCount; d < c.gatewayCount && (!skip || g.reachable(gw)) {
-			return gw
+// successor returns the first gateway from the hash on that is accepted, and false if none is.
+func (r ownerRing) successor(hash uint64, accept func(gateway int) bool) (gateway int, found bool) {
+	compareHash := func(point ringPoint, hash uint64) int { return cmp.Compare(point.hash, hash) }
+	first, _ := slices.BinarySearchFunc(r.points, hash, compareHash)
+	for i := range r.points {
+		point := r.points[(first+i)%len(r.points)]
+		if accept(point.gateway) {
+			return point.gateway, true
 		}
 	}
-	return g.settings.Self
+	return 0, false
 }
 
-// alive tells that a peer answers: reports in a row without one take it off the ring for a while.
-func (g *Gateway) reachable(gw int) bool {
-	p := &g.peers[gw]
-	return gw == g.settings.Self || p.unanswered < maxUnansweredReports || g.clock.now-p.lastUnansweredAt > unreachablePeriod
+// mixBits spreads the bits of x over the whole result (the finalizer of splitmix64).
+func mixBits(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
 }
 
-// owner is the gateway that counts the customer.
-func (g *Gateway) owner(c *customer) int {
-	switch {
-	case !g.settings.PeerMessages || c.gatewayCount == 1:
-		return g.settings.Self
-	case c.gatewayCount == 0 || g.reachable(c.primaryOwner):
-		return c.primaryOwner
-	}
-	return g.ringSuccessor(c, true)
+// hashName hashes the name of a customer or an endpoint.
+func hashName(name string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name)) // never fails
+	return mixBits(hash.Sum64())
 }
--- /dev/null
+++ b/policy/ring_test.go
@@ -0,0 +1,45 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+func anyGateway(int) bool { return true }
+
+func TestRingSpreadsCustomersOverAllGateways(t *testing.T) {
+	for _, gateways := range []int{1, 2, 12, 100} {
+		ring := newOwnerRing(gateways)
+		const customersPerGateway = 200
+		owned := make([]int, gateways)
+		for i := range gateways * customersPerGateway {
+			owner, found := ring.successor(hashName(fmt.Sprint("customer", i)), anyGateway)
+			if !found {
+				t.Fatalf("%d gateways: customer %d has no owner", gateways, i)
+			}
+			owned[owner]++
+		}
+		for gateway, n := range owned {
+			if n < customersPerGateway/2 || n > customersPerGateway*2 {
+				t.Errorf("%d gateways: gateway %d owns %d customers, the mean is %d", gateways, gateway, n, customersPerGateway)
+			}
+		}
+	}
+}
+
+// Guards the counts of all others: only the customers of a gateway that leaves the ring find another owner.
+func TestRingMovesOnlyTheCustomersOfAGatewayThatLeaves(t *testing.T) {
+	ring := newOwnerRing(10)
+	const left = 3
+	for i := range 500 {
+		hash := hashName(fmt.Sprint("customer", i))
+		before, _ := ring.successor(hash, anyGateway)
+		after, found := ring.successor(hash, func(gateway int) bool { return gateway != left })
+		if !found || after == left || before != left && after != before {
+			t.Fatalf("customer %d moved from gateway %d to %d (found %t)", i, before, after, found)
+		}
+	}
+	if _, found := ring.successor(1, func(int) bool { return false }); found {
+		t.Error("a gateway is found although none is accepted")
+	}
+}
