--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -3,7 +3,6 @@
 // Attempts: their start and end, further tries, and copies beside an attempt in doubt.
 
 import (
-	"math"
 	"slices"
 )
 
@@ -58,14 +57,10 @@
 
 // begin counts an attempt as out.
 func (g *Gateway) startAttempt(r *request, s *endpoint) {
-	if g.clock.now-s.lastSentAt > reusableIdleFraction*g.settings.ConnectionIdleTimeout {
-		s.connections = s.inFlight
-	}
-	s.inFlight++
-	s.connections = max(s.connections, s.inFlight)
+	s.startAttempt(g.clock.now, g.settings.ConnectionIdleTimeout)
 	g.inFlight++
 	r.inFlight++
-	g.lastSentAt, s.lastSentAt = g.clock.now, g.clock.now
+	g.lastSentAt = g.clock.now
 	g.adjustInFlight(r, 1)
 	r.attempts = append(r.attempts, attempt{endpoint: s, group: s.group(), sentAt: g.clock.now})
 }
@@ -78,10 +73,7 @@
 	}
 	a := &r.attempts[o.Attempt]
 	a.done = true
-	a.endpoint.inFlight--
-	if o.Status != OK && o.Status != Error && o.Status != Rejected {
-		a.endpoint.connections = max(a.endpoint.connections-1, 0) // what is given up takes its connection with it
-	}
+	a.endpoint.endAttempt(o.Status == OK || o.Status == Error || o.Status == Rejected)
 	g.inFlight--
 	r.inFlight--
 	g.adjustInFlight(r, -1)
@@ -89,7 +81,7 @@
 }
 
 func (g *Gateway) sendAttempt(r *request, s *endpoint) {
-	s.meanInFlight = s.meanInFlight*math.Exp((s.lastSentAt-g.clock.now)/inFlightTimeConstant) + min(s.latencyFactor*r.class.meanLatency/inFlightTimeConstant, 1)
+	s.observeSend(g.clock.now, r.class.meanLatency)
 	g.startAttempt(r, s)
 	if g.warmUpFraction(s) < 1 {
 		s.slowStartCredit -= g.relativeCost(r)
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -15,4 +15,5 @@
 	latencyRatio        float64 // mean of latency over aim
 	meanAttemptDuration float64 // mean time until an answer or a time-out
 	lastSentAt          float64
+	endpointsPerGateway float64
 }
--- /dev/null
+++ b/policy/endpoint.go
@@ -0,0 +1,117 @@
+package policy
+
+import "math"
+
+const (
+	// reusableIdleFraction is the fraction of the idle timeout for which an idle connection is counted on: the
+	// endpoint may close it a little early.
+	reusableIdleFraction = 0.4
+
+	// inFlightTimeConstant is the time constant of endpoint.meanInFlight.
+	inFlightTimeConstant Seconds = 1.0
+)
+
+// endpoint is what this gateway knows of an endpoint.
+type endpoint struct {
+	Endpoint
+	hash   uint16 // identifies it in health updates
+	listed bool   // in the endpoint list, and not removed
+
+	// The attempts of this gateway.
+	inFlight        int
+	lastSentAt      Seconds
+	openConnections int     // an estimate by how attempts ended; idle ones are included
+	meanInFlight    float64 // an exponentially decaying mean, as of lastSentAt
+	latencyFactor   float64 // mean of an attempt's latency over the mean latency of its class
+
+	// The load as last reported, to this gateway or another.
+	utilization     float64 // 0 to 1
+	utilizationAt   Seconds
+	healthCheckedAt Seconds // when the last health check was sent
+
+	// Outlier detection. The slices are indexed by class.
+	outlierScores              []outlierScore
+	lastSuccessAt              []Seconds
+	consecutiveErrors          []int // since the last success
+	consecutiveConnectFailures int   // connections refused or lost since the last success
+	consecutiveRejections      int   // since the last success
+	ejectedUntil               Seconds
+
+	// Slow start.
+	slowStartCredit   float64 // mean attempts that this gateway may send while the endpoint warms up, up to 1
+	slowStartCreditAt Seconds // when it last grew
+}
+
+// newEndpoint returns an endpoint as it is known when it is first listed.
+func newEndpoint(hash uint16, classCount int, slowStartCredit float64) *endpoint {
+	return &endpoint{
+		hash:              hash,
+		latencyFactor:     1,
+		utilizationAt:     math.Inf(-1),
+		outlierScores:     make([]outlierScore, classCount),
+		lastSuccessAt:     make([]Seconds, classCount),
+		consecutiveErrors: make([]int, classCount),
+		slowStartCredit:   slowStartCredit,
+	}
+}
+
+// restart forgets what a new process of the endpoint makes void.
+func (e *endpoint) restart(slowStartCredit float64) {
+	e.latencyFactor = 1
+	e.ejectedUntil = 0
+	e.consecutiveConnectFailures, e.consecutiveRejections = 0, 0
+	e.openConnections = 0
+	e.slowStartCredit = slowStartCredit
+	clear(e.outlierScores)
+	clear(e.consecutiveErrors)
+}
+
+// available tells whether the endpoint is in service and not ejected.
+func (e *endpoint) available(now Seconds) bool {
+	return e.State == InService && now >= e.ejectedUntil
+}
+
+// startAttempt counts an attempt as in flight. idleTimeout is the time after which idle connections close.
+func (e *endpoint) startAttempt(now, idleTimeout Seconds) {
+	if now-e.lastSentAt > reusableIdleFraction*idleTimeout {
+		e.openConnections = e.inFlight
+	}
+	e.inFlight++
+	e.openConnections = max(e.openConnections, e.inFlight)
+	e.lastSentAt = now
+}
+
+// endAttempt counts an attempt as ended. What ends without a reply takes its connection with it.
+func (e *endpoint) endAttempt(replied bool) {
+	e.inFlight--
+	if !replied {
+		e.openConnections = max(e.openConnections-1, 0)
+	}
+}
+
+// hasIdleConnection tells whether an attempt most likely finds an open connection.
+func (e *endpoint) hasIdleConnection(now, idleTimeout Seconds) bool {
+	return e.openConnections > e.inFlight && now-e.lastSentAt <= reusableIdleFraction*idleTimeout
+}
+
+// observeSend adds an attempt of a class with this mean latency to meanInFlight. It is called before
+// startAttempt.
+func (e *endpoint) observeSend(now, meanLatency Seconds) {
+	expected := min(e.latencyFactor*meanLatency/inFlightTimeConstant, 1)
+	e.meanInFlight = e.meanInFlight*e.inFlightDecay(now) + expected
+}
+
+// inFlightDecay is the factor by which meanInFlight has decayed by now.
+func (e *endpoint) inFlightDecay(now Seconds) float64 {
+	return math.Exp((e.lastSentAt - now) / inFlightTimeConstant)
+}
+
+// setUtilization takes the utilization that the endpoint had at a time.
+func (e *endpoint) setUtilization(utilization float64, at Seconds) {
+	e.utilization, e.utilizationAt = utilization, at
+}
+
+// utilizationKnown tells whether the endpoint's load was reported lately.
+func (e *endpoint) utilizationKnown(now Seconds) bool {
+	return now-e.utilizationAt < loadReportExpiry
+}
--- a/policy/endpoint_choice.go
+++ b/policy/endpoint_choice.go
@@ -8,10 +8,7 @@
 
 // Times are in seconds.
 const (
-	smallFleetSize       = 12  // gateways, up to which each looks at all servers
-	loadReportExpiry     = 3.0 // a load report counts for so long
-	reusableIdleFraction = 0.4 // of the time after which idle ones close, for which they are counted on
-	inFlightTimeConstant = 1.0 // memory of what this gateway keeps out at a server
+	smallFleetSize = 12 // gateways, up to which each looks at all servers
 )
 
 // Times are in seconds.
@@ -25,41 +22,6 @@
 	outlierWeight          = 30.0 // how far
 )
 
-type endpoint struct {
-	Endpoint
-	hash                       uint16
-	listed                     bool
-	inFlight                   int
-	latencyFactor              float64 // latency against the class's mean
-	lastSentAt                 float64
-	connections                int     // connections there, as far as attempts tell
-	meanInFlight               float64 // mean attempts out here of late
-	utilization, utilizationAt float64
-	healthCheckedAt            float64        // last probe
-	outlierScores              []outlierScore // by class
-	lastSuccessAt              []float64
-	consecutiveErrors          []int // by class: errors since it last answered
-	consecutiveConnectFailures int   // attempts that found no connection, or lost it, since it last answered
-	consecutiveRejections      int   // attempts it turned away since then
-	ejectedUntil               float64
-	slowStartCredit            float64 // while cold: what of a whole attempt is its part by now
-	slowStartCreditAt          float64 // when it came to that
-}
-
-// connected tells that a connection to the server most likely stands idle.
-func (g *Gateway) hasIdleConnection(s *endpoint) bool {
-	return s.connections > s.inFlight && g.clock.now-s.lastSentAt <= reusableIdleFraction*g.settings.ConnectionIdleTimeout
-}
-
-// newServer is a server as a gateway knows it when it is first listed.
-func newEndpoint(g *Gateway) *endpoint {
-	n := len(g.classesByIndex)
-	return &endpoint{
-		latencyFactor: 1, utilizationAt: math.Inf(-1), outlierScores: make([]outlierScore, n), lastSuccessAt: make([]float64, n),
-		consecutiveErrors: make([]int, n),
-	}
-}
-
 // full tells that as much is out as may be. A part of one that is free is rounded up while answers
 // are fast, and makes a pause while they are slow: many gateways that round up drive servers hard.
 // The limit is a part of what all may have out, so it bounds a gateway's mean. Of many gateways some are
@@ -85,11 +47,11 @@
 		}
 	}
 	// With many gateways each looks at a few servers only: all would pick the same one by the same news.
-	n := len(g.endpointOrder)
+	n := len(g.endpoints.listed)
 	look, from := max(minEndpointsConsidered, n*smallFleetSize/g.settings.GatewayCount), g.rng.IntN(max(1, n))
 	for k := 0; k < n && look > 0; k++ {
-		s := g.endpointOrder[(from+k)%n]
-		if s.State != InService || g.clock.now < s.ejectedUntil || g.warmUpFraction(s) < 1 && (many || !g.creditAvailable(s)) ||
+		s := g.endpoints.listed[(from+k)%n]
+		if !s.available(g.clock.now) || g.warmUpFraction(s) < 1 && (many || !g.creditAvailable(s)) ||
 			float64(s.inFlight) >= math.Ceil(limitShareWeight*g.concurrencyLimit/float64(n)/s.latencyFactor) ||
 			!r.deduplicates(s) {
 			continue
@@ -97,14 +59,14 @@
 		// What the others have there is unseen: the best guess is that each sends as this one does, but one
 		// of many tells little of the rest.
 		others := float64(min(g.settings.GatewayCount, smallFleetSize) - 1)
-		load := float64(s.inFlight) + 1 + others*s.meanInFlight*math.Exp((s.lastSentAt-g.clock.now)/inFlightTimeConstant)
+		load := float64(s.inFlight) + 1 + others*s.meanInFlight*s.inFlightDecay(g.clock.now)
 		if s.Zone != g.settings.Zone {
 			load += crossZoneWeight * g.settings.CrossZoneCost
 		}
-		if !g.hasIdleConnection(s) {
+		if !s.hasIdleConnection(g.clock.now, g.settings.ConnectionIdleTimeout) {
 			load += handshakeWeight * g.settings.HandshakeCost
 		}
-		if g.clock.now-s.utilizationAt < loadReportExpiry {
+		if s.utilizationKnown(g.clock.now) {
 			load += utilizationWeight * s.utilization
 		}
 		for i := range r.attempts {
--- a/policy/endpoint_choice_test.go
+++ b/policy/endpoint_choice_test.go
@@ -38,15 +38,15 @@
 	g, r := largeFleet(t)
 	g.settings.ConnectionIdleTimeout = 10
 	sendUnlimited(g, 100, "a", "read")
-	s := g.endpoints[r.ofKind("send", "a")[0].endpoint]
-	if g.hasIdleConnection(s) {
+	s := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
+	if s.hasIdleConnection(g.clock.now, 10) {
 		t.Fatal("its one connection is in use")
 	}
 	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
-	if !g.hasIdleConnection(s) {
+	if !s.hasIdleConnection(g.clock.now, 10) {
 		t.Fatal("the connection is free again")
 	}
-	if g.clock.now = 100.1 + 10; g.hasIdleConnection(s) {
+	if g.clock.now = 100.1 + 10; s.hasIdleConnection(g.clock.now, 10) {
 		t.Fatal("the server may have closed it")
 	}
 	g.clock.now = 100.2
@@ -54,7 +54,7 @@
 	g.requests["b"] = req
 	g.startAttempt(req, s)
 	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: s.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
-	if g.hasIdleConnection(s) {
+	if s.hasIdleConnection(g.clock.now, 10) {
 		t.Fatal("the connection went with what was given up on it")
 	}
 }
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -1,84 +1,100 @@
 package policy
 
-// The list of servers.
-
 import (
 	"cmp"
 	"slices"
 )
 
-// endpointTable holds the endpoints by their list.
+// loadReportExpiry is how long a load report counts.
+const loadReportExpiry Seconds = 3.0
+
+// endpointTable holds the endpoints of the endpoint list, and those that left it with attempts in flight.
 type endpointTable struct {
-	endpoints           map[string]*endpoint
-	endpointOrder       []*endpoint
-	endpointsByHash     map[uint16]*endpoint
-	endpointsPerGateway float64 // servers a gateway
+	classCount    int
+	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
+
+	byID   map[string]*endpoint
+	listed []*endpoint          // those that are listed, ordered by ID
+	byHash map[uint16]*endpoint // nil where several endpoints share a hash
 }
 
-// list takes in a list of servers; it calls restarted for each that has started anew.
-func (g *Gateway) applyEndpointList(list []Endpoint, whole bool, restarted func(*endpoint)) {
-	for _, s := range g.endpointOrder {
-		s.listed = s.listed && !whole
+// newEndpointTable returns an empty table for a gateway with this number of classes.
+func newEndpointTable(classCount int, initialCredit func(hash uint16) float64) *endpointTable {
+	return &endpointTable{
+		classCount:    classCount,
+		initialCredit: initialCredit,
+		byID:          map[string]*endpoint{},
+		byHash:        map[uint16]*endpoint{},
 	}
-	for _, e := range list {
-		s := g.endpoints[e.ID]
-		if s == nil {
-			s = newEndpoint(g)
-			s.hash = uint16(hashName(e.ID))
-			s.slowStartCredit = g.initialCredit(s)
-			g.endpoints[e.ID] = s
-			g.indexByHash(s)
-		} else if e.StartedAt != s.StartedAt && e.StartedAt > 0 {
-			restarted(s)
+}
+
+// apply takes in an endpoint list: all entries if it is complete, else those that changed.
+func (t *endpointTable) apply(list []Endpoint, complete bool) {
+	if complete {
+		for _, e := range t.listed {
+			e.listed = false
 		}
-		s.Endpoint, s.listed = e, e.State != Removed
 	}
-	g.endpointOrder = g.endpointOrder[:0]
-	for _, s := range g.endpoints {
-		if s.listed {
-			g.endpointOrder = append(g.endpointOrder, s)
+	for _, entry := range list {
+		t.applyEntry(entry)
+	}
+	t.listed = t.listed[:0]
+	for _, e := range t.byID {
+		if e.listed {
+			t.listed = append(t.listed, e)
 		}
 	}
-	slices.SortFunc(g.endpointOrder, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(t.listed, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// forgetServers drops servers that are not listed any more once nothing is out there.
-func (g *Gateway) evictRemovedEndpoints() {
-	before := len(g.endpoints)
-	for id, s := range g.endpoints {
-		if !s.listed && s.inFlight == 0 {
-			delete(g.endpoints, id)
+func (t *endpointTable) applyEntry(entry Endpoint) {
+	e := t.byID[entry.ID]
+	if e == nil {
+		hash := uint16(hashName(entry.ID))
+		e = newEndpoint(hash, t.classCount, t.initialCredit(hash))
+		t.byID[entry.ID] = e
+		t.indexByHash(e)
+	} else if entry.StartedAt != e.StartedAt && entry.StartedAt > 0 {
+		e.restart(t.initialCredit(e.hash))
+	}
+	e.Endpoint, e.listed = entry, entry.State != Removed
+}
+
+// evictRemoved drops the endpoints that are no longer listed and have no attempts in flight.
+func (t *endpointTable) evictRemoved() {
+	before := len(t.byID)
+	for id, e := range t.byID {
+		if !e.listed && e.inFlight == 0 {
+			delete(t.byID, id)
 		}
 	}
-	if len(g.endpoints) == before {
+	if len(t.byID) == before {
 		return
 	}
-	clear(g.endpointsByHash)
-	for _, s := range g.endpoints {
-		g.indexByHash(s)
+	clear(t.byHash)
+	for _, e := range t.byID {
+		t.indexByHash(e)
 	}
 }
 
-// index finds a server by its hash. Of two with the same one, what is told of either is not used.
-func (g *Gateway) indexByHash(s *endpoint) {
-	if _, twice := g.endpointsByHash[s.hash]; twice {
-		g.endpointsByHash[s.hash] = nil
+// indexByHash makes an endpoint found by its hash. Where two share one, health updates of either are
+// ignored.
+func (t *endpointTable) indexByHash(e *endpoint) {
+	if _, shared := t.byHash[e.hash]; shared {
+		t.byHash[e.hash] = nil
 		return
 	}
-	g.endpointsByHash[s.hash] = s
+	t.byHash[e.hash] = e
 }
 
-// Servers takes the list of servers, whole or only what changed.
-func (g *Gateway) HandleEndpoints(now float64, list []Endpoint, whole bool) {
-	g.clock.advance(now)
-	before := float64(max(1, len(g.endpointOrder)))
-	g.applyEndpointList(list, whole, func(s *endpoint) {
-		s.latencyFactor, s.ejectedUntil, s.consecutiveConnectFailures, s.consecutiveRejections, s.connections, s.slowStartCredit = 1, 0, 0, 0, 0, g.initialCredit(s)
-		clear(s.outlierScores)
-		clear(s.consecutiveErrors)
-	})
-	g.endpointsPerGateway = float64(len(g.endpointOrder)) / float64(g.settings.GatewayCount)
-	g.updateLoadEstimates()
-	g.concurrencyLimit *= float64(max(1, len(g.endpointOrder))) / before
-	g.dispatchQueued()
+// meanUtilization is the mean of the utilizations that were reported lately; known is false if there is none.
+func (t *endpointTable) meanUtilization(now Seconds) (mean float64, known bool) {
+	count := 0.0
+	for _, e := range t.listed {
+		if e.utilizationKnown(now) {
+			count++
+			mean += e.utilization
+		}
+	}
+	return mean / max(count, 1), count > 0
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -26,7 +26,7 @@
 	outlierDetector
 	healthChecker
 	gossipBuffer
-	endpointTable
+	endpoints *endpointTable
 	slowStart
 	ring ownerRing
 	classTable
@@ -97,7 +97,7 @@
 	}
 	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}}
 	g.classes, g.plans = map[string]*class{}, map[string]*plan{}
-	g.endpoints, g.endpointsByHash = map[string]*endpoint{}, map[uint16]*endpoint{}
+	g.endpoints = newEndpointTable(len(s.Classes), g.initialCredit)
 	g.requests, g.customers = map[string]*request{}, map[uint32]*customer{}
 	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
 	g.startedAt, g.admittedWorkAt = now, now
@@ -129,6 +129,6 @@
 	if now > g.nextSweepAt {
 		g.nextSweepAt = now + customerExpiry/4
 		g.evictIdleCustomers(customerExpiry)
-		g.evictRemovedEndpoints()
+		g.endpoints.evictRemoved()
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -55,18 +55,6 @@
 	}
 }
 
-// meanUtil is the use of the servers' cores, by what was reported of late.
-func (g *Gateway) meanUtilization() (mean float64, fresh bool) {
-	n := 0.0
-	for _, s := range g.endpointOrder {
-		if g.clock.now-s.utilizationAt < loadReportExpiry {
-			n++
-			mean += s.utilization
-		}
-	}
-	return mean / max(n, 1), n > 0
-}
-
 // sickness tells how sure it is, from 0 to 1, that the server does not answer the class.
 func (g *Gateway) outlierScore(s *endpoint, c *class) float64 {
 	k := s.outlierScores[c.index]
@@ -76,7 +64,7 @@
 // report takes in a load report.
 func (g *Gateway) recordLoadReport(s *endpoint, l *LoadReport) {
 	if l != nil && l.Utilization >= 0 {
-		s.utilization, s.utilizationAt = l.Utilization, g.clock.now
+		s.setUtilization(l.Utilization, g.clock.now)
 		g.publish(healthUpdate{s.hash, loadUpdate, l.Utilization, g.clock.now})
 	}
 }
@@ -106,7 +94,7 @@
 
 // takeNews takes in what another gateway tells of a server, and tells it on while it is new.
 func (g *Gateway) mergeGossip(n healthUpdate) {
-	s := g.endpointsByHash[n.endpointHash]
+	s := g.endpoints.byHash[n.endpointHash]
 	if s == nil || s.StartedAt > n.at {
 		return
 	}
@@ -114,7 +102,7 @@
 		if n.at < s.utilizationAt+minGossipInterval {
 			return
 		}
-		s.utilization, s.utilizationAt = n.value, n.at
+		s.setUtilization(n.value, n.at)
 	} else if n.class < len(s.outlierScores) {
 		k := &s.outlierScores[n.class]
 		if n.at < k.at+minGossipInterval || n.at < s.lastSuccessAt[n.class] {
@@ -165,7 +153,7 @@
 	}
 	g.meanAttemptDuration += 0.1 * (o.Elapsed - g.meanAttemptDuration)
 	g.latencyRatio += 0.1 * (o.Elapsed/c.LatencyObjective - g.latencyRatio)
-	util, fresh := g.meanUtilization()
+	util, fresh := g.endpoints.meanUtilization(g.clock.now)
 	easy := fresh && util < lowUtilization                           // cores are free: not driven too hard
 	step := min(1, initialConcurrencyPerEndpoint/g.concurrencyLimit) // one answer tells of one server among those in use
 	if o.Status == Timeout && !easy {
@@ -186,7 +174,7 @@
 		return
 	}
 	next, oldest := (*endpoint)(nil), g.clock.now-healthCheckInterval
-	for _, s := range g.endpointOrder {
+	for _, s := range g.endpoints.listed {
 		if at := max(s.healthCheckedAt, s.utilizationAt); s.State == InService && at <= oldest && g.warmUpFraction(s) == 1 {
 			next, oldest = s, at
 		}
@@ -201,7 +189,7 @@
 // Probed takes the end of a probe.
 func (g *Gateway) HandleHealthCheck(now float64, p HealthCheckResult) {
 	g.clock.advance(now)
-	s := g.endpoints[p.Endpoint]
+	s := g.endpoints.byID[p.Endpoint]
 	if s == nil {
 		return
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -53,7 +53,7 @@
 	for _, k := range g.classesByIndex {
 		k.meanLatency, k.successes = 0.05, 100
 	}
-	sick := g.endpoints["s1"]
+	sick := g.endpoints.byID["s1"]
 	sendRequest(g, 100, "q", "read", "wide", 1)
 	r.actions = nil
 	g.requests["q"].attempts[0].endpoint = sick
@@ -87,7 +87,7 @@
 // One missing answer, told to all, made the whole fleet leave a server for seconds and flood the next.
 func TestLargeFleetScoresByTheUnansweredFraction(t *testing.T) {
 	g, _ := largeFleet(t)
-	cls, s := g.classes["read"], g.endpoints["s00"]
+	cls, s := g.classes["read"], g.endpoints.byID["s00"]
 	attempt := func(now float64, id string, st AttemptStatus) {
 		req := &request{Request: Request{ID: id}, class: cls}
 		g.requests[id] = req
@@ -119,7 +119,7 @@
 // A few gateways see enough themselves: one answer shows that a server is well.
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	cls, s := g.classes["read"], g.endpoints["s1"]
+	cls, s := g.classes["read"], g.endpoints.byID["s1"]
 	g.recordFailure(s, cls, errorScore)
 	g.recordSuccess(s, cls)
 	if x := g.outlierScore(s, cls); x != 0 {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -62,8 +62,8 @@
 		g.HandleTimer(now, 1)
 	}
 	most := int((customerExpiry + customerExpiry/2) / 0.1)
-	if len(g.endpoints) > most || len(g.endpointsByHash) > most || len(g.customers) > most {
-		t.Errorf("%d servers, %d hashes and %d customers are kept, %d at most wanted", len(g.endpoints), len(g.endpointsByHash),
+	if len(g.endpoints.byID) > most || len(g.endpoints.byHash) > most || len(g.customers) > most {
+		t.Errorf("%d servers, %d hashes and %d customers are kept, %d at most wanted", len(g.endpoints.byID), len(g.endpoints.byHash),
 			len(g.customers), most)
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -44,8 +44,8 @@
 }
 
 // firstTurn is where this gateway's turns at a server begin: those of all gateways are spread evenly.
-func (g *Gateway) initialCredit(s *endpoint) float64 {
-	_, at := math.Modf(float64(g.settings.Self)*math.Phi + float64(s.hash)/(1<<16))
+func (g *Gateway) initialCredit(hash uint16) float64 {
+	_, at := math.Modf(float64(g.settings.Self)*math.Phi + float64(hash)/(1<<16))
 	return at
 }
 
@@ -60,7 +60,7 @@
 	}
 	g.meanLatency = sum / max(tries, 1)
 	g.admittedWorkAt, g.warmedCapacity, g.warmingCapacity, g.inServiceCount = g.clock.now, 0, 0, 0
-	for _, s := range g.endpointOrder {
+	for _, s := range g.endpoints.listed {
 		if s.State == InService { // also those left alone for a moment: others must not get their part as well
 			share := g.warmUpFraction(s)
 			g.inServiceCount++
@@ -85,8 +85,8 @@
 	r.creditsAccrued = true
 	r.class.firstAttempts++
 	g.offeredWork += r.class.meanLatency
-	for _, s := range g.endpointOrder {
-		if share := g.warmUpFraction(s); share < 1 && s.State == InService && g.clock.now >= s.ejectedUntil {
+	for _, s := range g.endpoints.listed {
+		if share := g.warmUpFraction(s); share < 1 && s.available(g.clock.now) {
 			if s.slowStartCredit >= 1 && g.clock.now-s.slowStartCreditAt > g.settings.OverloadWindow {
 				s.slowStartCredit = 0 // turns that many could not take must not all be taken at once
 			}
@@ -117,9 +117,9 @@
 
 // coldTurn picks the cold server of many gateways whose turn it is, nil if there is none for this request.
 func (g *Gateway) pickWarmingEndpoint(r *request) *endpoint {
-	for _, s := range g.endpointOrder {
+	for _, s := range g.endpoints.listed {
 		share := g.warmUpFraction(s)
-		if share < 1 && s.State == InService && g.clock.now >= s.ejectedUntil && g.creditAvailable(s) &&
+		if share < 1 && s.available(g.clock.now) && g.creditAvailable(s) &&
 			g.outlierScore(s, r.class) < suspectScore && (share >= minNonIdempotentWarmUp || r.class.Idempotency != NonIdempotent) &&
 			(r.firstExecuted == nil || r.class.Idempotency != IdempotencyKey) {
 			return s
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -97,7 +97,7 @@
 	c.outs[id]++
 	c.busy++
 	s := f.servers[server]
-	if s.since == 0 || c.g.endpoints[server].StartedAt == s.since { // else it has not been told yet
+	if s.since == 0 || c.g.endpoints.byID[server].StartedAt == s.since { // else it has not been told yet
 		s.sent = append(s.sent, now)
 	}
 	end := func(at float64, status AttemptStatus) {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -96,11 +96,11 @@
 				if len(sent) != 1 {
 					t.Fatalf("request %s was not sent", id)
 				}
-				s := g.endpoints[sent[0].endpoint]
+				s := g.endpoints.byID[sent[0].endpoint]
 				if all++; s.StartedAt > 0 {
 					cold++
 				}
-				share = g.warmUpFraction(g.endpoints["s00"])
+				share = g.warmUpFraction(g.endpoints.byID["s00"])
 				g.HandleOutcome(now, Outcome{RequestID: id, Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
 				r.actions = nil
 			}
