--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -24,7 +25,7 @@
 func TestLines(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	lines, err := read(t, "CLOCK\ttimeS=8.5\r\nENLIST\ti=3\tsettings={\"a\":\"b=c\td\"}\nEMIT\tmsg="+long+"\nYOUR_TURN")
-	if err != io.EOF || len(lines) != 4 {
+	if !errors.Is(err, io.EOF) || len(lines) != 4 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
 	if at, err := lines[0].Num("timeS"); lines[0].Name != "CLOCK" || at != 8.5 || err != nil {
@@ -40,7 +41,7 @@
 		t.Errorf("got %+v", lines[3])
 	}
 	for _, bad := range []string{"\ti=1\n", "CLOCK\ttimeS\n", "CLOCK\t=1\n"} {
-		if _, err := read(t, bad); err == nil || err == io.EOF {
+		if _, err := read(t, bad); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%q is read", bad)
 		}
 	}
