--- /dev/null
+++ b/cmd/simadapter/actions.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"reedlead/internal/simwire"
+	"reedlead/policy"
+)
+
+// actions writes the actions of one gateway. It implements policy.Actions.
+type actions struct {
+	out      *simwire.Writer
+	instance int
+}
+
+var _ policy.Actions = actions{}
+
+// Send implements policy.Actions. The simulator writes attempts at once, so writeWithin holds by itself.
+func (a actions) Send(id, endpoint string, timeout, _ policy.Seconds) {
+	line := a.out.Begin("FORWARD", a.instance).ID("id", id).ID("backend", endpoint)
+	if timeout != 0 {
+		line.Num("withinS", timeout)
+	}
+	line.End()
+}
+
+// Reject implements policy.Actions.
+func (a actions) Reject(id string, retryAfter policy.Seconds, _ policy.Reason) {
+	line := a.out.Begin("BOUNCE", a.instance).ID("id", id)
+	if retryAfter > 0 {
+		line.Num("retryInS", retryAfter)
+	}
+	line.End()
+}
+
+// Fail implements policy.Actions.
+func (a actions) Fail(id string, _ policy.Reason) {
+	a.out.Begin("ERROR", a.instance).ID("id", id).End()
+}
+
+// Cancel implements policy.Actions.
+func (a actions) Cancel(id string, attempt int) {
+	a.out.Begin("STOP_ATTEMPT", a.instance).ID("id", id).Int("hop", int64(attempt)).End()
+}
+
+// SetTimer implements policy.Actions.
+func (a actions) SetTimer(token uint64, delay policy.Seconds) {
+	a.out.Begin("WAKE_AT", a.instance).Int("mark", int64(token)).Num("offsetS", delay).End()
+}
+
+// HealthCheck implements policy.Actions.
+func (a actions) HealthCheck(endpoint string) {
+	a.out.Begin("HEALTH_CHECK", a.instance).ID("backend", endpoint).End()
+}
+
+// SendToPeer implements policy.Actions.
+func (a actions) SendToPeer(gateway int, data []byte) {
+	a.out.Begin("BROADCAST_TO", a.instance).Int("addressee", int64(gateway)).Hex("data", data).End()
+}
+
+// Log implements policy.Actions.
+func (a actions) Log(text string) { a.out.Begin("EMIT", a.instance).Str("msg", text).End() }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -20,7 +20,7 @@
 		fmt.Sprintf("PEERS_KNOWN\ti=%d\trosterId=0\tkind=Persisted\trevision=1\nYOUR_TURN\n", i)
 }
 
-func ask(i int, id string) string {
+func requestLine(i int, id string) string {
 	return fmt.Sprintf("REQUEST\ti=%d\tid=%s\tbase=0\ttier=basic\tdropDeadS=12\tnEntries=2\tcostUnits=1\tkind=read\tholder=key:x\tnew=1\n", i, id)
 }
 
@@ -31,8 +31,8 @@
 	return out.String(), err
 }
 
-func TestBatchesAreAnswered(t *testing.T) {
-	out, err := play(t, "CLOCK\ttimeS=9\nYOUR_TURN\n"+start(0)+"CLOCK\ttimeS=10.1\n"+ask(0, "a")+"YOUR_TURN\n"+
+func TestEachBatchGetsAReply(t *testing.T) {
+	out, err := play(t, "CLOCK\ttimeS=9\nYOUR_TURN\n"+start(0)+"CLOCK\ttimeS=10.1\n"+requestLine(0, "a")+"YOUR_TURN\n"+
 		"CLOCK\ttimeS=10.2\nVERDICT\ti=0\tid=a\tbackend=10.0.0.1:80\tterminal=1\tspentS=0.1\tcode=200\thop=0\tload=cpu_share:0.5,new:3\n"+
 		"VERDICT\ti=0\tid=gone\tbackend=10.0.0.1:80\tcode=504\thop=0\nHANGUP\ti=0\tid=a\nALARM\ti=0\tmark=9\n"+
 		"DATAGRAM\ti=0\tsender=1\tdata=0102\nDATAGRAM\ti=0\tsender=1\tdata=-\nALARM\ti=5\tmark=1\nYOUR_TURN\n"+
@@ -48,11 +48,11 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestMalformedInputIsNamed(t *testing.T) {
 	for want, in := range map[string]string{
 		"NOVEL: unknown message":                    "NOVEL\ti=0\n",
 		"REQUEST: field dropDeadS is missing":       "REQUEST\ti=0\tid=a\tkind=read\ttier=basic\tholder=x\n",
-		"REQUEST: field dropDeadS cannot be read":   strings.Replace(ask(0, "a"), "dropDeadS=12", "dropDeadS=soon", 1),
+		"REQUEST: field dropDeadS cannot be read":   strings.Replace(requestLine(0, "a"), "dropDeadS=12", "dropDeadS=soon", 1),
 		"REQUEST: malformed field":                  "REQUEST\ti\n",
 		"ALARM: field mark cannot be read":          "ALARM\ti=0\tmark=-1\n",
 		"ALARM: field i is missing":                 "ALARM\tmark=1\n",
@@ -63,13 +63,14 @@
 		"ENLIST: field settings":                    "ENLIST\ti=0\tentropy=1\tsettings={\n",
 		"gateways is 0":                             "ENLIST\ti=0\tentropy=1\tsettings={}\n",
 		"input ended within a batch":                "",
+		"ITEM: the list ends early":                 "REGISTER\trosterId=0\tlines=1\n",
 	} {
 		_, err := play(t, "CLOCK\ttimeS=1\n"+in)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
-	if _, err := play(t, ask(0, "a")); err == nil {
+	if _, err := play(t, requestLine(0, "a")); err == nil {
 		t.Error("an event outside a batch was taken")
 	}
 	if _, err := play(t, ""); err != nil {
@@ -85,8 +86,8 @@
 	day.WriteString(start(1))
 	for b := range 50 {
 		clock := fmt.Sprintf("CLOCK\ttimeS=%g\n", 10.1+float64(b)*0.02)
-		mine := ask(0, fmt.Sprint("m", b)) + "ALARM\ti=0\tmark=1\n"
-		day.WriteString(clock + ask(1, fmt.Sprint("o", b)) + mine + "ALARM\ti=1\tmark=1\nYOUR_TURN\n")
+		mine := requestLine(0, fmt.Sprint("m", b)) + "ALARM\ti=0\tmark=1\n"
+		day.WriteString(clock + requestLine(1, fmt.Sprint("o", b)) + mine + "ALARM\ti=1\tmark=1\nYOUR_TURN\n")
 		first.WriteString(clock + mine + "YOUR_TURN\n")
 	}
 	both, err := play(t, day.String())
@@ -112,10 +113,10 @@
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	events["BOOM"] = func(*host, int) (func(*policy.Gateway), error) {
+	decoders["BOOM"] = func(*adapter, int) (delivery, error) {
 		return func(*policy.Gateway) { panic("broken\tmodule") }, nil
 	}
-	defer delete(events, "BOOM")
+	defer delete(decoders, "BOOM")
 	out, err := play(t, start(0)+"CLOCK\ttimeS=11\nBOOM\ti=0\nYOUR_TURN\n")
 	if err != nil || !strings.Contains(out, "FAULT\ti=0\tmsg=broken module\nNEXT\n") {
 		t.Fatalf("want a FAULT with the text, got %v\n%s", err, out)
