--- a/policy/owner.go
+++ b/policy/owner.go
@@ -2,11 +2,6 @@
 
 // The owner of a customer: the one gateway that counts the customer's window against the whole quota.
 
-const (
-	maxUnansweredReports         = 3   // reports in a row without a reply, after which a peer is unreachable
-	unreachablePeriod    Seconds = 1.0 // until an unreachable peer is tried again, from its last silence on
-)
-
 // receives tells whether the customer's requests come to a gateway, of gatewayCount in the fleet.
 func (c *customer) receives(gateway, gatewayCount int) bool {
 	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
@@ -30,12 +25,10 @@
 	return owner
 }
 
-// reachable tells whether a peer replies. Several reports in a row without a reply take it off the ring for a
-// while, so that another gateway stands in as owner.
+// reachable tells whether a gateway is this one or a peer that replies. Another gateway stands in for an owner
+// that does not.
 func (g *Gateway) reachable(gateway int) bool {
-	p := &g.peers[gateway]
-	return gateway == g.settings.Self || p.unanswered < maxUnansweredReports ||
-		g.clock.now-p.lastUnansweredAt > unreachablePeriod
+	return gateway == g.settings.Self || g.peers[gateway].reachable(g.clock.now)
 }
 
 // owner returns the gateway that counts the customer now.
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -35,17 +35,6 @@
 	maxGrantAttempts = 4    // then the local window decides
 )
 
-type peer struct {
-	unanswered       int     // reports without an answer since it was last heard
-	lastUnansweredAt float64 // the last of them
-	lastSentAt       float64
-	incarnation      uint8
-	sequence         uint16
-	reports          []*customer
-	pending          bool // in Gateway.pending
-	urgent           bool // a request waits
-}
-
 // expect has the customer's reports looked after until they are answered.
 func (g *Gateway) expectReply(c *customer) {
 	if !c.awaitingReply {
@@ -94,15 +83,6 @@
 	}
 }
 
-// late tells whether a message is older than one taken in already, or comes twice.
-func (p *peer) stale(boot uint8, seq uint16) bool {
-	if boot == p.incarnation && p.sequence != 0 && int16(seq-p.sequence) <= 0 {
-		return true
-	}
-	p.incarnation, p.sequence = boot, seq
-	return false
-}
-
 // markForReport marks the customer for the next report to its owner.
 func (g *Gateway) markForReport(c *customer, urgent bool) {
 	o := g.owner(c)
@@ -161,7 +141,7 @@
 		c.usedAt = g.clock.now
 		r := usageRecord{
 			Key: c.key, Plan: c.plan.index, Known: c.heardFromOwner, CeilingPool: i == c.primaryOwner, Total: c.totalUnits,
-			Remaining: g.remainingUnits(c), Demand: g.currentDemand(c), InFlight: c.inFlight, Unacknowledged: max(c.totalUnits-c.acknowledgedUnits, 0),
+			Remaining: g.remainingUnits(c), Demand: c.demand.at(g.clock.now), InFlight: c.inFlight, Unacknowledged: max(c.totalUnits-c.acknowledgedUnits, 0),
 		}
 		c.askedCount = len(c.awaitingOwner)
 		for k, q := range c.awaitingOwner {
@@ -246,7 +226,7 @@
 		return
 	}
 	p := &g.peers[from]
-	if p.stale(received.incarnation, received.sequence) {
+	if !p.acceptSequence(received.incarnation, received.sequence) {
 		return
 	}
 	p.unanswered = 0
