--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -160,14 +160,14 @@
 			if !a.done && !a.silenceRecorded && g.clock.since(a.sentAt) > max(silentLatencies*r.class.meanLatency, minGossipInterval) &&
 				a.endpoint.lastSuccessAt[r.class.index] < a.sentAt {
 				a.silenceRecorded = true
-				g.recordFailure(a.endpoint, r.class, 1)
+				g.outliers.recordFailure(a.endpoint, r.class.index, silenceScore)
 			}
 		}
 		if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 			continue
 		}
 		a := &r.attempts[len(r.attempts)-1]
-		age, ill := g.clock.since(a.sentAt), g.outlierScore(a.endpoint, r.class) > suspectScore
+		age, ill := g.clock.since(a.sentAt), g.outliers.score(a.endpoint, r.class.index) > suspectScore
 		early := !ill && (!g.settings.Hedging || age < hedgeLatencies*r.class.meanLatency || len(g.dispatchQueue) > 0)
 		if early || a.done || a.cancelled || age < hedgeObjectiveFraction*r.class.LatencyObjective {
 			continue
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -9,6 +9,11 @@
 
 	// inFlightTimeConstant is the time constant of endpoint.meanInFlight.
 	inFlightTimeConstant Seconds = 1.0
+
+	minLatencyFactor = 0.3
+	maxLatencyFactor = 4.0 // also what a timeout counts as
+	latencyGain      = 0.1 // weight of one reply in latencyFactor
+	timeoutGain      = 0.15
 )
 
 // endpoint is what this gateway knows of an endpoint.
@@ -106,6 +111,19 @@
 	return math.Exp((e.lastSentAt - now) / inFlightTimeConstant)
 }
 
+// observeLatency adjusts latencyFactor to the end of an attempt, which took ratio times the mean latency of
+// its class.
+func (e *endpoint) observeLatency(status AttemptStatus, ratio float64) {
+	switch status {
+	case OK:
+		difference := min(ratio, maxLatencyFactor) - e.latencyFactor
+		e.latencyFactor = max(e.latencyFactor+latencyGain*difference, minLatencyFactor)
+	case Timeout:
+		e.latencyFactor += timeoutGain * max(maxLatencyFactor-e.latencyFactor, 0)
+	case Error, Rejected, ConnectFailed, Reset, Cancelled, NotSent:
+	}
+}
+
 // setUtilization takes the utilization that the endpoint had at a time.
 func (e *endpoint) setUtilization(utilization float64, at Seconds) {
 	e.utilization, e.utilizationAt = utilization, at
--- a/policy/endpoint_choice.go
+++ b/policy/endpoint_choice.go
@@ -74,7 +74,7 @@
 				load += sameEndpointWeight
 			}
 		}
-		ill := g.outlierScore(s, r.class)
+		ill := g.outliers.score(s, r.class.index)
 		if ill < suspectScore {
 			look--
 		}
--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -13,3 +13,45 @@
 	g.concurrencyLimit *= float64(max(1, after)) / float64(max(1, before))
 	g.dispatchQueued()
 }
+
+// HandleHealthCheck takes the result of a health check.
+func (g *Gateway) HandleHealthCheck(now Seconds, result HealthCheckResult) {
+	g.clock.advance(now)
+	e := g.endpoints.byID[result.Endpoint]
+	if e == nil {
+		return
+	}
+	g.recordLoadReport(e, result.Load)
+	if result.Status == Timeout || result.Status == ConnectFailed {
+		g.outliers.recordFailureOfAll(e, errorScore)
+	}
+	g.dispatchQueued()
+}
+
+// recordLoadReport takes in an endpoint's load report, if there is one, and publishes it.
+func (g *Gateway) recordLoadReport(e *endpoint, report *LoadReport) {
+	if report == nil || report.Utilization < 0 {
+		return
+	}
+	e.setUtilization(report.Utilization, g.clock.now)
+	g.gossip.publish(healthUpdate{
+		endpointHash: e.hash, class: loadUpdate, value: report.Utilization, at: g.clock.now,
+	})
+}
+
+// recordOutcome takes from the end of an attempt what it tells of its endpoint, and of all.
+func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
+	e, class := a.endpoint, r.class
+	// A timeout at an endpoint that may be an outlier says nothing of the others.
+	representative := o.Status == OK || o.Status == Timeout && g.outliers.score(e, class.index) < suspectScore
+	e.observeLatency(o.Status, o.Elapsed/class.meanLatency)
+	g.outliers.recordOutcome(e, class.index, o.Status)
+	if o.Status == OK {
+		g.completedWork += class.meanLatency
+		class.successes++
+		class.meanLatency += (o.Elapsed - class.meanLatency) * max(0.02, 1/float64(class.successes+1))
+	}
+	if representative {
+		g.observeLatency(class, o)
+	}
+}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -23,9 +23,9 @@
 	peerProtocol
 	slotQueue
 	concurrencyLimiter
-	outlierDetector
+	outliers *outlierDetector
 	healthChecker
-	gossipBuffer
+	gossip    *gossipBuffer
 	endpoints *endpointTable
 	slowStart
 	ring ownerRing
@@ -104,7 +104,8 @@
 	g.incarnation = uint8(g.rng.Uint32())
 	g.reportTokens, g.reportTokensAt = 2, now
 	g.concurrencyLimit = initialConcurrencyPerEndpoint / float64(s.GatewayCount) // for one server
-	g.voteWeight = max(minVoteWeight, min(1, smallFleetSize/float64(s.GatewayCount)))
+	g.gossip = &gossipBuffer{}
+	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.burstAllowance = burstDeviations * max(0, 1-smallFleetSize/float64(s.GatewayCount))
 	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
 	g.ring = newOwnerRing(s.GatewayCount)
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -8,11 +8,11 @@
 func TestGossipIsPassedOn(t *testing.T) {
 	a, ra, ask := asMember(t, ofGateways(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
-	a.recordFailure(a.endpoints.byID["s2"], a.classes["pay"], 1)
+	a.outliers.recordFailure(a.endpoints.byID["s2"], a.classes["pay"].index, 1)
 	a.recordLoadReport(a.endpoints.byID["s1"], &LoadReport{Utilization: 0.6})
 	ask(100, "q", 2)
 	b.HandlePeerMessage(100.01, 0, ra.ofKind("send_to_peer", "")[0].data)
-	if b.outlierScore(b.endpoints.byID["s2"], b.classes["pay"]) < 0.9 || b.outlierScore(b.endpoints.byID["s2"], b.classes["read"]) > 0 {
+	if b.outliers.score(b.endpoints.byID["s2"], b.classes["pay"].index) < 0.9 || b.outliers.score(b.endpoints.byID["s2"], b.classes["read"].index) > 0 {
 		t.Fatal("sickness was not told on")
 	}
 	if u := b.endpoints.byID["s1"].utilization; u < 0.59 || u > 0.61 {
@@ -23,7 +23,57 @@
 		t.Fatalf("%d updates passed on, want 2 (%v)", len(reply.updates), err)
 	}
 	old := b.endpoints.byID["s1"].utilizationAt
-	if b.mergeGossip(healthUpdate{b.endpoints.byID["s1"].hash, loadUpdate, 0.1, old - 1}); b.endpoints.byID["s1"].utilization < 0.5 {
+	if b.gossip.merge(b.endpoints, healthUpdate{b.endpoints.byID["s1"].hash, loadUpdate, 0.1, old - 1}); b.endpoints.byID["s1"].utilization < 0.5 {
 		t.Fatal("older news overtook newer")
 	}
 }
+
+func TestGossipBufferSendsTheNewestUpdates(t *testing.T) {
+	const now = 100.0
+	buffer := &gossipBuffer{}
+	for i := range 2 * maxGossip {
+		buffer.publish(healthUpdate{endpointHash: uint16(i), at: now})
+	}
+	if len(buffer.updates) != maxGossip {
+		t.Fatalf("%d updates are held, want %d", len(buffer.updates), maxGossip)
+	}
+	sent := buffer.recent(gossipPerMessage+1, now)
+	if len(sent) != gossipPerMessage || sent[0].endpointHash != 2*maxGossip-1 {
+		t.Errorf("sent are %v, want the newest %d", sent, gossipPerMessage)
+	}
+	if sent := buffer.recent(2, now); len(sent) != 2 {
+		t.Errorf("%d updates are sent where 2 fit", len(sent))
+	}
+	if sent := buffer.recent(gossipPerMessage, now+gossipExpiry); len(sent) != 0 {
+		t.Errorf("expired updates are sent: %v", sent)
+	}
+}
+
+func TestMergePassesOnNewsOnly(t *testing.T) {
+	for name, tc := range map[string]struct {
+		class int
+		at    Seconds
+		want  bool
+	}{
+		"a newer utilization":             {loadUpdate, 100, true},
+		"a utilization of the same time":  {loadUpdate, 99 + minGossipInterval/2, false},
+		"a newer score":                   {0, 100, true},
+		"a score before the last success": {1, 98, false},
+		"a score of an earlier process":   {0, 40, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table, buffer := newTestTable(Endpoint{ID: "a", StartedAt: 50}), &gossipBuffer{}
+			e := table.byID["a"]
+			e.setUtilization(0.1, 99)
+			e.lastSuccessAt[1] = 99
+			buffer.merge(table, healthUpdate{endpointHash: e.hash, class: tc.class, value: 0.7, at: tc.at})
+			if passedOn := len(buffer.updates) == 1; passedOn != tc.want {
+				t.Errorf("passed on: %t, want %t", passedOn, tc.want)
+			}
+			taken := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
+			if taken != tc.want {
+				t.Errorf("taken in: %t, want %t", taken, tc.want)
+			}
+		})
+	}
+}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,201 +1,143 @@
 package policy
 
-// What attempts, probes and other gateways tell of servers.
-
 import (
 	"math"
+	"math/rand/v2"
 )
 
-// Times are in seconds.
+// The levels of outlier scores. A score is how sure it is, from 0 to 1, that an endpoint does not reply to a
+// class of request.
 const (
-	minVoteWeight = 0.2 // what one of many gateways' attempts weighs in what all tell of a server
-	suspectScore  = 0.3 // attempts at servers so sick are tried elsewhere early
-)
+	suspectScore       = 0.3 // from here on attempts go elsewhere where they can, and are retried early
+	singleFailureScore = 0.1 // added by a lost connection, which may be no fault of the endpoint
+	errorScore         = 0.5 // added by an error, and by a second lost connection in a row
+	repeatedErrorScore = 0.9 // added by errors in a row: they come fast, and so attract further requests
+	silenceScore       = 1.0 // added by an attempt that got no reply for long
 
-// outlierDetector holds how much this gateway trusts its own attempts.
-type outlierDetector struct {
-	voteWeight float64 // weight of one attempt here in what all tell of a server
-}
+	// outlierTimeConstant is the time constant with which scores decay.
+	outlierTimeConstant Seconds = 4.0
 
-// Times are in seconds.
+	// minVoteWeight is the least weight of one attempt in the score, in a large fleet.
+	minVoteWeight = 0.2
+)
+
+// Ejection of endpoints from all classes.
 const (
-	healthCheckInterval        = 1.0  // load probes, where load reports come with probes alone
-	maxConcurrencyPerEndpoint  = 64.0 // attempts out at one server, all gateways together, at most
-	limitIncrease              = 0.1  // attempts that one fast answer adds to the limit
-	limitDecrease              = 0.03 // share of one server's limit that a slow one takes off
-	lowLatencyRatio            = 0.15 // and below this one it may grow
-	minConcurrencyPerEndpoint  = 3.0  // and at least
-	outlierTimeConstant        = 4.0  // how long a sick server is shunned
-	errorScore                 = 0.5  // how sick one error makes it
-	maxGossip                  = 64   // what servers were last heard of doing, to be told to other gateways
-	lowUtilization             = 0.8  // cores less busy than this let a limit grow again
-	ejectionPeriod             = 0.5  // a server that refuses connections is left alone so long, then probed
-	consecutiveFailuresToEject = 2    // such failures in a row: one tells of a connection, not of its server
-	singleFailureScore         = 0.1  // how sick that one makes it
-	repeatedErrorScore         = 0.9  // the same for errors in a row: they come fast, and draw work on a server
-	minRejectionBackoff        = 0.05 // a server that turns work away is left alone so long, twice as long each time
-	maxRejectionBackoff        = 0.8  // and at most
-	timeoutWeight              = 0.15 // how far one attempt that timed out moves a server's speed and limit
+	// consecutiveFailuresToEject is how many attempts in a row lose their connection before the endpoint is
+	// ejected: one tells of a connection, not of its endpoint.
+	consecutiveFailuresToEject = 2
+
+	ejectionPeriod      Seconds = 0.5  // at least, and up to twice as long, drawn at random
+	minRejectionBackoff Seconds = 0.05 // after the first rejection, doubled with each further one in a row
+	maxRejectionBackoff Seconds = 0.8
 )
 
-// item is news of a server: that it is sick for a class, or its use.
-type healthUpdate struct {
-	endpointHash uint16
-	class        int
-	value, at    float64
+// outlierScore is a score that decays exponentially from its level at a time.
+type outlierScore struct {
+	level float64
+	at    Seconds
 }
 
-// sick tells how sure it was that a server leaves a class unanswered.
-type outlierScore struct{ level, at float64 }
-
-// spread keeps what is to be told to other gateways of servers, newest last.
-func (g *Gateway) publish(n healthUpdate) {
-	if g.gossip = append(g.gossip, n); len(g.gossip) > maxGossip {
-		g.gossip = g.gossip[1:]
-	}
+// value is the score at the time now.
+func (s outlierScore) value(now Seconds) float64 {
+	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
 
-// sickness tells how sure it is, from 0 to 1, that the server does not answer the class.
-func (g *Gateway) outlierScore(s *endpoint, c *class) float64 {
-	k := s.outlierScores[c.index]
-	return k.level * math.Exp((k.at-g.clock.now)/outlierTimeConstant)
+// outlierDetector scores endpoints by the outcome of attempts, and ejects those that fail or reject in a row.
+type outlierDetector struct {
+	clock  *eventClock
+	random *rand.Rand
+	gossip *gossipBuffer
+
+	// voteWeight is the weight of one attempt of this gateway in the score. Where many gateways share what they
+	// see, each raises and lowers a score by a part, so that it tends to the fraction of attempts without a
+	// reply. If one missing reply were enough, all would leave an overloaded endpoint at once, and overload
+	// the next.
+	voteWeight float64
 }
 
-// report takes in a load report.
-func (g *Gateway) recordLoadReport(s *endpoint, l *LoadReport) {
-	if l != nil && l.Utilization >= 0 {
-		s.setUtilization(l.Utilization, g.clock.now)
-		g.publish(healthUpdate{s.hash, loadUpdate, l.Utilization, g.clock.now})
+func newOutlierDetector(
+	gatewayCount int, clock *eventClock, random *rand.Rand, gossip *gossipBuffer,
+) *outlierDetector {
+	return &outlierDetector{
+		clock:      clock,
+		random:     random,
+		gossip:     gossip,
+		voteWeight: max(minVoteWeight, min(1, smallFleetSize/float64(gatewayCount))),
 	}
 }
 
-// fails raises the sickness of a server for a class, or for all where c is nil.
-func (g *Gateway) recordFailure(s *endpoint, c *class, by float64) {
-	for _, k := range g.classesByIndex {
-		if c == nil || k == c {
-			x := g.outlierScore(s, k)
-			s.outlierScores[k.index] = outlierScore{x + by*(1-x), g.clock.now}
-			g.publish(healthUpdate{s.hash, k.index, s.outlierScores[k.index].level, g.clock.now})
-		}
-	}
+// score tells how sure it is, from 0 to 1, that the endpoint does not reply to the class.
+func (d *outlierDetector) score(e *endpoint, class int) float64 {
+	return e.outlierScores[class].value(d.clock.now)
 }
 
-// serves lowers the sickness of a server for a class. Where many gateways tell of it, each raises and
-// lowers it by a part, so that it comes to the share of their attempts that get no answer: were one answer
-// that is missing enough, all would leave an overloaded server at once, and overload the next.
-func (g *Gateway) recordSuccess(s *endpoint, c *class) {
-	s.lastSuccessAt[c.index], s.consecutiveErrors[c.index] = g.clock.now, 0
-	x := g.outlierScore(s, c) * (1 - g.voteWeight)
-	s.outlierScores[c.index] = outlierScore{x, g.clock.now}
-	if x > singleFailureScore/2 {
-		g.publish(healthUpdate{s.hash, c.index, x, g.clock.now})
-	}
+// recordFailure raises the score for a class by severity, a fraction of what is missing to 1.
+func (d *outlierDetector) recordFailure(e *endpoint, class int, severity float64) {
+	score := d.score(e, class)
+	level := score + severity*(1-score)
+	e.outlierScores[class] = outlierScore{level: level, at: d.clock.now}
+	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: class, value: level, at: d.clock.now})
 }
 
-// takeNews takes in what another gateway tells of a server, and tells it on while it is new.
-func (g *Gateway) mergeGossip(n healthUpdate) {
-	s := g.endpoints.byHash[n.endpointHash]
-	if s == nil || s.StartedAt > n.at {
-		return
+// recordFailureOfAll raises the score for all classes.
+func (d *outlierDetector) recordFailureOfAll(e *endpoint, severity float64) {
+	for class := range e.outlierScores {
+		d.recordFailure(e, class, severity)
 	}
-	if n.class == loadUpdate {
-		if n.at < s.utilizationAt+minGossipInterval {
-			return
-		}
-		s.setUtilization(n.value, n.at)
-	} else if n.class < len(s.outlierScores) {
-		k := &s.outlierScores[n.class]
-		if n.at < k.at+minGossipInterval || n.at < s.lastSuccessAt[n.class] {
-			return
-		}
-		*k = outlierScore{n.value, n.at}
+}
+
+// recordSuccess lowers the score for a class.
+func (d *outlierDetector) recordSuccess(e *endpoint, class int) {
+	e.lastSuccessAt[class], e.consecutiveErrors[class] = d.clock.now, 0
+	level := d.score(e, class) * (1 - d.voteWeight)
+	e.outlierScores[class] = outlierScore{level: level, at: d.clock.now}
+	if level > singleFailureScore/2 {
+		d.gossip.publish(healthUpdate{endpointHash: e.hash, class: class, value: level, at: d.clock.now})
 	}
-	g.publish(n)
 }
 
-// learn takes from an attempt's end what it tells of the server.
-func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
-	s, c := a.endpoint, r.class
-	tells := o.Status == OK || o.Status == Timeout && g.outlierScore(s, c) < suspectScore // of the others too
-	slow := min(o.Elapsed/c.meanLatency, 4)
-	switch o.Status {
+// recordOutcome takes in the end of an attempt.
+func (d *outlierDetector) recordOutcome(e *endpoint, class int, status AttemptStatus) {
+	switch status {
 	case OK:
-		g.completedWork += c.meanLatency
-		g.recordSuccess(s, c)
-		s.consecutiveConnectFailures, s.consecutiveRejections = 0, 0
-		c.successes++
-		c.meanLatency += (o.Elapsed - c.meanLatency) * max(0.02, 1/float64(c.successes+1))
-		s.latencyFactor = max(s.latencyFactor+0.1*(slow-s.latencyFactor), 0.3)
+		d.recordSuccess(e, class)
+		e.consecutiveConnectFailures, e.consecutiveRejections = 0, 0
 	case Timeout:
-		g.recordFailure(s, c, min(errorScore, g.voteWeight))
-		s.latencyFactor += timeoutWeight * max(4-s.latencyFactor, 0) // slow, if not silent
+		d.recordFailure(e, class, min(errorScore, d.voteWeight))
 	case Error:
-		s.consecutiveErrors[c.index]++
-		by := errorScore
-		if s.consecutiveErrors[c.index] >= consecutiveFailuresToEject {
-			by = repeatedErrorScore
-		}
-		g.recordFailure(s, c, by)
+		d.recordError(e, class)
 	case ConnectFailed, Reset:
-		s.consecutiveConnectFailures++
-		if s.consecutiveConnectFailures < consecutiveFailuresToEject {
-			g.recordFailure(s, nil, singleFailureScore)
-			break
-		}
-		g.recordFailure(s, nil, errorScore)
-		s.ejectedUntil = g.clock.now + ejectionPeriod*(1+g.rng.Float64())
+		d.recordConnectFailure(e)
 	case Rejected:
-		s.consecutiveRejections++
-		s.ejectedUntil = max(s.ejectedUntil, g.clock.now+min(minRejectionBackoff*math.Exp2(float64(s.consecutiveRejections-1)), maxRejectionBackoff))
-	}
-	if !tells {
-		return
-	}
-	g.meanAttemptDuration += 0.1 * (o.Elapsed - g.meanAttemptDuration)
-	g.latencyRatio += 0.1 * (o.Elapsed/c.LatencyObjective - g.latencyRatio)
-	util, fresh := g.endpoints.meanUtilization(g.clock.now)
-	easy := fresh && util < lowUtilization                           // cores are free: not driven too hard
-	step := min(1, initialConcurrencyPerEndpoint/g.concurrencyLimit) // one answer tells of one server among those in use
-	if o.Status == Timeout && !easy {
-		g.concurrencyLimit *= 1 - timeoutWeight*step
-	}
-	if g.latencyRatio > highLatencyRatio && !easy {
-		g.concurrencyLimit *= 1 - limitDecrease*step
-	} else if (easy || g.latencyRatio < lowLatencyRatio) && float64(g.inFlight)+1.5 >= g.concurrencyLimit {
-		g.concurrencyLimit += limitIncrease * min(1, g.concurrencyLimit)
+		d.recordRejection(e)
+	case Cancelled, NotSent: // say nothing of the endpoint
 	}
-	g.concurrencyLimit = min(max(g.concurrencyLimit, minConcurrencyPerEndpoint*g.endpointsPerGateway), maxConcurrencyPerEndpoint*g.endpointsPerGateway)
 }
 
-// probe asks servers for their load where that comes with probes alone: the longest unheard of
-// first, and no more than a share of the requests. A cold server has no room for the probes of all gateways.
-func (g *Gateway) healthCheckNext() {
-	if !g.settings.HealthChecks || !g.settings.LoadReportInHealthCheck || g.healthCheckCredits < 1 {
-		return
-	}
-	next, oldest := (*endpoint)(nil), g.clock.now-healthCheckInterval
-	for _, s := range g.endpoints.listed {
-		if at := max(s.healthCheckedAt, s.utilizationAt); s.State == InService && at <= oldest && g.warmUpFraction(s) == 1 {
-			next, oldest = s, at
-		}
-	}
-	if next != nil {
-		next.healthCheckedAt = g.clock.now
-		g.healthCheckCredits--
-		g.actions.HealthCheck(next.ID)
+func (d *outlierDetector) recordError(e *endpoint, class int) {
+	e.consecutiveErrors[class]++
+	severity := errorScore
+	if e.consecutiveErrors[class] >= consecutiveFailuresToEject {
+		severity = repeatedErrorScore
 	}
+	d.recordFailure(e, class, severity)
 }
 
-// Probed takes the end of a probe.
-func (g *Gateway) HandleHealthCheck(now float64, p HealthCheckResult) {
-	g.clock.advance(now)
-	s := g.endpoints.byID[p.Endpoint]
-	if s == nil {
+// recordConnectFailure takes in a connection that was refused or lost.
+func (d *outlierDetector) recordConnectFailure(e *endpoint) {
+	e.consecutiveConnectFailures++
+	if e.consecutiveConnectFailures < consecutiveFailuresToEject {
+		d.recordFailureOfAll(e, singleFailureScore)
 		return
 	}
-	g.recordLoadReport(s, p.Load)
-	if p.Status == Timeout || p.Status == ConnectFailed {
-		g.recordFailure(s, nil, errorScore)
-	}
-	g.dispatchQueued()
+	d.recordFailureOfAll(e, errorScore)
+	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
+}
+
+// recordRejection ejects the endpoint for a time that doubles with each rejection in a row.
+func (d *outlierDetector) recordRejection(e *endpoint) {
+	e.consecutiveRejections++
+	backoff := min(minRejectionBackoff*math.Exp2(float64(e.consecutiveRejections-1)), maxRejectionBackoff)
+	e.ejectedUntil = max(e.ejectedUntil, d.clock.now+backoff)
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"math"
+	"math/rand/v2"
 	"testing"
 )
 
@@ -60,7 +62,7 @@
 	for now := 100.02; now < 100.5; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if g.outlierScore(sick, g.classes["read"]) < 0.9 || g.outlierScore(sick, g.classes["pay"]) > 0 {
+	if g.outliers.score(sick, g.classes["read"].index) < 0.9 || g.outliers.score(sick, g.classes["pay"].index) > 0 {
 		t.Fatal("silence for a class is not told from silence for all")
 	}
 	if a := r.ofKind("send", "q"); len(a) != 1 || a[0].endpoint == "s1" {
@@ -96,23 +98,23 @@
 		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: st, RequestDone: true, Elapsed: 0.1})
 	}
 	attempt(100, "a", Timeout)
-	if x := g.outlierScore(s, cls); x <= 0 || x >= suspectScore {
+	if x := g.outliers.score(s, cls.index); x <= 0 || x >= suspectScore {
 		t.Fatalf("sickness is %.2f after one attempt without answer: all others would leave too", x)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
-	high := g.outlierScore(s, cls)
+	high := g.outliers.score(s, cls.index)
 	if high < 0.8 {
 		t.Fatalf("sickness is %.2f after thirteen attempts without answer", high)
 	}
-	g.gossip = nil
+	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
-	if x := g.outlierScore(s, cls); x >= high || x < suspectScore {
+	if x := g.outliers.score(s, cls.index); x >= high || x < suspectScore {
 		t.Fatalf("one answer takes sickness from %.2f to %.2f, want a part of it off", high, x)
 	}
-	if len(g.gossip) != 1 || g.gossip[0].value >= high {
-		t.Fatalf("the others are not told that it serves again: %v", g.gossip)
+	if len(g.gossip.updates) != 1 || g.gossip.updates[0].value >= high {
+		t.Fatalf("the others are not told that it serves again: %v", g.gossip.updates)
 	}
 }
 
@@ -120,9 +122,61 @@
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	cls, s := g.classes["read"], g.endpoints.byID["s1"]
-	g.recordFailure(s, cls, errorScore)
-	g.recordSuccess(s, cls)
-	if x := g.outlierScore(s, cls); x != 0 {
+	g.outliers.recordFailure(s, cls.index, errorScore)
+	g.outliers.recordSuccess(s, cls.index)
+	if x := g.outliers.score(s, cls.index); x != 0 {
 		t.Fatalf("sickness is %.2f after an answer", x)
 	}
 }
+
+func newTestDetector(gatewayCount int) (*outlierDetector, *endpoint) {
+	clock := &eventClock{now: 100}
+	detector := newOutlierDetector(gatewayCount, clock, rand.New(rand.NewPCG(1, 2)), &gossipBuffer{})
+	return detector, newEndpoint(1, 2, 0)
+}
+
+func TestRejectionsInARowDoubleTheBackoff(t *testing.T) {
+	detector, e := newTestDetector(1)
+	for _, want := range []Seconds{0.05, 0.1, 0.2, 0.4, 0.8, 0.8} {
+		detector.recordOutcome(e, 0, Rejected)
+		if got := e.ejectedUntil - detector.clock.now; math.Abs(got-want) > 1e-9 {
+			t.Errorf("ejected for %.3f s, want %.3f s", got, want)
+		}
+	}
+	detector.recordOutcome(e, 0, OK)
+	detector.clock.now = 101
+	detector.recordOutcome(e, 0, Rejected)
+	if got := e.ejectedUntil - detector.clock.now; math.Abs(got-minRejectionBackoff) > 1e-9 {
+		t.Errorf("ejected for %.3f s after a success, want %.3f s", got, minRejectionBackoff)
+	}
+}
+
+func TestOutlierScoreByOutcome(t *testing.T) {
+	for name, tc := range map[string]struct {
+		gateways int
+		outcomes []AttemptStatus
+		want     [2]float64 // by class; the attempts are of class 0
+	}{
+		"an error":                      {1, []AttemptStatus{Error}, [2]float64{errorScore, 0}},
+		"two errors in a row":           {1, []AttemptStatus{Error, Error}, [2]float64{0.95, 0}},
+		"an error and a success":        {1, []AttemptStatus{Error, OK}, [2]float64{0, 0}},
+		"a timeout":                     {1, []AttemptStatus{Timeout}, [2]float64{errorScore, 0}},
+		"a timeout in a large fleet":    {100, []AttemptStatus{Timeout}, [2]float64{minVoteWeight, 0}},
+		"a lost connection":             {1, []AttemptStatus{Reset}, [2]float64{0.1, 0.1}},
+		"two lost connections in a row": {1, []AttemptStatus{Reset, ConnectFailed}, [2]float64{0.55, 0.55}},
+		"a rejection":                   {1, []AttemptStatus{Rejected}, [2]float64{0, 0}},
+		"attempts without an end":       {1, []AttemptStatus{Cancelled, NotSent}, [2]float64{0, 0}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			detector, e := newTestDetector(tc.gateways)
+			for _, status := range tc.outcomes {
+				detector.recordOutcome(e, 0, status)
+			}
+			for class, want := range tc.want {
+				if got := detector.score(e, class); math.Abs(got-want) > 1e-9 {
+					t.Errorf("the score for class %d is %.3f, want %.3f", class, got, want)
+				}
+			}
+		})
+	}
+}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -120,7 +120,7 @@
 	for _, s := range g.endpoints.listed {
 		share := g.warmUpFraction(s)
 		if share < 1 && s.available(g.clock.now) && g.creditAvailable(s) &&
-			g.outlierScore(s, r.class) < suspectScore && (share >= minNonIdempotentWarmUp || r.class.Idempotency != NonIdempotent) &&
+			g.outliers.score(s, r.class.index) < suspectScore && (share >= minNonIdempotentWarmUp || r.class.Idempotency != NonIdempotent) &&
 			(r.firstExecuted == nil || r.class.Idempotency != IdempotencyKey) {
 			return s
 		}
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -165,7 +165,7 @@
 	if len(m.records) == 0 {
 		return
 	}
-	m.updates = g.recent(g.format.updatesBeside(len(m.records)), g.clock.now)
+	m.updates = g.gossip.recent(g.format.updatesBeside(len(m.records)), g.clock.now)
 	g.actions.SendToPeer(to, g.format.encode(m, g.clock.now))
 }
 
@@ -232,7 +232,7 @@
 	p.unanswered = 0
 	g.receivedMessages, g.receivedMessagesAt = g.receivedMessages*math.Exp(g.receivedMessagesAt-now)+1, now
 	for _, n := range received.updates {
-		g.mergeGossip(n)
+		g.gossip.merge(g.endpoints, n)
 	}
 	reply := g.newMessage()
 	for _, r := range received.records {
