--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp finds the bounds of commands and replies of RESP2 in what has been read of a connection, and tells
-// what can't be one before all of it has come. Values are bounded; the library that reads whole ones knows no bounds.
+// Package resp finds the bounds of RESP2 commands and replies in the bytes that have been read of a connection, and
+// rejects malformed ones before all of their bytes have come. Lengths, counts and nesting are bounded; the library
+// that encodes and decodes whole values has no bounds, and would wait for a value of any announced size.
 package resp
 
 import (
@@ -9,19 +10,22 @@
 	"strconv"
 )
 
-// Bounds, in bytes, on what is read from a socket. The codec itself knows none: it would wait for a value of any
-// announced size.
+// Bounds on what is read from a socket, in bytes where they are sizes.
 const (
-	MaxValue    = 64 << 10 // of one bulk string
-	maxElements = 16
-	maxDepth    = 4
-	MaxLine     = 1 << 10              // of text
-	maxHeader   = 16                   // of a type and a length
-	MaxFrame    = MaxValue + 8*MaxLine // one value, and what stands beside it
+	// MaxValue is the size of one bulk string.
+	MaxValue = 64 << 10
+	// MaxLine is the size of a line of text.
+	MaxLine = 1 << 10
+	// MaxFrame is the size of a whole command or reply: one value, and the shorter ones beside it.
+	MaxFrame = MaxValue + 8*MaxLine
+
+	maxElements = 16 // of an array
+	maxDepth    = 4  // of arrays in arrays
+	maxHeader   = 16 // of a type and a length
 )
 
 var (
-	// ErrOversized is a value, or a whole command or reply, beyond its bound.
+	// ErrOversized is the error of a value, or a whole command or reply, beyond its bound.
 	ErrOversized = errors.New("value over 64 KiB")
 
 	errLength    = errors.New("invalid length")
@@ -29,17 +33,21 @@
 	errMalformed = errors.New("malformed line")
 	errLongLine  = errors.New("line too long")
 	errValueEnd  = errors.New("value and length differ")
+	errTooDeep   = errors.New("nested too deep")
+	errNumber    = errors.New("malformed number")
 )
 
-// SyntaxError is what makes the rest of a client's connection unreadable, in the words that its client gets.
+// SyntaxError makes the rest of a client's connection unreadable. Its text is the one that the client gets.
 type SyntaxError struct{ Cause error }
 
+// Error implements error.
 func (e SyntaxError) Error() string { return "Protocol error: " + e.Cause.Error() }
 
+// Unwrap returns the cause.
 func (e SyntaxError) Unwrap() error { return e.Cause }
 
-// header reads the line that b starts with: a type and a length, in digits alone. n is what it takes,
-// 0 if it is not whole yet. A length of -1 is told by null.
+// header reads the line that b starts with: a type and a length, in digits alone. n is the line's size, 0 if it has
+// not come whole yet. A length of -1 gives null.
 func header(b []byte) (length, n int, null bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeader)], '\n')
 	line := b[1:min(len(b), maxHeader)]
@@ -72,51 +80,63 @@
 	return length, end + 1, null, nil
 }
 
-// ParseCommand splits the command that b, which is not empty, starts with: an array of bulk strings.
-// It returns its length, 0 if it is not whole yet, or what is wrong with it. Lengths are checked before
-// the bytes that they announce have come. The arguments lie in b and are appended to args.
+// ParseCommand splits the command that b, which is not empty, starts with: an array of bulk strings. It returns its
+// size, 0 if it has not come whole yet, or what is wrong with it. Lengths are checked before the bytes that they
+// announce have come. The arguments are appended to args; they lie in b.
 func ParseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
 	}
 	count, n, null, err := header(b)
 	switch {
-	case err == errLength || null || count > maxElements:
+	case errors.Is(err, errLength) || null || count > maxElements:
 		return nil, 0, errCount
 	case err != nil || n == 0:
 		return nil, 0, err
 	}
 	for range count {
-		if n == len(b) {
-			return nil, 0, nil
-		}
-		if b[n] != '$' {
-			return nil, 0, fmt.Errorf("expected '$', got %q", b[n])
-		}
-		size, m, null, err := header(b[n:])
-		switch {
-		case err != nil:
+		value, end, err := argument(b, n)
+		if end == 0 || err != nil {
 			return nil, 0, err
-		case null:
-			return nil, 0, errLength
-		case size > MaxValue || n+m+size > MaxFrame:
-			return nil, 0, ErrOversized
-		case m == 0 || len(b) < n+m+size+2:
-			return nil, 0, nil
-		case b[n+m+size] != '\r' || b[n+m+size+1] != '\n':
-			return nil, 0, errValueEnd
 		}
-		n += m
-		args = append(args, b[n:n+size:n+size])
-		n += size + 2
+		args = append(args, value)
+		n = end
 	}
 	return args, n, nil
 }
 
-// Frame returns the length of the reply that b starts with, 0 if it is not whole yet, or what is wrong
-// with it.
+// argument reads the bulk string at an offset of a command. It returns where it ends, 0 if it has not come whole yet.
+func argument(command []byte, offset int) (value []byte, end int, err error) {
+	b := command[offset:]
+	if len(b) == 0 {
+		return nil, 0, nil
+	}
+	if b[0] != '$' {
+		return nil, 0, fmt.Errorf("expected '$', got %q", b[0])
+	}
+	size, start, null, err := header(b)
+	switch {
+	case err != nil:
+		return nil, 0, err
+	case null:
+		return nil, 0, errLength
+	case size > MaxValue || offset+start+size > MaxFrame:
+		return nil, 0, ErrOversized
+	case start == 0 || len(b) < start+size+len(lineEnd):
+		return nil, 0, nil
+	case string(b[start+size:start+size+len(lineEnd)]) != lineEnd:
+		return nil, 0, errValueEnd
+	}
+	return b[start : start+size : start+size], offset + start + size + len(lineEnd), nil
+}
+
+// lineEnd ends lines and bulk strings.
+const lineEnd = "\r\n"
+
+// Frame returns the size of the reply that b starts with, 0 if it has not come whole yet, or what is wrong with it.
 func Frame(b []byte) (int, error) { return frameAt(b, 0) }
 
+// frameAt is Frame of a value inside arrays, depth of them.
 func frameAt(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -125,43 +145,53 @@
 	case '+', '-', ':':
 		return frameLine(b)
 	case '$':
-		size, n, null, err := header(b)
-		switch {
-		case err != nil || n == 0:
-			return 0, err
-		case size > MaxValue:
-			return 0, ErrOversized
-		case null:
-			return n, nil
-		case len(b) < n+size+2:
-			return 0, nil
-		case b[n+size] != '\r' || b[n+size+1] != '\n':
-			return 0, errValueEnd
-		}
-		return n + size + 2, nil
+		return frameBulk(b)
 	case '*':
-		count, n, null, err := header(b)
-		switch {
-		case err != nil || n == 0:
+		return frameArray(b, depth)
+	}
+	return 0, fmt.Errorf("unknown type %q", b[0]) // reported at once: its line may never end
+}
+
+// frameBulk is Frame of a bulk string.
+func frameBulk(b []byte) (int, error) {
+	size, start, null, err := header(b)
+	switch {
+	case err != nil || start == 0:
+		return 0, err
+	case size > MaxValue:
+		return 0, ErrOversized
+	case null:
+		return start, nil
+	case len(b) < start+size+len(lineEnd):
+		return 0, nil
+	case string(b[start+size:start+size+len(lineEnd)]) != lineEnd:
+		return 0, errValueEnd
+	}
+	return start + size + len(lineEnd), nil
+}
+
+// frameArray is Frame of an array.
+func frameArray(b []byte, depth int) (int, error) {
+	count, end, null, err := header(b)
+	switch {
+	case err != nil || end == 0:
+		return 0, err
+	case null || count > maxElements:
+		return 0, errCount
+	case depth == maxDepth:
+		return 0, errTooDeep
+	}
+	for range count {
+		size, err := frameAt(b[end:], depth+1)
+		if size == 0 || err != nil {
 			return 0, err
-		case null || count > maxElements:
-			return 0, errCount
-		case depth == maxDepth:
-			return 0, errors.New("nested too deep")
-		}
-		for range count {
-			m, err := frameAt(b[n:], depth+1)
-			if m == 0 || err != nil {
-				return 0, err
-			}
-			n += m
 		}
-		return n, nil
+		end += size
 	}
-	return 0, fmt.Errorf("unknown type %q", b[0]) // takeReport at once: its line may never end
+	return end, nil
 }
 
-// frameLine is Frame for a line of text or a number.
+// frameLine is Frame of a line of text or a number.
 func frameLine(b []byte) (int, error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxLine+1)], '\n')
 	switch {
@@ -174,7 +204,7 @@
 	}
 	if b[0] == ':' {
 		if _, err := strconv.ParseInt(string(b[1:end-1]), 10, 64); err != nil {
-			return 0, errors.New("malformed number")
+			return 0, errNumber
 		}
 	}
 	return end + 1, nil
