--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -274,7 +274,7 @@
 	for _, q := range batch {
 		came, arrived := link.To.Written.At(q.end)
 		c.judgeAttempts(q, came, arrived, link.To.Written.Ended())
-		if left || link.Harmed() || !arrived {
+		if left || link.Broken() || !arrived {
 			continue
 		}
 		word, _, _ := strings.Cut(q.answer, " ")
@@ -345,7 +345,7 @@
 	t.Cleanup(func() { close(stop) })
 	go w.watchPace(stop)
 	rough := faultproxy.Schedule{
-		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, DelayMost: 10 * time.Millisecond,
+		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
 		HoldUp: 0.02, HoldFor: 150 * time.Millisecond, EndBytes: 20_000,
 	}
 	var backends []string
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,9 +1,10 @@
-// Package faultproxy is a TCP proxy on loopback that does to connections what networks do: it splits, delays and
-// holds up what passes, resets and half-closes. Each connection follows a schedule that its seed gives. It notes
-// when which byte passed, so that a test can tell what either end had done by when.
+// Package faultproxy is a TCP proxy on loopback for tests. It injects what networks do to connections: it splits,
+// delays and holds up what passes, resets and half-closes. Each connection follows a schedule that its seed gives. The
+// proxy records when which byte passed, so that a test can tell what either end had done by when.
 package faultproxy
 
 import (
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -11,25 +12,25 @@
 	"time"
 )
 
-// Schedule is how often what happens. Shares are of the connections, or of the pieces that pass.
+// Schedule gives the probability of each fault, of a connection or of a chunk (what one read returned).
 type Schedule struct {
-	Reset     float64       // share of the connections that are reset
-	HalfClose float64       // share of them whose one direction ends early
-	Split     float64       // share of the pieces that are passed on byte by byte, or in a few parts
-	Delay     float64       // share of the pieces that are delayed
-	DelayMost time.Duration // by so much at most
-	HoldUp    float64       // share of the pieces that are held up
-	HoldFor   time.Duration // for so long
-	EndBytes  int           // a reset or half-close comes within so many bytes
+	Reset     float64       // of a connection: it is reset
+	HalfClose float64       // of a connection: one direction of it ends early
+	EndBytes  int           // a reset or half-close comes within this many bytes
+	Split     float64       // of a chunk: it is written in several parts
+	Delay     float64       // of a chunk: it is delayed
+	MaxDelay  time.Duration // longest delay
+	HoldUp    float64       // of a chunk: it is held up
+	HoldFor   time.Duration // for this time
 }
 
-// mark tells that so many bytes had passed by a time.
+// mark is the time by which a number of bytes had passed.
 type mark struct {
 	bytes int
 	at    time.Time
 }
 
-// Passage is what passed at one end of a direction.
+// Passage records what passed at one end of a direction. It may be used by several goroutines.
 type Passage struct {
 	mu    sync.Mutex
 	marks []mark
@@ -46,7 +47,7 @@
 	p.marks = append(p.marks, mark{before + n, time.Now()})
 }
 
-// At is when the first so many bytes had passed, false if they never did.
+// At returns when the first bytes, a number of them, had passed; false if they never did.
 func (p *Passage) At(bytes int) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +59,7 @@
 	return time.Time{}, false
 }
 
-// Ended is when the direction ended, zero if it has not.
+// Ended returns when the direction ended, zero if it has not.
 func (p *Passage) Ended() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// Direction is one direction of a connection: what the proxy read, and what it has passed on.
+// Direction is one direction of a connection: what the proxy has read, and what it has written.
 type Direction struct {
 	Read, Written Passage
 }
@@ -82,23 +83,24 @@
 type Link struct {
 	To, From Direction
 	mu       sync.Mutex
-	harmed   bool
+	broken   bool
 }
 
-// Harmed tells that the proxy itself has ended the connection, or a direction of it.
-func (l *Link) Harmed() bool {
+// Broken tells whether the proxy itself has ended the connection, or a direction of it.
+func (l *Link) Broken() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.harmed
+	return l.broken
 }
 
-func (l *Link) harm() {
+func (l *Link) markBroken() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.harmed = true
+	l.broken = true
 }
 
-// Proxy passes connections on to one server.
+// Proxy forwards connections to one server. It starts a goroutine for its listener, which ends with Close, and some
+// for each connection, which end with that.
 type Proxy struct {
 	listener net.Listener
 	server   string
@@ -123,13 +125,13 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Close ends the listener. Connections go on.
-func (p *Proxy) Close() { p.listener.Close() }
+func (p *Proxy) Close() { _ = p.listener.Close() } // it is gone either way
 
-// Link is that of the connection which was made from an address, nil if there is none.
+// Link returns that of the connection which was made from an address, nil if there is none.
 func (p *Proxy) Link(from net.Addr) *Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +141,7 @@
 	return p.links[from.String()]
 }
 
-// From is the address that a connection was made from which reaches the server from another one.
+// From returns the address that a connection was made from, by the one at which it reaches the server.
 func (p *Proxy) From(atServer net.Addr) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,15 +163,15 @@
 	}
 }
 
-// serve passes one connection on.
+// serve forwards one connection.
 func (p *Proxy) serve(near *net.TCPConn, link *Link, rng *rand.Rand) {
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	far, err := net.Dial("tcp", p.server)
 	if err != nil {
 		reset(near)
 		return
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	p.mu.Lock()
 	p.near[far.LocalAddr().String()] = near.RemoteAddr()
 	p.mu.Unlock()
@@ -202,23 +204,26 @@
 	reset     bool
 }
 
-// piecesKept is how many pieces may wait to be passed on. They are read at once, so that it is known when they came,
-// however long the ones before are held up.
-const piecesKept = 1 << 12
+const (
+	// chunkQueue is how many chunks may wait to be written. They are read at once, so that it is known when they
+	// came, however long the ones before are held up.
+	chunkQueue = 1 << 12
+	chunkSize  = 16 << 10
+)
 
-// copy passes on what comes until it ends, and ends the other side alike.
+// copy forwards what comes until it ends, and ends the other side in the same way.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.end()
-	pieces := make(chan []byte, piecesKept)
-	var failed error // of the reads; set before pieces is closed
+	chunks := make(chan []byte, chunkQueue)
+	var failed error // of the reads; set before chunks is closed
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
-			buf := make([]byte, 16<<10)
+			buf := make([]byte, chunkSize)
 			n, err := from.Read(buf)
 			if n > 0 {
 				p.direction.Read.pass(n)
-				pieces <- buf[:n]
+				chunks <- buf[:n]
 			}
 			if err != nil {
 				p.direction.Read.end()
@@ -227,36 +232,36 @@
 			}
 		}
 	}()
-	if !p.passOn(pieces, from, to) {
-		for range pieces { // the reader ends with the connection
+	if !p.forward(chunks, from, to) {
+		for range chunks { // the reader ends with the connection
 		}
-	} else if failed == io.EOF {
-		to.CloseWrite()
+	} else if errors.Is(failed, io.EOF) {
+		closeWrite(to)
 	} else {
 		reset(to)
 	}
 }
 
-// passOn passes on pieces to their end, or until the schedule or a failed write ends it.
-func (p *pipe) passOn(pieces <-chan []byte, from, to *net.TCPConn) (all bool) {
+// forward writes chunks to their end, or until the schedule or a failed write ends it. It returns whether it wrote all.
+func (p *pipe) forward(chunks <-chan []byte, from, to *net.TCPConn) (all bool) {
 	passed := 0
-	for piece := range pieces {
-		ended := p.endAt > 0 && passed+len(piece) >= p.endAt
+	for chunk := range chunks {
+		ended := p.endAt > 0 && passed+len(chunk) >= p.endAt
 		if ended {
-			piece = piece[:p.endAt-passed]
+			chunk = chunk[:p.endAt-passed]
 		}
-		passed += len(piece)
-		if p.send(to, piece) != nil {
+		passed += len(chunk)
+		if p.send(to, chunk) != nil {
 			reset(from)
 			return false
 		}
 		if ended {
-			p.link.harm()
+			p.link.markBroken()
 			if p.reset {
 				reset(from)
 				reset(to)
 			} else {
-				to.CloseWrite()
+				closeWrite(to)
 			}
 			return false
 		}
@@ -264,19 +269,19 @@
 	return true
 }
 
-// send passes one piece on, as the schedule has it.
-func (p *pipe) send(to *net.TCPConn, piece []byte) error {
-	if p.rng.Float64() < p.schedule.Delay && p.schedule.DelayMost > 0 {
-		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.DelayMost))))
+// send writes one chunk with the faults that the schedule gives it.
+func (p *pipe) send(to *net.TCPConn, chunk []byte) error {
+	if p.rng.Float64() < p.schedule.Delay && p.schedule.MaxDelay > 0 {
+		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.MaxDelay))))
 	}
 	if p.rng.Float64() < p.schedule.HoldUp {
 		time.Sleep(p.schedule.HoldFor)
 	}
 	split := p.rng.Float64() < p.schedule.Split
-	for len(piece) > 0 {
-		part := piece
+	for len(chunk) > 0 {
+		part := chunk
 		if split {
-			part = piece[:1+p.rng.IntN(len(piece))]
+			part = chunk[:1+p.rng.IntN(len(chunk))]
 		}
 		n, err := to.Write(part)
 		if n > 0 {
@@ -285,13 +290,16 @@
 		if err != nil {
 			return err
 		}
-		piece = piece[len(part):]
+		chunk = chunk[len(part):]
 	}
 	return nil
 }
 
-// reset ends a connection with a reset.
+// reset ends a connection with a reset. One that has ended by itself fails these calls, which makes no difference.
 func reset(conn *net.TCPConn) {
-	conn.SetLinger(0)
-	conn.Close()
+	_ = conn.SetLinger(0)
+	_ = conn.Close()
 }
+
+// closeWrite ends the sending side of a connection; see reset for its error.
+func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
