--- a/policy/clock.go
+++ b/policy/clock.go
@@ -3,6 +3,9 @@
 // standstillThreshold is the time without events after which this gateway itself is taken to have stood still.
 const standstillThreshold Seconds = 0.1
 
+// clockUncertainty is added to the age of what another process said or did.
+const clockUncertainty Seconds = 0.05
+
 // eventClock is the time of the event being handled, which all parts of a Gateway share. Only Gateway advances it.
 type eventClock struct {
 	now Seconds
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -114,15 +114,6 @@
 	}
 }
 
-// verdict is what quota and ceiling say of a first send.
-type admission int
-
-const (
-	rejectRequest admission = iota
-	admitRequest
-	askOwner // the owner is asked
-)
-
 // newCustomer is a customer as a gateway knows it when it is first heard of: with a full window, but
 // an empty split of its ceiling, filling since this gateway's start.
 func (g *Gateway) newCustomer(key uint32, p *plan) *customer {
