--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,222 @@
+// Package discovery follows the endpoint list of a discovery agent over HTTP.
+//
+// A Client keeps one watch open, on which the agent sends a JSON value for each change, and polls the
+// whole list where changes may have been missed. What it finds it hands on as Events.
+package discovery
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+
+	"reedlead/policy"
+)
+
+const (
+	// DefaultSilenceTimeout is how long an answer may be silent. A watch sends a line every 2 s. Soon after
+	// one that is missing the connection is taken for broken; the agent answers at once, so a needless poll
+	// costs little.
+	DefaultSilenceTimeout = 2500 * time.Millisecond
+
+	// A change counts as announced once the agent has it, whether or not a watch is open, and sends to a
+	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
+	// again within a share of it.
+	pollTimeoutShare                   = 0.3
+	defaultGrace        policy.Seconds = 0.25 // where the settings name none
+	maxPollTimeout                     = 500 * time.Millisecond
+	maxOpenRetries                     = 3 // unanswered polls of an agent, beside the first
+	maxPause                           = 50 * time.Millisecond
+	minUnusableBackoff                 = 50 * time.Millisecond
+	maxUnusableBackoff                 = time.Second // a whole list costs the agent; an unusable one is not polled for more often
+	maxValueSize                       = 4 << 20
+	targetsPath                        = "/api/targets"
+	wholeListQuery                     = ""
+	watchQueryWithAfter                = "?watch=1&after=%d"
+)
+
+var (
+	// ErrValueTooLong reports a value of more than 4 MiB.
+	ErrValueTooLong = errors.New("the list is too long")
+	// ErrUnusable reports that a value came, in whole or in part, that can't be used.
+	ErrUnusable = errors.New("a list came that is of no use")
+)
+
+// StatusError reports an answer with another HTTP status than 200.
+type StatusError struct {
+	Status string // with its code
+}
+
+func (e *StatusError) Error() string { return "discovery answered " + e.Status }
+
+// VersionError reports a change whose version is older than one before it.
+type VersionError struct {
+	Got, After int64
+}
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("version %d comes after %d", e.Got, e.After)
+}
+
+// Event is something that a Client has found: an Update, a SkippedEndpoint or a WatchEnded.
+type Event interface{ isEvent() }
+
+// Update is a new list or a change of it, which has been validated.
+type Update struct{ List List }
+
+// SkippedEndpoint tells of an entry that was left out of the whole list, as it can't be used.
+type SkippedEndpoint struct{ Err error }
+
+// WatchEnded tells that a watch, or the poll before it, has ended or failed. The client will open another.
+type WatchEnded struct {
+	Err     error
+	Address string
+	Version int64 // of the last update
+}
+
+func (Update) isEvent()          {}
+func (SkippedEndpoint) isEvent() {}
+func (WatchEnded) isEvent()      {}
+
+// Timer is a *time.Timer that runs a function, but for tests.
+type Timer interface {
+	Reset(time.Duration) bool
+	Stop() bool
+}
+
+// Options configure a Client. All fields must be set.
+type Options struct {
+	// PollTimeout is how long a poll may stay unanswered until the agent is polled again beside it.
+	PollTimeout time.Duration
+	// SilenceTimeout is how long an answer may be silent, or one value of it take.
+	SilenceTimeout time.Duration
+	// DialContext connects to the agent.
+	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
+	// After and AfterFunc are those of package time, but for tests.
+	After     func(time.Duration) <-chan time.Time
+	AfterFunc func(time.Duration, func()) Timer
+	// Notify takes the events in their order. It is called on goroutines of the client, one call at a time.
+	Notify func(Event)
+}
+
+// DefaultOptions are those for real time. DialContext and Notify are left to the caller.
+func DefaultOptions(drainGrace policy.Seconds) Options {
+	return Options{
+		PollTimeout:    PollTimeout(drainGrace),
+		SilenceTimeout: DefaultSilenceTimeout,
+		After:          time.After,
+		AfterFunc:      func(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) },
+	}
+}
+
+// PollTimeout is how long an agent that does not answer is left alone, by the grace period for sends to
+// draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
+// 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
+// before. docs/endings.md adds the waits up.
+func PollTimeout(drainGrace policy.Seconds) time.Duration {
+	grace := cmp.Or(drainGrace, defaultGrace)
+	return min(time.Duration(grace*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
+}
+
+// Client follows the list of one discovery agent at a time. The goroutine of Run owns it, and lends it to
+// that of the watch, for whose end it waits before it goes on.
+type Client struct {
+	options         Options
+	http            *http.Client
+	address         string
+	version         int64         // of the last update
+	resync          bool          // changes may be missing: the whole list has to be polled
+	unusableBackoff time.Duration // the pause after the next watch that brings nothing but unusable values
+}
+
+// New returns a client that starts with a watch for what comes after a version of the list.
+func New(address string, version int64, options Options) *Client {
+	return &Client{
+		options: options, address: address, version: version, unusableBackoff: minUnusableBackoff,
+		http: &http.Client{Transport: &http.Transport{
+			DisableKeepAlives: true, DisableCompression: true,
+			DialContext: options.DialContext,
+		}},
+	}
+}
+
+// Run follows the list until ctx ends. An address that comes on addresses, which may be nil, is switched
+// to at once. The agent there may count its versions in its own way, so the whole list is polled.
+func (c *Client) Run(ctx context.Context, addresses <-chan string) {
+	for ctx.Err() == nil {
+		before := c.version
+		switched, err := c.watchUntilSwitched(ctx, addresses)
+		if ctx.Err() != nil {
+			return
+		}
+		if !switched {
+			c.options.Notify(WatchEnded{err, c.address, c.version})
+			pause := c.nextPause(err, c.version != before)
+			switched = c.pause(ctx, addresses, pause)
+		}
+		if switched {
+			c.unusableBackoff = minUnusableBackoff
+		}
+	}
+}
+
+// watchUntilSwitched runs a watch to its end, or until another address comes.
+func (c *Client) watchUntilSwitched(ctx context.Context, addresses <-chan string) (switched bool, err error) {
+	watchContext, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var watchErr error
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		watchErr = c.watch(watchContext)
+	}()
+	select {
+	case <-ended:
+		return false, watchErr
+	case address := <-addresses:
+		cancel()
+		<-ended
+		c.switchAddress(address)
+		return true, nil
+	}
+}
+
+// nextPause returns the pause after a watch that ended with an error. An agent that refuses or is silent
+// is polled again soon, but whole lists cost, so unusable ones lengthen the pause.
+func (c *Client) nextPause(err error, updated bool) time.Duration {
+	pause := min(c.options.PollTimeout, maxPause)
+	if updated || !errors.Is(err, ErrUnusable) {
+		c.unusableBackoff = minUnusableBackoff
+		return pause
+	}
+	pause = max(pause, c.unusableBackoff)
+	c.unusableBackoff = min(2*c.unusableBackoff, maxUnusableBackoff)
+	return pause
+}
+
+// pause waits, unless another address comes or ctx ends.
+func (c *Client) pause(ctx context.Context, addresses <-chan string, d time.Duration) (switched bool) {
+	select {
+	case <-ctx.Done():
+		return false
+	case address := <-addresses:
+		c.switchAddress(address)
+		return true
+	case <-c.options.After(d):
+		return false
+	}
+}
+
+// switchAddress goes on at another agent. What is known stays until its whole list has come.
+func (c *Client) switchAddress(address string) {
+	c.address, c.resync = address, true
+}
+
+// update hands on a list that was validated.
+func (c *Client) update(list List) {
+	c.version = list.Version
+	c.options.Notify(Update{list})
+}
--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,249 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"reedlead/internal/discovery/discoverytest"
+)
+
+// Guards against a list that comes late after an outage: what an agent was asked while it was down it may
+// never answer, so it is polled again beside that, and the answer to any of the polls is read.
+func TestSilentAgentIsPolledAgain(t *testing.T) {
+	list := discoverytest.ListJSON(7, false, "x", "in_service")
+	pollOften := func(o *Options) { o.PollTimeout = 75 * time.Millisecond }
+	firstTwo := func(t *testing.T, polls chan discoverytest.Poll) (first, second discoverytest.Poll) {
+		first, second = receive(t, polls), receive(t, polls)
+		select {
+		case <-first.Cancelled:
+			t.Fatal("the first poll was given up before the second one")
+		default:
+		}
+		return first, second
+	}
+	t.Run("a later poll is answered", func(t *testing.T) {
+		address, polls := discoverytest.NewManualAgent(t)
+		client := runClient(t, address, pollOften)
+		first, second := firstTwo(t, polls)
+		go second.Write(list)
+		go func() { // however late this test runs, one of them is answered in time
+			for {
+				select {
+				case poll := <-polls:
+					go poll.Write(list)
+				case <-first.Cancelled:
+					return
+				}
+			}
+		}()
+		client.wantUpdate("[x in_service]")
+		receive(t, first.Cancelled) // and is given up now
+	})
+	t.Run("the first poll is answered", func(t *testing.T) {
+		address, polls := discoverytest.NewManualAgent(t)
+		client := runClient(t, address, pollOften)
+		first, second := firstTwo(t, polls)
+		for range maxOpenRetries { // it outlasts those that came right after it
+			receive(t, polls)
+		}
+		first.Write(list)
+		client.wantUpdate("[x in_service]")
+		receive(t, second.Cancelled)
+	})
+}
+
+// Guards against a watch that has fallen silent: it is broken, and opened anew from where it stood. So is a
+// whole list that breaks off.
+func TestSilentWatchIsOpenedAnew(t *testing.T) {
+	address, polls := discoverytest.NewManualAgent(t)
+	client := runClient(t, address, func(o *Options) { o.SilenceTimeout = 200 * time.Millisecond })
+	for version := range 3 {
+		watch := receive(t, polls)
+		if want := fmt.Sprintf("/api/targets?watch=1&after=%d", version+4); watch.URI != want {
+			t.Fatalf("asked %q, want %q", watch.URI, want)
+		}
+		watch.Write(discoverytest.ListJSON(version+5, false, "x", "in_service"))
+		receive(t, client.updates)
+		receive(t, watch.Cancelled) // though the test never ends it
+	}
+	receive(t, polls).Write("nonsense ")
+	for range 2 {
+		poll := receive(t, polls)
+		if poll.URI != "/api/targets" {
+			t.Fatalf("asked %q", poll.URI)
+		}
+		poll.Write(`{"version":9,`)
+		receive(t, poll.Cancelled)
+	}
+}
+
+// Guards against a watch that is opened later and later: watches that end while the list is quiet, and an
+// agent that refuses for long, must not put the next poll off beyond the grace period for draining endpoints.
+func TestQuietWatchesThatEndAreOpenedAgainSoon(t *testing.T) {
+	quiet := discoverytest.NewScriptedAgent(t, func(string) []string { return nil }) // an empty line, and the end
+	for _, tc := range []struct {
+		name, address, switchTo string
+	}{
+		{"quiet", quiet.Address(), ""},
+		{"refusing", "127.0.0.1:2", ""},
+		{"switched, refusing", "127.0.0.1:2", "127.0.0.1:3"}, // another address wants the whole list
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			pauses, free := make(chan time.Duration, 64), make(chan time.Time)
+			client := runClient(t, tc.address, func(o *Options) {
+				o.PollTimeout = PollTimeout(0.2)
+				o.After = func(d time.Duration) <-chan time.Time { pauses <- d; return free }
+			})
+			if tc.switchTo != "" {
+				receive(t, pauses)
+				client.addresses <- tc.switchTo
+			}
+			for range 12 {
+				if d := receive(t, pauses); d > 100*time.Millisecond {
+					t.Errorf("a pause of %v, half of the grace period at most is wanted", d)
+				}
+				free <- time.Time{}
+			}
+			receive(t, pauses) // it waits for good
+		})
+	}
+}
+
+// Guards against whole lists that are polled for at full speed while none of them can be read.
+func TestUnreadableListsArePolledForLessOften(t *testing.T) {
+	var pauses []time.Duration
+	took, free := make(chan time.Duration), make(chan time.Time)
+	agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{"nonsense"} })
+	runClient(t, agent.Address(), func(o *Options) {
+		o.After = func(d time.Duration) <-chan time.Time { took <- d; return free }
+	})
+	for range 10 {
+		pauses = append(pauses, receive(t, took))
+		free <- time.Time{}
+	}
+	receive(t, took)
+	if !slices.IsSorted(pauses) || pauses[9] != maxUnusableBackoff {
+		t.Errorf("pauses of %v", pauses)
+	}
+}
+
+// indent returns a JSON value over several lines.
+func indent(t *testing.T, value string) string {
+	t.Helper()
+	var b bytes.Buffer
+	if err := json.Indent(&b, []byte(value), "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	return b.String()
+}
+
+// Guards against lists that are indented, or come in pieces, being taken for noise: each is one value,
+// wherever its lines end, and blank lines may come between two.
+func TestIndentedLists(t *testing.T) {
+	address, polls := discoverytest.NewManualAgent(t)
+	client := runClient(t, address, nil)
+	watch := receive(t, polls)
+	whole := indent(t, discoverytest.ListJSON(5, true, "x", "in_service", "y", "in_service"))
+	change := indent(t, discoverytest.ListJSON(6, false, "x", "terminating"))
+	watch.Write(whole + "\n\n\n" + change[:40])
+	client.wantUpdate("[x in_service y in_service]")
+	watch.Write(change[40:] + "\n" + discoverytest.ListJSON(7, false, "y", "terminating"))
+	client.wantUpdate("[x draining]")
+	client.wantUpdate("[y draining]")
+	watch.End()
+	if next := receive(t, polls); next.URI != "/api/targets?watch=1&after=7" {
+		t.Errorf("then %q was asked", next.URI)
+	}
+}
+
+// Guards the memory against a value without end; its change is lost, so the whole list is polled for.
+func TestEndlessListIsBounded(t *testing.T) {
+	const partSize = 4 << 10
+	address, polls := discoverytest.NewManualAgent(t)
+	client := runClient(t, address, nil)
+	watch := receive(t, polls)
+	watch.Write(`{"version":5,"full":false,"servers":[`)
+	go func() {
+		for range maxValueSize/partSize + 1 {
+			watch.Write(strings.Repeat(" ", partSize))
+		}
+	}()
+	poll := receive(t, polls)
+	if poll.URI != "/api/targets" {
+		t.Fatalf("asked %q", poll.URI)
+	}
+	poll.Write(discoverytest.ListJSON(8, true, "z", "in_service"))
+	poll.End()
+	client.wantUpdate("[z in_service]")
+}
+
+// Guards against another address that waits for what is under way at the old one.
+func TestNewAddressIsPolledAtOnce(t *testing.T) {
+	pausing := make(chan struct{}, 1)
+	for _, tc := range []struct {
+		during  string
+		refuses bool
+		reach   func(*testing.T, *runningClient, chan discoverytest.Poll)
+	}{
+		{during: "a pause", refuses: true, reach: func(t *testing.T, _ *runningClient, _ chan discoverytest.Poll) {
+			receive(t, pausing)
+		}},
+		{during: "a poll", reach: func(t *testing.T, _ *runningClient, polls chan discoverytest.Poll) {
+			receive(t, polls)
+		}},
+		{during: "a whole list", reach: func(t *testing.T, _ *runningClient, polls chan discoverytest.Poll) {
+			receive(t, polls).Write("nonsense ")
+			poll := receive(t, polls)
+			if poll.URI != "/api/targets" {
+				t.Fatalf("asked %q", poll.URI)
+			}
+			poll.Write(`{"version":9,`)
+		}},
+		{during: "a watch", reach: func(t *testing.T, client *runningClient, polls chan discoverytest.Poll) {
+			receive(t, polls).Write(discoverytest.ListJSON(9, true, "x", "in_service"))
+			receive(t, client.updates)
+		}},
+	} {
+		t.Run(tc.during, func(t *testing.T) {
+			oldAddress, oldPolls := discoverytest.NewManualAgent(t)
+			newAddress, newPolls := discoverytest.NewManualAgent(t)
+			if tc.refuses {
+				oldAddress = "127.0.0.1:2"
+			}
+			client := runClient(t, oldAddress, func(o *Options) {
+				o.After = func(d time.Duration) <-chan time.Time {
+					if !tc.refuses {
+						return time.After(d)
+					}
+					pausing <- struct{}{}
+					return nil // for good
+				}
+			})
+			tc.reach(t, client, oldPolls)
+			client.addresses <- newAddress
+			poll := receive(t, newPolls)
+			if poll.URI != "/api/targets" {
+				t.Errorf("the new address was asked %q", poll.URI)
+			}
+			poll.Write(discoverytest.ListJSON(2, true, "y", "in_service"))
+			client.wantUpdate("[y in_service]")
+		})
+	}
+}
+
+// Guards against a long grace period for draining endpoints that puts off the next poll.
+func TestPollsFollowEachOtherWhateverTheGrace(t *testing.T) {
+	for grace, want := range map[float64]time.Duration{
+		0: 75 * time.Millisecond, 0.25: 75 * time.Millisecond,
+		0.05: 15 * time.Millisecond, 1: 300 * time.Millisecond, 60: 500 * time.Millisecond,
+	} {
+		if got := PollTimeout(grace).Round(time.Microsecond); got != want {
+			t.Errorf("grace %v: polled again after %v, want %v", grace, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/helpers_test.go
@@ -0,0 +1,76 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+)
+
+// patience bounds how long a test waits for what must come. It decides nothing but when to give up.
+const patience = 20 * time.Second
+
+// refusingAddress is one where nobody listens.
+const refusingAddress = "127.0.0.1:1"
+
+// receive waits for the next value of a channel.
+func receive[T any](t *testing.T, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(patience):
+		t.Fatal("nothing came")
+		panic("unreachable")
+	}
+}
+
+// runningClient is a client that runs until the end of its test.
+type runningClient struct {
+	t         *testing.T
+	updates   chan []string // of each update the ids and states
+	addresses chan string
+}
+
+// runClient starts a client that has version 4 of the list. Its poll timeout is so long that a test that is
+// slow polls once, unless change sets another one.
+func runClient(t *testing.T, address string, change func(*Options)) *runningClient {
+	t.Helper()
+	r := &runningClient{t: t, updates: make(chan []string, 64), addresses: make(chan string)}
+	options := DefaultOptions(0)
+	options.PollTimeout = time.Hour
+	options.DialContext = (&net.Dialer{}).DialContext
+	options.Notify = func(e Event) {
+		if update, ok := e.(Update); ok {
+			r.updates <- describe(update.List)
+		}
+	}
+	if change != nil {
+		change(&options)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		New(address, 4, options).Run(ctx, r.addresses)
+	}()
+	t.Cleanup(func() { cancel(); <-ended })
+	return r
+}
+
+func describe(list List) (entries []string) {
+	for _, e := range list.Endpoints {
+		state, _ := e.State.Policy()
+		entries = append(entries, fmt.Sprint(e.ID, " ", state))
+	}
+	return entries
+}
+
+// wantUpdate waits for the next update and compares its ids and states.
+func (r *runningClient) wantUpdate(want string) {
+	r.t.Helper()
+	if got := fmt.Sprint(receive(r.t, r.updates)); got != want {
+		r.t.Errorf("got the update %s, want %s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/discovery/poll.go
@@ -0,0 +1,142 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+)
+
+// poll asks the agent until it answers, and returns the body of the answer. An agent that is down is silent,
+// and what it was asked meanwhile it may never answer: it is polled again and again, and the first answer is
+// the one that is read. The first poll stays open beside the later ones, for an agent that is only slow.
+// The error is that of the last poll once all have failed, or that of ctx, whose end also ends the answer.
+func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
+	group := newPollGroup(c, query)
+	defer close(group.closed)
+	due := make(chan struct{}, 1)
+	due <- struct{}{}
+	retry := c.options.AfterFunc(c.options.PollTimeout, func() {
+		select {
+		case due <- struct{}{}:
+		default:
+		}
+	})
+	defer retry.Stop()
+	for {
+		select {
+		case <-due:
+			retry.Reset(c.options.PollTimeout)
+			group.start(ctx)
+		case answer := <-group.answers:
+			if answer.err == nil {
+				return group.accept(answer), nil
+			}
+			if group.fail(answer); group.unanswered == 0 {
+				return nil, answer.err
+			}
+		case <-ctx.Done():
+			group.cancelAllBut(none)
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// none is the number of no poll.
+const none = -1
+
+// pollGroup is a series of equal polls of which the first answer counts. It belongs to the goroutine of
+// Client.poll; each poll runs on a goroutine of its own, which ends with the answer or when it is cancelled.
+type pollGroup struct {
+	http       *http.Client
+	url        string
+	answers    chan pollAnswer
+	closed     chan struct{}        // closed when no answer is taken any more
+	cancels    []context.CancelFunc // by the number of the poll
+	unanswered int
+}
+
+// pollAnswer is the outcome of one poll: the body of the answer or an error.
+type pollAnswer struct {
+	body   io.ReadCloser
+	err    error
+	number int
+}
+
+// newPollGroup takes the address from the client: a poll that outlives its group must not look at it.
+func newPollGroup(c *Client, query string) *pollGroup {
+	return &pollGroup{
+		http: c.http, url: "http://" + c.address + targetsPath + query,
+		answers: make(chan pollAnswer), closed: make(chan struct{}),
+	}
+}
+
+// start begins another poll, and cancels the oldest one after the first if too many are open.
+func (g *pollGroup) start(ctx context.Context) {
+	number := len(g.cancels)
+	if oldest := number - maxOpenRetries; oldest > 0 {
+		g.cancels[oldest]()
+	}
+	pollContext, cancel := context.WithCancel(ctx)
+	g.cancels = append(g.cancels, cancel)
+	g.unanswered++
+	go func() {
+		body, err := get(pollContext, g.http, g.url)
+		select {
+		case g.answers <- pollAnswer{body, err, number}:
+		case <-g.closed:
+			cancel()
+			if body != nil {
+				_ = body.Close() // nobody has read it
+			}
+		}
+	}()
+}
+
+// fail takes a poll's failure.
+func (g *pollGroup) fail(answer pollAnswer) {
+	g.unanswered--
+	g.cancels[answer.number]()
+}
+
+// accept takes the first answer and cancels all other polls.
+func (g *pollGroup) accept(answer pollAnswer) io.ReadCloser {
+	g.cancelAllBut(answer.number)
+	return answerBody{answer.body, g.cancels[answer.number]}
+}
+
+func (g *pollGroup) cancelAllBut(accepted int) {
+	for number, cancel := range g.cancels {
+		if number != accepted {
+			cancel()
+		}
+	}
+}
+
+// get polls once; the body is the caller's to close.
+func get(ctx context.Context, client *http.Client, url string) (io.ReadCloser, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close() // nothing of it is read
+		return nil, &StatusError{response.Status}
+	}
+	return response.Body, nil
+}
+
+// answerBody is the body of an answer that releases the context of its poll when it is closed.
+type answerBody struct {
+	io.ReadCloser
+	cancel context.CancelFunc
+}
+
+// Close implements io.Closer.
+func (b answerBody) Close() error {
+	defer b.cancel()
+	return b.ReadCloser.Close()
+}
--- /dev/null
+++ b/internal/discovery/start_times.go
@@ -0,0 +1,108 @@
+package discovery
+
+import (
+	"math"
+
+	"reedlead/policy"
+)
+
+const (
+	// Two samples of the offset between the clocks that differ by more than this have a step of the wall clock
+	// between them; less is drift, or the time between the readings of the two clocks.
+	minClockStep policy.Seconds = 0.25
+	// A start is announced at most some seconds after it happened, so few steps have to be remembered.
+	maxEpochs = 16
+	// By how much a start may lie outside of an epoch, or in the future: machines read the clock at different
+	// moments.
+	startTolerance policy.Seconds = 0.5
+)
+
+// StartTimes translates the starts of endpoints into event time.
+//
+// The decision module reckons in this process's own time, which only advances. Discovery tells in Unix time
+// when an endpoint was started, and the wall clock may be stepped meanwhile, by seconds or by hours. So the
+// offset between the two is followed, and each start is translated once, when it is first heard of.
+//
+// The zero value is ready for use. It is not safe for concurrent use: the event loop owns it.
+type StartTimes struct {
+	epochs    []wallEpoch // oldest first
+	sampledAt policy.Seconds
+	known     map[string]startTime // by the endpoint's id
+}
+
+// wallEpoch is a span between two steps of the wall clock.
+type wallEpoch struct {
+	offset     policy.Seconds // wall clock less event time
+	begunBy    policy.Seconds // event time by which it had begun
+	notBegunBy policy.Seconds // event time by which it had not
+}
+
+type startTime struct {
+	unixMS int64          // as discovery gives it
+	at     policy.Seconds // event time; 0: long ago
+}
+
+// Sample takes in a reading of both clocks: the event time, and the wall clock in Unix seconds.
+func (s *StartTimes) Sample(now, wall policy.Seconds) {
+	offset := wall - now
+	if n := len(s.epochs); n == 0 {
+		s.epochs = append(s.epochs, wallEpoch{offset, now, math.Inf(-1)})
+	} else if last := &s.epochs[n-1]; math.Abs(offset-last.offset) > minClockStep {
+		s.epochs = append(s.epochs, wallEpoch{offset, now, s.sampledAt})
+		s.epochs = s.epochs[max(0, len(s.epochs)-maxEpochs):]
+	} else {
+		last.offset = offset
+	}
+	s.sampledAt = now
+}
+
+// EventTime returns the start of an endpoint in event time; 0 stands for long ago. The clocks have to be
+// sampled right before it.
+func (s *StartTimes) EventTime(id string, unixMS int64) policy.Seconds {
+	if unixMS <= 0 {
+		return 0
+	}
+	if known, ok := s.known[id]; ok && known.unixMS == unixMS {
+		return known.at
+	}
+	at := s.fromUnix(float64(unixMS) / 1000)
+	if s.known == nil {
+		s.known = map[string]startTime{}
+	}
+	s.known[id] = startTime{unixMS, at}
+	return at
+}
+
+// fromUnix translates a wall time of the past. Each epoch in which the wall clock may have shown it gives a
+// candidate; the latest one counts, as an endpoint taken for colder than it is gets less than it could bear,
+// and one taken for warmer may fail. What lies in the future of all epochs has just happened.
+func (s *StartTimes) fromUnix(unix policy.Seconds) policy.Seconds {
+	now := s.sampledAt
+	latest, found := 0.0, false
+	for i, epoch := range s.epochs {
+		at := unix - epoch.offset
+		until := now + startTolerance
+		if i+1 < len(s.epochs) {
+			until = s.epochs[i+1].begunBy
+		}
+		if at < epoch.notBegunBy-startTolerance || at > until {
+			continue
+		}
+		if at = min(at, now); !found || at > latest {
+			latest, found = at, true
+		}
+	}
+	if !found {
+		return now
+	}
+	return latest
+}
+
+// Forget drops the endpoints that are not listed any more.
+func (s *StartTimes) Forget(listed func(id string) bool) {
+	for id := range s.known {
+		if !listed(id) {
+			delete(s.known, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/start_times_test.go
@@ -0,0 +1,213 @@
+package discovery
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"reedlead/policy"
+)
+
+// steppedClock is a wall clock that is stepped at some event times.
+type steppedClock struct {
+	start float64             // of the wall clock less event time
+	steps map[float64]float64 // the size of each step by its event time
+}
+
+func (c steppedClock) wall(now float64) float64 {
+	wall := now + c.start
+	for at, by := range c.steps {
+		if now >= at {
+			wall += by
+		}
+	}
+	return wall
+}
+
+// unixMS is what discovery gives for a start at an event time.
+func (c steppedClock) unixMS(at float64) int64 { return int64(math.Round(c.wall(at) * 1000)) }
+
+// stepCase is one step of the wall clock and one start of an endpoint, all in event time.
+type stepCase struct {
+	step, stepAt, startAt float64
+}
+
+const (
+	heardAt   = 105.0 // when the start is heard of
+	restartAt = 111.0
+)
+
+// TestStartTimesAcrossSteps guards the age of an endpoint against a wall clock that is stepped, before or after the
+// start, and before or after it is heard of.
+func TestStartTimesAcrossSteps(t *testing.T) {
+	for _, step := range []float64{-3600, -90, -2, 2, 90, 3600} {
+		for _, startAt := range []float64{60, 102.5, 104.5} {
+			for _, stepAt := range []float64{101, 103.4, 104.8, 107} {
+				tc := stepCase{step, stepAt, startAt}
+				t.Run(fmt.Sprintf("%+v", tc), tc.test)
+			}
+		}
+	}
+}
+
+func (tc stepCase) test(t *testing.T) {
+	clock := steppedClock{start: 1e9, steps: map[float64]float64{tc.stepAt: tc.step}}
+	var starts StartTimes
+	for now := 100.0; now <= heardAt; now++ {
+		starts.Sample(now, clock.wall(now))
+	}
+	unixMS := clock.unixMS(tc.startAt)
+	got := starts.EventTime("a", unixMS)
+	if want := tc.want(); math.Abs(got-want) > 0.01 {
+		t.Errorf("the start is taken for %v, want %v", got, want)
+	}
+	for now := heardAt; now < restartAt+1; now++ {
+		starts.Sample(now, clock.wall(now))
+	}
+	if later := starts.EventTime("a", unixMS); later != got {
+		t.Errorf("the start moved from %v to %v", got, later)
+	}
+	if restart := starts.EventTime("a", clock.unixMS(restartAt)); restart != restartAt {
+		t.Errorf("a restart at %v is taken for %v", restartAt, restart)
+	}
+}
+
+// want is the start that is to be found. Where the wall clock showed the same time twice, the later one is safe.
+func (tc stepCase) want() float64 {
+	again := tc.startAt - tc.step
+	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && again >= tc.stepAt-1 && again <= heardAt
+	if shownTwice {
+		return again
+	}
+	return tc.startAt
+}
+
+// TestStartTimesOfANewProcess guards a process that starts after a step back: what was started before it lies in the
+// future, and must not keep its endpoint warming up until that has come.
+func TestStartTimesOfANewProcess(t *testing.T) {
+	var starts StartTimes
+	starts.Sample(100, 1e9)
+	if got := starts.EventTime("a", 1e12+3_600_000); got != 100 {
+		t.Errorf("a start in an hour is taken for %v", got)
+	}
+	starts.Sample(120, 1e9+20)
+	if got := starts.EventTime("a", 1e12+3_600_000); got != 100 {
+		t.Errorf("later it is taken for %v", got)
+	}
+	if got := starts.EventTime("b", 0); got != 0 {
+		t.Errorf("a start of long ago is taken for %v", got)
+	}
+	starts.Forget(func(id string) bool { return id == "b" })
+	if len(starts.known) != 0 {
+		t.Errorf("%d starts are kept of endpoints that are gone", len(starts.known))
+	}
+}
+
+// sendCounter carries out what a decision module asks for, and answers each send at once.
+type sendCounter struct {
+	outcomes []policy.Outcome
+	sends    map[string]int // by endpoint
+}
+
+func (c *sendCounter) Send(id, endpoint string, _, _ float64) {
+	c.sends[endpoint]++
+	c.outcomes = append(c.outcomes, policy.Outcome{
+		RequestID: id, Endpoint: endpoint, Status: policy.OK, RequestDone: true, Elapsed: 0.02,
+	})
+}
+func (c *sendCounter) Reject(string, float64, policy.Reason) {}
+func (c *sendCounter) Fail(string, policy.Reason)            {}
+func (c *sendCounter) Cancel(string, int)                    {}
+func (c *sendCounter) SetTimer(uint64, float64)              {}
+func (c *sendCounter) HealthCheck(string)                    {}
+func (c *sendCounter) SendToPeer(int, []byte)                {}
+func (c *sendCounter) Log(string)                            {}
+
+// joiningSends counts the sends to an endpoint that joins: in the first 2 s after it is heard of, when it is warm,
+// and in the first 2 s after it is heard of again, which is after a restart.
+type joiningSends struct{ cold, warm, restarted int }
+
+// count adds the sends of an event at a time.
+func (j *joiningSends) count(now float64, sends int) {
+	switch {
+	case now >= 10.5 && now < 12.5:
+		j.cold += sends
+	case now >= 30 && now < 32:
+		j.warm += sends
+	case now >= 40.5 && now < 42.5:
+		j.restarted += sends
+	}
+}
+
+// sendsToJoining plays an endpoint that joins at 10, is heard of at 10.5 and restarts at 40.
+func sendsToJoining(t *testing.T, clock steppedClock) (sends joiningSends) {
+	t.Helper()
+	const slowStart, perSecond = 14, 200
+	settings := policy.Settings{
+		GatewayCount: 1, MaxAttempts: 1, SlowStartMinCapacity: 0.15, SlowStartDuration: slowStart,
+		OverloadMultiple: 2.5, OverloadWindow: 1,
+		Classes: []policy.Class{{Name: "look", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent}},
+	}
+	counter := &sendCounter{sends: map[string]int{}}
+	gateway, err := policy.New(settings, 7, 0, counter)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var starts StartTimes
+	list := func(now float64, entries map[string]float64) {
+		starts.Sample(now, clock.wall(now))
+		var endpoints []policy.Endpoint
+		for id, startAt := range entries {
+			endpoint := policy.Endpoint{ID: id, Weight: 1}
+			if startAt > 0 {
+				endpoint.StartedAt = starts.EventTime(id, clock.unixMS(startAt))
+			}
+			endpoints = append(endpoints, endpoint)
+		}
+		gateway.HandleEndpoints(now, endpoints, false)
+	}
+	list(0, map[string]float64{"a": 0, "b": 0, "c": 0})
+	for i := range 45 * perSecond {
+		now := float64(i) / perSecond
+		switch i {
+		case 10.5 * perSecond:
+			list(now, map[string]float64{"new": 10})
+		case 40.5 * perSecond:
+			list(now, map[string]float64{"new": 40})
+		}
+		if i%perSecond == 0 {
+			starts.Sample(now, clock.wall(now))
+		}
+		before := counter.sends["new"]
+		gateway.HandleRequest(now, policy.Request{
+			ID: fmt.Sprint("q", i), Class: "look", Deadline: now + 2, GatewayCount: 1, Units: 1,
+		})
+		if i%4 == 0 {
+			gateway.HandleTimer(now, 1)
+		}
+		sends.count(now, counter.sends["new"]-before)
+		for _, outcome := range counter.outcomes {
+			gateway.HandleOutcome(now+0.004, outcome)
+		}
+		counter.outcomes = counter.outcomes[:0]
+	}
+	return sends
+}
+
+// TestSlowStartUnderASteppedClock guards against endpoints that are not spared, or spared for good, as the wall clock
+// was stepped: what a joining endpoint gets is the same within a third, whatever the step and whenever it came.
+func TestSlowStartUnderASteppedClock(t *testing.T) {
+	want := sendsToJoining(t, steppedClock{start: 1e9})
+	if want.cold == 0 || want.warm < 2*want.cold {
+		t.Fatalf("no step: %+v", want)
+	}
+	near := func(n, want int) bool { return 3*n >= 2*want && 3*n <= 4*want }
+	for _, step := range []float64{-3600, -5, 5, 3600} {
+		for _, stepAt := range []float64{9.2, 10.2, 11, 20, 40.2} {
+			got := sendsToJoining(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
+			if !near(got.cold, want.cold) || !near(got.warm, want.warm) || !near(got.restarted, want.restarted) {
+				t.Errorf("step of %v at %v: sends of %+v; %+v without", step, stepAt, got, want)
+			}
+		}
+	}
+}
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 
@@ -153,9 +155,9 @@
 	addr, conns := listen(t)
 	for name, change := range map[string]func(*rig){
 		"draining": func(r *rig) {
-			r.in.takeList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}})
+			r.in.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}})
 		},
-		"gone": func(r *rig) { r.in.takeList(targets{Full: true}) },
+		"gone": func(r *rig) { r.in.applyList(discovery.List{Full: true}) },
 		"over": func(r *rig) { r.in.Reject("a", 0, policy.QuotaExceeded) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,7 +179,7 @@
 				t.Errorf("got %+v", o)
 			}
 			b := get(t, conns)
-			r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
+			r.do(func() { r.in.applyList(discovery.List{Full: true}) }) // closes the pool
 			if got := b.command(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -8,6 +8,8 @@
 	"reflect"
 	"strconv"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/settings"
 )
 
@@ -24,7 +26,7 @@
 	Peers      []netip.AddrPort
 	PeersAll   netip.AddrPort
 
-	Known    targets
+	Known    discovery.List
 	Settings settings.Settings
 }
 
@@ -63,7 +65,7 @@
 		PeerListen string   `json:"peer_listen"`
 		Peers      []string `json:"peers"`
 		PeersAll   string   `json:"peers_all"`
-		Known      targets
+		Known      discovery.List
 		Settings   json.RawMessage
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -95,7 +97,7 @@
 		return c, fmt.Errorf("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
 	}
 	c.Known.Full = true
-	if err := c.Known.check(); err != nil {
+	if err := c.Known.Validate(); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
 	if !c.Settings.PeerMessages {
--- /dev/null
+++ b/internal/proxy/endpoint_updates.go
@@ -0,0 +1,67 @@
+package proxy
+
+import (
+	"context"
+
+	"reedlead/internal/discovery"
+	"reedlead/policy"
+)
+
+// followDiscovery runs the discovery client for as long as ctx lasts. The client starts with the list of the
+// configuration; of each configuration that comes on reloads, its address is switched to.
+func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan Config) {
+	options := p.discovery
+	options.DialContext = p.calls.dialAgent
+	options.Notify = func(e discovery.Event) {
+		p.post(p.clock.now(), func() { p.handleDiscovery(e) })
+	}
+	addresses := make(chan string)
+	go p.forwardAddresses(ctx, reloads, addresses)
+	discovery.New(p.cfg.Discovery, p.cfg.Known.Version, options).Run(ctx, addresses)
+}
+
+// forwardAddresses hands the discovery client the address of each new configuration. It ends with ctx.
+func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan Config, addresses chan<- string) {
+	for {
+		select {
+		case cfg := <-reloads:
+			p.log.Info("configuration read again", "discovery", cfg.Discovery)
+			select {
+			case addresses <- cfg.Discovery:
+			case <-ctx.Done():
+				return
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// handleDiscovery handles an event of the discovery client.
+func (p *Proxy) handleDiscovery(e discovery.Event) {
+	switch e := e.(type) {
+	case discovery.Update:
+		p.applyList(e.List)
+	case discovery.SkippedEndpoint:
+		p.warn("entry of the list left out", "error", e.Err)
+	case discovery.WatchEnded:
+		p.warn("watch ended", "error", e.Err, "address", e.Address, "version", e.Version)
+		p.makeRoomFor(e.Err)
+	}
+}
+
+// applyList applies a list, or a change of it, to the connection pools and hands it to the decision module.
+func (p *Proxy) applyList(list discovery.List) {
+	p.starts.Sample(p.clock.now(), p.clock.wall())
+	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
+	for _, e := range list.Endpoints {
+		state, _ := e.State.Policy() // it was validated
+		endpoints = append(endpoints, policy.Endpoint{
+			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
+			Weight: e.Weight, StartedAt: p.starts.EventTime(e.ID, e.StartedMS),
+		})
+	}
+	p.backends.apply(p, list)
+	p.starts.Forget(func(id string) bool { return p.backends.byID[id] != nil })
+	p.decider.HandleEndpoints(p.now, endpoints, list.Full)
+}
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/settings"
 	"reedlead/policy"
 )
@@ -61,7 +63,7 @@
 		}},
 	}
 	for i := range size.backends {
-		c.Known.Servers = append(c.Known.Servers, target{
+		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i), Addr: addr, Zone: string(rune('a' + i%3)),
 			Cell: i % 12, State: "in_service",
 		})
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/settings"
 	"reedlead/policy"
 
@@ -114,7 +116,7 @@
 		}},
 	}
 	for i, addr := range backends {
-		c.Known.Servers = append(c.Known.Servers, target{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
+		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
 	}
 	c.Known.Full = true
 	return c
@@ -130,10 +132,10 @@
 	r := &rig{t: t, in: p, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan Config)}
 	p.backends.copyS = 0 // the tests' answers are alike
 	p.backends.writeSlack = 3600
-	p.askAgain = time.Hour // a test that is slow is asked once
+	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
 	quiet := make(chan struct{})
 	if cfg.Discovery == noDiscovery { // asked once, so that no event comes of it later
-		p.pause = func(time.Duration) <-chan time.Time {
+		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
 		}
@@ -321,7 +323,7 @@
 	if o := get(r.t, r.mod.outcomes); o.Status != policy.NotSent {
 		r.t.Errorf("got %+v", o)
 	}
-	r.do(func() { r.in.takeList(targets{Full: true}) })
+	r.do(func() { r.in.applyList(discovery.List{Full: true}) })
 	if got := b.command(); got != nil {
 		r.t.Errorf("the backend got %q", got)
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,6 +12,8 @@
 	"runtime/debug"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/policy"
 )
 
@@ -78,12 +80,6 @@
 	HandleHealthCheck(now float64, p policy.HealthCheckResult)
 }
 
-// alarm runs a function once, on a goroutine of its own, after a time that can be set anew; a *time.Timer.
-type alarm interface {
-	Reset(time.Duration) bool
-	Stop() bool
-}
-
 // Ingress is one gateway on real sockets. Its loop alone owns the gateway and all that is not said
 // to belong to another goroutine.
 type Proxy struct {
@@ -104,16 +100,13 @@
 	bytes    []byte // of the command that is being written
 	input    budget // what clients and backends have sent and nobody has used up yet; of all goroutines
 
-	acceptFor time.Duration                        // how long after the signal new connections are taken
-	drainFor  time.Duration                        // and when all is answered at the latest
-	pause     func(time.Duration) <-chan time.Time // between questions to discovery
-	silence   time.Duration                        // of discovery, that tells that an answer has broken off
-	askAgain  time.Duration                        // until an agent that does not answer is asked again
-	alarm     func(time.Duration, func()) alarm    // of discovery
+	acceptFor time.Duration     // how long after the signal new connections are taken
+	drainFor  time.Duration     // and when all is answered at the latest
+	discovery discovery.Options // but for what followDiscovery adds
 	calls     systemCalls
 	turn      func()       // lets readers run
 	spare     func() error // tells whether a descriptor is to be had
-	starts    startTimes
+	starts    discovery.StartTimes
 	listener  *net.TCPListener
 	clients   clientSet
 	requests  map[string]*request
@@ -146,14 +139,13 @@
 	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
-		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes), pause: time.After, silence: watchSilence,
-		askAgain: askAgainAfter(cfg.Settings.StopSendingS),
-		alarm:    func(d time.Duration, do func()) alarm { return time.AfterFunc(d, do) },
-		calls:    calls,
-		turn:     func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
+		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes),
+		discovery: discovery.DefaultOptions(cfg.Settings.StopSendingS),
+		calls:     calls,
+		turn:      func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
 	}
 	p.now = p.clock.now()
-	p.starts.sample(p.now, p.clock.wall())
+	p.starts.Sample(p.now, p.clock.wall())
 	p.readyAt = p.now + readyTimeout.Seconds()
 	p.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
 	p.input.readAheadLeft = int64(float64(p.input.left.Load()) * readAheadBudgetShare)
@@ -189,14 +181,14 @@
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.decider = gate
-	p.takeList(p.cfg.Known)
-	go p.watchDiscovery(background, reread)
+	p.applyList(p.cfg.Known)
+	go p.followDiscovery(background, reread)
 	go p.accept(p.listener)
 	if p.peers != nil {
 		go p.peers.receive()
 	}
 	p.every(sweepEvery, func() {
-		p.starts.sample(p.clock.now(), p.clock.wall())
+		p.starts.Sample(p.clock.now(), p.clock.wall())
 		p.backends.sweep(p)
 		p.clients.sweep(p)
 		p.checkDescriptors()
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -121,7 +123,7 @@
 				b = get(t, conns)
 				r.do(func() {
 					be := r.in.backends.byID["s0"]
-					c := &backConn{be: be, at: be.target, conn: mine.(*net.TCPConn), idleAt: r.in.now}
+					c := &backConn{be: be, at: be.Endpoint, conn: mine.(*net.TCPConn), idleAt: r.in.now}
 					c.raw, _ = c.conn.SyscallConn()
 					be.idle = append(be.idle, c)
 					r.in.backends.open++
@@ -187,7 +189,7 @@
 		t.Errorf("got %+v", o)
 	}
 	first.conn.writing.Unlock()
-	r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
+	r.do(func() { r.in.applyList(discovery.List{Full: true}) }) // closes the pool
 	if got := get(t, others).command(); got != nil {
 		t.Errorf("the copy was sent: %q", got)
 	}
@@ -286,7 +288,7 @@
 			io.WriteString(b, "-ERR failed\r\n")
 			get(t, r.mod.outcomes)
 			r.still(func() { c.leave(how) }, left, func() {
-				r.in.takeList(targets{Full: true, Servers: []target{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
+				r.in.applyList(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
 				r.in.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
@@ -338,7 +340,7 @@
 				t.Errorf("got %+v", o)
 			}
 			b := get(t, conns)
-			r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
+			r.do(func() { r.in.applyList(discovery.List{Full: true}) }) // closes the pool
 			if got := b.command(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -46,7 +48,7 @@
 
 // backend is a backend of the list and its connections.
 type backend struct {
-	target
+	discovery.Endpoint
 	state   policy.EndpointState
 	idle    []*backConn // least idle last
 	waiting []*attempt  // for a dial, oldest first
@@ -91,9 +93,9 @@
 
 // apply takes in a list or a change of it. A send that waits for a dial to a backend that may get
 // nothing new is given back to the module at once.
-func (s *backendSet) apply(p *Proxy, t targets) {
+func (s *backendSet) apply(p *Proxy, list discovery.List) {
 	listed := map[string]bool{}
-	for _, e := range t.Servers {
+	for _, e := range list.Endpoints {
 		listed[e.ID] = true
 		be := s.byID[e.ID]
 		if be == nil {
@@ -101,13 +103,14 @@
 			s.byID[e.ID] = be
 		}
 		moved := be.Addr != e.Addr || be.StartedMS != e.StartedMS
-		be.target, be.state = e, targetStates[e.State]
+		be.Endpoint = e
+		be.state, _ = e.State.Policy()
 		if moved || be.state != policy.InService {
 			s.retire(p, be)
 		}
 	}
 	for id, be := range s.byID {
-		if t.Full && !listed[id] {
+		if list.Full && !listed[id] {
 			be.state = policy.Removed
 			s.retire(p, be)
 		}
@@ -156,7 +159,7 @@
 // backConn is a connection to a backend. It carries one attempt at a time.
 type backConn struct {
 	be      *backend
-	at      target // as the backend stood when it was dialled
+	at      discovery.Endpoint // as the backend stood when it was dialled
 	conn    connection
 	raw     syscall.RawConn
 	busy    atomic.Bool // a reply is expected
@@ -233,12 +236,12 @@
 	a.be.waiting = append(a.be.waiting, a)
 	a.be.dials++
 	p.backends.open++
-	go p.dial(a.be, a.be.target)
+	go p.dial(a.be, a.be.Endpoint)
 	return true
 }
 
 // dial makes one connection. Its goroutine ends with the dial's time-out at the latest.
-func (p *Proxy) dial(be *backend, at target) {
+func (p *Proxy) dial(be *backend, at discovery.Endpoint) {
 	from := p.clock.now()
 	conn, err := p.backends.dial(at.Addr)
 	for first := true; ownFault(err) && p.clock.now()-from < p.backends.ownRetry.Seconds(); first = false {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -38,7 +40,7 @@
 			var c *backConn
 			r.do(func() { // a pooled connection whose reader has not run yet
 				be := r.in.backends.byID["s0"]
-				c = &backConn{be: be, at: be.target, conn: mine.(*net.TCPConn)}
+				c = &backConn{be: be, at: be.Endpoint, conn: mine.(*net.TCPConn)}
 				c.raw, _ = c.conn.SyscallConn()
 				c.idleAt = r.in.now
 				be.idle = append(be.idle, c)
@@ -136,9 +138,9 @@
 func TestMovedBackendsConnectionsAreNotPooled(t *testing.T) {
 	from, old := listen(t)
 	to, moved := listen(t)
-	for name, change := range map[string]func(*target){
-		"moved":     func(e *target) { e.Addr = to },
-		"restarted": func(e *target) { e.StartedMS = 5 },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"moved":     func(e *discovery.Endpoint) { e.Addr = to },
+		"restarted": func(e *discovery.Endpoint) { e.StartedMS = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, testConfig(from), sendTo(0))
@@ -147,9 +149,9 @@
 			b := get(t, old)
 			b.command()
 			r.do(func() {
-				e := r.in.backends.byID["s0"].target
+				e := r.in.backends.byID["s0"].Endpoint
 				change(&e)
-				r.in.takeList(targets{Servers: []target{e}})
+				r.in.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
 			})
 			io.WriteString(b, value)
 			c.served("the answer that was out")
@@ -171,9 +173,9 @@
 // Guards against a repeat that reaches another group than the one for which it was chosen: a list changes
 // the group of its backend while it waits for a dial.
 func TestNoSendFromADialToAnotherGroup(t *testing.T) {
-	for name, change := range map[string]func(*target){
-		"zone": func(e *target) { e.Zone = "b" },
-		"cell": func(e *target) { e.Cell = 7 },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"zone": func(e *discovery.Endpoint) { e.Zone = "b" },
+		"cell": func(e *discovery.Endpoint) { e.Cell = 7 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listen(t)
@@ -189,9 +191,9 @@
 			r.client().send(look("a")...)
 			get(t, r.mod.requests)
 			r.do(func() {
-				e := r.in.backends.byID["s0"].target
+				e := r.in.backends.byID["s0"].Endpoint
 				change(&e)
-				r.in.takeList(targets{Servers: []target{e}})
+				r.in.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
 			})
 			close(free)
 			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -9,6 +9,9 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/discovery"
+	"reedlead/internal/discovery/discoverytest"
+
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
@@ -24,7 +27,7 @@
 	c.Settings.GatewayCount, c.Settings.Self, c.Settings.Settings.PeerMessages = leastCap, me, true
 	c.Peers, c.PeerListen = peers, peers[me]
 	for i := range leastCap {
-		c.Known.Servers = append(c.Known.Servers, target{
+		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i), Zone: "z",
 			Addr: fmt.Sprintf("127.9.%d.%d:6379", i>>8, i&255), State: "in_service",
 		})
@@ -52,9 +55,9 @@
 // the last, one to each without a loss on this side; it is ready at once, and the memory stays far below its limit.
 func TestAThousandGatewaysAndBackends(t *testing.T) {
 	peers := manyPeers(t)
-	addr, asked := manualAgent(t)
+	address, polls := discoverytest.NewManualAgent(t)
 	cfg := manyConfig(t, 0, peers)
-	cfg.Discovery = addr
+	cfg.Discovery = address
 	first := start(t, cfg, nil)
 	last := start(t, manyConfig(t, leastCap-1, peers), nil)
 	if n := len(get(t, first.mod.lists)); n != leastCap {
@@ -64,20 +67,20 @@
 	if c.send("PING"); c.line() != "+PONG" {
 		t.Error("not ready, with a list and a silent agent")
 	}
-	list := targets{Version: 7, Full: true}
+	list := discovery.List{Version: 7, Full: true}
 	for i := range leastCap {
-		list.Servers = append(list.Servers, target{ID: fmt.Sprintf("new-%08x", i), Addr: "127.0.0.1:1", Zone: "z", State: "in_service"})
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{ID: fmt.Sprintf("new-%08x", i), Addr: "127.0.0.1:1", Zone: "z", State: "in_service"})
 	}
 	text, err := json.MarshalIndent(list, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := get(t, asked)
-	a.tell(string(text) + "\n")
+	watch := get(t, polls)
+	watch.Write(string(text) + "\n")
 	if n := len(get(t, first.mod.lists)); n != leastCap {
 		t.Errorf("the module got %d backends", n)
 	}
-	a.tell(listed(8, false, fmt.Sprintf("new-%08x", leastCap-1), "terminating"))
+	watch.Write(discoverytest.ListJSON(8, false, fmt.Sprintf("new-%08x", leastCap-1), "terminating"))
 	if got := fmt.Sprint(first.ids()); got != fmt.Sprintf("[new-%08x draining]", leastCap-1) {
 		t.Errorf("the module got %s", got)
 	}
@@ -117,17 +120,17 @@
 // Guards against a process that is never ready while discovery is down and its list names no backend of use,
 // or is empty; and against one that is ready before it could have heard of any.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, servers := range map[string][]target{
+	for name, servers := range map[string][]discovery.Endpoint{
 		"no list":       nil,
 		"an old list":   {{ID: "s0", Addr: "127.0.0.1:1", State: "terminating"}},
 		"a list of use": {{ID: "s0", Addr: "127.0.0.1:1", State: "in_service"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, asked := manualAgent(t) // silent
+			address, polls := discoverytest.NewManualAgent(t) // silent
 			cfg := testConfig()
-			cfg.Discovery, cfg.Known.Servers = addr, servers
+			cfg.Discovery, cfg.Known.Endpoints = address, servers
 			r := start(t, cfg, func(r *rig) { r.in.readyAt = r.in.now + 3600 })
-			get(t, asked)
+			get(t, polls)
 			c := r.client()
 			want := "-LOADING no backends known yet"
 			if name == "a list of use" {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -16,6 +16,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery/discoverytest"
+
 	"reedlead/policy"
 )
 
@@ -405,12 +407,12 @@
 		syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EINTR,
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
-			a := newAgent(t, func(string) []string { return []string{listed(7, true, "s1", "in_service")} })
+			agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{discoverytest.ListJSON(7, true, "s1", "in_service")} })
 			cfg := testConfig()
-			cfg.Discovery = a.addr()
+			cfg.Discovery = agent.Address()
 			fault := failing(4, number, "connect")
 			r := start(t, cfg, func(r *rig) {
-				r.in.pause = func(time.Duration) <-chan time.Time { return time.After(0) }
+				r.in.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
 				dial := r.in.calls.dialAgent
 				r.in.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -4,6 +4,8 @@
 	"context"
 	"log/slog"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/policy"
 )
 
@@ -33,7 +35,7 @@
 
 // traceSent tells that the last byte of an attempt was written. Safe for any goroutine that the attempt
 // was handed to: what it reads does not change any more.
-func (p *Proxy) traceSent(a *attempt, to target, from, at float64) {
+func (p *Proxy) traceSent(a *attempt, to discovery.Endpoint, from, at float64) {
 	if !p.tracing() || a.req == nil {
 		return
 	}
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -42,7 +44,7 @@
 	}
 	b := get(t, conns)
 	r.until("the connection rests", func() bool { return len(r.in.backends.byID["s0"].idle) == 1 })
-	r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
+	r.do(func() { r.in.applyList(discovery.List{Full: true}) }) // closes the pool
 	if got := b.command(); got != nil {
 		t.Errorf("the backend got %q", got)
 	}
