--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,8 +12,6 @@
 	"net"
 	"net/http"
 	"time"
-
-	"reedlead/policy"
 )
 
 const (
@@ -25,17 +23,17 @@
 	// A change counts as announced once the agent has it, whether or not a watch is open, and sends to a
 	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
 	// again within a share of it.
-	pollTimeoutShare                   = 0.3
-	defaultGrace        policy.Seconds = 0.25 // where the settings name none
-	maxPollTimeout                     = 500 * time.Millisecond
-	maxOpenRetries                     = 3 // unanswered polls of an agent, beside the first
-	maxPause                           = 50 * time.Millisecond
-	minUnusableBackoff                 = 50 * time.Millisecond
-	maxUnusableBackoff                 = time.Second // a whole list costs the agent; an unusable one is not polled for more often
-	maxValueSize                       = 4 << 20
-	targetsPath                        = "/api/targets"
-	wholeListQuery                     = ""
-	watchQueryWithAfter                = "?watch=1&after=%d"
+	pollTimeoutShare    = 0.3
+	defaultGrace        = 250 * time.Millisecond // where the settings name none
+	maxPollTimeout      = 500 * time.Millisecond
+	maxOpenRetries      = 3 // unanswered polls of an agent, beside the first
+	maxPause            = 50 * time.Millisecond
+	minUnusableBackoff  = 50 * time.Millisecond
+	maxUnusableBackoff  = time.Second // a whole list costs the agent; an unusable one is not polled for more often
+	maxValueSize        = 4 << 20
+	targetsPath         = "/api/targets"
+	wholeListQuery      = ""
+	watchQueryWithAfter = "?watch=1&after=%d"
 )
 
 var (
@@ -103,7 +101,7 @@
 }
 
 // DefaultOptions are those for real time. DialContext and Notify are left to the caller.
-func DefaultOptions(drainGrace policy.Seconds) Options {
+func DefaultOptions(drainGrace time.Duration) Options {
 	return Options{
 		PollTimeout:    PollTimeout(drainGrace),
 		SilenceTimeout: DefaultSilenceTimeout,
@@ -116,9 +114,9 @@
 // draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
 // 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
 // before. docs/endings.md adds the waits up.
-func PollTimeout(drainGrace policy.Seconds) time.Duration {
+func PollTimeout(drainGrace time.Duration) time.Duration {
 	grace := cmp.Or(drainGrace, defaultGrace)
-	return min(time.Duration(grace*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
+	return min(time.Duration(grace.Seconds()*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
 }
 
 // Client follows the list of one discovery agent at a time. The goroutine of Run owns it, and lends it to
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -96,7 +96,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			pauses, free := make(chan time.Duration, 64), make(chan time.Time)
 			client := runClient(t, tc.address, func(o *Options) {
-				o.PollTimeout = PollTimeout(0.2)
+				o.PollTimeout = PollTimeout(200 * time.Millisecond)
 				o.After = func(d time.Duration) <-chan time.Time { pauses <- d; return free }
 			})
 			if tc.switchTo != "" {
@@ -238,9 +238,9 @@
 
 // Guards against a long grace period for draining endpoints that puts off the next poll.
 func TestPollsFollowEachOtherWhateverTheGrace(t *testing.T) {
-	for grace, want := range map[float64]time.Duration{
-		0: 75 * time.Millisecond, 0.25: 75 * time.Millisecond,
-		0.05: 15 * time.Millisecond, 1: 300 * time.Millisecond, 60: 500 * time.Millisecond,
+	for grace, want := range map[time.Duration]time.Duration{
+		0: 75 * time.Millisecond, 250 * time.Millisecond: 75 * time.Millisecond,
+		50 * time.Millisecond: 15 * time.Millisecond, time.Second: 300 * time.Millisecond, time.Minute: 500 * time.Millisecond,
 	} {
 		if got := PollTimeout(grace).Round(time.Microsecond); got != want {
 			t.Errorf("grace %v: polled again after %v, want %v", grace, got, want)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -140,7 +140,7 @@
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes),
-		discovery: discovery.DefaultOptions(cfg.Settings.StopSendingS),
+		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 		calls:     calls,
 		turn:      func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
 	}
