--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -48,8 +48,7 @@
 	g.outliers.recordOutcome(e, class.index, o.Status)
 	if o.Status == OK {
 		g.completedWork += class.meanLatency
-		class.successes++
-		class.meanLatency += (o.Elapsed - class.meanLatency) * max(0.02, 1/float64(class.successes+1))
+		class.recordLatency(o.Elapsed)
 	}
 	if representative {
 		g.observeLatency(class, o)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -4,7 +4,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math/rand/v2"
 )
 
@@ -28,46 +27,14 @@
 	gossip    *gossipBuffer
 	endpoints *endpointTable
 	slowStart
-	ring ownerRing
-	classTable
+	ring    ownerRing
+	classes classTable
 	customerTable
 	requestTable
 }
 
-// validate tells what is wrong with the settings.
-func validate(s Settings, act Actions) error {
-	switch {
-	case act == nil:
-		return fmt.Errorf("no actions given")
-	case s.GatewayCount < 1:
-		return fmt.Errorf("gateways is %d, want 1 at least", s.GatewayCount)
-	case s.Self < 0 || s.Self >= s.GatewayCount:
-		return fmt.Errorf("me is %d, want 0 to %d", s.Self, s.GatewayCount-1)
-	case len(s.Classes) == 0:
-		return fmt.Errorf("no classes given")
-	case len(s.Plans) > maxPlans:
-		return fmt.Errorf("%d plans given, %d at most", len(s.Plans), maxPlans)
-	}
-	for _, c := range s.Classes {
-		if !(c.Timeout > 0) || !(c.LatencyObjective > 0) || c.PriorityWeight < 0 {
-			return fmt.Errorf("class %q: aim and deadline must be above 0 and worth not below", c.Name)
-		}
-	}
-	for _, p := range s.Plans {
-		if p.Rate < 0 || p.Rate > 0 && p.Burst <= 0 || p.MaxConcurrent < 0 || p.CeilingRate < 0 || p.WeightFactor < 0 {
-			return fmt.Errorf("plan %q: rates must not be below 0, and a rate needs a burst", p.Name)
-		}
-	}
-	return nil
-}
-
-// setUp makes the classes and the plans.
+// setUp makes the plans.
 func (g *Gateway) initialize() {
-	for i, c := range g.settings.Classes {
-		g.maxPriorityWeight = max(g.maxPriorityWeight, c.PriorityWeight)
-		g.classesByIndex = append(g.classesByIndex, newClass(c, i))
-		g.classes[c.Name] = g.classesByIndex[i]
-	}
 	for i, p := range g.settings.Plans {
 		g.plansByIndex = append(g.plansByIndex, &plan{Plan: p, index: i})
 		g.plans[p.Name] = g.plansByIndex[i]
@@ -96,7 +63,7 @@
 		return nil, err
 	}
 	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}}
-	g.classes, g.plans = map[string]*class{}, map[string]*plan{}
+	g.classes, g.plans = newClassTable(s.Classes), map[string]*plan{}
 	g.endpoints = newEndpointTable(len(s.Classes), g.initialCredit)
 	g.requests, g.customers = map[string]*request{}, map[uint32]*customer{}
 	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
@@ -122,7 +89,7 @@
 	}
 	g.actions.SetTimer(1, timerInterval)
 	g.dispatchQueued()
-	g.watchAttempts()
+	g.watchOpenRequests()
 	g.healthCheckNext()
 	g.retransmit()
 	g.retryQueued()
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -8,11 +8,11 @@
 func TestGossipIsPassedOn(t *testing.T) {
 	a, ra, ask := asMember(t, ofGateways(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
-	a.outliers.recordFailure(a.endpoints.byID["s2"], a.classes["pay"].index, 1)
+	a.outliers.recordFailure(a.endpoints.byID["s2"], a.classes.byName["pay"].index, 1)
 	a.recordLoadReport(a.endpoints.byID["s1"], &LoadReport{Utilization: 0.6})
 	ask(100, "q", 2)
 	b.HandlePeerMessage(100.01, 0, ra.ofKind("send_to_peer", "")[0].data)
-	if b.outliers.score(b.endpoints.byID["s2"], b.classes["pay"].index) < 0.9 || b.outliers.score(b.endpoints.byID["s2"], b.classes["read"].index) > 0 {
+	if b.outliers.score(b.endpoints.byID["s2"], b.classes.byName["pay"].index) < 0.9 || b.outliers.score(b.endpoints.byID["s2"], b.classes.byName["read"].index) > 0 {
 		t.Fatal("sickness was not told on")
 	}
 	if u := b.endpoints.byID["s1"].utilization; u < 0.59 || u > 0.61 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -52,7 +52,7 @@
 // Guards round 27 (class_fail): servers that answer other classes left one unanswered for good.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
-	for _, k := range g.classesByIndex {
+	for _, k := range g.classes.ordered {
 		k.meanLatency, k.successes = 0.05, 100
 	}
 	sick := g.endpoints.byID["s1"]
@@ -62,7 +62,7 @@
 	for now := 100.02; now < 100.5; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if g.outliers.score(sick, g.classes["read"].index) < 0.9 || g.outliers.score(sick, g.classes["pay"].index) > 0 {
+	if g.outliers.score(sick, g.classes.byName["read"].index) < 0.9 || g.outliers.score(sick, g.classes.byName["pay"].index) > 0 {
 		t.Fatal("silence for a class is not told from silence for all")
 	}
 	if a := r.ofKind("send", "q"); len(a) != 1 || a[0].endpoint == "s1" {
@@ -89,7 +89,7 @@
 // One missing answer, told to all, made the whole fleet leave a server for seconds and flood the next.
 func TestLargeFleetScoresByTheUnansweredFraction(t *testing.T) {
 	g, _ := largeFleet(t)
-	cls, s := g.classes["read"], g.endpoints.byID["s00"]
+	cls, s := g.classes.byName["read"], g.endpoints.byID["s00"]
 	attempt := func(now float64, id string, st AttemptStatus) {
 		req := &request{Request: Request{ID: id}, class: cls}
 		g.requests[id] = req
@@ -121,7 +121,7 @@
 // A few gateways see enough themselves: one answer shows that a server is well.
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	cls, s := g.classes["read"], g.endpoints.byID["s1"]
+	cls, s := g.classes.byName["read"], g.endpoints.byID["s1"]
 	g.outliers.recordFailure(s, cls.index, errorScore)
 	g.outliers.recordSuccess(s, cls.index)
 	if x := g.outliers.score(s, cls.index); x != 0 {
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -25,7 +25,7 @@
 	return owner
 }
 
-// reachable tells whether a gateway is this one or a peer that replies. Another gateway stands in for an owner
+// reachable tells whether a gateway is this one or a peer that replies. Another one stands in for an owner
 // that does not.
 func (g *Gateway) reachable(gateway int) bool {
 	return gateway == g.settings.Self || g.peers[gateway].reachable(g.clock.now)
