--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -16,9 +16,8 @@
 // begin counts an attempt as out.
 func (g *Gateway) startAttempt(r *request, s *endpoint) {
 	s.startAttempt(g.clock.now, g.settings.ConnectionIdleTimeout)
-	g.inFlight++
+	g.limiter.startAttempt()
 	r.inFlight++
-	g.lastSentAt = g.clock.now
 	g.adjustInFlight(r, 1)
 	r.attempts = append(r.attempts, attempt{endpoint: s, group: s.dedupGroup(), sentAt: g.clock.now})
 }
@@ -32,7 +31,7 @@
 	a := &r.attempts[o.Attempt]
 	a.done = true
 	a.endpoint.endAttempt(o.Status == OK || o.Status == Error || o.Status == Rejected)
-	g.inFlight--
+	g.limiter.endAttempt()
 	r.inFlight--
 	g.adjustInFlight(r, -1)
 	return r, a
--- a/policy/endpoint_choice.go
+++ b/policy/endpoint_choice.go
@@ -22,21 +22,11 @@
 	outlierWeight          = 30.0 // how far
 )
 
-// full tells that as much is out as may be. A part of one that is free is rounded up while answers
-// are fast, and makes a pause while they are slow: many gateways that round up drive servers hard.
-// The limit is a part of what all may have out, so it bounds a gateway's mean. Of many gateways some are
-// always busy while others idle: each may go above its part by what chance does to few requests.
-func (g *Gateway) atConcurrencyLimit(r *request) bool {
-	free := g.concurrencyLimit + g.burstAllowance*math.Sqrt(g.concurrencyLimit) - float64(g.inFlight)
-	part := free < 1 && g.latencyRatio >= highLatencyRatio
-	return free <= 0 || part && g.clock.now-g.lastSentAt < max(r.class.meanLatency, g.meanAttemptDuration)/free
-}
-
 // choose picks the server for the request's next attempt, nil if none has room.
 func (g *Gateway) pickEndpoint(r *request) *endpoint {
 	var best *endpoint
 	low := math.Inf(1)
-	if g.atConcurrencyLimit(r) {
+	if g.limiter.atLimit(r.class.meanLatency) {
 		return nil
 	}
 	g.accrueCredits(r)
@@ -52,7 +42,7 @@
 	for k := 0; k < n && look > 0; k++ {
 		s := g.endpoints.listed[(from+k)%n]
 		if !s.available(g.clock.now) || g.warmUpFraction(s) < 1 && (many || !g.creditAvailable(s)) ||
-			float64(s.inFlight) >= math.Ceil(limitShareWeight*g.concurrencyLimit/float64(n)/s.latencyFactor) ||
+			float64(s.inFlight) >= math.Ceil(limitShareWeight*g.limiter.limit/float64(n)/s.latencyFactor) ||
 			!r.deduplicates(s) {
 			continue
 		}
--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -8,9 +8,8 @@
 	before := len(g.endpoints.listed)
 	g.endpoints.apply(list, complete)
 	after := len(g.endpoints.listed)
-	g.endpointsPerGateway = float64(after) / float64(g.settings.GatewayCount)
 	g.updateLoadEstimates()
-	g.concurrencyLimit *= float64(max(1, after)) / float64(max(1, before))
+	g.limiter.resize(before, after)
 	g.dispatchQueued()
 }
 
@@ -51,6 +50,8 @@
 		class.recordLatency(o.Elapsed)
 	}
 	if representative {
-		g.observeLatency(class, o)
+		utilization, known := g.endpoints.meanUtilization(g.clock.now)
+		spareCapacity := known && utilization < lowUtilization
+		g.limiter.observe(o.Elapsed, class.LatencyObjective, o.Status == Timeout, spareCapacity)
 	}
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -21,7 +21,7 @@
 
 	peerProtocol
 	slotQueue
-	concurrencyLimiter
+	limiter  *concurrencyLimiter
 	outliers *outlierDetector
 	healthChecker
 	gossip    *gossipBuffer
@@ -70,10 +70,9 @@
 	g.startedAt, g.admittedWorkAt = now, now
 	g.incarnation = uint8(g.rng.Uint32())
 	g.reportTokens, g.reportTokensAt = 2, now
-	g.concurrencyLimit = initialConcurrencyPerEndpoint / float64(s.GatewayCount) // for one server
+	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.gossip = &gossipBuffer{}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
-	g.burstAllowance = burstDeviations * max(0, 1-smallFleetSize/float64(s.GatewayCount))
 	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
 	g.ring = newOwnerRing(s.GatewayCount)
 	g.initialize()
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -48,7 +48,7 @@
 	if len(c.slotQueue) == 0 {
 		g.slotWaiters = append(g.slotWaiters, c)
 	}
-	if pause := g.clock.now + max(g.meanAttemptDuration, timerInterval)/float64(2*r.plan.MaxConcurrent); g.owner(c) != g.settings.Self {
+	if pause := g.clock.now + max(g.limiter.meanAttemptDuration, timerInterval)/float64(2*r.plan.MaxConcurrent); g.owner(c) != g.settings.Self {
 		c.slotRetryAt = max(c.slotRetryAt, pause) // the owner is asked again then, not sooner
 	}
 	c.slotQueue = append(c.slotQueue, r)
