--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred reads KNOWN-RED.txt, which lists the tests that fail for a fault that is known and not
-// mended yet, and the names of all tests from standard input. It prints the pattern by which go test passes
-// over just these, and on standard error what is passed over and why.
+// Command knownred reads KNOWN-RED.txt, which lists the tests that fail for a fault that is known and not fixed yet,
+// and the names of all tests from standard input. It prints the pattern by which go test skips exactly these, and on
+// standard error what is skipped and why.
 //
 // A line of the file is a test's name, the cause and the issue, with a bar between them:
 //
@@ -9,6 +9,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -17,53 +18,92 @@
 	"strings"
 )
 
-// most tests may be red; more than that have to be mended first.
-const most = 3
+// maxKnownRed is how many tests may be listed; with more of them some have to be fixed first.
+const maxKnownRed = 3
+
+// Errors of the list.
+var (
+	errMalformedLine = errors.New("want a test's name, the cause and the issue, with bars between them")
+	errUnknownTest   = errors.New("there is no test")
+	errListedTwice   = errors.New("is listed twice")
+	errTooMany       = errors.New("too many tests are listed")
+)
 
 func main() {
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: knownred FILE, with the names of all tests on standard input")
 		os.Exit(2)
 	}
-	text, err := os.ReadFile(os.Args[1])
-	if err == nil {
-		err = run(string(text), os.Stdin, os.Stdout, os.Stderr)
-	}
-	if err != nil {
+	if err := run(os.Args[1], os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
 }
 
-var entry = regexp.MustCompile(`^(Test\w+) \| (\S.*) \| (\d+)$`)
+// run writes the pattern for the list in a file to out, and what is skipped to log.
+func run(path string, names io.Reader, out, log io.Writer) error {
+	list, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	tests, err := readLines(names)
+	if err != nil {
+		return err
+	}
+	entries, err := parseList(string(list), tests)
+	if err != nil {
+		return err
+	}
+	var skipped []string
+	for _, e := range entries {
+		skipped = append(skipped, e.test)
+		if _, err := fmt.Fprintf(log, "known red, skipped: %s (issue %s): %s\n", e.test, e.issue, e.cause); err != nil {
+			return err
+		}
+	}
+	if len(skipped) == 0 {
+		return nil
+	}
+	_, err = fmt.Fprintf(out, "^(%s)$\n", strings.Join(skipped, "|"))
+	return err
+}
 
-func run(text string, names io.Reader, out, log io.Writer) error {
-	var all []string
-	for lines := bufio.NewScanner(names); lines.Scan(); {
-		all = append(all, lines.Text())
+func readLines(r io.Reader) (lines []string, err error) {
+	scanner := bufio.NewScanner(r)
+	for scanner.Scan() {
+		lines = append(lines, scanner.Text())
 	}
-	var red []string
-	for n, line := range strings.Split(text, "\n") {
+	return lines, scanner.Err()
+}
+
+// knownRed is an entry of the list.
+type knownRed struct{ test, cause, issue string }
+
+var entryFormat = regexp.MustCompile(`^(Test\w+) \| (\S.*) \| (\d+)$`)
+
+// parseList reads the list, each of whose entries must name one of the tests.
+func parseList(list string, tests []string) ([]knownRed, error) {
+	var entries []knownRed
+	for i, line := range strings.Split(list, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		m := entry.FindStringSubmatch(line)
-		switch {
-		case m == nil:
-			return fmt.Errorf("line %d: want a test's name, the cause and the issue, with bars between them", n+1)
-		case !slices.Contains(all, m[1]):
-			return fmt.Errorf("line %d: there is no test %s", n+1, m[1])
-		case slices.Contains(red, m[1]):
-			return fmt.Errorf("line %d: %s is listed twice", n+1, m[1])
+		number := i + 1
+		match := entryFormat.FindStringSubmatch(line)
+		if match == nil {
+			return nil, fmt.Errorf("line %d: %w", number, errMalformedLine)
 		}
-		red = append(red, m[1])
-		fmt.Fprintf(log, "known red, passed over: %s (issue %s): %s\n", m[1], m[3], m[2])
-	}
-	if len(red) > most {
-		return fmt.Errorf("%d tests are listed, %d at most", len(red), most)
+		entry := knownRed{test: match[1], cause: match[2], issue: match[3]}
+		if !slices.Contains(tests, entry.test) {
+			return nil, fmt.Errorf("line %d: %w %s", number, errUnknownTest, entry.test)
+		}
+		if slices.ContainsFunc(entries, func(e knownRed) bool { return e.test == entry.test }) {
+			return nil, fmt.Errorf("line %d: %s %w", number, entry.test, errListedTwice)
+		}
+		entries = append(entries, entry)
 	}
-	if len(red) > 0 {
-		fmt.Fprintf(out, "^(%s)$\n", strings.Join(red, "|"))
+	if len(entries) > maxKnownRed {
+		return nil, fmt.Errorf("%w: %d, %d at most", errTooMany, len(entries), maxKnownRed)
 	}
-	return nil
+	return entries, nil
 }
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -1,19 +1,20 @@
 package main
 
 import (
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// Guards against a list that passes over more than it names, or more than is allowed, and against one that
-// nobody can read.
-func TestKnownRed(t *testing.T) {
+// Guards against a list that skips more than it names, or more than is allowed, and against a malformed one.
+func TestListOfKnownRedTests(t *testing.T) {
 	const names = "TestA\nTestB\nTestC\nTestD\nok  	some/package	0.1s\n"
 	for name, tc := range map[string]struct{ file, out, log, err string }{
 		"nothing":        {"\n\n", "", "", ""},
-		"one":            {"TestA | it is late | 8\n", "^(TestA)$\n", "known red, passed over: TestA (issue 8): it is late\n", ""},
+		"one":            {"TestA | it is late | 8\n", "^(TestA)$\n", "known red, skipped: TestA (issue 8): it is late\n", ""},
 		"three":          {"TestA | x | 8\n\nTestB | y | 8\nTestC | z | 9", "^(TestA|TestB|TestC)$\n", "TestC (issue 9): z", ""},
-		"four":           {"TestA | x | 8\nTestB | x | 8\nTestC | x | 8\nTestD | x | 8\n", "", "", "4 tests are listed, 3 at most"},
+		"four":           {"TestA | x | 8\nTestB | x | 8\nTestC | x | 8\nTestD | x | 8\n", "", "", "too many tests are listed: 4, 3 at most"},
 		"no issue":       {"TestA | x\n", "", "", "line 1: want"},
 		"no cause":       {"TestA |  | 8\n", "", "", "line 1: want"},
 		"a pattern":      {"Test.* | x | 8\n", "", "", "line 1: want"},
@@ -23,13 +24,19 @@
 		"a longer name":  {"TestAB | x | 8\n", "", "", "there is no test TestAB"},
 		"twice the same": {"TestA | x | 8\nTestA | x | 8\n", "", "", "line 2: TestA is listed twice"},
 	} {
-		var out, log strings.Builder
-		err := run(tc.file, strings.NewReader(names), &out, &log)
-		if (err == nil) != (tc.err == "") || err != nil && !strings.Contains(err.Error(), tc.err) {
-			t.Errorf("%s: got error %v, want %q", name, err, tc.err)
-		}
-		if out.String() != tc.out || !strings.Contains(log.String(), tc.log) {
-			t.Errorf("%s: got %q and %q", name, out.String(), log.String())
-		}
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
+			if err := os.WriteFile(path, []byte(tc.file), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			var out, log strings.Builder
+			err := run(path, strings.NewReader(names), &out, &log)
+			if (err == nil) != (tc.err == "") || err != nil && !strings.Contains(err.Error(), tc.err) {
+				t.Errorf("got error %v, want %q", err, tc.err)
+			}
+			if out.String() != tc.out || !strings.Contains(log.String(), tc.log) {
+				t.Errorf("got %q and %q", out.String(), log.String())
+			}
+		})
 	}
 }
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"regexp"
 	"strconv"
@@ -14,32 +13,32 @@
 	"time"
 )
 
-// attemptSeen is an attempt as a backend saw it.
-type attemptSeen struct {
-	id   string
-	told time.Duration // how long the ingress says that it will wait
-	at   time.Time     // when its last byte had come
+// receivedAttempt is an attempt as an endpoint received it.
+type receivedAttempt struct {
+	id      string
+	timeout time.Duration // that the command gives
+	at      time.Time     // when its last byte had come
 }
 
-// hangingBackend takes commands and never answers.
-type hangingBackend struct {
-	addr string
-	mu   sync.Mutex
-	seen []attemptSeen
+// hangingEndpoint reads commands and never replies.
+type hangingEndpoint struct {
+	addr     string
+	mu       sync.Mutex
+	attempts []receivedAttempt
 }
 
-func hang(t *testing.T) *hangingBackend {
+func startHangingEndpoint(t *testing.T) *hangingEndpoint {
 	t.Helper()
 	l := listen(t)
-	b := &hangingBackend{addr: l.Addr().String()}
-	go serveEach(l, b.take)
-	return b
+	e := &hangingEndpoint{addr: l.Addr().String()}
+	go serveEach(l, e.serve)
+	return e
 }
 
 var deadlineField = regexp.MustCompile(`(?:^|,)d=(\d+)`)
 
-func (b *hangingBackend) take(conn net.Conn) {
-	defer conn.Close()
+func (e *hangingEndpoint) serve(conn net.Conn) {
+	defer closeQuietly(conn)
 	id := ""
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
@@ -50,104 +49,110 @@
 			id = line
 		} else if m := deadlineField.FindStringSubmatch(line); m != nil {
 			ms, _ := strconv.Atoi(m[1])
-			b.mu.Lock()
-			b.seen = append(b.seen, attemptSeen{id, time.Duration(ms) * time.Millisecond, time.Now()})
-			b.mu.Unlock()
+			e.mu.Lock()
+			e.attempts = append(e.attempts, receivedAttempt{id, time.Duration(ms) * time.Millisecond, time.Now()})
+			e.mu.Unlock()
 		}
 	}
 }
 
-// told returns by how much the attempts were told more time than their client had left, at most.
-func (b *hangingBackend) told(sent time.Time, deadline time.Duration) (over time.Duration, attempts int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, a := range b.seen {
-		over = max(over, a.told-(deadline-a.at.Sub(sent)))
+// largestExcess returns by how much the timeout of an attempt was longer than what its client had left, at most.
+func (e *hangingEndpoint) largestExcess(sent time.Time, deadline time.Duration) (excess time.Duration, attempts int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, a := range e.attempts {
+		excess = max(excess, a.timeout-(deadline-a.at.Sub(sent)))
 	}
-	return over, len(b.seen)
+	return excess, len(e.attempts)
 }
 
 const (
-	toldSlack    = 150 * time.Millisecond
-	answeredMost = 500 * time.Millisecond // after its time an answer is lost
+	timeoutSlack = 150 * time.Millisecond // by which the timeout of an attempt may exceed what the client has left
+	replySlack   = 500 * time.Millisecond // after the deadline, from which on a reply counts as lost
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
-// TestTimeCountsFromTheArrivalBehindOpenCommands guards against time that is given away as still left: a command
-// that lies in the socket behind open ones has less and less of it, and its attempts must tell so.
+// TestTimeCountsFromTheArrivalBehindOpenCommands guards against attempts with more time than is left: the deadline of
+// a command that lies in the socket behind open ones comes closer meanwhile.
 func TestTimeCountsFromTheArrivalBehindOpenCommands(t *testing.T) {
 	t.Parallel()
 	for _, commands := range []int{60, 400} {
 		t.Run(fmt.Sprint(commands, " commands"), func(t *testing.T) {
 			const deadline = 900 * time.Millisecond
-			b := hang(t)
-			p := startProgram(t, programConfig{backends: []string{b.addr}, classes: arrivalClass})
+			endpoint := startHangingEndpoint(t)
+			p := startProgram(t, programConfig{endpoints: []string{endpoint.addr}, classes: arrivalClass})
 			conn := p.dial()
-			var calls strings.Builder
+			var commandText strings.Builder
 			for i := range commands {
-				calls.WriteString(call(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
+				commandText.WriteString(requestCommand(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
 			}
 			sent := time.Now()
-			io.WriteString(conn, calls.String())
+			writeText(conn, commandText.String())
 			r := bufio.NewReader(conn)
 			for i := range commands {
-				if line, _, err := readAnswer(r); err != nil {
-					t.Fatalf("answer %d: %q, %v", i, line, err)
+				if line, _, err := readReply(r); err != nil {
+					t.Fatalf("reply %d: %q, %v", i, line, err)
 				}
 			}
-			if took := time.Since(sent); took > deadline+answeredMost {
-				t.Errorf("the last answer came after %v", took)
+			if took := time.Since(sent); took > deadline+replySlack {
+				t.Errorf("the last reply came after %v", took)
 			}
-			over, attempts := b.told(sent, deadline)
-			if attempts == 0 || over > toldSlack {
-				t.Errorf("%d attempts were told %v more than the client had left", attempts, over)
+			excess, attempts := endpoint.largestExcess(sent, deadline)
+			if attempts == 0 || excess > timeoutSlack {
+				t.Errorf("%d attempts had %v more than the client had left", attempts, excess)
 			}
 		})
 	}
 }
 
-// TestTimeCountsFromTheArrivalAfterAStandstill guards against the same where the whole process stood still with a
+// standstill is how long the tests suspend the whole process.
+const standstill = 600 * time.Millisecond
+
+// TestTimeCountsFromTheArrivalAfterAStandstill guards against the same where the whole process was suspended with a
 // request in its socket, alone, behind another one, or in pieces.
 func TestTimeCountsFromTheArrivalAfterAStandstill(t *testing.T) {
 	t.Parallel()
-	const held = 600 * time.Millisecond
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
 		for _, before := range []int{0, 1} {
 			t.Run(fmt.Sprintf("%v behind %d", deadline, before), func(t *testing.T) {
-				b := hang(t)
-				p := startProgram(t, programConfig{backends: []string{b.addr}, classes: arrivalClass})
-				conn := p.dial()
-				r := bufio.NewReader(conn)
-				io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
-				if line, _, err := readAnswer(r); line != "+PONG" {
-					t.Fatalf("got %q, %v", line, err)
-				}
-				p.stop()
-				sent := time.Now()
-				for i := range before + 1 {
-					io.WriteString(conn, call(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
-				}
-				if before > 0 { // and one that comes late, so that what came last says little of the others
-					time.Sleep(held - 50*time.Millisecond)
-					io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
-				}
-				time.Sleep(time.Until(sent.Add(held)))
-				if err := p.cmd.Process.Signal(syscall.SIGCONT); err != nil {
-					t.Fatal(err)
-				}
-				for i := range before + 1 {
-					if line, _, err := readAnswer(r); err != nil {
-						t.Fatalf("answer %d: %q, %v", i, line, err)
-					}
-				}
-				if took := time.Since(sent); took > deadline+answeredMost {
-					t.Errorf("answered after %v", took)
-				}
-				over, attempts := b.told(sent, deadline)
-				if over > toldSlack || deadline < held && attempts > 0 {
-					t.Errorf("%d attempts, told %v more than the client had left", attempts, over)
-				}
+				checkArrivalAfterStandstill(t, deadline, before)
 			})
 		}
 	}
 }
+
+// checkArrivalAfterStandstill suspends the process, sends a request behind a number of others, and resumes it.
+func checkArrivalAfterStandstill(t *testing.T, deadline time.Duration, before int) {
+	t.Helper()
+	endpoint := startHangingEndpoint(t)
+	p := startProgram(t, programConfig{endpoints: []string{endpoint.addr}, classes: arrivalClass})
+	conn := p.dial()
+	r := bufio.NewReader(conn)
+	writeText(conn, pingCommand)
+	if line, _, err := readReply(r); line != "+PONG" {
+		t.Fatalf("got %q, %v", line, err)
+	}
+	p.suspend()
+	sent := time.Now()
+	for i := range before + 1 {
+		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
+	}
+	if before > 0 { // and a command that comes late, so that the last arrival says little of the others
+		time.Sleep(standstill - 50*time.Millisecond)
+		writeText(conn, pingCommand)
+	}
+	time.Sleep(time.Until(sent.Add(standstill)))
+	p.signal(syscall.SIGCONT)
+	for i := range before + 1 {
+		if line, _, err := readReply(r); err != nil {
+			t.Fatalf("reply %d: %q, %v", i, line, err)
+		}
+	}
+	if took := time.Since(sent); took > deadline+replySlack {
+		t.Errorf("replied after %v", took)
+	}
+	excess, attempts := endpoint.largestExcess(sent, deadline)
+	if excess > timeoutSlack || deadline < standstill && attempts > 0 {
+		t.Errorf("%d attempts, with %v more than the client had left", attempts, excess)
+	}
+}
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -18,7 +17,7 @@
 	"time"
 )
 
-// asProgram is the environment that has the test's own program run as an ingress, with so many descriptors.
+// asProgram is the environment variable that has the test binary run as a gateway; its value limits the descriptors.
 const asProgram = "REEDLEAD_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
@@ -62,6 +61,13 @@
 	return bytes.Count(o.b.Bytes(), []byte(text))
 }
 
+// text is all that was logged.
+func (o *output) text() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.b.String()
+}
+
 // tail is the end of what was logged.
 func (o *output) tail() string {
 	const most = 4000
@@ -71,152 +77,207 @@
 	return string(b[max(0, len(b)-most):])
 }
 
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never came to: " + what)
+			t.Fatal("not reached: " + what)
 		}
 	}
 }
 
-// Guards against idle clients that take all descriptors while discovery is down, and keep the ingress from
-// discovery, backends, peers and its configuration when they are back: with as many descriptors as it was told
-// of, and with far fewer. Meanwhile they come again as soon as they are closed.
+// Few descriptors are less than what idle clients take, and as many as the configuration says or far fewer.
+const (
+	fewDescriptors  = 72
+	manyIdleClients = 150
+	reconnectPause  = 5 * time.Millisecond
+)
+
+// Guards against idle clients that take all descriptors while discovery is down, and keep the gateway from
+// discovery, endpoints, peers and its configuration when they are back: with as many descriptors as it is configured
+// for, and with far fewer. Meanwhile they come again as soon as they are closed.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	for _, told := range []int{72, 1024} {
-		t.Run(fmt.Sprintf("72 of %d", told), func(t *testing.T) {
-			backend := serveBackend(t)
-			up, asked := make(chan struct{}), make(chan string, 4096)
-			agent := func(name string) string {
-				srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-					select {
-					case <-up:
-					case <-q.Context().Done(): // silent, as while it is down
-						return
-					}
-					asked <- name
-					fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":"new","addr":"%s","state":"in_service"}]}`+"\n", backend)
-					w.(http.Flusher).Flush()
-					<-q.Context().Done()
-				}))
-				t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
-				return strings.TrimPrefix(srv.URL, "http://")
-			}
-			first, second := agent("first"), agent("second")
-			listen := freeAddress(t)
-			path := filepath.Join(t.TempDir(), "config.json")
-			write := func(discovery string) {
-				text := fmt.Sprintf(`{"name":"n0","listen":"%s","discovery":"%s","seed":"1","limits":{"sockets":%d,"memory_mb":128},
-					"known":{"version":1,"servers":[{"id":"old","addr":"127.0.0.1:1","state":"in_service"}]},
-					"settings":{"balancers":1,"limits":{"dialTimeoutS":1,"connIdleS":15,"maxAttempts":3},
-					"profiles":[{"name":"look","aimS":10,"deadlineS":20,"effect":"retryable","worth":1}],
-					"packages":[{"name":"basic","unitsPerS":1000000,"peakUnits":1000000,"pays":1}]}}`, listen, discovery, told)
-				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-					t.Fatal(err)
-				}
-			}
-			write(first)
-			var log output
-			program := programCommand(path, 72, &log)
-			if err := program.Start(); err != nil {
-				t.Fatal(err)
-			}
-			ended := make(chan error, 1)
-			go func() { ended <- program.Wait() }()
-			t.Cleanup(func() { program.Process.Kill(); <-ended })
-			t.Cleanup(func() {
-				if t.Failed() {
-					log.mu.Lock()
-					t.Log(log.b.String())
-					log.mu.Unlock()
-				}
-			})
-			idle := make(chan struct{}, 4096) // a word for each client that was answered and idles
-			stop := make(chan struct{})
-			defer close(stop)
-			for range 150 {
-				go func() {
-					for {
-						if c, err := net.Dial("tcp", listen); err == nil {
-							io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-							go func() { <-stop; c.Close() }()
-							r := bufio.NewReader(c)
-							if line, _ := r.ReadString('\n'); line != "" {
-								select {
-								case idle <- struct{}{}:
-								default:
-								}
-							}
-							r.ReadString('\n') // until it is closed
-							c.Close()
-						}
-						select {
-						case <-stop:
-							return
-						case <-time.After(5 * time.Millisecond):
-						}
-					}
-				}()
-			}
-			eventually(t, "clients fill what they may", func() bool { return len(idle) > 72 })
-			if told > 72 {
-				eventually(t, "no descriptor is left", func() bool { return log.has("no descriptor left") })
-			}
-			close(up)
-			eventually(t, "the agent is asked", func() bool { return len(asked) > 0 })
-			eventually(t, "a request is served", func() bool { return get(listen) == "$1\r\n" })
-			write(second)
-			if err := program.Process.Signal(syscall.SIGHUP); err != nil {
-				t.Fatal(err)
+	for _, configured := range []int{fewDescriptors, 1024} {
+		t.Run(fmt.Sprintf("%d of %d", fewDescriptors, configured), func(t *testing.T) {
+			checkIdleClientsLeaveDescriptors(t, configured)
+		})
+	}
+}
+
+func checkIdleClientsLeaveDescriptors(t *testing.T, configured int) {
+	t.Helper()
+	agents := newSilentAgents(t, serveEndpoint(t))
+	first, second := agents.start("first"), agents.start("second")
+	listen := freeAddress(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig := func(discovery string) {
+		t.Helper()
+		config := programConfig{
+			discovery: discovery, endpoints: []string{"127.0.0.1:1"}, sockets: configured,
+		}
+		if err := os.WriteFile(path, []byte(config.text(listen)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	writeConfig(first)
+	p := startWithDescriptors(t, path, fewDescriptors)
+	idle := keepIdleClients(t, listen)
+	eventually(t, "clients fill what they may", func() bool { return len(idle) > fewDescriptors })
+	if configured > fewDescriptors {
+		eventually(t, "no descriptor is left", func() bool { return p.log.has("no descriptor left") })
+	}
+	close(agents.up)
+	eventually(t, "the agent is polled", func() bool { return len(agents.polled) > 0 })
+	eventually(t, "a request is served", func() bool { return requestOnce(listen) == "$1\r\n" })
+	writeConfig(second)
+	p.signal(syscall.SIGHUP)
+	eventually(t, "the second agent is polled", func() bool {
+		for len(agents.polled) > 0 {
+			if <-agents.polled == "second" {
+				return true
 			}
-			eventually(t, "the second agent is asked", func() bool {
-				for len(asked) > 0 {
-					if <-asked == "second" {
-						return true
-					}
+		}
+		return false
+	})
+	eventually(t, "a request is served by the new list", func() bool { return requestOnce(listen) == "$1\r\n" })
+	select {
+	case err := <-p.ended:
+		t.Errorf("the program ended: %v", err)
+		p.ended <- err
+	default:
+	}
+}
+
+// silentAgents are discovery agents that hang until up is closed, and list one endpoint then.
+type silentAgents struct {
+	t        *testing.T
+	endpoint string
+	up       chan struct{}
+	polled   chan string // by the agent's name
+}
+
+func newSilentAgents(t *testing.T, endpoint string) *silentAgents {
+	return &silentAgents{t: t, endpoint: endpoint, up: make(chan struct{}), polled: make(chan string, 4096)}
+}
+
+// start starts an agent and returns its address.
+func (a *silentAgents) start(name string) (addr string) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case <-a.up:
+		case <-r.Context().Done():
+			return
+		}
+		a.polled <- name
+		writeText(w, fmt.Sprintf(`{"version":9,"full":true,"servers":[{"id":"new","addr":"%s","state":"in_service"}]}`+"\n",
+			a.endpoint))
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+	}))
+	a.t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+// startWithDescriptors starts the program with a limit of descriptors. It is killed with the end of the test, and its
+// log is shown if that has failed.
+func startWithDescriptors(t *testing.T, path string, descriptors int) *program {
+	t.Helper()
+	p := &program{t: t, log: &output{}, ended: make(chan error, 1)}
+	p.cmd = programCommand(path, descriptors, p.log)
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() { p.ended <- p.cmd.Wait() }()
+	t.Cleanup(func() {
+		_ = p.cmd.Process.Kill() // it may have ended
+		if err := <-p.ended; t.Failed() {
+			t.Log(err, p.log.text())
+		}
+	})
+	return p
+}
+
+// keepIdleClients has many clients connect, get one reply, and idle until they are closed; then they connect again. A
+// word comes on the channel for each reply.
+func keepIdleClients(t *testing.T, addr string) <-chan struct{} {
+	idle := make(chan struct{}, 4096)
+	stop := make(chan struct{})
+	t.Cleanup(func() { close(stop) })
+	for range manyIdleClients {
+		go func() {
+			for {
+				idleOnce(addr, idle, stop)
+				select {
+				case <-stop:
+					return
+				case <-time.After(reconnectPause):
 				}
-				return false
-			})
-			eventually(t, "a request is served by the new list", func() bool { return get(listen) == "$1\r\n" })
-			select {
-			case err := <-ended:
-				t.Errorf("the program ended: %v", err)
-				ended <- err
-			default:
 			}
-		})
+		}()
+	}
+	return idle
+}
+
+// idleOnce connects once, and idles until the connection is closed or stop is.
+func idleOnce(addr string, idle chan<- struct{}, stop <-chan struct{}) {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return
+	}
+	defer closeQuietly(conn)
+	writeText(conn, pingCommand)
+	ended := make(chan struct{})
+	defer close(ended)
+	go func() {
+		select {
+		case <-stop:
+			closeQuietly(conn)
+		case <-ended:
+		}
+	}()
+	r := bufio.NewReader(conn)
+	if line, _ := r.ReadString('\n'); line != "" {
+		select {
+		case idle <- struct{}{}:
+		default:
+		}
 	}
+	_, _ = r.ReadString('\n') // until it is closed
 }
 
-var asks int
+var requestCount int
 
-// get asks for something once, and returns the first line of the answer.
-func get(addr string) string {
-	c, err := net.Dial("tcp", addr)
+// requestOnce sends one request, and returns the first line of the reply.
+func requestOnce(addr string) string {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience / 4))
-	asks++
-	io.WriteString(c, call(fmt.Sprintf("q%07d", asks), 20_000))
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	defer closeQuietly(conn)
+	limitTime(conn, patience/4)
+	requestCount++
+	writeText(conn, requestCommand(fmt.Sprintf("q%07d", requestCount), 20_000))
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line
 }
 
-// serveBackend answers each read.
-func serveBackend(t *testing.T) (addr string) {
+// serveEndpoint replies to each read with the value v.
+func serveEndpoint(t *testing.T) (addr string) {
+	t.Helper()
 	l := listen(t)
-	go serveEach(l, func(c net.Conn) {
-		defer c.Close()
-		for r := bufio.NewReader(c); ; {
+	go serveEach(l, func(conn net.Conn) {
+		defer closeQuietly(conn)
+		for r := bufio.NewReader(conn); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
 				return
 			}
 			if strings.HasPrefix(line, "c=") { // the last argument of a read
-				io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+				writeText(conn, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 			}
 		}
 	})
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -31,19 +31,19 @@
 		{"name":"bill","aimS":0.5,"deadlineS":1,"effect":"fragile","worth":1}]`
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
-	keyWindow     = 800 * time.Millisecond
-	goneSlack     = 100 * time.Millisecond // after its client has closed, in which an attempt may still begin
-	holdEvery     = 600 * time.Millisecond
-	holdFor       = 140 * time.Millisecond // under 0.15 s, which a hold-up between the clock and the write may last
-	faultBackends = 3
-	faultClients  = 24
+	keyWindow       = 800 * time.Millisecond
+	disconnectSlack = 100 * time.Millisecond // after its client has closed, in which an attempt may still begin
+	suspendEvery    = 600 * time.Millisecond
+	suspendFor      = 140 * time.Millisecond // under the 0.15 s that a standstill between the clock and the write may last
+	faultEndpoints  = 3
+	faultClients    = 24
 )
 
-// attemptRun is a command that a backend got whole.
-type attemptRun struct {
-	told    time.Duration
-	written time.Time // when the ingress had written its last byte
-	ran     bool      // else it was turned away
+// executedAttempt is a command that an endpoint received whole.
+type executedAttempt struct {
+	timeout  time.Duration // that the command gives
+	written  time.Time     // when the gateway had written its last byte
+	executed bool          // else it was rejected
 }
 
 // faultRequest is a request as its client knows it.
@@ -51,30 +51,30 @@
 	id, class string
 	deadline  time.Duration
 	end       int // of its command on the connection
-	answerEnd int // of its answer
-	answer    string
+	replyEnd  int // of its reply on the connection
+	reply     string
 }
 
-// faultWorld is what a run keeps: the attempts by id, and the breaks of the rules.
-type faultWorld struct {
-	mu       sync.Mutex
-	attempts map[string][]attemptRun
-	breaks   []string
-	answered map[string]int // by the answer's first word
-	late     atomic.Int64   // nanoseconds by which this process was behind its own timers, at most
+// faultRun is what one run of a schedule records: the attempts by request, and the violations of the rules.
+type faultRun struct {
+	mu         sync.Mutex
+	attempts   map[string][]executedAttempt
+	violations []string
+	replies    map[string]int // by the reply's first word
+	lag        atomic.Int64   // nanoseconds by which this process was behind its own timers, at most
 }
 
-func (w *faultWorld) broken(format string, args ...any) {
+func (w *faultRun) violate(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.breaks = append(w.breaks, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// slack is what a busy machine may add to a time that this process has taken.
-func (w *faultWorld) slack() time.Duration { return 2 * time.Duration(w.late.Load()) }
+// slack is what a busy machine may add to a time that this process measures.
+func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.lag.Load()) }
 
-// watchPace measures by how much this process is behind its own timers.
-func (w *faultWorld) watchPace(stop <-chan struct{}) {
+// measureLag measures by how much this process is behind its own timers.
+func (w *faultRun) measureLag(stop <-chan struct{}) {
 	const every = 5 * time.Millisecond
 	for {
 		from := time.Now()
@@ -83,22 +83,22 @@
 			return
 		case <-time.After(every):
 		}
-		if behind := int64(time.Since(from) - every); behind > w.late.Load() {
-			w.late.Store(behind)
+		if behind := int64(time.Since(from) - every); behind > w.lag.Load() {
+			w.lag.Store(behind)
 		}
 	}
 }
 
-// backend answers commands behind its proxy: with values that name their request, errors, refusals, silence, or the
-// end of the connection.
-type faultBackend struct {
-	world *faultWorld
+// faultEndpoint replies to commands behind its proxy: with values that name their request, errors, rejections, no
+// reply, or the end of the connection.
+type faultEndpoint struct {
+	run   *faultRun
 	proxy *faultproxy.Proxy
 	rng   func() float64
 }
 
-func (b *faultBackend) serve(conn net.Conn) {
-	defer conn.Close()
+func (e *faultEndpoint) serve(conn net.Conn) {
+	defer closeQuietly(conn)
 	read := 0
 	r := bufio.NewReader(conn)
 	for {
@@ -107,41 +107,41 @@
 			return
 		}
 		read += n
-		link := b.proxy.Link(b.near(conn))
+		link := e.proxy.Link(e.near(conn))
 		m := deadlineField.FindStringSubmatch(args[3])
 		ms, _ := strconv.Atoi(m[1])
-		run := attemptRun{told: time.Duration(ms) * time.Millisecond, written: time.Now()}
+		run := executedAttempt{timeout: time.Duration(ms) * time.Millisecond, written: time.Now()}
 		if link != nil {
 			if at, ok := link.To.Read.At(read); ok {
 				run.written = at
 			}
 		}
-		id, fate := args[2], b.rng()
-		run.ran = fate < 0.9
-		b.world.mu.Lock()
-		b.world.attempts[id] = append(b.world.attempts[id], run)
-		b.world.mu.Unlock()
+		id, fate := args[2], e.rng()
+		run.executed = fate < 0.9
+		e.run.mu.Lock()
+		e.run.attempts[id] = append(e.run.attempts[id], run)
+		e.run.mu.Unlock()
 		switch {
 		case fate < 0.75:
-			time.Sleep(time.Duration(b.rng() * float64(40*time.Millisecond)))
-			value := strings.Repeat("v", int(b.rng()*b.rng()*30_000)) + id
-			fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+			time.Sleep(time.Duration(e.rng() * float64(40*time.Millisecond)))
+			value := strings.Repeat("v", int(e.rng()*e.rng()*30_000)) + id
+			writeText(conn, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
 		case fate < 0.82:
-			io.WriteString(conn, "-ERR failed\r\n")
+			writeText(conn, "-ERR failed\r\n")
 		case fate < 0.86:
 			time.Sleep(1200 * time.Millisecond)
 		case fate < 0.9:
 			return
 		default:
-			io.WriteString(conn, "-BUSY\r\n")
+			writeText(conn, "-BUSY\r\n")
 		}
 	}
 }
 
-// near is the address by which the proxy knows the connection whose far end this is.
-func (b *faultBackend) near(conn net.Conn) net.Addr { return b.proxy.From(conn.RemoteAddr()) }
+// near is the address by which the proxy knows the connection that reaches the endpoint as conn.
+func (e *faultEndpoint) near(conn net.Conn) net.Addr { return e.proxy.From(conn.RemoteAddr()) }
 
-// readCommand reads a command and tells how many bytes it took.
+// readCommand reads a command, and returns how many bytes it took.
 func readCommand(r *bufio.Reader) (args []string, n int, err error) {
 	line := func() string {
 		s, failed := r.ReadString('\n')
@@ -162,20 +162,20 @@
 	return args, n, err
 }
 
-// faultClient asks on one connection after the other until the time is over.
+// faultClient sends requests on one connection after the other until the time is over.
 type faultClient struct {
-	world  *faultWorld
+	run    *faultRun
 	proxy  *faultproxy.Proxy
 	rng    *rand.Rand
 	number int
-	asked  int
+	sent   int
 }
 
-// request words a request of any class.
+// request makes a request of any class, and its command.
 func (c *faultClient) request(bodyMax int) (faultRequest, string) {
-	c.asked++
+	c.sent++
 	q := faultRequest{
-		id: fmt.Sprintf("q%d-%d", c.number, c.asked), class: []string{"look", "save", "bill"}[c.rng.IntN(3)],
+		id: fmt.Sprintf("q%d-%d", c.number, c.sent), class: []string{"look", "save", "bill"}[c.rng.IntN(3)],
 		deadline: time.Duration(150+c.rng.IntN(850)) * time.Millisecond,
 	}
 	fields := fmt.Sprintf("c=%s,t=basic,d=%d,k=%s,units=1,spread=1,first=0", q.class, q.deadline.Milliseconds(), q.id)
@@ -192,15 +192,15 @@
 	return q, b.String()
 }
 
-// connection asks for some things at once, and reads the answers or leaves.
+// connection sends batches of requests, and reads the replies or disconnects.
 func (c *faultClient) connection(t *testing.T) {
 	conn, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	defer closeQuietly(conn)
+	limitTime(conn, patience)
 	r := bufio.NewReader(conn)
 	sent, read := 0, 0
 	for range 1 + c.rng.IntN(4) {
@@ -219,14 +219,14 @@
 			batch = append(batch, q)
 			text.WriteString(command)
 		}
-		io.WriteString(conn, text.String())
+		writeText(conn, text.String())
 		leaves := c.rng.Float64() < 0.15
 		if leaves {
 			time.Sleep(time.Duration(c.rng.IntN(100)) * time.Millisecond)
 			if c.rng.IntN(2) == 0 {
-				conn.(*net.TCPConn).SetLinger(0)
+				_ = conn.(*net.TCPConn).SetLinger(0) // a reset
 			}
-			conn.Close()
+			closeQuietly(conn)
 		}
 		link := c.proxy.Link(conn.LocalAddr())
 		ended := false
@@ -236,11 +236,11 @@
 				break
 			}
 			var n int
-			if q.answer, n, err = readWhole(r); err != nil {
+			if q.reply, n, err = readWhole(r); err != nil {
 				ended = true
 			}
 			read += n
-			q.answerEnd = read
+			q.replyEnd = read
 		}
 		c.judge(link, batch, leaves)
 		if ended || leaves {
@@ -249,7 +249,7 @@
 	}
 }
 
-// readWhole reads an answer, and tells how many bytes it took.
+// readWhole reads a reply, and returns how many bytes it took.
 func readWhole(r *bufio.Reader) (text string, n int, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil || line[0] != '$' {
@@ -261,110 +261,110 @@
 	return "$" + string(b[:size]), len(line) + len(b), err
 }
 
-// judge holds a batch against the rules.
+// judge checks a batch against the rules.
 func (c *faultClient) judge(link *faultproxy.Link, batch []faultRequest, left bool) {
-	w := c.world
+	w := c.run
 	if link == nil { // the proxy never came to it
 		return
 	}
 	if left { // what is out may still be written
-		time.Sleep(3 * goneSlack)
+		time.Sleep(3 * disconnectSlack)
 	}
-	before := time.Time{} // when the answer before had come
+	before := time.Time{} // when the reply before had come
 	for _, q := range batch {
 		came, arrived := link.To.Written.At(q.end)
 		c.judgeAttempts(q, came, arrived, link.To.Written.Ended())
 		if left || link.Broken() || !arrived {
 			continue
 		}
-		word, _, _ := strings.Cut(q.answer, " ")
+		word, _, _ := strings.Cut(q.reply, " ")
 		switch {
-		case q.answer == "":
-			w.broken("%s: its connection ended with no whole answer", q.id)
+		case q.reply == "":
+			w.violate("%s: its connection ended without a whole reply", q.id)
 			continue
-		case q.answer[0] == '$':
+		case q.reply[0] == '$':
 			word = "value"
-			if !strings.HasSuffix(q.answer, q.id) {
-				w.broken("%s: got a value that ends with %q", q.id, q.answer[max(0, len(q.answer)-20):])
+			if !strings.HasSuffix(q.reply, q.id) {
+				w.violate("%s: got a value that ends with %q", q.id, q.reply[max(0, len(q.reply)-20):])
 			}
 		}
 		w.mu.Lock()
-		w.answered[word]++
-		ran := slices.ContainsFunc(w.attempts[q.id], func(a attemptRun) bool { return a.ran })
+		w.replies[word]++
+		ran := slices.ContainsFunc(w.attempts[q.id], func(a executedAttempt) bool { return a.executed })
 		w.mu.Unlock()
 		if word == "-BUSY" && ran && q.class == "bill" {
-			w.broken("%s: refused, and it ran", q.id)
+			w.violate("%s: rejected, and it was executed", q.id)
 		}
-		answered, _ := link.From.Read.At(q.answerEnd)
+		replied, _ := link.From.Read.At(q.replyEnd)
 		from := came
-		if before.After(from) { // the time behind the answers before it does not count
+		if before.After(from) { // the time behind the replies before it does not count
 			from = before
 		}
-		if late := answered.Sub(came) - q.deadline; late > answeredMost+w.slack() && answered.Sub(from) > answeredMost {
-			w.broken("%s: answered %v after its time", q.id, late)
+		if late := replied.Sub(came) - q.deadline; late > replySlack+w.slack() && replied.Sub(from) > replySlack {
+			w.violate("%s: replied %v after its deadline", q.id, late)
 		}
-		before = answered
+		before = replied
 	}
 }
 
-// judgeAttempts holds the attempts of a request against the rules.
+// judgeAttempts checks the attempts of a request against the rules.
 func (c *faultClient) judgeAttempts(q faultRequest, came time.Time, arrived bool, ended time.Time) {
-	w := c.world
+	w := c.run
 	w.mu.Lock()
 	attempts := slices.Clone(w.attempts[q.id])
 	w.mu.Unlock()
 	var first time.Time
 	for _, a := range attempts {
 		if !arrived {
-			w.broken("%s: sent on, though it never came whole", q.id)
+			w.violate("%s: attempted, though it never came whole", q.id)
 			continue
 		}
-		if over := a.told - (q.deadline - a.written.Sub(came)); over > toldSlack+w.slack() {
-			w.broken("%s: a backend is told %v too much", q.id, over)
+		if over := a.timeout - (q.deadline - a.written.Sub(came)); over > timeoutSlack+w.slack() {
+			w.violate("%s: an attempt has %v too much time", q.id, over)
 		}
-		if !ended.IsZero() && a.written.Sub(ended) > goneSlack+w.slack() {
-			w.broken("%s: sent on %v after its client had gone", q.id, a.written.Sub(ended))
+		if !ended.IsZero() && a.written.Sub(ended) > disconnectSlack+w.slack() {
+			w.violate("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(ended))
 		}
 		switch {
 		case first.IsZero():
 		case q.class == "bill":
-			w.broken("%s: must not run twice, and was sent again", q.id)
+			w.violate("%s: must not execute twice, and was attempted again", q.id)
 		case q.class == "save" && a.written.Sub(first) > keyWindow+w.slack():
-			w.broken("%s: sent again %v after its first attempt", q.id, a.written.Sub(first))
+			w.violate("%s: attempted again %v after its first attempt", q.id, a.written.Sub(first))
 		}
-		if a.ran && first.IsZero() {
+		if a.executed && first.IsZero() {
 			first = a.written
 		}
 	}
 }
 
 // playFaults plays one schedule of faults against one process.
-func playFaults(t *testing.T, seed uint64, holds bool) *faultWorld {
-	w := &faultWorld{attempts: map[string][]attemptRun{}, answered: map[string]int{}}
+func playFaults(t *testing.T, seed uint64, suspends bool) *faultRun {
+	w := &faultRun{attempts: map[string][]executedAttempt{}, replies: map[string]int{}}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	go w.watchPace(stop)
+	go w.measureLag(stop)
 	rough := faultproxy.Schedule{
 		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
 		HoldUp: 0.02, HoldFor: 150 * time.Millisecond, EndBytes: 20_000,
 	}
-	var backends []string
-	for i := range faultBackends {
-		backends = append(backends, startFaultBackend(t, w, rough, seed<<8+uint64(i)))
+	var endpoints []string
+	for i := range faultEndpoints {
+		endpoints = append(endpoints, startFaultEndpoint(t, w, rough, seed<<8+uint64(i)))
 	}
-	p := startProgram(t, programConfig{backends: backends, classes: faultClasses, limits: faultLimits})
+	p := startProgram(t, programConfig{endpoints: endpoints, classes: faultClasses, limits: faultLimits})
 	proxy, err := faultproxy.New(p.listen, rough, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	if holds {
-		go holdUp(p, stop)
+	if suspends {
+		go suspendRepeatedly(p, stop)
 	}
 	var clients sync.WaitGroup
 	until := time.Now().Add(*faultsFor)
 	for i := range faultClients {
-		c := &faultClient{world: w, proxy: proxy, rng: rand.New(rand.NewPCG(seed, uint64(i))), number: i}
+		c := &faultClient{run: w, proxy: proxy, rng: rand.New(rand.NewPCG(seed, uint64(i))), number: i}
 		clients.Go(func() {
 			for time.Now().Before(until) && !t.Failed() {
 				c.connection(t)
@@ -374,29 +374,29 @@
 	clients.Wait()
 	select {
 	case err := <-p.ended:
-		w.broken("the program ended: %v", err)
+		w.violate("the program ended: %v", err)
 		p.ended <- err
 	default:
 	}
 	return w
 }
 
-// holdUp has the process stand still now and then.
-func holdUp(p *program, stop <-chan struct{}) {
+// suspendRepeatedly suspends the process now and then.
+func suspendRepeatedly(p *program, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(holdEvery):
+		case <-time.After(suspendEvery):
 		}
-		p.cmd.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(holdFor)
-		p.cmd.Process.Signal(syscall.SIGCONT)
+		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended, which playFaults reports
+		time.Sleep(suspendFor)
+		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// startFaultBackend starts a backend behind a proxy, and returns where the proxy listens.
-func startFaultBackend(t *testing.T, w *faultWorld, schedule faultproxy.Schedule, seed uint64) string {
+// startFaultEndpoint starts an endpoint behind a proxy, and returns the proxy's address.
+func startFaultEndpoint(t *testing.T, w *faultRun, schedule faultproxy.Schedule, seed uint64) string {
 	t.Helper()
 	l := listen(t)
 	proxy, err := faultproxy.New(l.Addr().String(), schedule, seed)
@@ -406,29 +406,30 @@
 	t.Cleanup(proxy.Close)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 9))
-	b := &faultBackend{world: w, proxy: proxy, rng: func() float64 {
+	endpoint := &faultEndpoint{run: w, proxy: proxy, rng: func() float64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.Float64()
 	}}
-	go serveEach(l, b.serve)
+	go serveEach(l, endpoint.serve)
 	return proxy.Addr()
 }
 
-// TestRequestsUnderFaults plays seeded schedules of faults on real connections, and holds what clients and backends
-// saw against the rules: each request that was taken has exactly one whole, right and timely answer, none runs again
-// beyond what its class allows, and none is sent on after its client has left or with more time than it has left.
+// TestRequestsUnderFaults plays seeded schedules of faults on real connections, and checks what clients and endpoints
+// saw against the rules: each request that was accepted has exactly one whole, right and timely reply, none executes
+// again beyond what its class allows, and none is attempted after its client has disconnected or with more time than
+// the client has left.
 // -faults.for, -faults.runs and -faults.seed play more of them.
 func TestRequestsUnderFaults(t *testing.T) {
 	for i := range *faultsRuns {
-		seed, holds := *faultsFrom+uint64(i), i%2 == 1
-		t.Run(fmt.Sprintf("seed %d, holds %t", seed, holds), func(t *testing.T) {
-			w := playFaults(t, seed, holds)
-			t.Logf("%v, %d requests sent on, behind by %v at most", w.answered, len(w.attempts), time.Duration(w.late.Load()))
-			if w.answered["value"] == 0 {
+		seed, suspends := *faultsFrom+uint64(i), i%2 == 1
+		t.Run(fmt.Sprintf("seed %d, suspends %t", seed, suspends), func(t *testing.T) {
+			w := playFaults(t, seed, suspends)
+			t.Logf("%v, %d requests attempted, behind by %v at most", w.replies, len(w.attempts), time.Duration(w.lag.Load()))
+			if w.replies["value"] == 0 {
 				t.Error("nothing was served")
 			}
-			for i, what := range w.breaks {
+			for i, what := range w.violations {
 				if t.Error(what); i == 10 {
 					break
 				}
--- a/cmd/reedlead/log_test.go
+++ b/cmd/reedlead/log_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"bufio"
-	"io"
 	"os"
 	"path/filepath"
 	"testing"
 )
 
-// TestALogThatNobodyReadsEndsNoProcess guards against a process that is ended by SIGPIPE as the reader of its log
+// TestLogWithoutReaderEndsNoProcess guards against a process that is ended by SIGPIPE as the reader of its log
 // goes away.
-func TestALogThatNobodyReadsEndsNoProcess(t *testing.T) {
+func TestLogWithoutReaderEndsNoProcess(t *testing.T) {
 	t.Parallel()
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -18,7 +17,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	listen := freeAddress(t)
-	text := programConfig{backends: []string{serveValues(t, 10)}}.text(listen)
+	text := programConfig{endpoints: []string{serveValues(t, 10)}}.text(listen)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -27,17 +26,22 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { cmd.Process.Kill(); cmd.Wait() }()
-	write.Close()
-	bufio.NewReader(read).ReadString('\n') // discovery refuses, which is logged
-	read.Close()
+	defer func() {
+		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Wait()         // killed
+	}()
+	closeQuietly(write)
+	if _, err := bufio.NewReader(read).ReadString('\n'); err != nil { // discovery refuses, which is logged
+		t.Fatal(err)
+	}
+	closeQuietly(read)
 	p := &program{t: t, listen: listen}
-	eventually(t, "it is served", func() bool { return get(listen) != "" })
+	eventually(t, "a request is served", func() bool { return requestOnce(listen) != "" })
 	conn := p.dial()
 	r := bufio.NewReader(conn)
 	for range 3 { // each of them is logged
-		io.WriteString(conn, call("q-log", 1000))
-		if line, _, err := readAnswer(r); err != nil {
+		writeText(conn, requestCommand("q-log", 1000))
+		if line, _, err := readReply(r); err != nil {
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -19,8 +19,8 @@
 	"reedlead/internal/proxy"
 )
 
-// Guards against a start that hangs or panics on a configuration that can't be used: it must be
-// told in one plain line.
+// Guards against a start that hangs or panics on a configuration that can't be used: the error must be
+// one plain line.
 func TestBadConfigurationIsOneLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "EDGE_CONFIG names no configuration file",
@@ -49,8 +49,8 @@
 	}
 }
 
-// Guards against a bad file that is taken over, or that ends the rereading.
-func TestBadFileIsNotTakenOver(t *testing.T) {
+// Guards against a malformed file that is applied, or that ends the reloading.
+func TestMalformedFileIsNotApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -74,7 +74,7 @@
 		t.Errorf("logged %q", got)
 	}
 	if cfg := <-to; cfg.Discovery != "127.0.0.1:2" || len(to) > 0 {
-		t.Errorf("handed on %+v and %d more", cfg, len(to))
+		t.Errorf("applied %+v and %d more", cfg, len(to))
 	}
 }
 
@@ -82,116 +82,41 @@
 
 // Guards against a reload that ends the process: two SIGHUPs, between them one with a file that can't
 // be read, each followed by the watch at the address that holds, while a client is served throughout.
-func TestReloads(t *testing.T) {
+func TestReloadsWhileClientsAreServed(t *testing.T) {
 	spare := make(chan os.Signal, 8) // SIGHUP must not end the test if the program doesn't take it
 	signal.Notify(spare, syscall.SIGHUP)
 	defer signal.Stop(spare)
 
-	backend := serveBackend(t)
-	watched := make(chan int, 16)
-	var agents []string
-	for i := range 3 {
-		end := make(chan struct{})
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			fmt.Fprintf(w, `{"version":%d,"full":true,"servers":[{"id":"s","addr":"%s","zone":"a","state":"in_service"}]}`+"\n",
-				10-i, backend)
-			w.(http.Flusher).Flush()
-			if q.URL.Query().Get("watch") != "" {
-				watched <- i
-				select {
-				case <-end:
-				case <-q.Context().Done():
-				}
-			}
-		}))
-		defer srv.Close()
-		defer close(end)
-		agents = append(agents, strings.TrimPrefix(srv.URL, "http://"))
-	}
+	agents := startWatchedAgents(t, 3)
 	listen := freeAddress(t)
-
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(discovery string) {
-		t.Helper()
-		text := fmt.Sprintf(`{"name":"n0","listen":"%s","discovery":"%s","seed":"1","settings":{"balancers":1,
-			"limits":{"dialTimeoutS":1,"connIdleS":15,"maxAttempts":3},
-			"profiles":[{"name":"look","aimS":10,"deadlineS":20,"effect":"retryable","worth":1}],
-			"packages":[{"name":"basic","unitsPerS":1000000,"peakUnits":1000000,"pays":1}]}}`, listen, discovery)
-		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(path+".new", path); err != nil {
-			t.Fatal(err)
-		}
-	}
-	watches := func(want int) {
+	writeConfig := func(agent int) {
 		t.Helper()
-		select {
-		case got := <-watched:
-			if got != want {
-				t.Fatalf("agent %d is watched, want %d", got, want)
-			}
-		case <-time.After(patience):
-			t.Fatalf("agent %d is not watched", want)
-		}
+		replaceFile(t, path, programConfig{discovery: agents.addrs[agent]}.text(listen))
 	}
-	hup := func() {
-		t.Helper()
-		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(agents[0])
+	writeConfig(0)
 	t.Setenv("EDGE_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	watches(0)
+	agents.expectWatch(t, 0)
 
 	stop, served := make(chan struct{}), make(chan error, 1)
-	go func() {
-		served <- func() error {
-			c, err := net.Dial("tcp", listen)
-			if err != nil {
-				return err
-			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(3 * patience))
-			r := bufio.NewReader(c)
-			for n := 0; ; n++ {
-				fields := "c=look,t=basic,d=20000,units=1,spread=1,first=0"
-				id := fmt.Sprint("q", n)
-				fmt.Fprintf(c, "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
-					len(id), id, len(fields), fields)
-				for _, want := range []string{"$1\r\n", "v\r\n"} {
-					if got, err := r.ReadString('\n'); err != nil || got != want {
-						return fmt.Errorf("request %d: got %q, %v", n, got, err)
-					}
-				}
-				select {
-				case <-stop:
-					return nil
-				default:
-				}
-			}
-		}()
-	}()
-	write(agents[1])
-	hup()
-	watches(1)
+	go func() { served <- requestUntil(stop, listen) }()
+	writeConfig(1)
+	signalSelf(t, syscall.SIGHUP)
+	agents.expectWatch(t, 1)
 	if err := os.WriteFile(path, []byte(`{"listen":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	hup()
-	write(agents[2]) // whichever of the last two files the second signal finds
-	hup()
-	watches(2)
+	signalSelf(t, syscall.SIGHUP)
+	writeConfig(2) // whichever of the last two files the second signal finds
+	signalSelf(t, syscall.SIGHUP)
+	agents.expectWatch(t, 2)
 	close(stop)
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	signalSelf(t, syscall.SIGTERM)
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -202,6 +127,98 @@
 	}
 }
 
+// watchedAgents are discovery agents that list one endpoint, each in an older version than the one before.
+type watchedAgents struct {
+	addrs   []string
+	watched chan int // the number of the agent at which a watch was opened
+}
+
+func startWatchedAgents(t *testing.T, count int) *watchedAgents {
+	t.Helper()
+	endpoint := serveEndpoint(t)
+	agents := &watchedAgents{watched: make(chan int, 16)}
+	for number := range count {
+		end := make(chan struct{})
+		list := fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s","addr":"%s","zone":"a","state":"in_service"}]}`+"\n",
+			10-number, endpoint)
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			writeText(w, list)
+			w.(http.Flusher).Flush()
+			if r.URL.Query().Get("watch") == "" {
+				return
+			}
+			agents.watched <- number
+			select {
+			case <-end:
+			case <-r.Context().Done():
+			}
+		}))
+		t.Cleanup(server.Close)
+		t.Cleanup(func() { close(end) })
+		agents.addrs = append(agents.addrs, strings.TrimPrefix(server.URL, "http://"))
+	}
+	return agents
+}
+
+// expectWatch waits for the next watch, which must be at the agent.
+func (a *watchedAgents) expectWatch(t *testing.T, want int) {
+	t.Helper()
+	select {
+	case got := <-a.watched:
+		if got != want {
+			t.Fatalf("agent %d is watched, want %d", got, want)
+		}
+	case <-time.After(patience):
+		t.Fatalf("agent %d is not watched", want)
+	}
+}
+
+// replaceFile replaces a file at once, so that no part of it is read.
+func replaceFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func signalSelf(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// requestUntil sends one request after the other on one connection until stop is closed, each of which must be served.
+func requestUntil(stop <-chan struct{}, addr string) error {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return err
+	}
+	defer closeQuietly(conn)
+	limitTime(conn, 3*patience)
+	r := bufio.NewReader(conn)
+	for n := 0; ; n++ {
+		writeText(conn, requestCommand(fmt.Sprint("q", n), 20_000))
+		for _, want := range []string{"$1\r\n", "v\r\n"} {
+			got, err := r.ReadString('\n')
+			if err != nil {
+				return fmt.Errorf("request %d: got %q: %w", n, got, err)
+			}
+			if got != want {
+				return fmt.Errorf("request %d: got %q, want %q", n, got, want)
+			}
+		}
+		select {
+		case <-stop:
+			return nil
+		default:
+		}
+	}
+}
+
 // Guards against a level of the log that is taken for another one.
 func TestUnknownLogLevelIsOneLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// program is an ingress that runs in a process of its own.
+// program is a gateway that runs in a process of its own.
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -25,20 +25,29 @@
 
 // programConfig is what a test may set of the configuration of a program; the rest is fixed.
 type programConfig struct {
-	discovery string // by default an address that refuses
-	backends  []string
-	classes   string // profiles as JSON; by default one class that may be repeated
-	limits    string // as JSON, without braces
+	discovery string   // by default an address that refuses connections
+	endpoints []string // addresses
+	classes   string   // profiles as JSON; by default one idempotent class
+	limits    string   // as JSON, without braces
 	sockets   int
 }
 
 const defaultClasses = `[{"name":"look","aimS":10,"deadlineS":20,"effect":"retryable","worth":1}]`
 
+// closeQuietly closes what a test does not need any more. An error tells that it has ended already.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// writeText sends to a connection. A write that fails shows as a reply that does not come.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// limitTime ends the reads and writes of a connection that would hang for too long.
+func limitTime(conn net.Conn, timeout time.Duration) { _ = conn.SetDeadline(time.Now().Add(timeout)) }
+
 // freeAddress is an address on loopback that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
-	defer l.Close()
+	defer closeQuietly(l)
 	return l.Addr().String()
 }
 
@@ -49,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeQuietly(l) })
 	return l
 }
 
@@ -64,7 +73,7 @@
 	}
 }
 
-// programCommand is the command that runs the program with a configuration, so many descriptors and a log.
+// programCommand is the command that runs the program with a configuration file, a limit of descriptors and a log.
 func programCommand(config string, descriptors int, log io.Writer) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", asProgram, descriptors), "EDGE_CONFIG="+config)
@@ -75,7 +84,7 @@
 // text is the configuration file.
 func (c programConfig) text(listen string) string {
 	var known []string
-	for i, addr := range c.backends {
+	for i, addr := range c.endpoints {
 		known = append(known, fmt.Sprintf(`{"id":"s%d","addr":"%s","state":"in_service"}`, i, addr))
 	}
 	if c.discovery == "" {
@@ -90,14 +99,20 @@
 	if c.sockets == 0 {
 		c.sockets = 1024
 	}
+	list := ""
+	if len(known) > 0 {
+		list = fmt.Sprintf(`"known":{"version":1,"servers":[%s]},`, strings.Join(known, ","))
+	}
 	return fmt.Sprintf(`{"name":"n0","listen":"%s","discovery":"%s","seed":"1",
-		"limits":{"sockets":%d,"memory_mb":128},"known":{"version":1,"servers":[%s]},
+		"limits":{"sockets":%d,"memory_mb":128},%s
 		"settings":{"balancers":1,"limits":{%s},"profiles":%s,
 		"packages":[{"name":"basic","unitsPerS":1000000,"peakUnits":1000000,"pays":1}]}}`,
-		listen, c.discovery, c.sockets, strings.Join(known, ","), c.limits, c.classes)
+		listen, c.discovery, c.sockets, list, c.limits, c.classes)
 }
 
-// startProgram starts the program and waits until it answers. It is killed with the end of the test, and its
+const pingCommand = "*1\r\n$4\r\nPING\r\n"
+
+// startProgram starts the program and waits until it is ready. It is killed with the end of the test, and its
 // log is shown if that has failed.
 func startProgram(t *testing.T, c programConfig) *program {
 	t.Helper()
@@ -113,34 +128,31 @@
 	}
 	go func() { p.ended <- p.cmd.Wait() }()
 	t.Cleanup(func() {
-		p.cmd.Process.Kill()
-		<-p.ended
-		if t.Failed() {
-			t.Log(p.log.tail())
+		_ = p.cmd.Process.Kill() // it may have ended
+		if err := <-p.ended; t.Failed() {
+			t.Log(err, p.log.tail())
 		}
 	})
-	eventually(t, "the program answers", func() bool {
+	eventually(t, "the program is ready", func() bool {
 		conn, err := net.Dial("tcp", p.listen)
 		if err != nil {
 			return false
 		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
-		io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
+		defer closeQuietly(conn)
+		limitTime(conn, patience)
+		writeText(conn, pingCommand)
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		return line == "+PONG\r\n"
 	})
 	return p
 }
 
-// stop has the process stand still, and waits until all of it does. SIGCONT ends that.
-func (p *program) stop() {
+// suspend stops all threads of the process. SIGCONT resumes them.
+func (p *program) suspend() {
 	p.t.Helper()
-	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		p.t.Fatal(err)
-	}
+	p.signal(syscall.SIGSTOP)
 	tasks := fmt.Sprintf("/proc/%d/task", p.cmd.Process.Pid)
-	eventually(p.t, "the process stands still", func() bool {
+	eventually(p.t, "the process is suspended", func() bool {
 		threads, err := os.ReadDir(tasks)
 		for _, thread := range threads {
 			text, _ := os.ReadFile(filepath.Join(tasks, thread.Name(), "stat"))
@@ -153,6 +165,14 @@
 	})
 }
 
+// signal sends a signal to the process.
+func (p *program) signal(signal syscall.Signal) {
+	p.t.Helper()
+	if err := p.cmd.Process.Signal(signal); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
 // dial connects as a client.
 func (p *program) dial() *net.TCPConn {
 	p.t.Helper()
@@ -160,20 +180,20 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(3 * patience))
+	p.t.Cleanup(func() { closeQuietly(conn) })
+	limitTime(conn, 3*patience)
 	return conn.(*net.TCPConn)
 }
 
-// call is the command for one request of the class look.
-func call(id string, deadlineMS int) string {
+// requestCommand is the command for one request of the class look.
+func requestCommand(id string, deadlineMS int) string {
 	fields := fmt.Sprintf("c=look,t=basic,d=%d,units=1,spread=1,first=0", deadlineMS)
 	return fmt.Sprintf("*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(id), id, len(fields), fields)
 }
 
-// readAnswer reads one answer: a line, and the value behind it where it announces one.
-func readAnswer(r *bufio.Reader) (line string, size int, err error) {
+// readReply reads one reply: a line, and the value behind it where it announces one.
+func readReply(r *bufio.Reader) (line string, size int, err error) {
 	if line, err = r.ReadString('\n'); err != nil {
 		return line, 0, err
 	}
@@ -183,19 +203,19 @@
 	return strings.TrimRight(line, "\r\n"), size, err
 }
 
-// serveValues is a backend that answers each read with a value of a size.
+// serveValues is an endpoint that replies to each read with a value of a size.
 func serveValues(t *testing.T, size int) (addr string) {
 	t.Helper()
 	l := listen(t)
 	value := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", size, strings.Repeat("v", size))
-	go serveEach(l, func(conn net.Conn) { answerReads(conn, value) })
+	go serveEach(l, func(conn net.Conn) { replyToReads(conn, value) })
 	return l.Addr().String()
 }
 
-// answerReads answers each read on one connection until it ends. The id of the request leads the value, as two
-// equal answers on one connection may be copies of each other.
-func answerReads(conn net.Conn, value string) {
-	defer conn.Close()
+// replyToReads replies to each read on one connection until it ends. The id of the request ends the value, as two
+// equal replies on one connection may be duplicates.
+func replyToReads(conn net.Conn, value string) {
+	defer closeQuietly(conn)
 	id := ""
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
@@ -206,7 +226,7 @@
 			id = strings.TrimSpace(line)
 		case strings.HasPrefix(line, "c="): // the last argument of a read
 			head, body, _ := strings.Cut(value, "\r\n$-1")
-			io.WriteString(conn, head[:len(head)-len(id)]+id+"\r\n$-1"+body)
+			writeText(conn, head[:len(head)-len(id)]+id+"\r\n$-1"+body)
 		}
 	}
 }
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -31,62 +31,62 @@
 	return size
 }
 
-// slowClient sends so many requests for large values at once, and reads nothing before the program has written what
-// its socket takes.
+// slowClient sends a number of requests for large values at once, and reads nothing before the program has written
+// what its socket takes.
 func slowClient(t *testing.T, requests int) (io.Writer, *bufio.Reader) {
 	t.Helper()
-	p := startProgram(t, programConfig{backends: []string{serveValues(t, slowValueSize)}})
+	p := startProgram(t, programConfig{endpoints: []string{serveValues(t, slowValueSize)}})
 	conn := p.dial()
-	var calls strings.Builder
+	var commands strings.Builder
 	for i := range requests {
-		calls.WriteString(call(fmt.Sprintf("q%d", i), slowDeadlineMS))
+		commands.WriteString(requestCommand(fmt.Sprintf("q%d", i), slowDeadlineMS))
 	}
-	go io.WriteString(conn, calls.String())
+	go writeText(conn, commands.String())
 	eventually(t, "the socket is full", func() bool { return p.log.count("client socket is full") > 0 })
 	return conn, bufio.NewReader(conn)
 }
 
-// wantValues reads so many values, each of the whole size.
+// wantValues reads a number of values, each of the whole size.
 func wantValues(t *testing.T, r *bufio.Reader, what string, n int) {
 	t.Helper()
 	for i := range n {
-		if line, size, err := readAnswer(r); err != nil || size != slowValueSize {
-			t.Fatalf("%s: answer %d of %d: got %q, %v", what, i, n, line, err)
+		if line, size, err := readReply(r); err != nil || size != slowValueSize {
+			t.Fatalf("%s: reply %d of %d: got %q, %v", what, i, n, line, err)
 		}
 	}
 }
 
-// TestAClientThatWasSlowOnceIsServedLater guards against a write deadline that outlives its write: a client that
+// TestClientThatWasSlowOnceIsServedLater guards against a write deadline that outlives its write: a client that
 // let its socket fill once, and then read all of it, lost its next request 5 s later, as its connection was ended
-// with no answer.
-func TestAClientThatWasSlowOnceIsServedLater(t *testing.T) {
+// with no reply.
+func TestClientThatWasSlowOnceIsServedLater(t *testing.T) {
 	t.Parallel()
-	answers := (sendBufferMax(t) + 100_000) / slowValueSize // more than its socket takes
-	conn, r := slowClient(t, answers)
-	wantValues(t, r, "after the socket was full", answers)
-	for from, i := time.Now(), answers; time.Since(from) < slowPause+time.Second; i++ {
-		io.WriteString(conn, call(fmt.Sprintf("q%d", i), slowDeadlineMS))
+	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than its socket takes
+	conn, r := slowClient(t, replies)
+	wantValues(t, r, "after the socket was full", replies)
+	for from, i := time.Now(), replies; time.Since(from) < slowPause+time.Second; i++ {
+		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), slowDeadlineMS))
 		wantValues(t, r, time.Since(from).String()+" after it had read all", 1)
-		time.Sleep(100 * time.Millisecond) // a client that asks now and then
+		time.Sleep(100 * time.Millisecond) // a client that sends now and then
 	}
 }
 
-// TestAClientThatPausesInAnAnswerGetsItWhole guards against a client that is dropped under an answer that is half
+// TestClientThatPausesWithinAReplyGetsItWhole guards against a client that is dropped under a reply that is half
 // written, as it reads nothing for longer than one write may take.
-func TestAClientThatPausesInAnAnswerGetsItWhole(t *testing.T) {
+func TestClientThatPausesWithinAReplyGetsItWhole(t *testing.T) {
 	t.Parallel()
-	answers := (sendBufferMax(t) + 100_000) / slowValueSize
-	_, r := slowClient(t, answers)
+	replies := (sendBufferMax(t) + 100_000) / slowValueSize
+	_, r := slowClient(t, replies)
 	time.Sleep(slowPause)
-	wantValues(t, r, "after a pause", answers)
+	wantValues(t, r, "after a pause", replies)
 }
 
-// TestAClientThatAsksForMoreThanItReadsIsServed guards against a client that is dropped for the answers that it has
+// TestClientThatRequestsMoreThanItReadsIsServed guards against a client that is dropped for the replies that it has
 // not read yet: it is not read from either until it has taken some.
-func TestAClientThatAsksForMoreThanItReadsIsServed(t *testing.T) {
+func TestClientThatRequestsMoreThanItReadsIsServed(t *testing.T) {
 	t.Parallel()
-	answers := (3*sendBufferMax(t) + 3_000_000) / slowValueSize
-	_, r := slowClient(t, answers)
-	time.Sleep(200 * time.Millisecond) // what it has asked for may all be answered meanwhile
-	wantValues(t, r, "of many", answers)
+	replies := (3*sendBufferMax(t) + 3_000_000) / slowValueSize
+	_, r := slowClient(t, replies)
+	time.Sleep(200 * time.Millisecond) // all of it may be replied to meanwhile
+	wantValues(t, r, "of many", replies)
 }
