--- a/policy/customer.go
+++ b/policy/customer.go
@@ -16,8 +16,8 @@
 
 // prioritizedUnits returns the units that a request leaves to requests of higher priority while its customer
 // is over its rate.
-func (p *plan) prioritizedUnits(cheapness float64) float64 {
-	return cheapness * cheapReserveFraction * p.Burst
+func (p *plan) prioritizedUnits(priorityDeficit float64) float64 {
+	return priorityDeficit * cheapReserveFraction * p.Burst
 }
 
 // customer is the state that this gateway keeps of one customer, as its owner or as a member.
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -96,7 +96,7 @@
 
 // admitAsOwner decides on a request at the customer's owner.
 func (c *customer) admitAsOwner(r *request, now Seconds) admission {
-	if c.ledgerHasCapacity(c.currentLedger(now), r.Units, r.cheapness, now) &&
+	if c.ledgerHasCapacity(c.currentLedger(now), r.Units, r.priorityDeficit, now) &&
 		(c.ceilingSplitHasCapacity(r.Units, now) || c.ceilingPoolHasCapacity(r.Units, now)) {
 		return admitRequest
 	}
@@ -106,7 +106,7 @@
 // ledgerHasCapacity tells whether units fit into the whole quota and the concurrency limit. While the
 // customer asks for more than its rate, requests of lower priority must leave units to those of higher
 // priority.
-func (c *customer) ledgerHasCapacity(l *ledger, units, cheapness float64, now Seconds) bool {
+func (c *customer) ledgerHasCapacity(l *ledger, units, priorityDeficit float64, now Seconds) bool {
 	p := c.plan
 	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(now, -1) >= p.MaxConcurrent {
 		return false
@@ -114,7 +114,7 @@
 		return true
 	}
 	if c.demand.at(now)+l.membersDemand(now) > p.Rate {
-		units += p.prioritizedUnits(cheapness)
+		units += p.prioritizedUnits(priorityDeficit)
 	}
 	return units <= l.remaining
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,14 +1,5 @@
 package policy
 
-// admission is the decision on a request by its customer's quota and ceiling.
-type admission int
-
-const (
-	rejectRequest admission = iota
-	admitRequest
-	askOwner // wait for the owner's grant
-)
-
 // admit decides on a request: the owner by its ledger, a member by its split of the remaining units.
 func (g *Gateway) admit(r *request) admission {
 	if g.owner(r.customer) == g.settings.Self {
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -68,7 +68,7 @@
 	p, demand, othersDemand := r.plan, c.demand.at(now), c.quota.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
-		need += p.prioritizedUnits(r.cheapness)
+		need += p.prioritizedUnits(r.priorityDeficit)
 	}
 	stale := !c.quota.known || age > grantFreshness
 	split := remaining * demand / max(demand+othersDemand, 1e-9)
