--- a/policy/api.go
+++ b/policy/api.go
@@ -206,7 +206,7 @@
 // AttemptStatus is how an attempt or a health check ended.
 type AttemptStatus int
 
-// The ways an attempt ends. "May have executed" decides whether a request that is not idempotent may be retried.
+// The ways an attempt ends. Whether it may have executed decides whether a request may be retried.
 const (
 	OK            AttemptStatus = iota
 	Error                       // the endpoint replied with an error; may have executed
@@ -276,7 +276,7 @@
 // Why a request is rejected, or fails where nothing can be said of what may have executed.
 const (
 	QuotaExceeded           Reason = "quota_exceeded"            // its customer is over a quota or a ceiling
-	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // too many attempts of its customer are in flight
+	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // its customer has too many in flight
 	DeadlineTooClose        Reason = "deadline_too_close"        // no reply could come in time
 	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had capacity while one could
 	AttemptsExhausted       Reason = "attempts_exhausted"        // no further attempt is allowed
@@ -287,13 +287,14 @@
 // Broadcast as the addressee of SendToPeer means every other gateway.
 const Broadcast = -1
 
-// Actions is what a Gateway asks of the network side. Its methods are called only while one of the Gateway's
-// event methods runs, and in the order in which they are to take effect.
+// Actions is what a Gateway asks of the network side. Its methods are called only while one of the
+// Gateway's event methods runs, and in the order in which they are to take effect.
 type Actions interface {
 	// Send starts the request's next attempt, which fails after timeout. Its last byte is written within
 	// writeWithin or never; 0 stands for at any time.
 	Send(id, endpoint string, timeout, writeWithin Seconds)
-	// Reject gives the final reply that the request did not execute, or may safely be sent again after retryAfter.
+	// Reject gives the final reply that the request did not execute, or may safely be sent again, after
+	// retryAfter.
 	Reject(id string, retryAfter Seconds, why Reason)
 	// Fail gives the final reply that promises nothing.
 	Fail(id string, why Reason)
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,12 +1,14 @@
 package policy
 
-// standstillThreshold is the time without events after which this gateway itself is taken to have stood still.
+// standstillThreshold is the time without events after which this gateway itself is taken to have
+// stood still.
 const standstillThreshold Seconds = 0.1
 
 // clockUncertainty is added to the age of what another process said or did.
 const clockUncertainty Seconds = 0.05
 
-// eventClock is the time of the event being handled, which all parts of a Gateway share. Only Gateway advances it.
+// eventClock is the time of the event being handled, which all parts of a Gateway share. Only Gateway
+// advances it.
 type eventClock struct {
 	now Seconds
 	// resumedAt is when this gateway last came back from a standstill of its own. Silence that
