--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -38,6 +38,15 @@
 	}
 }
 
+// reserveCeilingPool takes units from the pool, and returns false if they don't fit.
+func (c *customer) reserveCeilingPool(units float64, now Seconds) bool {
+	if !c.ceilingPoolHasCapacity(units, now) {
+		return false
+	}
+	c.ceilingPool.tokens -= units
+	return true
+}
+
 // isCeilingFull tells whether split and pool are filled to within a tolerance in units.
 func (c *customer) isCeilingFull(tolerance float64, now Seconds) bool {
 	p := c.plan
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -59,7 +59,7 @@
 // availableUnits returns what is left of the quota, by the ledger or else by the member's view.
 func (c *customer) availableUnits(byLedger bool, now Seconds) float64 {
 	if byLedger {
-		return c.currentLedger(now).remaining
+		return c.currentLedger(now).window.tokens
 	}
 	return c.remainingUnits(now)
 }
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -3,21 +3,18 @@
 const (
 	// memberExpiry is the time without a report after which a member is taken to ask for nothing, and evicted.
 	memberExpiry Seconds = 8.0
-	// ownerQueryFraction is the part of Settings.PeerMessageRate that members may use to ask again after the
-	// owner has rejected their requests.
-	ownerQueryFraction = 0.5
 	// inFlightExpiry is how long a member's reported attempts in flight are believed.
 	inFlightExpiry Seconds = 3.0
 	// youngLedgerAge is the age below which a ledger adopts lower remaining units from reports of members.
 	youngLedgerAge Seconds = 2.0
 )
 
-// ledger is the owner's count of a customer against the whole quota, over all gateways. The window fills
-// evenly, and carries what is unused over up to one burst.
+// ledger is the owner's count of a customer against the whole quota, over all gateways.
 type ledger struct {
-	remaining, updatedAt, createdAt float64
-	demand                          demandMeter // of all members
-	members                         map[int]*member
+	window    tokenBucket // the units left; below 0 where gateways together have overdrawn them
+	createdAt Seconds
+	demand    demandMeter // of all members
+	members   map[int]*member
 }
 
 // member is another gateway that reports its requests of a customer to the owner.
@@ -61,20 +58,57 @@
 // membersDemand returns the units a second that all members together are asked for.
 func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.at(now), 0) }
 
-// charge takes units from the window, down to 0. What other gateways have overdrawn stays so.
+// charge takes units from the window, but not below 0. What is below 0 already stays as it is.
 func (l *ledger) charge(units float64) {
-	l.remaining = max(l.remaining-units, min(l.remaining, 0))
+	l.window.tokens = max(l.window.tokens-units, min(l.window.tokens, 0))
 }
 
-// takeReport takes a member's report into the sums, and returns the units it is beyond what was known.
-func (l *ledger) applyReport(m *member, r usageRecord, now float64, f messageFormat) float64 {
-	delta := f.roundDifference(r.Total - m.totalUnits)
-	l.demand = demandMeter{rate: l.membersDemand(now) + r.Demand - m.demand.at(now), updatedAt: now}
+// memberReport is a member's record as the owner has received it.
+type memberReport struct {
+	usageRecord
+	from        int
+	incarnation uint8
+	receivedAt  Seconds
+}
+
+// applyReport charges what a member used beyond what the ledger knew of, and returns the member. A grant that
+// it did not use is returned thereby.
+func (l *ledger) applyReport(report memberReport, format messageFormat) *member {
+	m := l.findMember(report)
+	if m == nil {
+		m = l.addMember(report)
+	}
+	now := report.receivedAt
+	used := format.roundDifference(report.Total - m.totalUnits)
+	l.demand = demandMeter{rate: l.membersDemand(now) + report.Demand - m.demand.at(now), updatedAt: now}
 	*m = member{
-		incarnation: m.incarnation, totalUnits: r.Total, demand: demandMeter{rate: r.Demand, updatedAt: now},
-		inFlight: r.InFlight, reportedAt: now,
+		incarnation: m.incarnation, totalUnits: report.Total,
+		demand:   demandMeter{rate: report.Demand, updatedAt: now},
+		inFlight: report.InFlight, reportedAt: now,
+	}
+	l.charge(used)
+	return m
+}
+
+// findMember returns the member that a report comes from, or nil if its count may have started anew since:
+// the gateway has restarted, or has been silent for so long that it may have evicted the customer.
+func (l *ledger) findMember(report memberReport) *member {
+	m := l.members[report.from]
+	if m == nil || report.receivedAt-m.reportedAt > memberExpiry || m.incarnation != report.incarnation {
+		return nil
+	}
+	return m
+}
+
+// addMember starts the count of a member at what no owner has acknowledged. A young ledger, made after a
+// restart or a move, adopts the units left that the member knows of where they are fewer.
+func (l *ledger) addMember(report memberReport) *member {
+	if report.Known && report.receivedAt-l.createdAt < youngLedgerAge {
+		l.window.tokens = min(l.window.tokens, max(report.Remaining+report.Unacknowledged, 0))
 	}
-	return delta
+	m := &member{incarnation: report.incarnation, totalUnits: report.Total - report.Unacknowledged}
+	l.members[report.from] = m
+	return m
 }
 
 // currentLedger returns the ledger, brought up to now. A gateway that has just become the owner starts it
@@ -82,15 +116,14 @@
 // its own part of the rate alone: it may be cut off while others serve the same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
-		c.ledger = &ledger{
-			remaining: c.remainingUnits(now), updatedAt: now, createdAt: now, members: map[int]*member{},
-		}
+		window := tokenBucket{tokens: c.remainingUnits(now), updatedAt: now}
+		c.ledger = &ledger{window: window, createdAt: now, members: map[int]*member{}}
 	}
 	l, rate := c.ledger, c.plan.Rate
 	if !c.primaryHere && len(l.members) == 0 {
 		rate /= c.gateways()
 	}
-	l.remaining, l.updatedAt = min(c.plan.Burst, l.remaining+rate*(now-l.updatedAt)), now
+	l.window.refill(rate, c.plan.Burst, now)
 	return l
 }
 
@@ -116,52 +149,52 @@
 	if c.demand.at(now)+l.membersDemand(now) > p.Rate {
 		units += p.prioritizedUnits(priorityDeficit)
 	}
-	return units <= l.remaining
+	return units <= l.window.tokens
 }
 
-// count takes in a member's report and gives the owner's answer. Units that are asked for are set
-// aside at once: the next report shows which of them were used.
-func (g *Gateway) applyUsageReport(c *customer, from int, r usageRecord) usageRecord {
-	l := c.currentLedger(g.clock.now)
-	m := l.members[from]
-	if m != nil && g.clock.now-m.reportedAt > memberExpiry {
-		m = nil // as if forgotten: it may have forgotten the customer itself
-	}
-	if m == nil || m.incarnation != g.peers[from].incarnation {
-		if r.Known && g.clock.now-l.createdAt < youngLedgerAge {
-			// A young count, after a restart or a move: the member hands back what it heard.
-			l.remaining = min(l.remaining, max(r.Remaining+r.Unacknowledged, 0))
+// answerReport is the owner's side of a report: it applies the member's counts, grants what it asks for, and
+// returns the reply. Granted units are reserved at once, as the next report shows which of them were used.
+// backoff tells for how long the given number of members is to ask for nothing after a rejection.
+func (c *customer) answerReport(
+	report memberReport, format messageFormat, backoff func(members int) Seconds,
+) usageRecord {
+	now := report.receivedAt
+	l := c.currentLedger(now)
+	m := l.applyReport(report, format)
+	reply := usageRecord{Key: c.key, Plan: c.plan.index, Owner: true, Known: true}
+	if report.WantedUnits > 0 {
+		reply.WantedUnits = report.WantedUnits
+		if units := c.grantableUnits(l, report); units > 0 {
+			l.grant(m, units)
+			reply.CeilingPool = report.CeilingPool && c.reserveCeilingPool(units, now)
+		} else {
+			reply.Backoff = backoff(l.reportingMembers(now))
 		}
-		m = &member{incarnation: g.peers[from].incarnation, totalUnits: r.Total - r.Unacknowledged}
-		l.members[from] = m
 	}
-	l.charge(l.applyReport(m, r, g.clock.now, g.format))
-	v := usageRecord{Key: c.key, Plan: c.plan.index, Owner: true, Known: true}
-	if r.WantedUnits > 0 {
-		grant := 0.0
-		for _, w := range []float64{r.WantedUnits, r.FirstWantedUnits} {
-			if c.plan.MaxConcurrent > 0 {
-				w = r.FirstWantedUnits
-			}
-			if c.ledgerHasCapacity(l, w, r.Cheapness, g.clock.now) {
-				grant = w
-				break
-			}
-		}
-		if grant > 0 {
-			l.remaining -= grant
-			m.totalUnits += grant
-			m.inFlight++
-			if v.CeilingPool = r.CeilingPool && c.ceilingPoolHasCapacity(grant, g.clock.now); v.CeilingPool {
-				c.ceilingPool.tokens -= grant
-			}
-		} else {
-			busy := g.settings.PeerMessageRate * ownerQueryFraction
-			v.Backoff = float64(l.reportingMembers(g.clock.now)) / max(busy, 1) * min(g.receivedMessages/max(busy, 1), 3)
+	reply.Total, reply.Remaining = m.totalUnits, l.window.tokens
+	reply.InFlight = c.inFlight + l.inFlight(now, report.from)
+	reply.Demand = max(l.membersDemand(now)-m.demand.at(now), 0) + c.demand.at(now)
+	return reply
+}
+
+// grantableUnits returns the units that a report can be granted: those of all its waiting requests, else
+// those of the first, else 0. With a concurrency limit it is one request at a time.
+func (c *customer) grantableUnits(l *ledger, report memberReport) float64 {
+	candidates := []float64{report.WantedUnits, report.FirstWantedUnits}
+	if c.plan.MaxConcurrent > 0 {
+		candidates = candidates[1:]
+	}
+	for _, units := range candidates {
+		if c.ledgerHasCapacity(l, units, report.Cheapness, report.receivedAt) {
+			return units
 		}
-		v.WantedUnits = r.WantedUnits
 	}
-	v.Total, v.Remaining, v.InFlight = m.totalUnits, l.remaining, c.inFlight+l.inFlight(g.clock.now, from)
-	v.Demand = max(l.membersDemand(g.clock.now)-m.demand.at(g.clock.now), 0) + c.demand.at(g.clock.now)
-	return v
+	return 0
+}
+
+// grant reserves units, and a concurrency slot, for a member.
+func (l *ledger) grant(m *member, units float64) {
+	l.window.tokens -= units
+	m.totalUnits += units
+	m.inFlight++
 }
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	c := fresh.customers.byKey[uint32(hashCustomer("c-basic")>>32)]
-	if c == nil || c.currentLedger(104.3).remaining > 4 {
+	if c == nil || c.currentLedger(104.3).window.tokens > 4 {
 		t.Fatal("the restarted owner grants a fresh window")
 	}
 }
@@ -135,11 +135,11 @@
 	}
 	tell(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
 	tell(2, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6}) // takeReport again, as the answer was lost
-	if room := g.customers.byKey[77].ledger.remaining; room != 2 {
+	if room := g.customers.byKey[77].ledger.window.tokens; room != 2 {
 		t.Fatalf("room is %v after 6 of 8 were set aside, told twice", room)
 	}
 	tell(3, usageRecord{Key: 77})
-	if room := g.customers.byKey[77].ledger.remaining; room != 8 {
+	if room := g.customers.byKey[77].ledger.window.tokens; room != 8 {
 		t.Fatalf("room is %v after the grant was handed back", room)
 	}
 }
@@ -149,7 +149,7 @@
 	g, _ := newTestGateway(t, nil)
 	b := encodeRecord(1, usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1})
 	g.HandlePeerMessage(104, 1, b)
-	if room := g.customers.byKey[5].currentLedger(104).remaining; room > 1 {
+	if room := g.customers.byKey[5].currentLedger(104).window.tokens; room > 1 {
 		t.Fatalf("room is %v after a member handed back 1", room)
 	}
 }
--- /dev/null
+++ b/policy/local_window_test.go
@@ -0,0 +1,27 @@
+package policy
+
+import "testing"
+
+func TestLocalWindowHoldsAPartOfTheQuota(t *testing.T) {
+	p := &plan{Plan: Plan{Rate: 8, Burst: 16}, maxRequestUnits: 3}
+	for _, tc := range []struct {
+		gateways int
+		burst    float64
+	}{
+		{gateways: 1, burst: 16},
+		{gateways: 4, burst: 4},
+		{gateways: 100, burst: 3}, // the largest request fits
+	} {
+		c := &customer{plan: p, gatewayCount: tc.gateways}
+		c.quota.window.tokens = p.Burst
+		if c.reserveLocal(1, 0) {
+			t.Errorf("%d gateways: an empty window admits a unit", tc.gateways)
+		}
+		if c.reserveLocal(tc.burst+0.1, 1000) || !c.reserveLocal(tc.burst, 1000) {
+			t.Errorf("%d gateways: a full window does not hold %v units", tc.gateways, tc.burst)
+		}
+		if c.isLocalWindowFull(1000) || !c.isLocalWindowFull(1000+tc.burst/p.Rate*float64(tc.gateways)) {
+			t.Errorf("%d gateways: the window does not fill by its part of the rate", tc.gateways)
+		}
+	}
+}
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -35,7 +35,7 @@
 
 // becomeMember gives up the ledger after ownership has moved. Its count is the best start for a member.
 func (c *customer) becomeMember(now Seconds) {
-	c.quota.window = tokenBucket{tokens: c.currentLedger(now).remaining, updatedAt: now}
+	c.quota.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
 	c.quota.known = true
 	c.acknowledgedUnits = c.totalUnits
 	c.ledger = nil
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -33,6 +33,12 @@
 	grantTimeout     = 0.08 // how long a request waits for the owner's word before it is asked again
 	reportTimeout    = 0.3  // the same for reports with no request waiting
 	maxGrantAttempts = 4    // then the local window decides
+
+	// ownerQueryFraction is the part of Settings.PeerMessageRate that members may use to ask again after the
+	// owner has rejected their requests.
+	ownerQueryFraction = 0.5
+	// maxBackoffLoad bounds how many times that part the messages received count for.
+	maxBackoffLoad = 3
 )
 
 // expect has the customer's reports looked after until they are answered.
@@ -224,7 +230,8 @@
 				c = g.customers.add(r.Key, g.customers.plansByIndex[r.Plan])
 			}
 			c.usedAt = now
-			reply.records = append(reply.records, g.applyUsageReport(c, from, r))
+			report := memberReport{usageRecord: r, from: from, incarnation: received.incarnation, receivedAt: now}
+			reply.records = append(reply.records, c.answerReport(report, g.format, g.queryBackoff))
 		}
 	}
 	g.sendMessage(from, reply)
@@ -232,6 +239,13 @@
 	g.sendUsageReports()
 }
 
+// queryBackoff returns how long the given number of members is to ask for nothing after a rejection. They
+// share a part of what this gateway can receive, the less the more messages come in.
+func (g *Gateway) queryBackoff(members int) Seconds {
+	queryRate := max(g.settings.PeerMessageRate*ownerQueryFraction, 1)
+	return float64(members) / queryRate * min(g.receivedMessages/queryRate, maxBackoffLoad)
+}
+
 // heard takes in what the owner says.
 func (g *Gateway) applyGrant(c *customer, r usageRecord) {
 	most := c.totalUnits + g.format.roundDifference(r.Total-c.totalUnits)
