--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -18,14 +18,14 @@
 // Guards against a changed command or value: all goes through byte for byte but d, which tells what
 // is left of the time.
 func TestRequestAndValuePassUnchanged(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(300))
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(300))
 	c := r.client()
 	body := "b\r\n\x00\xff*$"
-	c.send("CALL.POST", customer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1,x=y", body)
-	b := get(t, conns)
-	want := []string{"CALL.POST", customer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=N,units=2,spread=2,first=1,x=y", body}
-	got := b.command()
+	c.send("CALL.POST", testCustomer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1,x=y", body)
+	b := receive(t, conns)
+	want := []string{"CALL.POST", testCustomer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=N,units=2,spread=2,first=1,x=y", body}
+	got := b.readCommand()
 	var left int
 	if len(got) == 5 {
 		before, rest, _ := strings.Cut(got[3], ",d=")
@@ -39,20 +39,20 @@
 	if left < 1 || left > 300000 { // the attempt's time-out, less what the dial took
 		t.Errorf("d is %d", left)
 	}
-	q := get(t, r.mod.requests)
-	if q.Class != "hold" || q.Plan != "basic" || q.Customer != customer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
+	q := receive(t, r.decider.requests)
+	if q.Class != "hold" || q.Plan != "basic" || q.Customer != testCustomer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
 		t.Errorf("the module got %+v", q)
 	}
 	reply := "*3\r\n$7\r\n\r\n$1\r\n!\r\n$-1\r\n"
 	b.Write(redcon.AppendBulkString([]byte(reply), "cpu_share=0.25,served_ps=140,svc_ms=14.5,new=1"))
-	if head := c.line(); head != "$7" {
+	if head := c.readLine(); head != "$7" {
 		t.Fatalf("client got %q", head)
 	}
 	value := make([]byte, 9)
-	if io.ReadFull(c.r, value); string(value) != "\r\n$1\r\n!\r\n" {
+	if io.ReadFull(c.reader, value); string(value) != "\r\n$1\r\n!\r\n" {
 		t.Errorf("client got %q", value)
 	}
-	o := get(t, r.mod.outcomes)
+	o := receive(t, r.decider.outcomes)
 	if o.Status != policy.OK || !o.RequestDone || o.Load == nil || o.Load.Utilization != 0.25 || o.Load.ServiceTimeMS != 14.5 || o.Load.Queued != -1 {
 		t.Errorf("the module got %+v", o)
 	}
@@ -60,7 +60,7 @@
 
 // Guards the table of outcomes: what may have run must never be told as not run, nor the reverse.
 func TestOutcomes(t *testing.T) {
-	closed, conns := listen(t)
+	closed, conns := listenBackend(t)
 	for name, tc := range map[string]struct {
 		reply string // "" closes after the command
 		want  policy.AttemptStatus
@@ -82,20 +82,20 @@
 		"value and more":   {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$1\r\nw\r\n", policy.OK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, testConfig(closed), sendTo(0))
+			r := startProxy(t, testConfig(closed), sendEachRequest(0))
 			c := r.client()
-			c.send(look("a")...)
-			b := get(t, conns)
-			b.command()
+			c.send(lookCommand("a")...)
+			b := receive(t, conns)
+			b.readCommand()
 			if io.WriteString(b, tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
 				b.Close()
 			}
-			o := get(t, r.mod.outcomes)
+			o := receive(t, r.decider.outcomes)
 			if o.Status != tc.want || o.RequestDone != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
 				t.Errorf("got %+v, want status %v", o, tc.want)
 			}
 			if tc.want == policy.OK {
-				if c.line() != "$1" || c.line() != "v" {
+				if c.readLine() != "$1" || c.readLine() != "v" {
 					t.Error("the client did not get the value")
 				}
 			}
@@ -104,9 +104,9 @@
 	t.Run("refused", func(t *testing.T) {
 		l, _ := net.Listen("tcp", "127.0.0.1:0")
 		l.Close()
-		r := start(t, testConfig(l.Addr().String()), sendTo(0))
-		r.client().send(look("a")...)
-		if o := get(t, r.mod.outcomes); o.Status != policy.ConnectFailed {
+		r := startProxy(t, testConfig(l.Addr().String()), sendEachRequest(0))
+		r.client().send(lookCommand("a")...)
+		if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
 			t.Errorf("got %+v", o)
 		}
 	})
@@ -115,32 +115,32 @@
 // Guards against a connection that is used again after its attempt was given up: the late reply
 // would answer another request.
 func TestGivenUpAttemptClosesItsConnection(t *testing.T) {
-	addr, conns := listen(t)
+	addr, conns := listenBackend(t)
 	for _, how := range []string{"timeout", "cancel"} {
 		t.Run(how, func(t *testing.T) {
-			r := start(t, testConfig(addr), sendTo(0))
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			c := r.client()
-			c.send(look("a")...)
-			b := get(t, conns)
-			b.command()
+			c.send(lookCommand("a")...)
+			b := receive(t, conns)
+			b.readCommand()
 			want := policy.Timeout
 			if how == "cancel" {
 				want = policy.Cancelled
-				r.do(func() { r.in.Cancel("a", 0); r.in.Cancel("a", 0) })
+				r.onLoop(func() { r.proxy.Cancel("a", 0); r.proxy.Cancel("a", 0) })
 			} else {
-				r.do(func() { r.in.expire(r.in.requests["a"].attempts[0]) })
+				r.onLoop(func() { r.proxy.expireAttempt(r.proxy.requests["a"].attempts[0]) })
 			}
-			if o := get(t, r.mod.outcomes); o.Status != want || o.RequestDone {
+			if o := receive(t, r.decider.outcomes); o.Status != want || o.RequestDone {
 				t.Errorf("got %+v, want %v", o, want)
 			}
-			if b.command() != nil {
+			if b.readCommand() != nil {
 				t.Error("more was sent on a connection that was given up")
 			}
-			r.do(func() { r.in.Reject("a", 0.25, policy.QuotaExceeded) })
-			if got := c.line(); got != "-BUSY 250" {
+			r.onLoop(func() { r.proxy.Reject("a", 0.25, policy.QuotaExceeded) })
+			if got := c.readLine(); got != "-BUSY 250" {
 				t.Errorf("client got %q", got)
 			}
-			if len(r.mod.outcomes) != 0 {
+			if len(r.decider.outcomes) != 0 {
 				t.Error("one attempt was reported twice")
 			}
 		})
@@ -150,35 +150,35 @@
 // Guards against a send after the news of a drain: what waits for a dial is looked at again before
 // its first byte.
 func TestSendWaitingForADialIsCheckedAgain(t *testing.T) {
-	addr, conns := listen(t)
-	for name, change := range map[string]func(*rig){
-		"draining": func(r *rig) {
-			r.in.takeList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}})
+	addr, conns := listenBackend(t)
+	for name, change := range map[string]func(*harness){
+		"draining": func(r *harness) {
+			r.proxy.takeList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}})
 		},
-		"gone": func(r *rig) { r.in.takeList(targets{Full: true}) },
-		"over": func(r *rig) { r.in.Reject("a", 0, policy.QuotaExceeded) },
+		"gone": func(r *harness) { r.proxy.takeList(targets{Full: true}) },
+		"over": func(r *harness) { r.proxy.Reject("a", 0, policy.QuotaExceeded) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dialing, free := make(chan struct{}), make(chan struct{})
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					close(dialing)
 					<-free
 					return dial(addr)
 				}
 			})
-			r.client().send(look("a")...)
-			get(t, dialing)
-			r.do(func() { change(r) })
+			r.client().send(lookCommand("a")...)
+			receive(t, dialing)
+			r.onLoop(func() { change(r) })
 			close(free)
-			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
 				t.Errorf("got %+v", o)
 			}
-			b := get(t, conns)
-			r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
-			if got := b.command(); got != nil {
+			b := receive(t, conns)
+			r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+			if got := b.readCommand(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
 		})
@@ -187,15 +187,15 @@
 
 // Guards the probe's own path: its report reaches the module, and its connection serves on.
 func TestProbe(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), nil)
-	r.do(func() { r.in.HealthCheck("s0") })
-	b := get(t, conns)
-	if got := b.command(); fmt.Sprint(got) != "[INFO load]" {
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), nil)
+	r.onLoop(func() { r.proxy.HealthCheck("s0") })
+	b := receive(t, conns)
+	if got := b.readCommand(); fmt.Sprint(got) != "[INFO load]" {
 		t.Fatalf("the backend got %q", got)
 	}
 	io.WriteString(b, "$13\r\ncpu_share=0.5\r\n")
-	if p := get(t, r.mod.probed); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
+	if p := receive(t, r.decider.healthChecks); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
 		t.Errorf("got %+v", p)
 	}
 }
@@ -203,12 +203,12 @@
 // Guards the edge between the two ways in which a broken connection may end an attempt: a command of
 // which the socket took only a part has not run, and one that is written in the end is served.
 func TestCommandThatTheSocketTakesInParts(t *testing.T) {
-	l, r := smallSockets(t, nil)
+	l, r := startWithSmallSockets(t, nil)
 	body := strings.Repeat("x", resp.MaxValue)
-	post := func(id string) *wire {
+	post := func(id string) *testConn {
 		c := r.client()
-		c.send("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body)
-		get(t, r.mod.requests)
+		c.send("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body)
+		receive(t, r.decider.requests)
 		return c
 	}
 	post("a")
@@ -218,7 +218,7 @@
 	}
 	r.untilPartIsWritten("a")
 	b.Close()
-	if o := get(t, r.mod.outcomes); o.Status != policy.ConnectFailed {
+	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
 		t.Errorf("a command that was cut off: %+v", o)
 	}
 	c := post("b")
@@ -226,15 +226,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWire(t, b)
-	if args := w.command(); len(args) != 5 || args[4] != body {
+	w := newTestConn(t, b)
+	if args := w.readCommand(); len(args) != 5 || args[4] != body {
 		t.Error("the command did not come whole")
 	}
 	io.WriteString(w, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	if c.line() != "$1" || c.line() != "v" {
+	if c.readLine() != "$1" || c.readLine() != "v" {
 		t.Error("not served")
 	}
-	if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 		t.Errorf("got %+v", o)
 	}
 }
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -9,18 +9,18 @@
 	"github.com/tidwall/redcon"
 )
 
-const probeS = 0.25 // how long a probe's answer is waited for
+const healthCheckTimeoutS = 0.25 // how long a probe's answer is waited for
 
 // attempt is one send of a request to a backend, or with no request a probe.
 type attempt struct {
-	req           *request
-	be            *backend
+	request       *request
+	endpoint      *endpoint
 	number        int
 	sentAt        float64
-	until         float64 // when the ingress stops waiting
+	expiresAt     float64 // when the ingress stops waiting
 	writeDeadline float64 // when the last byte must be out, by the clock and not by the loop's time; +Inf: at any time
 	timer         *timer  // rings then
-	conn          *backConn
+	conn          *backendConn
 	done          bool
 	kind          attemptKind
 }
@@ -29,16 +29,16 @@
 type attemptKind string
 
 const (
-	firstTry attemptKind = "first"
-	retry    attemptKind = "retry" // none is out any more
-	hedge    attemptKind = "hedge" // beside one that is out
+	firstAttempt attemptKind = "first"
+	retry        attemptKind = "retry" // none is out any more
+	hedge        attemptKind = "hedge" // beside one that is out
 )
 
 // kindOf is the kind of a request's next attempt.
 func kindOf(r *request) attemptKind {
 	switch {
 	case len(r.attempts) == 0:
-		return firstTry
+		return firstAttempt
 	case r.out > 0:
 		return hedge
 	}
@@ -53,11 +53,11 @@
 		return
 	}
 	a := &attempt{
-		req: r, be: p.backends.byID[server], number: len(r.attempts), sentAt: p.now, until: r.deadline,
+		request: r, endpoint: p.endpoints.byID[server], number: len(r.attempts), sentAt: p.now, expiresAt: r.deadline,
 		writeDeadline: math.Inf(1),
 	}
 	if timeoutS != 0 {
-		a.until = min(a.until, p.now+timeoutS)
+		a.expiresAt = min(a.expiresAt, p.now+timeoutS)
 	}
 	if writeWithinS != 0 {
 		a.writeDeadline = p.now + writeWithinS
@@ -66,12 +66,12 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	switch {
-	case len(r.attempts) > max(1, p.cfg.Settings.MaxAttempts) || (p.unsendable(a) || p.superseded(r)) && timeoutS >= 0:
+	case len(r.attempts) > max(1, p.cfg.Settings.MaxAttempts) || (p.unsendable(a) || p.alreadySettled(r)) && timeoutS >= 0:
 		p.finishDeferred(a, policy.NotSent)
 	case timeoutS < 0:
 		p.finishDeferred(a, policy.Timeout)
 	default:
-		p.start(a)
+		p.startAttempt(a)
 	}
 }
 
@@ -84,128 +84,130 @@
 
 // Probe implements policy.Actions.
 func (p *Proxy) HealthCheck(server string) {
-	a := &attempt{be: p.backends.byID[server], sentAt: p.now, until: p.now + probeS, writeDeadline: math.Inf(1)}
-	if a.be == nil {
+	a := &attempt{endpoint: p.endpoints.byID[server], sentAt: p.now, expiresAt: p.now + healthCheckTimeoutS, writeDeadline: math.Inf(1)}
+	if a.endpoint == nil {
 		p.warn("probe of a backend that is not listed", "id", server)
 		return
 	}
-	p.start(a)
+	p.startAttempt(a)
 }
 
 // unsendable tells that no byte of the attempt may be written any more.
 func (p *Proxy) unsendable(a *attempt) bool {
-	return a.be == nil || a.be.state != policy.InService || a.req != nil && a.req.over || p.now >= a.until
+	return a.endpoint == nil || a.endpoint.state != policy.InService || a.request != nil && a.request.over || p.now >= a.expiresAt
 }
 
 // superseded tells that what would make a send of the request needless or wrong has come, though the loop
 // has not heard of it: an answer lies in the socket of an earlier attempt, or the client has left. A request
 // that was only just read is no exception: it may have lain in its socket for long.
-func (p *Proxy) superseded(r *request) bool { return p.answerWaits(r) || p.hungUp(r.client) }
+func (p *Proxy) alreadySettled(r *request) bool {
+	return p.replyPending(r) || p.clientDisconnected(r.client)
+}
 
 // answerWaits tells that an attempt of the request has ended, though the loop has not heard of it.
-func (p *Proxy) answerWaits(r *request) bool {
+func (p *Proxy) replyPending(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
-		return c != nil && !a.done && (c.dead.Load() || !c.busy.Load() || !silent(c.raw))
+		return c != nil && !a.done && (c.unusable.Load() || !c.awaitingReply.Load() || !noDataPending(c.raw))
 	})
 }
 
 // hungUp tells that the client has closed its connection, and takes its leave then, once the module's
 // current event is over.
-func (p *Proxy) hungUp(c *client) bool {
+func (p *Proxy) clientDisconnected(c *clientConn) bool {
 	if c.closed || !closedByPeer(c.raw) {
 		return c.closed
 	}
-	p.deferred = append(p.deferred, func() { p.clientGone(c, peerClosed, nil) })
+	p.deferred = append(p.deferred, func() { p.abandonClient(c, peerClosed, nil) })
 	return true
 }
 
 // start writes the attempt to an idle connection, or has it wait for a new one.
-func (p *Proxy) start(a *attempt) {
-	a.timer = p.after(a.until-p.now, func() { p.expire(a) })
-	if c := p.takeIdle(a.be); c != nil {
-		p.write(c, a)
-	} else if !p.dialFor(a) {
-		p.warn("send not made: too many connections", "open", p.backends.open)
+func (p *Proxy) startAttempt(a *attempt) {
+	a.timer = p.after(a.expiresAt-p.now, func() { p.expireAttempt(a) })
+	if c := p.acquireIdle(a.endpoint); c != nil {
+		p.writeCommand(c, a)
+	} else if !p.awaitDial(a) {
+		p.warn("send not made: too many connections", "open", p.endpoints.openConns)
 		p.finishDeferred(a, policy.NotSent)
 	}
 }
 
 // command appends what the attempt sends when its writing begins at a time, and tells how many seconds it may take
 // beyond the usual, which its client has left and the backend is not told of.
-func (p *Proxy) command(b []byte, a *attempt, at float64) (command []byte, reserve float64) {
-	if a.req == nil {
+func (p *Proxy) appendCommand(b []byte, a *attempt, at float64) (command []byte, reserve float64) {
+	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
-	left := a.until - at
-	if a.req.size > longCommand {
+	left := a.expiresAt - at
+	if a.request.size > longCommand {
 		reserve = min(left*reserveShare, maxReserveS)
 	}
-	return a.req.appendTo(b, left-reserve), reserve
+	return a.request.appendTo(b, left-reserve), reserve
 }
 
 // expire stops waiting for an attempt. What was never wholly written has not run.
-func (p *Proxy) expire(a *attempt) {
+func (p *Proxy) expireAttempt(a *attempt) {
 	switch {
 	case a.done:
 	case a.conn == nil:
-		p.finish(a, result{status: policy.NotSent}, p.now)
-	case p.cutOff(a.conn):
-		p.finish(a, result{status: policy.ConnectFailed}, p.now)
+		p.finishAttempt(a, result{status: policy.NotSent}, p.now)
+	case p.abortWrite(a.conn):
+		p.finishAttempt(a, result{status: policy.ConnectFailed}, p.now)
 	default:
-		p.finish(a, result{status: policy.Timeout}, p.now)
+		p.finishAttempt(a, result{status: policy.Timeout}, p.now)
 	}
 }
 
 // finishDeferred ends an attempt now and reports it once the module's current event is over.
 func (p *Proxy) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
-	p.detach(a)
-	p.deferred = append(p.deferred, func() { p.report(a, result{status: status}, p.now) })
+	p.releaseAttempt(a)
+	p.deferred = append(p.deferred, func() { p.reportOutcome(a, result{status: status}, p.now) })
 }
 
 // finish ends an attempt and reports it.
-func (p *Proxy) finish(a *attempt, res result, at float64) {
+func (p *Proxy) finishAttempt(a *attempt, res result, at float64) {
 	if a.done {
 		return
 	}
 	a.done = true
-	p.detach(a)
-	p.report(a, res, at)
+	p.releaseAttempt(a)
+	p.reportOutcome(a, res, at)
 }
 
 // detach gives up what an attempt still holds: giving up a connection in use means closing it.
-func (p *Proxy) detach(a *attempt) {
+func (p *Proxy) releaseAttempt(a *attempt) {
 	p.stopTimer(a.timer)
 	if a.conn != nil {
 		why := attemptGivenUp
-		if a.conn.dead.Load() {
+		if a.conn.unusable.Load() {
 			why = notUsable
 		}
-		p.closeConn(a.conn, why, nil)
+		p.closeBackendConn(a.conn, why, nil)
 		a.conn = nil
-	} else if a.be != nil {
-		a.be.waiting = slices.DeleteFunc(a.be.waiting, func(w *attempt) bool { return w == a })
+	} else if a.endpoint != nil {
+		a.endpoint.waiting = slices.DeleteFunc(a.endpoint.waiting, func(w *attempt) bool { return w == a })
 	}
 }
 
 // report answers the client, if this is what it waits for, and tells the module.
-func (p *Proxy) report(a *attempt, res result, at float64) {
+func (p *Proxy) reportOutcome(a *attempt, res result, at float64) {
 	spent := max(at-a.sentAt, 0)
 	p.traceEnded(a, res, at)
-	if a.req == nil {
-		p.decider.HandleHealthCheck(p.now, policy.HealthCheckResult{Endpoint: a.be.ID, Status: res.status, Elapsed: spent, Load: res.load})
+	if a.request == nil {
+		p.decider.HandleHealthCheck(p.now, policy.HealthCheckResult{Endpoint: a.endpoint.ID, Status: res.status, Elapsed: spent, Load: res.load})
 		return
 	}
-	r := a.req
+	r := a.request
 	r.out--
 	if res.status == policy.OK {
 		p.answer(r, res.value, served)
 	}
 	p.forget(r)
 	server := ""
-	if a.be != nil {
-		server = a.be.ID
+	if a.endpoint != nil {
+		server = a.endpoint.ID
 	}
 	p.decider.HandleOutcome(p.now, policy.Outcome{
 		RequestID: r.ID, Endpoint: server, Attempt: a.number, Status: res.status,
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -15,62 +15,62 @@
 	// How long one write waits before it is looked at whether the client has taken anything.
 	writeSlice = time.Second
 	// Seconds without progress after which a client may be closed to make room for others.
-	stalledAfter = 5.0
+	stalledAfterS = 5.0
 )
 
 // unsentAnswer is an answer that the socket has not wholly taken. It keeps its permit until then, so that a client
 // that does not read is not read from either.
-type unsentAnswer struct {
-	id     string // of the request, if it was one
-	size   int    // bytes that are left of it
-	permit bool
+type unwrittenReply struct {
+	requestID string // of the request, if it was one
+	remaining int    // bytes that are left of it
+	hasPermit bool
 }
 
 // flush writes the answers that are due, in the order of their commands.
-func (p *Proxy) flush(c *client) {
+func (p *Proxy) flushReplies(c *clientConn) {
 	if c.closed {
 		return
 	}
 	n, before := 0, len(c.pending)
-	for n < len(c.slots) && c.slots[n].answer != nil && !c.ending {
-		s := c.slots[n]
-		unsent := unsentAnswer{size: len(s.answer), permit: !s.last}
-		if s.req != nil {
-			unsent.id = s.req.ID
+	for n < len(c.pipeline) && c.pipeline[n].reply != nil && !c.lastReplyQueued {
+		s := c.pipeline[n]
+		unsent := unwrittenReply{remaining: len(s.reply), hasPermit: !s.last}
+		if s.request != nil {
+			unsent.requestID = s.request.ID
 		}
-		c.pending = append(c.pending, s.answer...)
-		c.unsent = append(c.unsent, unsent)
-		c.ending = s.last
+		c.pending = append(c.pending, s.reply...)
+		c.unwritten = append(c.unwritten, unsent)
+		c.lastReplyQueued = s.last
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	clear(c.slots[:n])
-	c.slots = c.slots[:copy(c.slots, c.slots[n:])]
-	c.usedAt, c.used = p.now, true
+	clear(c.pipeline[:n])
+	c.pipeline = c.pipeline[:copy(c.pipeline, c.pipeline[n:])]
+	c.lastUsedAt, c.usedSinceRequest = p.now, true
 	if !c.writing {
-		p.push(c)
-	} else if !p.hold(c, len(c.pending)-before) {
-		p.clientGone(c, memoryBudget, nil)
+		p.writePending(c)
+	} else if !p.reserveOutput(c, len(c.pending)-before) {
+		p.abandonClient(c, memoryBudget, nil)
 	}
 }
 
 // hold takes from the budget for what the client has not read.
-func (p *Proxy) hold(c *client, n int) bool {
-	if !p.input.take(n) {
+func (p *Proxy) reserveOutput(c *clientConn, n int) bool {
+	if !p.inputBudget.take(n) {
 		return false
 	}
-	c.held += n
+	c.reservedOutput += n
 	return true
 }
 
 // sent notes that the socket has taken so many more bytes, and gives back the permits of whole answers.
-func (c *client) sent(n int) {
+func (c *clientConn) recordWritten(n int) {
 	done := 0
-	for done < len(c.unsent) && n >= c.unsent[done].size {
-		n -= c.unsent[done].size
-		if c.unsent[done].permit {
+	for done < len(c.unwritten) && n >= c.unwritten[done].remaining {
+		n -= c.unwritten[done].remaining
+		if c.unwritten[done].hasPermit {
 			select {
 			case <-c.permits:
 			default: // a command that never took one
@@ -78,73 +78,73 @@
 		}
 		done++
 	}
-	if c.unsent = c.unsent[:copy(c.unsent, c.unsent[done:])]; len(c.unsent) > 0 {
-		c.unsent[0].size -= n
+	if c.unwritten = c.unwritten[:copy(c.unwritten, c.unwritten[done:])]; len(c.unwritten) > 0 {
+		c.unwritten[0].remaining -= n
 	}
 }
 
 // push writes what is pending: at once what the socket takes, the rest on a goroutine of its own, which
 // ends with the connection, or when the client has taken nothing for too long.
-func (p *Proxy) push(c *client) {
-	p.input.give(c.held)
-	c.held = 0
-	n, err := p.tryWrite(c.raw, c.pending)
+func (p *Proxy) writePending(c *clientConn) {
+	p.inputBudget.give(c.reservedOutput)
+	c.reservedOutput = 0
+	n, err := p.writeNow(c.raw, c.pending)
 	if err != nil {
-		p.clientGone(c, writeFailed, err)
+		p.abandonClient(c, writeFailed, err)
 		return
 	}
-	c.sent(n)
+	c.recordWritten(n)
 	rest := c.pending[n:]
 	if len(rest) == 0 {
 		if c.pending = c.pending[:0]; cap(c.pending) > 4*readSize {
 			c.pending = nil
 		}
-		p.written(c)
+		p.allWritten(c)
 		return
 	}
-	if !p.hold(c, len(rest)) {
-		p.clientGone(c, memoryBudget, nil)
+	if !p.reserveOutput(c, len(rest)) {
+		p.abandonClient(c, memoryBudget, nil)
 		return
 	}
 	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
 	c.writing, c.pending = true, nil
-	progressed := func() { c.progressAt.set(p.clock.now()) }
+	progressed := func() { c.writeProgressAt.store(p.clock.now()) }
 	progressed()
 	go func() {
 		err := p.writeAll(c.conn, c.raw, rest, p.clients.stallTimeout, progressed)
-		p.post(p.clock.now(), func() { p.pushed(c, len(rest), err) })
+		p.post(p.clock.now(), func() { p.writeFinished(c, len(rest), err) })
 	}()
 }
 
 // pushed takes the end of a write that the loop did not wait for.
-func (p *Proxy) pushed(c *client, n int, err error) {
+func (p *Proxy) writeFinished(c *clientConn, n int, err error) {
 	c.writing = false
 	switch {
 	case c.closed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p.clientGone(c, unreadAnswers, err)
+		p.abandonClient(c, unreadAnswers, err)
 	case err != nil:
-		p.clientGone(c, writeFailed, err)
+		p.abandonClient(c, writeFailed, err)
 	default:
-		c.sent(n)
-		p.push(c)
+		c.recordWritten(n)
+		p.writePending(c)
 	}
 }
 
 // stalled tells that the client has taken nothing of its answers for long.
-func (c *client) stalled(now float64) bool {
-	return c.writing && now-c.progressAt.get() > stalledAfter
+func (c *clientConn) stalled(now float64) bool {
+	return c.writing && now-c.writeProgressAt.load() > stalledAfterS
 }
 
 // written ends a connection on which nothing more is owed, if it is to end.
-func (p *Proxy) written(c *client) {
+func (p *Proxy) allWritten(c *clientConn) {
 	switch {
-	case c.ending && !c.lingered:
+	case c.lastReplyQueued && !c.lingerDone:
 		c.conn.CloseWrite()
-	case c.ending:
+	case c.lastReplyQueued:
 		p.closeClient(c, lastAnswerWritten, nil)
-	case p.leaving && len(c.slots) == 0:
-		p.endIdle(c, draining)
+	case p.leaving && len(c.pipeline) == 0:
+		p.requestClose(c, draining)
 	}
 }
 
@@ -163,7 +163,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		more, failed := p.tryWrite(raw, b)
+		more, failed := p.writeNow(raw, b)
 		if failed != nil {
 			return failed
 		}
@@ -182,7 +182,7 @@
 
 // tryWrite writes what the socket takes without waiting, which may be nothing. No deadline of the connection matters
 // to it.
-func (p *Proxy) tryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
+func (p *Proxy) writeNow(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Control(func(fd uintptr) { n, err = p.calls.write(int(fd), b) })
 	switch {
 	case closed != nil:
--- a/internal/proxy/client_write_test.go
+++ b/internal/proxy/client_write_test.go
@@ -14,22 +14,22 @@
 )
 
 // connected is both ends of a connection over loopback.
-func connected(t *testing.T) (near *net.TCPConn, far *wire) {
+func connectedPair(t *testing.T) (near *net.TCPConn, far *testConn) {
 	t.Helper()
-	addr, conns := listen(t)
+	addr, conns := listenBackend(t)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	far = get(t, conns)
+	far = receive(t, conns)
 	return conn.(*net.TCPConn), far
 }
 
 // TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
 	p := &Proxy{calls: realCalls()}
-	near, far := connected(t)
+	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(2 * stall) // the deadline of that write has passed by now
-	if n, err := p.tryWrite(raw, []byte("x")); n != 1 || err != nil {
+	if n, err := p.writeNow(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("the loop's write: %d, %v", n, err)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
@@ -56,7 +56,7 @@
 func TestWriteAllGoesByProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	p := &Proxy{calls: realCalls()}
-	near, far := connected(t)
+	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -81,55 +81,55 @@
 		default:
 		}
 	}
-	if err := get(t, done); !errors.Is(err, os.ErrDeadlineExceeded) { // nothing is read any more
+	if err := receive(t, done); !errors.Is(err, os.ErrDeadlineExceeded) { // nothing is read any more
 		t.Errorf("ended with %v", err)
 	}
-	get(t, progressed)
+	receive(t, progressed)
 }
 
 // TestStalledClientMakesRoom guards against clients that hold their places for good with answers that they do not
 // read, and against one that is closed in place of an idle one.
 func TestStalledClientMakesRoom(t *testing.T) {
-	r := start(t, testConfig(noDiscovery), func(r *rig) {
-		r.in.clients.limit = 2
-		r.mod.onRequest = func(q policy.Request) {
-			req := r.in.requests[q.ID]
-			r.in.answer(req, []byte(strings.Repeat("x", 60_000)), served)
+	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
+		r.proxy.clients.limit = 2
+		r.decider.onRequest = func(q policy.Request) {
+			req := r.proxy.requests[q.ID]
+			r.proxy.answer(req, []byte(strings.Repeat("x", 60_000)), served)
 		}
 	})
 	stuck := r.client()
 	for i := 0; ; i++ {
 		writing := false
-		if r.do(func() { writing = r.one().writing }); writing {
+		if r.onLoop(func() { writing = r.onlyClient().writing }); writing {
 			break
 		}
-		stuck.send(look(fmt.Sprint("a", i))...)
-		get(t, r.mod.requests)
+		stuck.send(lookCommand(fmt.Sprint("a", i))...)
+		receive(t, r.decider.requests)
 	}
 	idle := r.client()
-	if idle.send("PING"); idle.line() != "+PONG" {
+	if idle.send("PING"); idle.readLine() != "+PONG" {
 		t.Fatal("not served")
 	}
 	third := r.client()
-	if third.send("PING"); third.line() != "+PONG" || idle.line() != "" {
+	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client made no room")
 	}
-	r.do(func() { // the third one waits for an answer, the stuck one has taken nothing for long
-		r.writing().progressAt.set(0)
-		for c := range r.in.clients.all {
+	r.onLoop(func() { // the third one waits for an answer, the stuck one has taken nothing for long
+		r.writingClient().writeProgressAt.store(0)
+		for c := range r.proxy.clients.all {
 			if !c.writing {
-				c.slots = append(c.slots, &slot{})
+				c.pipeline = append(c.pipeline, &pipelineSlot{})
 			}
 		}
-		if r.in.clients.full(r.in, nil) {
+		if r.proxy.clients.makeRoom(r.proxy, nil) {
 			t.Error("the stalled client made no room")
 		}
 	})
 }
 
 // writing is the client whose socket is full; on the loop.
-func (r *rig) writing() *client {
-	for c := range r.in.clients.all {
+func (r *harness) writingClient() *clientConn {
+	for c := range r.proxy.clients.all {
 		if c.writing {
 			return c
 		}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -12,8 +12,8 @@
 )
 
 // base tells what an ingress with nothing to do holds: timers and budget.
-func (r *rig) base() (timers int, left int64) {
-	r.do(func() { timers, left = len(r.in.timers), r.in.input.left.Load() })
+func (r *harness) idleUsage() (timers int, left int64) {
+	r.onLoop(func() { timers, left = len(r.proxy.timers), r.proxy.inputBudget.left.Load() })
 	return timers, left
 }
 
@@ -30,35 +30,35 @@
 			if tc.before != "" {
 				most = time.Hour // until that is answered, however busy this machine is
 			}
-			r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.commandTimeout = most })
+			r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.commandTimeout = most })
 			c := r.client()
 			if tc.before != "" {
-				if io.WriteString(c, tc.before); c.line() != "+PONG" {
+				if io.WriteString(c, tc.before); c.readLine() != "+PONG" {
 					t.Fatal("not served")
 				}
-				r.do(func() { r.in.clients.commandTimeout = time.Millisecond })
+				r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
 			}
 			io.WriteString(c, tc.half)
-			if got := c.line(); got != want || c.line() != "" {
+			if got := c.readLine(); got != want || c.readLine() != "" {
 				t.Errorf("got %q, want %q and the end", got, want)
 			}
 			c.Close()
-			r.until("it is gone", func() bool { return r.in.clients.open() == 0 && len(r.in.clients.room) == 1 })
+			r.eventually("it is gone", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
-		r := start(t, testConfig("127.0.0.1:1"), nil)
+		r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 		c := r.client()
-		io.WriteString(c, command(look("a")...))
-		get(t, r.mod.requests)
-		r.do(func() { r.in.clients.commandTimeout = time.Millisecond })
+		io.WriteString(c, command(lookCommand("a")...))
+		receive(t, r.decider.requests)
+		r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
 		io.WriteString(c, "*1")
-		r.until("the error waits", func() bool {
-			q := r.in.requests["a"]
-			return q != nil && len(q.client.slots) == 2
+		r.eventually("the error waits", func() bool {
+			q := r.proxy.requests["a"]
+			return q != nil && len(q.client.pipeline) == 2
 		})
-		r.do(func() { r.in.Fail("a", policy.DeadlineTooClose) })
-		if a, b := c.line(), c.line(); a != "-ERR failed" || b != want || c.line() != "" {
+		r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+		if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || b != want || c.readLine() != "" {
 			t.Errorf("got %q, then %q", a, b)
 		}
 	})
@@ -67,71 +67,71 @@
 // Guards against a request that is lost with the junk behind it: however much of that comes, the
 // connection stays until what it asked for before is answered.
 func TestJunkBehindARequest(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, command(look("a")...)+"*1\r\n$60000000\r\n")
-	get(t, r.mod.requests)
+	io.WriteString(c, command(lookCommand("a")...)+"*1\r\n$60000000\r\n")
+	receive(t, r.decider.requests)
 	io.WriteString(c, strings.Repeat("x", maxLingerBytes))
-	r.until("enough is read", func() bool {
-		q := r.in.requests["a"]
-		return q != nil && q.client.lingered
+	r.eventually("enough is read", func() bool {
+		q := r.proxy.requests["a"]
+		return q != nil && q.client.lingerDone
 	})
-	r.do(func() { r.in.Fail("a", policy.DeadlineTooClose) })
-	if a, b := c.line(), c.line(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.line() != "" {
+	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
 		t.Errorf("got %q, then %q", a, b)
 	}
-	if len(r.mod.gone) != 0 {
+	if len(r.decider.gone) != 0 {
 		t.Error("the module was told that the client had left")
 	}
 }
 
 // Guards the loop against a client that sends bad commands for as long as it is answered.
 func TestBadCommandsAreCounted(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, strings.Repeat(command("NOVEL"), 100*maxClientErrors))
-	for i := range maxClientErrors {
-		if got := c.line(); got != `-ERR unknown command "NOVEL"` {
+	io.WriteString(c, strings.Repeat(command("NOVEL"), 100*maxBadCommands))
+	for i := range maxBadCommands {
+		if got := c.readLine(); got != `-ERR unknown command "NOVEL"` {
 			t.Fatalf("answer %d is %q", i, got)
 		}
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("behind the last error came %q", got)
 	}
 }
 
 // Guards against usual clients that make room for those that have said nothing.
 func TestNeverSpokenMakeRoomFirst(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.limit = 2 })
+	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit = 2 })
 	usual := r.client()
-	if usual.send("PING"); usual.line() != "+PONG" {
+	if usual.send("PING"); usual.readLine() != "+PONG" {
 		t.Fatal("not served")
 	}
 	silent := r.client()
-	r.until("both are open", func() bool { return r.in.clients.open() == 2 })
+	r.eventually("both are open", func() bool { return r.proxy.clients.open() == 2 })
 	third := r.client()
-	if third.send("PING"); third.line() != "+PONG" || silent.line() != "" {
+	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
 		t.Error("the silent connection made no room")
 	}
-	if usual.send("PING"); usual.line() != "+PONG" {
+	if usual.send("PING"); usual.readLine() != "+PONG" {
 		t.Error("the usual client was closed in its place")
 	}
 }
 
 // Guards against clients that ask once and keep their connection for good.
 func TestIdleConnectionsEnd(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	busy, idle := r.client(), r.client()
-	busy.send(look("a")...)
-	get(t, r.mod.requests)
+	busy.send(lookCommand("a")...)
+	receive(t, r.decider.requests)
 	idle.send("PING")
-	idle.line()
-	r.do(func() { r.in.now += clientIdleTimeoutS + 1; r.in.clients.sweep(r.in) })
-	if idle.line() != "" {
+	idle.readLine()
+	r.onLoop(func() { r.proxy.now += clientIdleTimeoutS + 1; r.proxy.clients.sweep(r.proxy) })
+	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
-	r.do(func() { r.in.Fail("a", policy.DeadlineTooClose) })
-	if got := busy.line(); got != "-ERR failed" {
+	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	if got := busy.readLine(); got != "-ERR failed" {
 		t.Errorf("the connection with an open request got %q", got)
 	}
 }
@@ -139,50 +139,50 @@
 // Guards against memory that an answered request holds until its deadline, an hour away if its client
 // says so: timers, the command's bytes and what the budget lent for them.
 func TestAnAnsweredRequestHoldsNothing(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
-	timers, left := r.base()
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(0))
+	timers, left := r.idleUsage()
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
 	req := (*request)(nil)
-	r.do(func() { req = r.in.requests["a"] })
-	if busy, less := r.base(); busy != timers+2 || less >= left {
+	r.onLoop(func() { req = r.proxy.requests["a"] })
+	if busy, less := r.idleUsage(); busy != timers+2 || less >= left {
 		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", busy, less, timers, left)
 	}
 	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	get(t, r.mod.outcomes)
-	if again, now := r.base(); again != timers || now != left || req.args != nil {
+	receive(t, r.decider.outcomes)
+	if again, now := r.idleUsage(); again != timers || now != left || req.args != nil {
 		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.args)
 	}
 }
 
 // Guards the memory: what is unfinished or waits has one bound for all connections together.
 func TestInputHasOneBudget(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.input.left.Store(30_000) })
+	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.inputBudget.left.Store(30_000) })
 	big := func(id string) string {
-		return command("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
+		return command("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
 	}
 	c := r.client()
 	io.WriteString(c, big("a")+big("b")+big("c"))
-	get(t, r.mod.requests)
-	r.until("no more is taken", func() bool { return r.in.input.left.Load() < 20_000 })
+	receive(t, r.decider.requests)
+	r.eventually("no more is taken", func() bool { return r.proxy.inputBudget.left.Load() < 20_000 })
 	d := r.client()
 	io.WriteString(d, "*5\r\n$60000\r\n"+strings.Repeat("x", 59_000))
-	if got := d.line(); got != "-ERR no room for more input" || d.line() != "" {
+	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
 		t.Errorf("half a command beyond the budget got %q", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		r.do(func() { r.in.Fail(id, policy.DeadlineTooClose) })
+		r.onLoop(func() { r.proxy.Fail(id, policy.DeadlineTooClose) })
 	}
 	for i := range 3 {
-		if got := c.line(); got != "-ERR failed" && got != "-BUSY 1000" {
+		if got := c.readLine(); got != "-ERR failed" && got != "-BUSY 1000" {
 			t.Errorf("answer %d is %q", i, got)
 		}
 	}
 	c.Close()
-	r.until("all is given back", func() bool { return r.in.input.left.Load() == 30_000 })
+	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.left.Load() == 30_000 })
 }
 
 // Guards against numbers and names that mean the same in more than one way, or not what they say: a
@@ -194,7 +194,7 @@
 		return err
 	}
 	const good = "c=look,t=basic,d=480,units=2,spread=2,first=1"
-	if err := parse(customer, "a", good); err != nil {
+	if err := parse(testCustomer, "a", good); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"d", "units", "spread", "first"} {
@@ -208,7 +208,7 @@
 					fields = strings.Replace(good, old, name+"="+value, 1)
 				}
 			}
-			if parse(customer, "a", fields) == nil {
+			if parse(testCustomer, "a", fields) == nil {
 				t.Errorf("%s passes", fields)
 			}
 		}
@@ -219,12 +219,12 @@
 		}
 	}
 	for _, id := range []string{"a b", "a\x00", "a\r\n", "\xff", "\u00a0", strings.Repeat("x", maxID+1)} {
-		if parse(customer, id, good) == nil {
+		if parse(testCustomer, id, good) == nil {
 			t.Errorf("id %q passes", id)
 		}
 	}
 	for _, more := range []string{",x=\r\n", ",x=\xff", ",x=" + strings.Repeat("y", maxFields), ",k=", ",r=2"} {
-		if parse(customer, "a", good+more) == nil {
+		if parse(testCustomer, "a", good+more) == nil {
 			t.Errorf("%.40q passes", fmt.Sprint("...", more))
 		}
 	}
@@ -233,20 +233,20 @@
 // Guards against answers out of order or given twice: a connection's answers come in the order of
 // its commands whatever the order of the decisions, and the first one for a request stands.
 func TestPipelinedAnswersComeOnceAndInOrder(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, command(look("a")...)+command(look("b")...)+command("PING")+command("SELECT", "0"))
-	get(t, r.mod.requests)
-	get(t, r.mod.requests)
-	r.do(func() {
-		r.in.Reject("b", 1, policy.QuotaExceeded)
-		r.in.Fail("b", policy.DeadlineTooClose)
-		r.in.Fail("a", policy.DeadlineTooClose)
-		r.in.Reject("a", 1, policy.QuotaExceeded)
+	io.WriteString(c, command(lookCommand("a")...)+command(lookCommand("b")...)+command("PING")+command("SELECT", "0"))
+	receive(t, r.decider.requests)
+	receive(t, r.decider.requests)
+	r.onLoop(func() {
+		r.proxy.Reject("b", 1, policy.QuotaExceeded)
+		r.proxy.Fail("b", policy.DeadlineTooClose)
+		r.proxy.Fail("a", policy.DeadlineTooClose)
+		r.proxy.Reject("a", 1, policy.QuotaExceeded)
 	})
 	c.send("PING")
 	for i, want := range []string{"-ERR failed", "-BUSY 1000", "+PONG", "-ERR unknown command \"SELECT\"", "+PONG"} {
-		if got := c.line(); got != want {
+		if got := c.readLine(); got != want {
 			t.Errorf("answer %d is %q, want %q", i, got, want)
 		}
 	}
@@ -254,18 +254,18 @@
 
 // Guards against a module that goes on working for a client that has left.
 func TestHangUpReachesTheModule(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
 	c.Close()
-	if id := get(t, r.mod.gone); id != "a" {
+	if id := receive(t, r.decider.gone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	if o := get(t, r.mod.outcomes); o.Status != policy.OK || !o.RequestDone {
+	if o := receive(t, r.decider.outcomes); o.Status != policy.OK || !o.RequestDone {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -273,7 +273,7 @@
 // Guards against a crash or a hang on what can't be read.
 func TestBadInput(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	for want, p := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
 		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
@@ -285,58 +285,58 @@
 		"-ERR Protocol error: malformed line":         "*1\n",
 		"-ERR empty command":                          "*0\r\n",
 		"-ERR unknown command \"NOVEL\"":              command("NOVEL"),
-		"-ERR wrong number of arguments for CALL.GET": command("CALL.GET", customer),
+		"-ERR wrong number of arguments for CALL.GET": command("CALL.GET", testCustomer),
 		"-ERR customer must be":                       command("CALL.GET", "00000002b4d65521", "a", fields),
-		"-ERR the request's id":                       command("CALL.GET", customer, "", fields),
-		"-ERR field d: invalid value \"soon\"":        command("CALL.GET", customer, "a", strings.Replace(fields, "100", "soon", 1)),
-		"-ERR field d: invalid value \"NaN\"":         command("CALL.GET", customer, "a", strings.Replace(fields, "100", "NaN", 1)),
-		"-ERR field c: invalid value":                 command("CALL.GET", customer, "a", strings.Replace(fields, "look", "x", 1)),
-		"-ERR field t: invalid value":                 command("CALL.GET", customer, "a", strings.Replace(fields, "basic", "x", 1)),
-		"-ERR field units: invalid value":             command("CALL.GET", customer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
-		"-ERR field spread: invalid value":            command("CALL.GET", customer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
-		"-ERR field first: invalid value":             command("CALL.GET", customer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
-		"-ERR field first is missing":                 command("CALL.GET", customer, "a", strings.TrimSuffix(fields, ",first=1")),
-		"-ERR field c is given twice":                 command("CALL.GET", customer, "a", fields+",c=look"),
-		"-ERR malformed field":                        command("CALL.GET", customer, "a", fields+","),
-		"-ERR class bill does not go with CALL.GET":   command("CALL.GET", customer, "a", strings.Replace(fields, "look", "bill", 1)),
-		"-ERR field k is missing":                     command("CALL.POST", customer, "a", strings.Replace(fields, "look", "hold", 1), ""),
+		"-ERR the request's id":                       command("CALL.GET", testCustomer, "", fields),
+		"-ERR field d: invalid value \"soon\"":        command("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "soon", 1)),
+		"-ERR field d: invalid value \"NaN\"":         command("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "NaN", 1)),
+		"-ERR field c: invalid value":                 command("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "x", 1)),
+		"-ERR field t: invalid value":                 command("CALL.GET", testCustomer, "a", strings.Replace(fields, "basic", "x", 1)),
+		"-ERR field units: invalid value":             command("CALL.GET", testCustomer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
+		"-ERR field spread: invalid value":            command("CALL.GET", testCustomer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
+		"-ERR field first: invalid value":             command("CALL.GET", testCustomer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
+		"-ERR field first is missing":                 command("CALL.GET", testCustomer, "a", strings.TrimSuffix(fields, ",first=1")),
+		"-ERR field c is given twice":                 command("CALL.GET", testCustomer, "a", fields+",c=look"),
+		"-ERR malformed field":                        command("CALL.GET", testCustomer, "a", fields+","),
+		"-ERR class bill does not go with CALL.GET":   command("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "bill", 1)),
+		"-ERR field k is missing":                     command("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
 		c := r.client()
 		io.WriteString(c, p)
-		if got := c.line(); !strings.HasPrefix(got, want) {
+		if got := c.readLine(); !strings.HasPrefix(got, want) {
 			t.Errorf("%q: got %q, want %q", p[:min(len(p), 60)], got, want)
 			continue
 		}
 		if strings.Contains(want, "Protocol") {
-			if got := c.line(); got != "" {
+			if got := c.readLine(); got != "" {
 				t.Errorf("%q: %q behind the error", p, got)
 			}
 			continue
 		}
-		if c.send("PING"); c.line() != "+PONG" {
+		if c.send("PING"); c.readLine() != "+PONG" {
 			t.Errorf("%q: the connection is of no use afterwards", p)
 		}
 	}
-	if len(r.mod.requests) != 0 {
+	if len(r.decider.requests) != 0 {
 		t.Error("the module was asked about what could not be read")
 	}
 }
 
 // Guards against running out of descriptors: the connection that idles longest makes room.
 func TestIdleClientsMakeRoom(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.limit = 2 })
-	var conns []*wire
+	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit = 2 })
+	var conns []*testConn
 	for range 3 {
 		c := r.client()
-		if c.send("PING"); c.line() != "+PONG" {
+		if c.send("PING"); c.readLine() != "+PONG" {
 			t.Fatal("not served")
 		}
 		conns = append(conns, c)
 	}
-	if conns[0].line() != "" {
+	if conns[0].readLine() != "" {
 		t.Error("the connection that idled longest is open")
 	}
-	if conns[2].send("PING"); conns[2].line() != "+PONG" {
+	if conns[2].send("PING"); conns[2].readLine() != "+PONG" {
 		t.Error("the newest connection was closed")
 	}
 }
@@ -344,26 +344,26 @@
 // Guards against requests lost to the bound on descriptors: a connection beyond it was closed, and with
 // it the request that had come along. It is refused in words, and served once another one idles.
 func TestSurplusClientsAreRefusedInWords(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.limit, r.in.clients.surplus = 1, 1 })
+	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit, r.proxy.clients.overLimitAllowance = 1, 1 })
 	busy := r.client()
-	busy.send(look("a")...)
-	get(t, r.mod.requests)
+	busy.send(lookCommand("a")...)
+	receive(t, r.decider.requests)
 	surplus := r.client()
-	surplus.send(look("b")...)
-	if got := surplus.line(); got != "-BUSY 1000" {
+	surplus.send(lookCommand("b")...)
+	if got := surplus.readLine(); got != "-BUSY 1000" {
 		t.Errorf("beyond the bound: %q", got)
 	}
 	next := r.client() // an idle one of the surplus makes room for it
-	next.send(look("b")...)
-	if got := next.line(); got != "-BUSY 1000" || surplus.line() != "" {
+	next.send(lookCommand("b")...)
+	if got := next.readLine(); got != "-BUSY 1000" || surplus.readLine() != "" {
 		t.Errorf("beyond the bound, once more: %q", got)
 	}
-	if len(r.mod.requests) != 0 {
+	if len(r.decider.requests) != 0 {
 		t.Error("the module was asked about a request that was refused for it")
 	}
-	r.do(func() { r.in.Fail("a", policy.DeadlineTooClose) })
-	next.send(look("c")...)
-	if q := get(t, r.mod.requests); q.ID != "c" || busy.line() != "-ERR failed" || busy.line() != "" {
+	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	next.send(lookCommand("c")...)
+	if q := receive(t, r.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
 		t.Errorf("with room made: %+v", q)
 	}
 }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -8,12 +8,12 @@
 const (
 	// Of the clients, that go when there is no descriptor left, and of their bound, that comes back with each
 	// check that finds one.
-	shedShare = 8
-	backShare = 32
+	evictShare         = 8
+	limitRecoveryShare = 32
 )
 
 // spareDescriptor fails if no descriptor is to be had.
-func spareDescriptor() error {
+func probeDescriptor() error {
 	f, err := os.Open(os.DevNull)
 	if err != nil {
 		return err
@@ -24,26 +24,26 @@
 // checkDescriptors makes room before a call fails that has nobody to tell of it, and gives the bound on
 // clients back once there is room again.
 func (p *Proxy) checkDescriptors() {
-	if s := &p.clients; !p.makeRoomFor(p.spare()) && s.limit < s.configured {
-		s.limit = min(s.configured, s.limit+max(1, s.configured/backShare))
+	if s := &p.clients; !p.freeDescriptorsAfter(p.probeDescriptor()) && s.limit < s.configuredLimit {
+		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryShare))
 	}
 }
 
 // makeRoomFor tells whether a call failed for want of descriptors. Idle connections make room then: those to
 // backends first, which cost a new one at most, and clients that are owed nothing, those idle for longest first.
-func (p *Proxy) makeRoomFor(err error) bool {
+func (p *Proxy) freeDescriptorsAfter(err error) bool {
 	if !outOfDescriptors(err) {
 		return false
 	}
 	s := &p.clients
-	n := max(1, s.staying()/shedShare)
-	p.warn("no descriptor left", "clients", s.open(), "backends", p.backends.open)
+	n := max(1, s.staying()/evictShare)
+	p.warn("no descriptor left", "clients", s.open(), "backends", p.endpoints.openConns)
 	for range max(1, n/2) {
 		if !p.evictIdle() {
 			break
 		}
 	}
 	s.limit = max(minClients, min(s.limit, s.staying()-n))
-	s.full(p, nil)
+	s.makeRoom(p, nil)
 	return true
 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -92,8 +92,8 @@
 			Weight: s.Weight, StartedAt: p.starts.of(s.ID, s.StartedMS),
 		})
 	}
-	p.backends.apply(p, t)
-	p.starts.forget(func(id string) bool { return p.backends.byID[id] != nil })
+	p.endpoints.apply(p, t)
+	p.starts.forget(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.now, list, t.Full)
 }
 
@@ -138,7 +138,7 @@
 			seen, addr := w.version, w.addr
 			p.post(p.clock.now(), func() {
 				p.warn("watch ended", "error", err, "address", addr, "version", seen)
-				p.makeRoomFor(err)
+				p.freeDescriptorsAfter(err)
 			})
 			pause := min(p.askAgain, maxPause)
 			if seen != before || !errors.Is(err, errWasted) {
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -50,9 +50,9 @@
 }
 
 // ids waits for the next list that the module gets.
-func (r *rig) ids() (ids []string) {
+func (r *harness) nextEndpoints() (ids []string) {
 	r.t.Helper()
-	for _, s := range get(r.t, r.mod.lists) {
+	for _, s := range receive(r.t, r.decider.lists) {
 		ids = append(ids, fmt.Sprint(s.ID, " ", s.State))
 	}
 	return ids
@@ -83,19 +83,19 @@
 			cfg := testConfig()
 			cfg.Discovery = a.addr()
 			cfg.Known = targets{Version: 4, Full: true, Servers: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
-			r := start(t, cfg, nil)
+			r := startProxy(t, cfg, nil)
 			for _, want := range []string{"[old in_service]", "[x in_service y in_service]", "[x draining]", "[z in_service]"} {
-				if got := fmt.Sprint(r.ids()); got != want {
+				if got := fmt.Sprint(r.nextEndpoints()); got != want {
 					t.Fatalf("the module got %s, want %s", got, want)
 				}
 			}
-			r.do(func() {
-				if len(r.in.backends.byID) != 1 || r.in.backends.byID["z"].state != policy.InService {
-					t.Errorf("backends: %+v", r.in.backends.byID)
+			r.onLoop(func() {
+				if len(r.proxy.endpoints.byID) != 1 || r.proxy.endpoints.byID["z"].state != policy.InService {
+					t.Errorf("backends: %+v", r.proxy.endpoints.byID)
 				}
 			})
 			for _, want := range []string{"?watch=1&after=4", "?watch=1&after=5", "", "?watch=1&after=8"} {
-				if got := get(t, a.asked); got != "/api/targets"+want {
+				if got := receive(t, a.asked); got != "/api/targets"+want {
 					t.Errorf("asked %q, want %q", got, want)
 				}
 			}
@@ -115,20 +115,20 @@
 	})
 	cfg := testConfig()
 	cfg.Discovery = from.addr()
-	r := start(t, cfg, nil)
-	r.ids()
-	if got := fmt.Sprint(r.ids()); got != "[x in_service]" {
+	r := startProxy(t, cfg, nil)
+	r.nextEndpoints()
+	if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service]" {
 		t.Fatalf("the first address told %s", got)
 	}
 	cfg.Discovery = to.addr()
 	cfg.Known = targets{Version: 1, Full: true, Servers: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 	r.reread <- cfg
 	for _, want := range []string{"[y in_service]", "[v in_service]"} {
-		if got := fmt.Sprint(r.ids()); got != want {
+		if got := fmt.Sprint(r.nextEndpoints()); got != want {
 			t.Errorf("the module got %s, want %s", got, want)
 		}
 	}
-	if a, b := get(t, to.asked), get(t, to.asked); a != "/api/targets" || b != "/api/targets?watch=1&after=2" {
+	if a, b := receive(t, to.asked), receive(t, to.asked); a != "/api/targets" || b != "/api/targets?watch=1&after=2" {
 		t.Errorf("asked %q, then %q", a, b)
 	}
 }
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -53,12 +53,12 @@
 	return strings.TrimPrefix(s.URL, "http://"), asked
 }
 
-func discovering(t *testing.T, addr string, change func(*rig)) *rig {
+func discovering(t *testing.T, addr string, change func(*harness)) *harness {
 	cfg := testConfig()
 	cfg.Discovery = addr
 	cfg.Known.Version = 4
-	r := start(t, cfg, change)
-	r.ids() // the known list
+	r := startProxy(t, cfg, change)
+	r.nextEndpoints() // the known list
 	return r
 }
 
@@ -68,8 +68,8 @@
 	for _, which := range []string{"a later question", "the first question"} {
 		t.Run(which, func(t *testing.T) {
 			addr, asked := manualAgent(t)
-			r := discovering(t, addr, func(r *rig) { r.in.askAgain = 75 * time.Millisecond })
-			first, second := get(t, asked), get(t, asked)
+			r := discovering(t, addr, func(r *harness) { r.proxy.askAgain = 75 * time.Millisecond })
+			first, second := receive(t, asked), receive(t, asked)
 			select {
 			case <-first.left:
 				t.Fatal("the first question was given up before the second one")
@@ -78,7 +78,7 @@
 			other, list := second, listed(7, false, "x", "in_service")
 			if which == "the first question" {
 				for range maxOpenQuestions { // it outlasts those that came right after it
-					get(t, asked)
+					receive(t, asked)
 				}
 				first.tell(list)
 			} else {
@@ -95,10 +95,10 @@
 					}
 				}()
 			}
-			if got := fmt.Sprint(r.ids()); got != "[x in_service]" {
+			if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service]" {
 				t.Errorf("the module got %s", got)
 			}
-			get(t, other.left) // and is given up now
+			receive(t, other.left) // and is given up now
 		})
 	}
 }
@@ -107,24 +107,24 @@
 // whole list that breaks off.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	addr, asked := manualAgent(t)
-	r := discovering(t, addr, func(r *rig) { r.in.silence = 200 * time.Millisecond })
+	r := discovering(t, addr, func(r *harness) { r.proxy.silence = 200 * time.Millisecond })
 	for version := range 3 {
-		a := get(t, asked)
+		a := receive(t, asked)
 		if want := fmt.Sprintf("/api/targets?watch=1&after=%d", version+4); a.query != want {
 			t.Fatalf("asked %q, want %q", a.query, want)
 		}
 		a.tell(listed(version+5, false, "x", "in_service"))
-		r.ids()
-		get(t, a.left) // though the test never ends it
+		r.nextEndpoints()
+		receive(t, a.left) // though the test never ends it
 	}
-	get(t, asked).tell("nonsense ")
+	receive(t, asked).tell("nonsense ")
 	for range 2 {
-		a := get(t, asked)
+		a := receive(t, asked)
 		if a.query != "/api/targets" {
 			t.Fatalf("asked %q", a.query)
 		}
 		a.tell(`{"version":9,`)
-		get(t, a.left)
+		receive(t, a.left)
 	}
 }
 
@@ -135,23 +135,23 @@
 	a := newAgent(t, func(string) []string { return nil }) // an empty line, and the end
 	for name, addr := range map[string]string{"quiet": a.addr(), "refusing": "127.0.0.1:2", "new, refusing": "127.0.0.1:2"} {
 		t.Run(name, func(t *testing.T) {
-			r := discovering(t, addr, func(r *rig) {
-				r.in.askAgain = askAgainAfter(0.2)
-				r.in.pause = func(d time.Duration) <-chan time.Time { pauses <- d; return free }
+			r := discovering(t, addr, func(r *harness) {
+				r.proxy.askAgain = askAgainAfter(0.2)
+				r.proxy.pause = func(d time.Duration) <-chan time.Time { pauses <- d; return free }
 			})
 			if strings.HasPrefix(name, "new") { // a new configuration wants the whole list
-				get(t, pauses)
+				receive(t, pauses)
 				cfg := testConfig()
 				cfg.Discovery = "127.0.0.1:3"
 				r.reread <- cfg
 			}
 			for range 12 {
-				if d := get(t, pauses); d > 100*time.Millisecond {
+				if d := receive(t, pauses); d > 100*time.Millisecond {
 					t.Errorf("a pause of %v, half of the grace at most is wanted", d)
 				}
 				free <- time.Time{}
 			}
-			get(t, pauses) // it waits for good
+			receive(t, pauses) // it waits for good
 		})
 	}
 }
@@ -161,14 +161,14 @@
 	var pauses []time.Duration
 	took, free := make(chan time.Duration), make(chan time.Time)
 	a := newAgent(t, func(string) []string { return []string{"nonsense"} })
-	discovering(t, a.addr(), func(r *rig) {
-		r.in.pause = func(d time.Duration) <-chan time.Time { took <- d; return free }
+	discovering(t, a.addr(), func(r *harness) {
+		r.proxy.pause = func(d time.Duration) <-chan time.Time { took <- d; return free }
 	})
 	for range 10 {
-		pauses = append(pauses, get(t, took))
+		pauses = append(pauses, receive(t, took))
 		free <- time.Time{}
 	}
-	get(t, took)
+	receive(t, took)
 	if !slices.IsSorted(pauses) || pauses[9] != maxUselessPause {
 		t.Errorf("pauses of %v", pauses)
 	}
@@ -185,20 +185,20 @@
 	}
 	addr, asked := manualAgent(t)
 	r := discovering(t, addr, nil)
-	a := get(t, asked)
+	a := receive(t, asked)
 	whole, change := indent(listed(5, true, "x", "in_service", "y", "in_service")), indent(listed(6, false, "x", "terminating"))
 	a.tell(whole + "\n\n\n" + change[:40])
-	if got := fmt.Sprint(r.ids()); got != "[x in_service y in_service]" {
+	if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service y in_service]" {
 		t.Errorf("the module got %s", got)
 	}
 	a.tell(change[40:] + "\n" + listed(7, false, "y", "terminating"))
 	for _, want := range []string{"[x draining]", "[y draining]"} {
-		if got := fmt.Sprint(r.ids()); got != want {
+		if got := fmt.Sprint(r.nextEndpoints()); got != want {
 			t.Errorf("the module got %s, want %s", got, want)
 		}
 	}
 	close(a.done)
-	if next := get(t, asked); next.query != "/api/targets?watch=1&after=7" {
+	if next := receive(t, asked); next.query != "/api/targets?watch=1&after=7" {
 		t.Errorf("then %q was asked", next.query)
 	}
 }
@@ -207,19 +207,19 @@
 func TestEndlessListIsBounded(t *testing.T) {
 	addr, asked := manualAgent(t)
 	r := discovering(t, addr, nil)
-	a := get(t, asked)
+	a := receive(t, asked)
 	a.tell(`{"version":5,"full":false,"servers":[`)
 	go func() {
 		for range maxListValue/readSize + 1 {
 			a.tell(strings.Repeat(" ", readSize))
 		}
 	}()
-	if a = get(t, asked); a.query != "/api/targets" {
+	if a = receive(t, asked); a.query != "/api/targets" {
 		t.Fatalf("asked %q", a.query)
 	}
 	a.tell(listed(8, true, "z", "in_service"))
 	close(a.done)
-	if got := fmt.Sprint(r.ids()); got != "[z in_service]" {
+	if got := fmt.Sprint(r.nextEndpoints()); got != "[z in_service]" {
 		t.Errorf("the module got %s", got)
 	}
 }
@@ -235,39 +235,39 @@
 			if cfg.Discovery = old; during == "a pause" {
 				cfg.Discovery = "127.0.0.1:2" // refuses
 			}
-			r := start(t, cfg, func(r *rig) {
-				r.in.pause = func(d time.Duration) <-chan time.Time {
+			r := startProxy(t, cfg, func(r *harness) {
+				r.proxy.pause = func(d time.Duration) <-chan time.Time {
 					if pausing <- struct{}{}; during != "a pause" {
 						return time.After(d)
 					}
 					return nil // for good
 				}
 			})
-			r.ids() // the known list
+			r.nextEndpoints() // the known list
 			switch during {
 			case "a pause":
-				get(t, pausing)
+				receive(t, pausing)
 			case "a question":
-				get(t, asked)
+				receive(t, asked)
 			case "a whole list":
-				a := get(t, asked)
+				a := receive(t, asked)
 				a.tell("nonsense ")
-				if a = get(t, asked); a.query != "/api/targets" {
+				if a = receive(t, asked); a.query != "/api/targets" {
 					t.Fatalf("asked %q", a.query)
 				}
 				a.tell(`{"version":9,`)
 			case "a watch":
-				get(t, asked).tell(listed(9, true, "x", "in_service"))
-				r.ids()
+				receive(t, asked).tell(listed(9, true, "x", "in_service"))
+				r.nextEndpoints()
 			}
 			cfg.Discovery = addr
 			r.reread <- cfg
-			a := get(t, next)
+			a := receive(t, next)
 			if a.query != "/api/targets" {
 				t.Errorf("the new address was asked %q", a.query)
 			}
 			a.tell(listed(2, true, "y", "in_service"))
-			if got := fmt.Sprint(r.ids()); got != "[y in_service]" {
+			if got := fmt.Sprint(r.nextEndpoints()); got != "[y in_service]" {
 				t.Errorf("the module got %s", got)
 			}
 		})
--- a/internal/proxy/discovery_time_test.go
+++ b/internal/proxy/discovery_time_test.go
@@ -188,10 +188,10 @@
 				first := broken.serve(t)
 				cfg.Discovery, cfg.Known.Version = first, 4
 				dials, healthy := make(chan struct{}, 1024), make(chan struct{})
-				r := start(t, cfg, func(r *rig) {
-					r.in.pause, r.in.alarm, r.in.askAgain = clock.pause, clock.alarm, askAgainAfter(0)
-					dial := r.in.calls.dialAgent
-					r.in.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				r := startProxy(t, cfg, func(r *harness) {
+					r.proxy.pause, r.proxy.alarm, r.proxy.askAgain = clock.pause, clock.alarm, askAgainAfter(0)
+					dial := r.proxy.calls.dialAgent
+					r.proxy.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						dials <- struct{}{}
 						select {
 						case <-healthy:
@@ -202,15 +202,15 @@
 						case addr != first || change != nil:
 							return dial(ctx, network, addr)
 						case name == "refused":
-							return dial(ctx, network, noDiscovery)
+							return dial(ctx, network, unreachableAgent)
 						}
 						<-ctx.Done()
 						return nil, ctx.Err()
 					}
 				})
-				r.ids() // the known list
+				r.nextEndpoints() // the known list
 				if name == "a watch that falls silent" {
-					r.ids()
+					r.nextEndpoints()
 				}
 				quiet := 10 * time.Millisecond // after which most has come that comes without a step of time
 				for range 21 + parity%2 {
@@ -231,7 +231,7 @@
 				}
 				for steps := 0; ; steps++ {
 					select {
-					case list := <-r.mod.lists:
+					case list := <-r.decider.lists:
 						if len(list) == 1 && list[0].State == 1 {
 							took := clock.time() - from
 							if took > most {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -14,7 +14,7 @@
 // a command is whole, unfinished or wrong, and the codec reads the same in what is taken for whole.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []string{
-		command(look("a")...), "*1\r\n$4\r\nPING\r\n", "*2\r\n$-1\r\n$1\r\na\r\n", "*1\r\n$+1\r\na\r\n",
+		command(lookCommand("a")...), "*1\r\n$4\r\nPING\r\n", "*2\r\n$-1\r\n$1\r\na\r\n", "*1\r\n$+1\r\na\r\n",
 		"*2\r\n+OK\r\n:1\r\n", "*1\r\n$-2\r\nab\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$60000000\r\n", "$1\r\na\r\n", "*1\r\n$01\r\na\r\n",
 		"*1\r\n$1\nab\r\n", "*\r\n", "*1\r\n$\r\n", "*1\r\n$1\r\nabc", "PING\r\n", "*1\r\n*1\r\n$1\r\na\r\n",
 	} {
@@ -49,10 +49,10 @@
 // FuzzCall guards what reaches module and backends: what passes is in range, and goes on as a command
 // that reads the same but for the time.
 func FuzzCall(f *testing.F) {
-	f.Add("CALL.GET", customer, "a", look("a")[3], "")
-	f.Add("CALL.POST", customer, "a", "c=hold,t=basic,k=5c0f,d=1,units=2,spread=2,first=1,x=y", "body")
-	f.Add("call.get", customer, "a", "c=look,t=basic,d=0x1p4,units=+2,spread=1e0,first=01", "")
-	f.Add("CALL.GET", customer, "a", "d==,,=,d=1,d=1", "")
+	f.Add("CALL.GET", testCustomer, "a", lookCommand("a")[3], "")
+	f.Add("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=1,units=2,spread=2,first=1,x=y", "body")
+	f.Add("call.get", testCustomer, "a", "c=look,t=basic,d=0x1p4,units=+2,spread=1e0,first=01", "")
+	f.Add("CALL.GET", testCustomer, "a", "d==,,=,d=1,d=1", "")
 	words := newVocabulary(testConfig().Settings.Settings)
 	f.Fuzz(func(t *testing.T, verb, customer, id, fields, body string) {
 		args := [][]byte{[]byte(verb), []byte(customer), []byte(id), []byte(fields)}
@@ -83,7 +83,7 @@
 // FuzzReply guards the readers of backends in the same way: what is served is one value that is not null.
 func FuzzReply(f *testing.F) {
 	for _, seed := range []string{
-		value, "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
+		valueReply, "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
 		"$3\r\na=1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*0\r\n", "*3\r\n$3000000000\r\n", ":12\r\n", ":-\r\n", "+OK\r\n", "\x00", "$-1\r\n",
 		"*-1\r\n", ":+1\r\n", ":00\r\n",
 	} {
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -51,7 +51,7 @@
 // growthConfig is that of one process; all backends are the one that listens at an address.
 func growthConfig(size growthSize, addr string) Config {
 	c := Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024, MemoryMB: 192, Seed: 1,
+		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024, MemoryMB: 192, Seed: 1,
 		Settings: settings.Settings{DialTimeoutS: 1, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
 			MaxRequestUnits: 6, MaxAttempts: 4, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true, PeerMessages: true, PeerMessageRate: 40,
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -24,57 +24,57 @@
 
 // module stands in for the decision module: a test says what it does on a request, and sees what
 // it is told.
-type module struct {
-	onRequest func(policy.Request)
-	onOutcome func(policy.Outcome)
-	requests  chan policy.Request
-	outcomes  chan policy.Outcome
-	gone      chan string
-	lists     chan []policy.Endpoint
-	messages  chan message
-	probed    chan policy.HealthCheckResult
+type fakeDecider struct {
+	onRequest    func(policy.Request)
+	onOutcome    func(policy.Outcome)
+	requests     chan policy.Request
+	outcomes     chan policy.Outcome
+	gone         chan string
+	lists        chan []policy.Endpoint
+	messages     chan peerMessage
+	healthChecks chan policy.HealthCheckResult
 }
 
-type message struct {
+type peerMessage struct {
 	from int
 	data string
 }
 
-func newModule() *module {
-	return &module{
+func newFakeDecider() *fakeDecider {
+	return &fakeDecider{
 		requests: make(chan policy.Request, 64), outcomes: make(chan policy.Outcome, 64),
-		gone: make(chan string, 64), lists: make(chan []policy.Endpoint, 64), messages: make(chan message, 64),
-		probed: make(chan policy.HealthCheckResult, 64),
+		gone: make(chan string, 64), lists: make(chan []policy.Endpoint, 64), messages: make(chan peerMessage, 64),
+		healthChecks: make(chan policy.HealthCheckResult, 64),
 	}
 }
 
-func (m *module) HandleRequest(_ float64, q policy.Request) {
+func (m *fakeDecider) HandleRequest(_ float64, q policy.Request) {
 	m.requests <- q
 	if m.onRequest != nil {
 		m.onRequest(q)
 	}
 }
 
-func (m *module) HandleOutcome(_ float64, o policy.Outcome) {
+func (m *fakeDecider) HandleOutcome(_ float64, o policy.Outcome) {
 	m.outcomes <- o
 	if m.onOutcome != nil {
 		m.onOutcome(o)
 	}
 }
 
-func (m *module) HandleClientGone(_ float64, id string) { m.gone <- id }
+func (m *fakeDecider) HandleClientGone(_ float64, id string) { m.gone <- id }
 
-func (m *module) HandleEndpoints(_ float64, list []policy.Endpoint, whole bool) { m.lists <- list }
+func (m *fakeDecider) HandleEndpoints(_ float64, list []policy.Endpoint, whole bool) { m.lists <- list }
 
-func (m *module) HandleTimer(float64, uint64) {}
+func (m *fakeDecider) HandleTimer(float64, uint64) {}
 
-func (m *module) HandlePeerMessage(_ float64, from int, data []byte) {
-	m.messages <- message{from, string(data)}
+func (m *fakeDecider) HandlePeerMessage(_ float64, from int, data []byte) {
+	m.messages <- peerMessage{from, string(data)}
 }
 
-func (m *module) HandleHealthCheck(_ float64, p policy.HealthCheckResult) { m.probed <- p }
+func (m *fakeDecider) HandleHealthCheck(_ float64, p policy.HealthCheckResult) { m.healthChecks <- p }
 
-func get[T any](t *testing.T, c <-chan T) T {
+func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -86,22 +86,22 @@
 }
 
 // rig is an ingress on loopback sockets with a stand-in module.
-type rig struct {
-	t    *testing.T
-	in   *Proxy
-	mod  *module
-	end  chan struct{}
-	term context.CancelFunc
+type harness struct {
+	t         *testing.T
+	proxy     *Proxy
+	decider   *fakeDecider
+	ended     chan struct{}
+	terminate context.CancelFunc
 
 	reread chan Config
 }
 
 // noDiscovery is an address that refuses.
-const noDiscovery = "127.0.0.1:1"
+const unreachableAgent = "127.0.0.1:1"
 
 func testConfig(backends ...string) Config {
 	c := Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024,
+		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024,
 		Settings: settings.Settings{DialTimeoutS: 60, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
 			MaxAttempts: 5, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true,
@@ -120,19 +120,19 @@
 	return c
 }
 
-func start(t *testing.T, cfg Config, change func(*rig)) *rig {
+func startProxy(t *testing.T, cfg Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{t: t, in: p, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan Config)}
-	p.backends.copyS = 0 // the tests' answers are alike
-	p.backends.writeSlack = 3600
+	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan Config)}
+	p.endpoints.duplicateWindowS = 0 // the tests' answers are alike
+	p.endpoints.writeSlack = 3600
 	p.askAgain = time.Hour // a test that is slow is asked once
 	quiet := make(chan struct{})
-	if cfg.Discovery == noDiscovery { // asked once, so that no event comes of it later
+	if cfg.Discovery == unreachableAgent { // asked once, so that no event comes of it later
 		p.pause = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
@@ -144,38 +144,38 @@
 		change(r)
 	}
 	go func() {
-		defer close(r.end)
-		p.serve(ctx, r.reread, r.mod)
+		defer close(r.ended)
+		p.serve(ctx, r.reread, r.decider)
 	}()
-	get(t, quiet)
+	receive(t, quiet)
 	t.Cleanup(func() {
 		cancel()
-		r.do(func() {
-			p.clients.all = map[*client]struct{}{}
+		r.onLoop(func() {
+			p.clients.all = map[*clientConn]struct{}{}
 			p.requests = map[string]*request{}
 			p.leaving, p.accepted = true, true
 		})
-		<-r.end
+		<-r.ended
 	})
 	return r
 }
 
 // do runs f on the loop and waits for it.
-func (r *rig) do(f func()) {
+func (r *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	r.in.post(0, func() { defer close(done); f() })
+	r.proxy.post(0, func() { defer close(done); f() })
 	select {
 	case <-done:
-	case <-r.end:
+	case <-r.ended:
 	}
 }
 
 // until waits for something that the loop comes to by itself.
-func (r *rig) until(what string, holds func() bool) {
+func (r *harness) eventually(what string, holds func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		ok := false
-		if r.do(func() { ok = holds() }); ok {
+		if r.onLoop(func() { ok = holds() }); ok {
 			return
 		}
 	}
@@ -183,29 +183,29 @@
 }
 
 // wire is one end of a connection.
-type wire struct {
+type testConn struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func newWire(t *testing.T, c net.Conn) *wire {
+func newTestConn(t *testing.T, c net.Conn) *testConn {
 	c.SetDeadline(time.Now().Add(patience))
 	t.Cleanup(func() { c.Close() })
-	return &wire{t, c, bufio.NewReader(c)}
+	return &testConn{t, c, bufio.NewReader(c)}
 }
 
-func (r *rig) client() *wire {
+func (r *harness) client() *testConn {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.in.listener.Addr().String())
+	c, err := net.Dial("tcp", r.proxy.listener.Addr().String())
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return newWire(r.t, c)
+	return newTestConn(r.t, c)
 }
 
 // dialTo connects to an address.
-func dialTo(t *testing.T, addr string) net.Conn {
+func mustDial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -215,7 +215,7 @@
 }
 
 // rawOf is the descriptor of a connection.
-func rawOf(t *testing.T, c net.Conn) syscall.RawConn {
+func rawConnOf(t *testing.T, c net.Conn) syscall.RawConn {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -224,7 +224,7 @@
 	return raw
 }
 
-func (w *wire) send(args ...string) { io.WriteString(w, command(args...)) }
+func (w *testConn) send(args ...string) { io.WriteString(w, command(args...)) }
 
 func command(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
@@ -235,21 +235,21 @@
 }
 
 // line reads one line, or "" at the end of the connection.
-func (w *wire) line() string {
-	s, _ := w.r.ReadString('\n')
+func (w *testConn) readLine() string {
+	s, _ := w.reader.ReadString('\n')
 	return strings.TrimRight(s, "\r\n")
 }
 
 // command reads a whole command and returns its arguments, nil at the end of the connection.
-func (w *wire) command() (args []string) {
-	n, err := strconv.Atoi(strings.TrimPrefix(w.line(), "*"))
+func (w *testConn) readCommand() (args []string) {
+	n, err := strconv.Atoi(strings.TrimPrefix(w.readLine(), "*"))
 	if err != nil {
 		return nil
 	}
 	for range n {
-		size, _ := strconv.Atoi(strings.TrimPrefix(w.line(), "$"))
+		size, _ := strconv.Atoi(strings.TrimPrefix(w.readLine(), "$"))
 		b := make([]byte, size+2)
-		if _, err := io.ReadFull(w.r, b); err != nil {
+		if _, err := io.ReadFull(w.reader, b); err != nil {
 			return nil
 		}
 		args = append(args, string(b[:size]))
@@ -258,38 +258,40 @@
 }
 
 // listen takes connections of a backend.
-func listen(t *testing.T) (addr string, conns chan *wire) {
+func listenBackend(t *testing.T) (addr string, conns chan *testConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	conns = make(chan *wire, 64)
+	conns = make(chan *testConn, 64)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			conns <- newWire(t, c)
+			conns <- newTestConn(t, c)
 		}
 	}()
 	return l.Addr().String(), conns
 }
 
-const customer = "00000000b4d65521"
+const testCustomer = "00000000b4d65521"
 
-func look(id string) []string {
-	return []string{"CALL.GET", customer, id, "c=look,t=basic,d=600000,units=2,spread=2,first=1"}
+func lookCommand(id string) []string {
+	return []string{"CALL.GET", testCustomer, id, "c=look,t=basic,d=600000,units=2,spread=2,first=1"}
 }
 
 // sendTo has the module send each request to s0.
-func sendTo(timeoutS float64) func(*rig) {
-	return func(r *rig) { r.mod.onRequest = func(q policy.Request) { r.in.Send(q.ID, "s0", timeoutS, 0) } }
+func sendEachRequest(timeoutS float64) func(*harness) {
+	return func(r *harness) {
+		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", timeoutS, 0) }
+	}
 }
 
 // smallSockets is a backend, and an ingress that sends to it, whose sockets hold a part of a large command.
-func smallSockets(t *testing.T, change func(*rig)) (net.Listener, *rig) {
+func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}
@@ -298,10 +300,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return l, start(t, testConfig(l.Addr().String()), func(r *rig) {
-		sendTo(0)(r)
-		dial := r.in.backends.dial
-		r.in.backends.dial = func(addr string) (net.Conn, error) {
+	return l, startProxy(t, testConfig(l.Addr().String()), func(r *harness) {
+		sendEachRequest(0)(r)
+		dial := r.proxy.endpoints.dial
+		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 			c, err := dial(addr)
 			if err == nil {
 				err = c.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(4096)
@@ -316,22 +318,22 @@
 
 // wantNotSent holds that the next attempt to end was not sent, and that its backend got nothing: its connection is
 // closed with the pool.
-func (r *rig) wantNotSent(b *wire) {
+func (r *harness) wantNotSent(b *testConn) {
 	r.t.Helper()
-	if o := get(r.t, r.mod.outcomes); o.Status != policy.NotSent {
+	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent {
 		r.t.Errorf("got %+v", o)
 	}
-	r.do(func() { r.in.takeList(targets{Full: true}) })
-	if got := b.command(); got != nil {
+	r.onLoop(func() { r.proxy.takeList(targets{Full: true}) })
+	if got := b.readCommand(); got != nil {
 		r.t.Errorf("the backend got %q", got)
 	}
 }
 
 // untilPartIsWritten waits until the socket has taken a part of the command of a request's first attempt.
-func (r *rig) untilPartIsWritten(id string) {
+func (r *harness) untilPartIsWritten(id string) {
 	r.t.Helper()
-	r.until("a part is written", func() bool {
-		a := r.in.requests[id].attempts[0]
-		return a.conn != nil && !a.conn.written.Load()
+	r.eventually("a part is written", func() bool {
+		a := r.proxy.requests[id].attempts[0]
+		return a.conn != nil && !a.conn.commandWritten.Load()
 	})
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -93,36 +93,36 @@
 	events chan event
 	done   chan struct{} // closed when the loop has ended
 
-	decider  decider
-	now      float64 // what the module was last told; never goes back
-	timers   timerHeap
-	wake     *time.Timer
-	wakeAt   float64
-	pace     pace
-	deferred []func() // outcomes that an action yielded, for when its event method has returned
-	logLimit logLimiter
-	bytes    []byte // of the command that is being written
-	input    budget // what clients and backends have sent and nobody has used up yet; of all goroutines
-
-	acceptFor time.Duration                        // how long after the signal new connections are taken
-	drainFor  time.Duration                        // and when all is answered at the latest
-	pause     func(time.Duration) <-chan time.Time // between questions to discovery
-	silence   time.Duration                        // of discovery, that tells that an answer has broken off
-	askAgain  time.Duration                        // until an agent that does not answer is asked again
-	alarm     func(time.Duration, func()) alarm    // of discovery
-	calls     systemCalls
-	turn      func()       // lets readers run
-	spare     func() error // tells whether a descriptor is to be had
-	starts    startTimes
-	listener  *net.TCPListener
-	clients   clientSet
-	requests  map[string]*request
-	backends  backendSet
-	peers     *peerLink
-	leaving   bool    // connections close between requests
-	accepted  bool    // the listener is closed, all that came there was accepted
-	stopped   bool    // what comes now is refused at once
-	readyAt   float64 // when it is ready without a backend
+	decider       decider
+	now           float64 // what the module was last told; never goes back
+	timers        timerHeap
+	wake          *time.Timer
+	wakeAt        float64
+	loopLag       loopLag
+	deferred      []func() // outcomes that an action yielded, for when its event method has returned
+	logLimit      logLimiter
+	commandBuffer []byte // of the command that is being written
+	inputBudget   budget // what clients and backends have sent and nobody has used up yet; of all goroutines
+
+	acceptFor       time.Duration                        // how long after the signal new connections are taken
+	drainFor        time.Duration                        // and when all is answered at the latest
+	pause           func(time.Duration) <-chan time.Time // between questions to discovery
+	silence         time.Duration                        // of discovery, that tells that an answer has broken off
+	askAgain        time.Duration                        // until an agent that does not answer is asked again
+	alarm           func(time.Duration, func()) alarm    // of discovery
+	calls           systemCalls
+	turn            func()       // lets readers run
+	probeDescriptor func() error // tells whether a descriptor is to be had
+	starts          startTimes
+	listener        *net.TCPListener
+	clients         clientSet
+	requests        map[string]*request
+	endpoints       endpointSet
+	peers           *peerLink
+	leaving         bool    // connections close between requests
+	accepted        bool    // the listener is closed, all that came there was accepted
+	stopped         bool    // what comes now is refused at once
+	readyAt         float64 // when it is ready without a backend
 }
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
@@ -150,15 +150,15 @@
 		askAgain: askAgainAfter(cfg.Settings.StopSendingS),
 		alarm:    func(d time.Duration, do func()) alarm { return time.AfterFunc(d, do) },
 		calls:    calls,
-		turn:     func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
+		turn:     func() { time.Sleep(readersTurn) }, probeDescriptor: probeDescriptor,
 	}
 	p.now = p.clock.now()
 	p.starts.sample(p.now, p.clock.wall())
 	p.readyAt = p.now + readyTimeout.Seconds()
-	p.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
-	p.input.readAheadLeft = int64(float64(p.input.left.Load()) * readAheadBudgetShare)
+	p.inputBudget.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
+	p.inputBudget.readAheadLeft = int64(float64(p.inputBudget.left.Load()) * readAheadBudgetShare)
 	p.clients.init(cfg.Sockets)
-	p.backends.init(cfg, calls)
+	p.endpoints.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -191,13 +191,13 @@
 	p.decider = gate
 	p.takeList(p.cfg.Known)
 	go p.watchDiscovery(background, reread)
-	go p.accept(p.listener)
+	go p.acceptClients(p.listener)
 	if p.peers != nil {
 		go p.peers.receive()
 	}
 	p.every(sweepEvery, func() {
 		p.starts.sample(p.clock.now(), p.clock.wall())
-		p.backends.sweep(p)
+		p.endpoints.sweep(p)
 		p.clients.sweep(p)
 		p.checkDescriptors()
 	})
@@ -332,7 +332,7 @@
 		return
 	}
 	p.wakeAt = p.timers[0].at
-	p.pace.dueAt.set(p.wakeAt)
+	p.loopLag.nextTimerDue.store(p.wakeAt)
 	p.wake.Reset(max(0, time.Duration((p.wakeAt-p.clock.now())*float64(time.Second))))
 }
 
@@ -341,7 +341,7 @@
 func (p *Proxy) fire() {
 	now := p.clock.now()
 	if p.stoodStill(now) {
-		p.pace.noteStandstill(p.timers[0].at, now)
+		p.loopLag.recordStall(p.timers[0].at, now)
 		for n := range readersTurns {
 			if p.turn(); len(p.events) == 0 && n > 0 {
 				break
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -6,10 +6,10 @@
 
 // Guards the module's clock: an event that was stamped before one already handled must not turn it back.
 func TestTimeNeverGoesBack(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
-	r.in.post(r.in.clock.now()+5, func() { first = r.in.now })
-	r.do(func() { second = r.in.now })
+	r.proxy.post(r.proxy.clock.now()+5, func() { first = r.proxy.now })
+	r.onLoop(func() { second = r.proxy.now })
 	if second < first {
 		t.Errorf("the time went from %f to %f", first, second)
 	}
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -14,11 +14,11 @@
 
 // still has the loop stand still while meanwhile runs, and then until holds: what comes meanwhile is not
 // handled before then runs on the loop.
-func (r *rig) still(meanwhile func(), holds func() bool, then func()) {
+func (r *harness) whileLoopWaits(meanwhile func(), holds func() bool, then func()) {
 	r.t.Helper()
 	in, out, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	failed := false
-	r.in.post(0, func() {
+	r.proxy.post(0, func() {
 		defer close(done)
 		close(in)
 		<-out
@@ -31,7 +31,7 @@
 		}
 		then()
 	})
-	get(r.t, in)
+	receive(r.t, in)
 	meanwhile()
 	close(out)
 	<-done // nothing else is posted before
@@ -41,66 +41,66 @@
 }
 
 // queued tells that events wait; on the loop.
-func (r *rig) queued(n int) func() bool { return func() bool { return len(r.in.events) >= n } }
+func (r *harness) queued(n int) func() bool { return func() bool { return len(r.proxy.events) >= n } }
 
 // Guards against timers that overtake what has come while the process stood still: an attempt that was
 // answered would be timed out, and a drain that was told be passed by a send.
 func TestWhatHasComeGoesBeforeTimers(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
-	r.until("it is out", func() bool { return r.in.requests["a"].attempts[0].conn != nil })
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
+	r.eventually("it is out", func() bool { return r.proxy.requests["a"].attempts[0].conn != nil })
 	stands, come := make(chan struct{}), make(chan struct{})
-	r.do(func() {
-		a := r.in.requests["a"].attempts[0]
-		r.in.after(0, func() { // the first late timer; the next one is due as well
+	r.onLoop(func() {
+		a := r.proxy.requests["a"].attempts[0]
+		r.proxy.after(0, func() { // the first late timer; the next one is due as well
 			close(stands)
 			<-come
 			for !r.queued(1)() {
 				time.Sleep(time.Millisecond)
 			}
 		})
-		r.in.after(0, func() { r.in.expire(a) })
+		r.proxy.after(0, func() { r.proxy.expireAttempt(a) })
 	})
-	get(t, stands)
-	io.WriteString(b, value)
+	receive(t, stands)
+	io.WriteString(b, valueReply)
 	close(come)
-	if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 		t.Errorf("got %+v", o)
 	}
-	c.served("the answer that had come")
+	c.wantValue("the answer that had come")
 }
 
 // Guards against the same where the answer lies in the socket still: no timer of a process that stood
 // still runs before the readers had their turn.
 func TestReadersGoBeforeLateTimers(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
 	var a *attempt
-	r.until("it is out", func() bool { a = r.in.requests["a"].attempts[0]; return a.conn != nil })
-	a.conn.writing.Lock() // its reader reports the end of the connection once it has this
+	r.eventually("it is out", func() bool { a = r.proxy.requests["a"].attempts[0]; return a.conn != nil })
+	a.conn.writeMu.Lock() // its reader reports the end of the connection once it has this
 	b.Close()
-	r.until("the reader stands", a.conn.dead.Load)
-	r.do(func() {
+	r.eventually("the reader stands", a.conn.unusable.Load)
+	r.onLoop(func() {
 		turns := 0
-		r.in.turn = func() {
+		r.proxy.turn = func() {
 			if turns++; turns == 2 { // it needs no more than that
-				a.conn.writing.Unlock()
+				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); turns == 2 && len(r.in.events) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); turns == 2 && len(r.proxy.events) == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		r.in.after(-1, func() { r.in.expire(a) }) // long overdue
+		r.proxy.after(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
 	})
-	if o := get(t, r.mod.outcomes); o.Status != policy.Reset {
+	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want what the reader had to tell", o)
 	}
 }
@@ -110,36 +110,36 @@
 func TestNoSendBesideAnAnswerThatHasCome(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), sendTo(0))
-			var b *wire
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
+			var b *testConn
 			if where == "socket" { // a connection that nobody reads
 				mine, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
-				b = get(t, conns)
-				r.do(func() {
-					be := r.in.backends.byID["s0"]
-					c := &backConn{be: be, at: be.target, conn: mine.(*net.TCPConn), idleAt: r.in.now}
+				b = receive(t, conns)
+				r.onLoop(func() {
+					be := r.proxy.endpoints.byID["s0"]
+					c := &backendConn{endpoint: be, dialedAs: be.target, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
 					c.raw, _ = c.conn.SyscallConn()
 					be.idle = append(be.idle, c)
-					r.in.backends.open++
+					r.proxy.endpoints.openConns++
 				})
 			}
 			c := r.client()
-			c.send(look("a")...)
+			c.send(lookCommand("a")...)
 			if where == "queue" {
-				b = get(t, conns)
+				b = receive(t, conns)
 			}
-			b.command()
-			come := func() bool { return !r.in.requests["a"].attempts[0].conn.busy.Load() }
+			b.readCommand()
+			come := func() bool { return !r.proxy.requests["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				come = func() bool { return !silent(r.in.requests["a"].attempts[0].conn.raw) }
+				come = func() bool { return !noDataPending(r.proxy.requests["a"].attempts[0].conn.raw) }
 			}
-			r.still(func() { io.WriteString(b, value) }, come, func() { r.in.Send("a", "s0", 0, 0) })
+			r.whileLoopWaits(func() { io.WriteString(b, valueReply) }, come, func() { r.proxy.Send("a", "s0", 0, 0) })
 			for {
-				o := get(t, r.mod.outcomes)
+				o := receive(t, r.decider.outcomes)
 				if o.Attempt == 0 {
 					continue
 				}
@@ -157,13 +157,13 @@
 
 // Guards against the same where the copy waited for a dial when the answer came.
 func TestNoSendFromADialBesideAnAnswerThatHasCome(t *testing.T) {
-	addr, conns := listen(t)
-	other, others := listen(t)
+	addr, conns := listenBackend(t)
+	other, others := listenBackend(t)
 	free := make(chan struct{})
-	r := start(t, testConfig(addr, other), func(r *rig) {
-		sendTo(0)(r)
-		dial := r.in.backends.dial
-		r.in.backends.dial = func(to string) (net.Conn, error) {
+	r := startProxy(t, testConfig(addr, other), func(r *harness) {
+		sendEachRequest(0)(r)
+		dial := r.proxy.endpoints.dial
+		r.proxy.endpoints.dial = func(to string) (net.Conn, error) {
 			if to == other {
 				<-free
 			}
@@ -171,30 +171,30 @@
 		}
 	})
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
 	var first *attempt
-	r.do(func() {
-		first = r.in.requests["a"].attempts[0]
-		r.in.Send("a", "s1", 0, 0)
+	r.onLoop(func() {
+		first = r.proxy.requests["a"].attempts[0]
+		r.proxy.Send("a", "s1", 0, 0)
 	})
-	first.conn.writing.Lock() // its reader tells of the end once it has this
+	first.conn.writeMu.Lock() // its reader tells of the end once it has this
 	b.Close()
-	r.until("the reader stands", first.conn.dead.Load)
+	r.eventually("the reader stands", first.conn.unusable.Load)
 	close(free)
-	if o := get(t, r.mod.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
+	if o := receive(t, r.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
-	first.conn.writing.Unlock()
-	r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
-	if got := get(t, others).command(); got != nil {
+	first.conn.writeMu.Unlock()
+	r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+	if got := receive(t, others).readCommand(); got != nil {
 		t.Errorf("the copy was sent: %q", got)
 	}
 }
 
 // leave ends a client's connection, with a FIN or with a reset.
-func (w *wire) leave(how string) {
+func (w *testConn) disconnect(how string) {
 	if how == "reset" {
 		w.Conn.(*net.TCPConn).SetLinger(0)
 	}
@@ -205,177 +205,177 @@
 // stands still from before the hang-up until after the send, wherever the request waits.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	for _, how := range []string{"closed", "reset"} {
-		gone := func(r *rig, id string) func() bool {
+		gone := func(r *harness, id string) func() bool {
 			q := (*request)(nil)
-			r.do(func() { q = r.in.requests[id] })
+			r.onLoop(func() { q = r.proxy.requests[id] })
 			return func() bool { return closedByPeer(q.client.raw) }
 		}
-		nothing := func(t *testing.T, r *rig, conns chan *wire, id string) {
+		nothing := func(t *testing.T, r *harness, conns chan *testConn, id string) {
 			t.Helper()
-			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent || o.RequestID != id || !o.RequestDone {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || o.RequestID != id || !o.RequestDone {
 				t.Errorf("got %+v", o)
 			}
-			if got := get(t, r.mod.gone); got != id {
+			if got := receive(t, r.decider.gone); got != id {
 				t.Errorf("gone: %q", got)
 			}
-			r.do(func() {
-				if len(conns) != 0 || r.in.backends.open != 0 || len(r.in.requests) != 0 {
-					t.Errorf("%d connections, %d open, %d requests", len(conns), r.in.backends.open, len(r.in.requests))
+			r.onLoop(func() {
+				if len(conns) != 0 || r.proxy.endpoints.openConns != 0 || len(r.proxy.requests) != 0 {
+					t.Errorf("%d connections, %d open, %d requests", len(conns), r.proxy.endpoints.openConns, len(r.proxy.requests))
 				}
 			})
 		}
 		t.Run("parked in the module, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), nil)
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), nil)
 			c := r.client()
-			c.send(look("a")...)
-			get(t, r.mod.requests)
+			c.send(lookCommand("a")...)
+			receive(t, r.decider.requests)
 			left := gone(r, "a")
-			r.still(func() { c.leave(how) }, left, func() {
-				r.in.Send("a", "s0", 0, 0)
+			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
+				r.proxy.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
 		})
 		t.Run("only just read, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), sendTo(0))
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			c := r.client()
 			c.send("PING")
-			c.line()
-			var raw *client
-			r.do(func() {
-				for raw = range r.in.clients.all {
+			c.readLine()
+			var raw *clientConn
+			r.onLoop(func() {
+				for raw = range r.proxy.clients.all {
 				}
 			})
 			var args [][]byte
-			for _, arg := range look("a") {
+			for _, arg := range lookCommand("a") {
 				args = append(args, []byte(arg))
 			}
-			r.still(func() { c.leave(how) }, func() bool { return closedByPeer(raw.raw) }, func() {
-				call, err := newVocabulary(r.in.cfg.Settings.Settings).parseCall(args)
+			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return closedByPeer(raw.raw) }, func() {
+				call, err := newVocabulary(r.proxy.cfg.Settings.Settings).parseCall(args)
 				if err != nil {
 					t.Error(err)
 				}
-				r.in.input.take(call.size)
-				r.in.take(raw, call, r.in.clock.now())
+				r.proxy.inputBudget.take(call.size)
+				r.proxy.take(raw, call, r.proxy.clock.now())
 			})
 			nothing(t, r, conns, "a")
 		})
 		t.Run("in the socket of a process that stood still, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), nil)
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), nil)
 			c := r.client()
-			c.send(look("a")...)
-			get(t, r.mod.requests)
+			c.send(lookCommand("a")...)
+			receive(t, r.decider.requests)
 			left := gone(r, "a")
-			r.still(func() { c.leave(how) }, left, func() {
-				r.in.requests["a"].cameAt = r.in.clock.now() // it was only read now
-				r.in.after(-1, func() {})
-				r.in.Send("a", "s0", 0, 0)
+			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
+				r.proxy.requests["a"].cameAt = r.proxy.clock.now() // it was only read now
+				r.proxy.after(-1, func() {})
+				r.proxy.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
 		})
 		t.Run("between tries, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), sendTo(0))
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			c := r.client()
-			c.send(look("a")...)
-			b := get(t, conns)
-			b.command()
+			c.send(lookCommand("a")...)
+			b := receive(t, conns)
+			b.readCommand()
 			left := gone(r, "a")
 			io.WriteString(b, "-ERR failed\r\n")
-			get(t, r.mod.outcomes)
-			r.still(func() { c.leave(how) }, left, func() {
-				r.in.takeList(targets{Full: true, Servers: []target{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
-				r.in.Send("a", "s0", 0, 0)
+			receive(t, r.decider.outcomes)
+			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
+				r.proxy.takeList(targets{Full: true, Servers: []target{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
+				r.proxy.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
 		})
 		t.Run("in the loop's queue, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), sendTo(0))
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			c := r.client()
 			c.send("PING")
-			c.line()
-			var raw *client
-			r.do(func() {
-				for raw = range r.in.clients.all {
+			c.readLine()
+			var raw *clientConn
+			r.onLoop(func() {
+				for raw = range r.proxy.clients.all {
 				}
 			})
-			r.still(func() { c.send(look("a")...) }, r.queued(1), func() {
-				c.leave(how)
+			r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
+				c.disconnect(how)
 				for end := time.Now().Add(patience); !closedByPeer(raw.raw) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
-				for at := r.in.clock.now(); r.in.clock.now()-at <= lateS; { // the command has waited for longer than that
+				for at := r.proxy.clock.now(); r.proxy.clock.now()-at <= lateS; { // the command has waited for longer than that
 					time.Sleep(time.Millisecond)
 				}
 			})
 			nothing(t, r, conns, "a")
 		})
 		t.Run("waiting for a dial, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
+			addr, conns := listenBackend(t)
 			free := make(chan struct{})
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					<-free
 					return dial(addr)
 				}
 			})
 			c := r.client()
-			c.send(look("a")...)
-			get(t, r.mod.requests)
+			c.send(lookCommand("a")...)
+			receive(t, r.decider.requests)
 			left := gone(r, "a")
-			r.still(func() { close(free) }, r.queued(1), func() {
-				c.leave(how)
+			r.whileLoopWaits(func() { close(free) }, r.queued(1), func() {
+				c.disconnect(how)
 				for end := time.Now().Add(patience); !left() && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 			})
-			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent || !o.RequestDone {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || !o.RequestDone {
 				t.Errorf("got %+v", o)
 			}
-			b := get(t, conns)
-			r.do(func() { r.in.takeList(targets{Full: true}) }) // closes the pool
-			if got := b.command(); got != nil {
+			b := receive(t, conns)
+			r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+			if got := b.readCommand(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
 		})
 		t.Run("in the socket behind others, "+how, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), nil)
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), nil)
 			c := r.client()
 			var all strings.Builder
 			for i := range maxPipelined + 3 {
-				all.WriteString(command(look(fmt.Sprint("r", i))...))
+				all.WriteString(command(lookCommand(fmt.Sprint("r", i))...))
 			}
 			io.WriteString(c, all.String())
 			for range maxPipelined {
-				get(t, r.mod.requests)
+				receive(t, r.decider.requests)
 			}
 			left := gone(r, "r0")
-			r.do(func() { r.mod.onRequest = func(q policy.Request) { r.in.Send(q.ID, "s0", 0, 0) } })
+			r.onLoop(func() { r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0) } })
 			if how == "reset" {
-				c.leave(how)
+				c.disconnect(how)
 			} else { // what was sent before a FIN stays readable
 				c.Conn.(*net.TCPConn).CloseWrite()
 			}
-			r.still(func() {}, left, func() { r.in.Fail("r0", policy.DeadlineTooClose) }) // the next command has its permit
+			r.whileLoopWaits(func() {}, left, func() { r.proxy.Fail("r0", policy.DeadlineTooClose) }) // the next command has its permit
 			for end := false; !end; {
 				select {
 				case <-conns:
 					t.Error("a command was sent on")
 					end = true
-				case id := <-r.mod.gone:
+				case id := <-r.decider.gone:
 					end = id == fmt.Sprint("r", maxPipelined-1)
 				case <-time.After(patience):
 					t.Fatal("the module never heard of it")
 				}
 			}
-			r.until("all is let go", func() bool { return len(r.in.requests) == 0 && r.in.clients.open() == 0 })
-			if len(conns) != 0 || r.in.backends.open != 0 {
+			r.eventually("all is let go", func() bool { return len(r.proxy.requests) == 0 && r.proxy.clients.open() == 0 })
+			if len(conns) != 0 || r.proxy.endpoints.openConns != 0 {
 				t.Error("a command was sent on")
 			}
 		})
@@ -387,7 +387,7 @@
 func TestAClientThatHasLeftIsSeenBehindUnreadCommands(t *testing.T) {
 	for _, unread := range []string{"", "*1\r\n$4\r\nPING\r\n", strings.Repeat("*1\r\n$4\r\nPING\r\n", 200)} {
 		for _, how := range []string{"closed", "reset", "half closed"} {
-			addr, conns := listen(t)
+			addr, conns := listenBackend(t)
 			mine, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
@@ -397,7 +397,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			other := get(t, conns)
+			other := receive(t, conns)
 			io.WriteString(other, unread)
 			if closedByPeer(raw) {
 				t.Errorf("%d bytes unread: gone before it has left", len(unread))
@@ -405,7 +405,7 @@
 			if how == "half closed" {
 				other.Conn.(*net.TCPConn).CloseWrite()
 			} else {
-				other.leave(how)
+				other.disconnect(how)
 			}
 			for end := time.Now().Add(patience); !closedByPeer(raw); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
@@ -419,24 +419,24 @@
 // TestHalfWrittenAttemptsEndWithTheirRequest guards against an attempt that begins after its request's end, as the
 // rest of its command is written: it is cut off as its client leaves, or as the request is answered otherwise.
 func TestHalfWrittenAttemptsEndWithTheirRequest(t *testing.T) {
-	for name, end := range map[string]func(r *rig, c *wire){
-		"the client leaves": func(_ *rig, c *wire) { c.Close() },
-		"it is refused":     func(r *rig, _ *wire) { r.do(func() { r.in.Reject("a", 1, policy.DeadlineTooClose) }) },
+	for name, end := range map[string]func(r *harness, c *testConn){
+		"the client leaves": func(_ *harness, c *testConn) { c.Close() },
+		"it is refused":     func(r *harness, _ *testConn) { r.onLoop(func() { r.proxy.Reject("a", 1, policy.DeadlineTooClose) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, r := smallSockets(t, nil)
+			l, r := startWithSmallSockets(t, nil)
 			c := r.client()
-			c.send("CALL.POST", customer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", resp.MaxValue))
+			c.send("CALL.POST", testCustomer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", resp.MaxValue))
 			b, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.untilPartIsWritten("a")
 			end(r, c)
-			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent || !o.RequestDone {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || !o.RequestDone {
 				t.Errorf("got %+v", o)
 			}
-			if got := newWire(t, b).command(); got != nil {
+			if got := newTestConn(t, b).readCommand(); got != nil {
 				t.Errorf("the backend got %d words", len(got))
 			}
 		})
@@ -446,12 +446,12 @@
 // TestAClientThatLeavesBehindMuchIsSeen guards against a client whose end does not come, as commands that are unread
 // behind open ones fill its socket.
 func TestAClientThatLeavesBehindMuchIsSeen(t *testing.T) {
-	r := start(t, testConfig(noDiscovery), nil)
-	_, left := r.base()
+	r := startProxy(t, testConfig(unreachableAgent), nil)
+	_, left := r.idleUsage()
 	c := r.client()
 	var all strings.Builder
 	for i := range maxPipelined + 1000 { // some times what a socket takes at first
-		all.WriteString(command(look(fmt.Sprintf("r%0100d", i))...))
+		all.WriteString(command(lookCommand(fmt.Sprintf("r%0100d", i))...))
 	}
 	written := make(chan struct{})
 	go func() {
@@ -460,15 +460,15 @@
 		c.Conn.(*net.TCPConn).CloseWrite()
 	}()
 	for range maxPipelined {
-		get(t, r.mod.requests)
+		receive(t, r.decider.requests)
 	}
-	get(t, written)
+	receive(t, written)
 	for range maxPipelined {
-		get(t, r.mod.gone)
+		receive(t, r.decider.gone)
 	}
-	r.until("all is let go", func() bool { return len(r.in.requests) == 0 && r.in.clients.open() == 0 })
-	if len(r.mod.requests) != 0 {
+	r.eventually("all is let go", func() bool { return len(r.proxy.requests) == 0 && r.proxy.clients.open() == 0 })
+	if len(r.decider.requests) != 0 {
 		t.Error("more of its commands were taken")
 	}
-	r.until("the budget is given back", func() bool { return r.in.input.left.Load() == left })
+	r.eventually("the budget is given back", func() bool { return r.proxy.inputBudget.left.Load() == left })
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -28,19 +28,19 @@
 	cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
 	cfg.PeersAll = addr(all)
-	r := start(t, cfg, nil)
-	here := r.in.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	r := startProxy(t, cfg, nil)
+	here := r.proxy.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	stranger.WriteToUDPAddrPort([]byte("spoof"), here)
 	friend.WriteToUDPAddrPort(bytes.Repeat([]byte("x"), maxDatagram+1), here)
 	friend.WriteToUDPAddrPort([]byte("hello"), here)
-	if m := get(t, r.mod.messages); m != (message{1, "hello"}) {
+	if m := receive(t, r.decider.messages); m != (peerMessage{1, "hello"}) {
 		t.Errorf("got %+v", m)
 	}
-	r.do(func() {
-		r.in.SendToPeer(1, make([]byte, maxDatagram+1))
-		r.in.SendToPeer(9, []byte("none"))
-		r.in.SendToPeer(1, []byte("one"))
-		r.in.SendToPeer(policy.Broadcast, []byte("all"))
+	r.onLoop(func() {
+		r.proxy.SendToPeer(1, make([]byte, maxDatagram+1))
+		r.proxy.SendToPeer(9, []byte("none"))
+		r.proxy.SendToPeer(1, []byte("one"))
+		r.proxy.SendToPeer(policy.Broadcast, []byte("all"))
 	})
 	buf := make([]byte, 512)
 	for c, want := range map[*net.UDPConn]string{friend: "one", all: "all"} {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -11,11 +11,11 @@
 	"reedlead/policy"
 )
 
-const value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+const valueReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
-func (w *wire) served(what string) {
+func (w *testConn) wantValue(what string) {
 	w.t.Helper()
-	if a, b := w.line(), w.line(); a != "$1" || b != "v" {
+	if a, b := w.readLine(), w.readLine(); a != "$1" || b != "v" {
 		w.t.Errorf("%s: got %q, %q", what, a, b)
 	}
 }
@@ -23,37 +23,37 @@
 // Guards against the second copy of an answer that is taken for the answer to the next command: a
 // connection on which bytes wait, or that has ended, gets none, also before its reader has come to it.
 func TestNothingIsWrittenBehindStrayBytes(t *testing.T) {
-	for name, stray := range map[string]string{"a copy": value, "noise": "x", "the end": ""} {
+	for name, stray := range map[string]string{"a copy": valueReply, "noise": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), sendTo(0))
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			mine, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			old := get(t, conns)
+			old := receive(t, conns)
 			if io.WriteString(old, stray); stray == "" {
 				old.Close()
 			}
-			var c *backConn
-			r.do(func() { // a pooled connection whose reader has not run yet
-				be := r.in.backends.byID["s0"]
-				c = &backConn{be: be, at: be.target, conn: mine.(*net.TCPConn)}
+			var c *backendConn
+			r.onLoop(func() { // a pooled connection whose reader has not run yet
+				be := r.proxy.endpoints.byID["s0"]
+				c = &backendConn{endpoint: be, dialedAs: be.target, conn: mine.(*net.TCPConn)}
 				c.raw, _ = c.conn.SyscallConn()
-				c.idleAt = r.in.now
+				c.idleSince = r.proxy.now
 				be.idle = append(be.idle, c)
-				r.in.backends.open++
+				r.proxy.endpoints.openConns++
 			})
-			r.until("it has come", func() bool { return !silent(c.raw) })
+			r.eventually("it has come", func() bool { return !noDataPending(c.raw) })
 			client := r.client()
-			client.send(look("a")...)
-			b := get(t, conns)
-			if got := b.command(); len(got) != 4 {
+			client.send(lookCommand("a")...)
+			b := receive(t, conns)
+			if got := b.readCommand(); len(got) != 4 {
 				t.Fatalf("the new connection got %q", got)
 			}
-			io.WriteString(b, value)
-			client.served("on a new connection")
-			if stray != "" && old.command() != nil {
+			io.WriteString(b, valueReply)
+			client.wantValue("on a new connection")
+			if stray != "" && old.readCommand() != nil {
 				t.Error("a command was written behind the stray bytes")
 			}
 		})
@@ -64,45 +64,45 @@
 // with it, and no work that runs be sent again for it, as it would be after a copied word that it was turned
 // away. The next command's request has failed, as its own answer can't be told any more.
 func TestCopyBehindTheNextCommand(t *testing.T) {
-	other := strings.Replace(value, "v", "w", 1)
+	other := strings.Replace(valueReply, "v", "w", 1)
 	for name, tc := range map[string]struct{ first, between, copy string }{
-		"a value":                     {value, "", value},
-		"a value of two before":       {value, other, value},
+		"a value":                     {valueReply, "", valueReply},
+		"a value of two before":       {valueReply, other, valueReply},
 		"turned away":                 {"-BUSY\r\n", "", "-BUSY\r\n"},
 		"turned away with a report":   {"-BUSY cpu_share=0.5\r\n", "", "-BUSY cpu_share=0.5\r\n"},
 		"turned away, another report": {"-BUSY cpu_share=0.5\r\n", "", "-BUSY cpu_share=0.6\r\n"},
 		"an error":                    {"-ERR failed\r\n", "", "-ERR failed\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
-				r.in.backends.copyS = 3600
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
+				r.proxy.endpoints.duplicateWindowS = 3600
 			})
 			c := r.client()
 			send := func(id string) {
-				c.send("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", "body")
+				c.send("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", "body")
 			}
 			send("a")
-			b := get(t, conns)
-			b.command()
+			b := receive(t, conns)
+			b.readCommand()
 			io.WriteString(b, tc.first)
-			get(t, r.mod.outcomes)
+			receive(t, r.decider.outcomes)
 			if tc.between != "" {
 				send("between")
-				b.command()
+				b.readCommand()
 				io.WriteString(b, tc.between)
-				get(t, r.mod.outcomes)
+				receive(t, r.decider.outcomes)
 			}
 			send("b")
-			if got := b.command(); len(got) != 5 || got[2] != "b" {
+			if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
 				t.Fatalf("the connection got %q", got)
 			}
 			io.WriteString(b, tc.copy)
-			if o := get(t, r.mod.outcomes); o.RequestID != "b" || o.Status != policy.Error || o.RequestDone {
+			if o := receive(t, r.decider.outcomes); o.RequestID != "b" || o.Status != policy.Error || o.RequestDone {
 				t.Errorf("got %+v", o)
 			}
-			if b.command() != nil {
+			if b.readCommand() != nil {
 				t.Error("the connection is used on")
 			}
 		})
@@ -112,58 +112,58 @@
 // Guards against an answer thrown away for one like it that came long before: its connection had rested, so
 // that a copy would have been seen.
 func TestAnEqualAnswerAfterARestIsGood(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), func(r *rig) {
-		sendTo(0)(r)
-		r.in.backends.copyS = 0.001
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), func(r *harness) {
+		sendEachRequest(0)(r)
+		r.proxy.endpoints.duplicateWindowS = 0.001
 	})
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
-	io.WriteString(b, value)
-	c.served("the first")
-	get(t, r.mod.outcomes)
-	passes(r.in, r.in.clock.now()+0.002)
-	c.send(look("b")...)
-	b.command()
-	io.WriteString(b, value)
-	c.served("the second")
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
+	io.WriteString(b, valueReply)
+	c.wantValue("the first")
+	receive(t, r.decider.outcomes)
+	waitForClock(r.proxy, r.proxy.clock.now()+0.002)
+	c.send(lookCommand("b")...)
+	b.readCommand()
+	io.WriteString(b, valueReply)
+	c.wantValue("the second")
 }
 
 // Guards against an answer from what stands now where a backend has been: a connection that was in use
 // while its backend moved, or started anew, is not pooled.
 func TestMovedBackendsConnectionsAreNotPooled(t *testing.T) {
-	from, old := listen(t)
-	to, moved := listen(t)
+	from, old := listenBackend(t)
+	to, moved := listenBackend(t)
 	for name, change := range map[string]func(*target){
 		"moved":     func(e *target) { e.Addr = to },
 		"restarted": func(e *target) { e.StartedMS = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, testConfig(from), sendTo(0))
+			r := startProxy(t, testConfig(from), sendEachRequest(0))
 			c := r.client()
-			c.send(look("a")...)
-			b := get(t, old)
-			b.command()
-			r.do(func() {
-				e := r.in.backends.byID["s0"].target
+			c.send(lookCommand("a")...)
+			b := receive(t, old)
+			b.readCommand()
+			r.onLoop(func() {
+				e := r.proxy.endpoints.byID["s0"].target
 				change(&e)
-				r.in.takeList(targets{Servers: []target{e}})
+				r.proxy.takeList(targets{Servers: []target{e}})
 			})
-			io.WriteString(b, value)
-			c.served("the answer that was out")
-			c.send(look("b")...)
+			io.WriteString(b, valueReply)
+			c.wantValue("the answer that was out")
+			c.send(lookCommand("b")...)
 			next := moved
 			if name == "restarted" {
 				next = old
 			}
-			b = get(t, next)
-			if b.command() == nil {
+			b = receive(t, next)
+			if b.readCommand() == nil {
 				t.Fatal("the next command did not come")
 			}
-			io.WriteString(b, value)
-			c.served("the next one")
+			io.WriteString(b, valueReply)
+			c.wantValue("the next one")
 		})
 	}
 }
@@ -176,28 +176,28 @@
 		"cell": func(e *target) { e.Cell = 7 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listen(t)
+			addr, conns := listenBackend(t)
 			free := make(chan struct{})
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					<-free
 					return dial(addr)
 				}
 			})
-			r.client().send(look("a")...)
-			get(t, r.mod.requests)
-			r.do(func() {
-				e := r.in.backends.byID["s0"].target
+			r.client().send(lookCommand("a")...)
+			receive(t, r.decider.requests)
+			r.onLoop(func() {
+				e := r.proxy.endpoints.byID["s0"].target
 				change(&e)
-				r.in.takeList(targets{Servers: []target{e}})
+				r.proxy.takeList(targets{Servers: []target{e}})
 			})
 			close(free)
-			if o := get(t, r.mod.outcomes); o.Status != policy.NotSent {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
 				t.Errorf("got %+v", o)
 			}
-			if got := get(t, conns).command(); got != nil {
+			if got := receive(t, conns).readCommand(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
 		})
@@ -207,12 +207,12 @@
 // Guards against a backend taken for down, and a request for failed, where a dial fails while another
 // connection has become free.
 func TestFailedDialLeavesTheFreeConnection(t *testing.T) {
-	addr, conns := listen(t)
+	addr, conns := listenBackend(t)
 	fail, dialled := make(chan struct{}), make(chan struct{}, 2)
-	r := start(t, testConfig(addr), func(r *rig) {
-		sendTo(0)(r)
-		dial, n := r.in.backends.dial, 0
-		r.in.backends.dial = func(addr string) (net.Conn, error) { // one after another in this test
+	r := startProxy(t, testConfig(addr), func(r *harness) {
+		sendEachRequest(0)(r)
+		dial, n := r.proxy.endpoints.dial, 0
+		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) { // one after another in this test
 			n++
 			dialled <- struct{}{}
 			if n == 1 {
@@ -223,23 +223,23 @@
 		}
 	})
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
-	b.command()
-	get(t, dialled)
-	c.send(look("b")...)
-	get(t, dialled)
-	io.WriteString(b, value)
-	c.served("the first")
-	if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
+	receive(t, dialled)
+	c.send(lookCommand("b")...)
+	receive(t, dialled)
+	io.WriteString(b, valueReply)
+	c.wantValue("the first")
+	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 		t.Fatalf("got %+v", o)
 	}
 	close(fail)
-	if got := b.command(); len(got) != 4 || got[2] != "b" {
+	if got := b.readCommand(); len(got) != 4 || got[2] != "b" {
 		t.Fatalf("the free connection got %q", got)
 	}
-	io.WriteString(b, value)
-	c.served("the second")
+	io.WriteString(b, valueReply)
+	c.wantValue("the second")
 }
 
 // Guards against good values thrown away for the figures behind them, against figures out of all range,
@@ -280,24 +280,24 @@
 // Guards against a request that runs twice: one whose last byte was just written when its time was up, before
 // the loop knew, may have run and must not be told as one that never did.
 func TestTimeOutAsTheLastByteIsWritten(t *testing.T) {
-	l, r := smallSockets(t, func(r *rig) {
-		r.in.backends.wrote = func(c *backConn) { // all is written; nobody is told before the time-out
+	l, r := startWithSmallSockets(t, func(r *harness) {
+		r.proxy.endpoints.afterWrite = func(c *backendConn) { // all is written; nobody is told before the time-out
 			for end := time.Now().Add(patience); c.raw.Control(func(uintptr) {}) == nil && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	})
 	c := r.client()
-	c.send("CALL.POST", customer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", resp.MaxValue))
+	c.send("CALL.POST", testCustomer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", resp.MaxValue))
 	b, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := newWire(t, b).command(); len(got) != 5 {
+	if got := newTestConn(t, b).readCommand(); len(got) != 5 {
 		t.Fatalf("the backend got %q", got)
 	}
-	r.do(func() { r.in.expire(r.in.requests["a"].attempts[0]) })
-	if o := get(t, r.mod.outcomes); o.Status != policy.Timeout {
+	r.onLoop(func() { r.proxy.expireAttempt(r.proxy.requests["a"].attempts[0]) })
+	if o := receive(t, r.decider.outcomes); o.Status != policy.Timeout {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -305,30 +305,30 @@
 // Guards against a request written to a connection that its backend has closed while it idled,
 // which would end as a reset that may have run.
 func TestPooledConnections(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
+	addr, conns := listenBackend(t)
+	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c := r.client()
-	serve := func(id string, b *wire) {
+	serve := func(id string, b *testConn) {
 		t.Helper()
-		b.command()
+		b.readCommand()
 		io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if c.line() != "$1" || c.line() != "v" {
+		if c.readLine() != "$1" || c.readLine() != "v" {
 			t.Fatal("not served: " + id)
 		}
-		get(t, r.mod.outcomes)
+		receive(t, r.decider.outcomes)
 	}
-	c.send(look("a")...)
-	b := get(t, conns)
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
 	serve("a", b)
-	c.send(look("b")...)
+	c.send(lookCommand("b")...)
 	serve("b", b) // the same connection
 	b.Close()
-	r.until("the pool notices the close", func() bool { return r.in.backends.open == 0 })
-	c.send(look("c")...)
-	b = get(t, conns)
+	r.eventually("the pool notices the close", func() bool { return r.proxy.endpoints.openConns == 0 })
+	c.send(lookCommand("c")...)
+	b = receive(t, conns)
 	serve("c", b)
-	r.do(func() { r.in.now += r.in.backends.idleS + 1; r.in.backends.sweep(r.in) })
-	if b.command() != nil {
+	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeoutS + 1; r.proxy.endpoints.sweep(r.proxy) })
+	if b.readCommand() != nil {
 		t.Error("a connection that idled for long was used")
 	}
 }
--- a/internal/proxy/read_ahead.go
+++ b/internal/proxy/read_ahead.go
@@ -20,7 +20,7 @@
 )
 
 // takePermit waits until the connection may have another command open; false if it has ended.
-func (c *client) takePermit(p *Proxy) bool {
+func (c *clientConn) acquirePermit(p *Proxy) bool {
 	select {
 	case c.permits <- struct{}{}:
 		return true
@@ -33,7 +33,7 @@
 		select {
 		case c.permits <- struct{}{}:
 			return true
-		case <-c.quit:
+		case <-c.done:
 			return false
 		case <-look.C:
 		}
@@ -45,24 +45,24 @@
 
 // readAhead takes in what has come without waiting for more, as far as there is room for it. It tells the loop, and
 // returns true, if the connection has ended.
-func (c *client) readAhead(p *Proxy) (ended bool) {
-	for len(c.buf.b) < maxReadAhead && p.input.left.Load() > p.input.readAheadLeft {
-		room := c.buf.room()
+func (c *clientConn) readAhead(p *Proxy) (ended bool) {
+	for len(c.buffer.b) < maxReadAhead && p.inputBudget.left.Load() > p.inputBudget.readAheadLeft {
+		room := c.buffer.room()
 		if room == nil {
 			return false
 		}
 		at := p.clock.now()
-		n, err := receive(c.raw, room)
+		n, err := receiveNow(c.raw, room)
 		if scarce(err) {
 			return false
 		}
 		if err != nil {
-			p.post(at, func() { p.clientGone(c, peerClosed, err) })
+			p.post(at, func() { p.abandonClient(c, peerClosed, err) })
 			return true
 		}
-		came := c.arrivals.took(c.raw, &p.pace, at, at, n == len(room))
-		c.buf.grew(n)
-		c.arrivals.mark(len(c.buf.b), came)
+		came := c.arrivals.estimate(c.raw, &p.loopLag, at, at, n == len(room))
+		c.buffer.grew(n)
+		c.arrivals.record(len(c.buffer.b), came)
 		if n < len(room) {
 			return false
 		}
@@ -71,7 +71,7 @@
 }
 
 // receive reads what has come on a connection, without waiting; io.EOF at its end.
-func receive(raw syscall.RawConn, b []byte) (n int, err error) {
+func receiveNow(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
 	})
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -33,15 +33,15 @@
 
 // owed are the ids of the requests of a client that have no final answer yet, with those whose answer is
 // known but not wholly written.
-func (c *client) owed() (ids []string) {
-	for _, u := range c.unsent {
-		if u.id != "" {
-			ids = append(ids, u.id)
+func (c *clientConn) owed() (ids []string) {
+	for _, u := range c.unwritten {
+		if u.requestID != "" {
+			ids = append(ids, u.requestID)
 		}
 	}
-	for _, s := range c.slots {
-		if s.req != nil {
-			ids = append(ids, s.req.ID)
+	for _, s := range c.pipeline {
+		if s.request != nil {
+			ids = append(ids, s.request.ID)
 		}
 	}
 	return ids
@@ -49,13 +49,13 @@
 
 // logClientClosed tells why a client's connection ended. Lines about connections on which nothing was owed may
 // be thinned, those about others never.
-func (p *Proxy) logClientClosed(c *client, why closeReason, err error) {
+func (p *Proxy) logClientClosed(c *clientConn, why closeReason, err error) {
 	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", string(why)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	owed := c.owed()
-	unwritten := c.held + len(c.pending)
+	unwritten := c.reservedOutput + len(c.pending)
 	if len(owed) == 0 && unwritten == 0 {
 		p.log.Debug("client connection closed", attrs...)
 		return
@@ -65,22 +65,22 @@
 		level = slog.LevelInfo
 	}
 	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", p.now-c.openedAt,
-		"last_answer_before", p.now-c.usedAt)
+		"last_answer_before", p.now-c.lastUsedAt)
 	p.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
 // logBackendClosed tells why a connection to a backend ended, with the request whose attempt it carried.
-func (p *Proxy) logBackendClosed(c *backConn, why closeReason, err error) {
-	attrs := []any{"backend", c.be.ID, "address", c.at.Addr, "reason", string(why)}
+func (p *Proxy) logBackendClosed(c *backendConn, why closeReason, err error) {
+	attrs := []any{"backend", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", string(why)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	a := c.attempt
-	if a == nil || a.req == nil {
+	if a == nil || a.request == nil {
 		p.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	attrs = append(attrs, "id", a.req.ID, "try", a.number, "written", c.written.Load(),
+	attrs = append(attrs, "id", a.request.ID, "try", a.number, "written", c.commandWritten.Load(),
 		"after", time.Duration((p.now-a.sentAt)*float64(time.Second)).String())
 	p.log.Info("backend connection closed", attrs...)
 }
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -8,9 +8,9 @@
 )
 
 // logged is an ingress whose log at debug level is kept.
-func logged(r *rig) *lockedBuffer {
+func logged(r *harness) *lockedBuffer {
 	log := &lockedBuffer{}
-	r.in.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	r.proxy.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	return log
 }
 
@@ -42,16 +42,16 @@
 
 // TestEveryEndHasAReason guards against connections and requests that end without a word of why, and of what was owed.
 func TestEveryEndHasAReason(t *testing.T) {
-	addr, conns := listen(t)
+	addr, conns := listenBackend(t)
 	var log *lockedBuffer
-	r := start(t, testConfig(addr), func(r *rig) {
-		sendTo(0)(r)
+	r := startProxy(t, testConfig(addr), func(r *harness) {
+		sendEachRequest(0)(r)
 		log = logged(r)
 	})
 	left := r.client()
-	left.send(look("a")...)
-	b := get(t, conns)
-	b.command()
+	left.send(lookCommand("a")...)
+	b := receive(t, conns)
+	b.readCommand()
 	left.Close()
 	log.line(t, "level=INFO", "client connection closed", "connection=1", "reason=peer_closed", "owed=[a]")
 	b.Close()
@@ -59,31 +59,31 @@
 
 	idle := r.client()
 	idle.send("PING")
-	idle.line()
-	r.do(func() { r.in.now += clientIdleTimeoutS + 1; r.in.clients.sweep(r.in) })
+	idle.readLine()
+	r.onLoop(func() { r.proxy.now += clientIdleTimeoutS + 1; r.proxy.clients.sweep(r.proxy) })
 	log.line(t, "level=DEBUG", "client connection closed", "connection=2", "reason=idle_timeout")
 
-	busy(r)
+	rejectEachRequest(r)
 	refused := r.client()
-	refused.send(look("b")...)
-	refused.line()
+	refused.send(lookCommand("b")...)
+	refused.readLine()
 	log.line(t, "answered", "id=b", "word=BUS", "reason=quota_exceeded")
 	refused.Conn.Write([]byte("junk\r\n"))
-	refused.line()
+	refused.readLine()
 	refused.Close()
 	log.line(t, "client connection closed", "connection=3", "reason=protocol_error")
 
-	r.do(func() { r.in.stopped = true })
+	r.onLoop(func() { r.proxy.stopped = true })
 	late := r.client()
-	late.send(look("c")...)
-	late.line()
+	late.send(lookCommand("c")...)
+	late.readLine()
 	log.line(t, "request refused", "id=c", "connection=4", "reason=process_ends")
 }
 
 // TestAttemptsTellTheirKind guards the trace's word of why an attempt was made.
 func TestAttemptsTellTheirKind(t *testing.T) {
 	r := &request{}
-	if got := kindOf(r); got != firstTry {
+	if got := kindOf(r); got != firstAttempt {
 		t.Errorf("got %s", got)
 	}
 	r.attempts, r.out = []*attempt{{}}, 1
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -12,8 +12,8 @@
 // request is one that a client has sent and that is owed one final answer.
 type request struct {
 	*call
-	client   *client
-	slot     *slot
+	client   *clientConn
+	slot     *pipelineSlot
 	cameAt   float64 // when its last byte had come to this machine
 	deadline float64
 	timer    *timer     // rings when the module ought to have answered; stopped with the answer
@@ -25,44 +25,44 @@
 // ping tells the front that this ingress can serve. While discovery is down and the list that it was started
 // with names no backend of use, it is ready all the same after a moment: it answers what comes, and has its
 // place when discovery is back.
-func (p *Proxy) ping(c *client) {
-	if !p.backends.ready() && p.now < p.readyAt {
-		p.answerAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
+func (p *Proxy) ping(c *clientConn) {
+	if !p.endpoints.hasInService() && p.now < p.readyAt {
+		p.replyAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
-	p.answerAtOnce(c, redcon.AppendString(nil, "PONG"), false)
+	p.replyAtOnce(c, redcon.AppendString(nil, "PONG"), false)
 }
 
 // take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
-func (p *Proxy) take(c *client, q *call, came float64) {
+func (p *Proxy) take(c *clientConn, q *call, came float64) {
 	taken := false
 	defer func() {
 		if !taken {
-			p.input.give(q.size)
+			p.inputBudget.give(q.size)
 		}
 	}()
 	switch {
-	case c.closed, c.shut:
+	case c.closed, c.sendingShutDown:
 		return
 	case p.stopped:
 		p.refuseAtOnce(c, q, processEnds)
 		return
-	case c.surplus && p.clients.full(p, c):
+	case c.overLimit && p.clients.makeRoom(p, c):
 		p.refuseAtOnce(c, q, connectionsUsedUp)
 		return
 	case p.requests[q.ID] != nil:
-		p.answerAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
+		p.replyAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
 		return
 	case p.cfg.Settings.MostHeld > 0 && len(p.requests) >= p.cfg.Settings.MostHeld:
 		p.refuseAtOnce(c, q, tooManyHeld)
 		return
 	}
 	taken = true
-	c.surplus, c.spoke = false, true
-	r := &request{call: q, client: c, slot: &slot{}, cameAt: came, deadline: came + q.waitS}
-	r.slot.req = r
-	c.slots = append(c.slots, r.slot)
-	c.usedAt = p.now
+	c.overLimit, c.hasSpoken = false, true
+	r := &request{call: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.waitS}
+	r.slot.request = r
+	c.pipeline = append(c.pipeline, r.slot)
+	c.lastUsedAt = p.now
 	p.requests[q.ID] = r
 	p.traceTaken(r)
 	// The module answers well before; should it fail to, the client hears all the same.
@@ -118,9 +118,9 @@
 )
 
 // refuseAtOnce refuses a request that the module never hears of.
-func (p *Proxy) refuseAtOnce(c *client, q *call, why policy.Reason) {
+func (p *Proxy) refuseAtOnce(c *clientConn, q *call, why policy.Reason) {
 	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
-	p.answerAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
+	p.replyAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
 }
 
 // answer gives the final answer, the first time that it is called for a request, and why it is no value.
@@ -128,10 +128,10 @@
 	if r.over {
 		return
 	}
-	r.slot.answer = answer
+	r.slot.reply = answer
 	p.traceAnswer(r, answer, why)
 	p.end(r)
-	p.flush(r.client)
+	p.flushReplies(r.client)
 }
 
 // end notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
@@ -139,7 +139,7 @@
 	r.over = true
 	p.cutOffUnwritten(r)
 	p.stopTimer(r.timer)
-	p.input.give(r.size)
+	p.inputBudget.give(r.size)
 	r.args = nil
 	p.forget(r)
 }
@@ -148,11 +148,11 @@
 // byte one would begin after the request's end.
 func (p *Proxy) cutOffUnwritten(r *request) {
 	for _, a := range r.attempts {
-		if a.done || a.conn == nil || a.conn.written.Load() {
+		if a.done || a.conn == nil || a.conn.commandWritten.Load() {
 			continue
 		}
 		status := policy.Cancelled
-		if p.cutOff(a.conn) {
+		if p.abortWrite(a.conn) {
 			status = policy.NotSent
 		}
 		p.finishDeferred(a, status)
@@ -181,7 +181,7 @@
 	p.clients.closeIdle(p)
 	p.after(drainSpare.Seconds()/2, func() {
 		for c := range p.clients.all {
-			p.shutDown(c)
+			p.shutDownSending(c)
 		}
 	})
 	p.after(drainSpare.Seconds()*3/4, func() {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -55,13 +55,13 @@
 	addr, asked := manualAgent(t)
 	cfg := manyConfig(t, 0, peers)
 	cfg.Discovery = addr
-	first := start(t, cfg, nil)
-	last := start(t, manyConfig(t, leastCap-1, peers), nil)
-	if n := len(get(t, first.mod.lists)); n != leastCap {
+	first := startProxy(t, cfg, nil)
+	last := startProxy(t, manyConfig(t, leastCap-1, peers), nil)
+	if n := len(receive(t, first.decider.lists)); n != leastCap {
 		t.Fatalf("the module got %d backends", n)
 	}
 	c := first.client()
-	if c.send("PING"); c.line() != "+PONG" {
+	if c.send("PING"); c.readLine() != "+PONG" {
 		t.Error("not ready, with a list and a silent agent")
 	}
 	list := targets{Version: 7, Full: true}
@@ -72,39 +72,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := get(t, asked)
+	a := receive(t, asked)
 	a.tell(string(text) + "\n")
-	if n := len(get(t, first.mod.lists)); n != leastCap {
+	if n := len(receive(t, first.decider.lists)); n != leastCap {
 		t.Errorf("the module got %d backends", n)
 	}
 	a.tell(listed(8, false, fmt.Sprintf("new-%08x", leastCap-1), "terminating"))
-	if got := fmt.Sprint(first.ids()); got != fmt.Sprintf("[new-%08x draining]", leastCap-1) {
+	if got := fmt.Sprint(first.nextEndpoints()); got != fmt.Sprintf("[new-%08x draining]", leastCap-1) {
 		t.Errorf("the module got %s", got)
 	}
-	first.do(func() {
-		if n := len(first.in.backends.byID); n != leastCap {
+	first.onLoop(func() {
+		if n := len(first.proxy.endpoints.byID); n != leastCap {
 			t.Errorf("%d backends are kept", n)
 		}
-		first.in.SendToPeer(leastCap-1, []byte("there"))
+		first.proxy.SendToPeer(leastCap-1, []byte("there"))
 	})
-	if m := get(t, last.mod.messages); m.from != 0 || m.data != "there" {
+	if m := receive(t, last.decider.messages); m.from != 0 || m.data != "there" {
 		t.Errorf("the last gateway got %+v", m)
 	}
-	last.do(func() { last.in.SendToPeer(0, []byte(strings.Repeat("x", maxDatagram))) })
-	if m := get(t, first.mod.messages); m.from != leastCap-1 || len(m.data) != maxDatagram {
+	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", maxDatagram))) })
+	if m := receive(t, first.decider.messages); m.from != leastCap-1 || len(m.data) != maxDatagram {
 		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
 	}
-	first.do(func() {
-		before := first.in.logLimit
+	first.onLoop(func() {
+		before := first.proxy.logLimit
 		for i := 1; i < leastCap; i++ { // all in one event: nothing may be lost before the socket
-			first.in.SendToPeer(i, []byte("all"))
+			first.proxy.SendToPeer(i, []byte("all"))
 		}
-		if first.in.logLimit != before {
+		if first.proxy.logLimit != before {
 			t.Error("datagrams were lost in the queue")
 		}
 	})
-	c.send("CALL.GET", customer, "a", "c=look,t=basic,d=600000,units=2,spread=1024,first=1023")
-	if q := get(t, first.mod.requests); q.GatewayCount != leastCap || q.FirstGateway != leastCap-1 {
+	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=1024,first=1023")
+	if q := receive(t, first.decider.requests); q.GatewayCount != leastCap || q.FirstGateway != leastCap-1 {
 		t.Errorf("the module got %+v", q)
 	}
 	runtime.GC()
@@ -126,27 +126,27 @@
 			addr, asked := manualAgent(t) // silent
 			cfg := testConfig()
 			cfg.Discovery, cfg.Known.Servers = addr, servers
-			r := start(t, cfg, func(r *rig) { r.in.readyAt = r.in.now + 3600 })
-			get(t, asked)
+			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.now + 3600 })
+			receive(t, asked)
 			c := r.client()
 			want := "-LOADING no backends known yet"
 			if name == "a list of use" {
 				want = "+PONG"
 			}
 			if c.send("PING"); want != "" {
-				if got := c.line(); got != want {
+				if got := c.readLine(); got != want {
 					t.Errorf("at the start: got %q, want %q", got, want)
 				}
 			}
-			r.do(func() { r.in.readyAt = r.in.now })
+			r.onLoop(func() { r.proxy.readyAt = r.proxy.now })
 			c.send("PING")
-			if got := c.line(); got != "+PONG" {
+			if got := c.readLine(); got != "+PONG" {
 				t.Errorf("a moment later: got %q", got)
 			}
-			c.send(look("a")...)
-			get(t, r.mod.requests)
-			r.do(func() { r.in.answer(r.in.requests["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded) })
-			if got := c.line(); got != "-BUSY" {
+			c.send(lookCommand("a")...)
+			receive(t, r.decider.requests)
+			r.onLoop(func() { r.proxy.answer(r.proxy.requests["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded) })
+			if got := c.readLine(); got != "-BUSY" {
 				t.Errorf("a request got %q", got)
 			}
 		})
--- a/internal/proxy/start_times_test.go
+++ b/internal/proxy/start_times_test.go
@@ -186,17 +186,17 @@
 // TestAListAfterAStepOfTheWallClock guards the way from discovery's list to the module.
 func TestAListAfterAStepOfTheWallClock(t *testing.T) {
 	for _, step := range []float64{-3600, 3600} {
-		r := start(t, testConfig(), nil)
-		get(t, r.mod.lists)
+		r := startProxy(t, testConfig(), nil)
+		receive(t, r.decider.lists)
 		now, at := 0.0, 0.0
-		r.do(func() {
-			wall := r.in.clock.wall
-			r.in.clock.wall = func() float64 { return wall() + step }
-			now = r.in.clock.now()
+		r.onLoop(func() {
+			wall := r.proxy.clock.wall
+			r.proxy.clock.wall = func() float64 { return wall() + step }
+			now = r.proxy.clock.now()
 			at = wall() + step // a start before the step has the old time
-			r.in.takeList(targets{Servers: []target{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", StartedMS: int64(at * 1000)}}})
+			r.proxy.takeList(targets{Servers: []target{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", StartedMS: int64(at * 1000)}}})
 		})
-		if got := get(t, r.mod.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
+		if got := receive(t, r.decider.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
 			t.Errorf("step of %v: a start of now is taken for %.1f s from now", step, got-now)
 		}
 	}
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -77,14 +77,14 @@
 }
 
 // once makes the waits before a call is made again short, so that tests need not wait.
-func quickly(r *rig) { r.in.calls.wait = func(time.Duration) { time.Sleep(time.Microsecond) } }
+func quickly(r *harness) { r.proxy.calls.wait = func(time.Duration) { time.Sleep(time.Microsecond) } }
 
 // serve has a backend answer each command that comes with a value.
-func (r *rig) serve(conns chan *wire) {
+func (r *harness) serve(conns chan *testConn) {
 	go func() {
 		for b := range conns {
 			go func() {
-				for n := 0; b.command() != nil; n++ {
+				for n := 0; b.readCommand() != nil; n++ {
 					fmt.Fprintf(b, "*3\r\n$1\r\nv\r\n:%d\r\n$-1\r\n", n)
 				}
 			}()
@@ -100,11 +100,11 @@
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
 			fault := failing(3, number, "accept")
-			r := start(t, testConfig(noDiscovery), func(r *rig) {
+			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
 				quickly(r)
-				busy(r)
-				accept := r.in.calls.accept
-				r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
+				rejectEachRequest(r)
+				accept := r.proxy.calls.accept
+				r.proxy.calls.accept = func(l *net.TCPListener) (connection, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
@@ -113,13 +113,13 @@
 			})
 			for i := range 3 {
 				c := r.client()
-				c.send(look(fmt.Sprint("a", i))...)
-				if got := c.line(); got != "-BUSY 500" {
+				c.send(lookCommand(fmt.Sprint("a", i))...)
+				if got := c.readLine(); got != "-BUSY 500" {
 					t.Errorf("got %q", got)
 				}
 				c.Close()
 			}
-			r.until("no place is left behind", func() bool { return r.in.clients.open() == 0 && len(r.in.clients.room) == 1 })
+			r.eventually("no place is left behind", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
 		})
 	}
 }
@@ -193,33 +193,33 @@
 		{syscall.ECONNRESET, 1, policy.ConnectFailed},
 	} {
 		t.Run(fmt.Sprint(tc.number, " ", tc.times), func(t *testing.T) {
-			addr, conns := listen(t)
+			addr, conns := listenBackend(t)
 			fault := failing(tc.times, tc.number, "connect")
-			r := start(t, testConfig(addr), func(r *rig) {
+			r := startProxy(t, testConfig(addr), func(r *harness) {
 				quickly(r)
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
 					return dial(addr)
 				}
 				if tc.times > 3 {
-					r.in.backends.ownRetry = time.Millisecond
+					r.proxy.endpoints.localFaultRetry = time.Millisecond
 				} else {
-					r.in.backends.ownRetry = patience
+					r.proxy.endpoints.localFaultRetry = patience
 				}
 			})
 			r.serve(conns)
 			c := r.client()
-			c.send(look("a")...)
-			if o := get(t, r.mod.outcomes); o.Status != tc.want {
+			c.send(lookCommand("a")...)
+			if o := receive(t, r.decider.outcomes); o.Status != tc.want {
 				t.Errorf("got %+v, want %v", o, tc.want)
 			}
-			r.do(func() {
-				if be := r.in.backends.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.in.backends.open != len(be.idle) {
-					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.in.backends.open)
+			r.onLoop(func() {
+				if be := r.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.proxy.endpoints.openConns != len(be.idle) {
+					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.proxy.endpoints.openConns)
 				}
 			})
 		})
@@ -233,22 +233,22 @@
 	for _, number := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, most := range []int{1, 2, 3, 7, 64, 0} {
 			t.Run(fmt.Sprint(number, " ", most), func(t *testing.T) {
-				addr, conns := listen(t)
+				addr, conns := listenBackend(t)
 				faulty := func(conn connection) connection {
 					return &faultyConn{conn, failing(5, number, "read"), failing(5, number, "write"), most}
 				}
-				r := start(t, testConfig(addr), func(r *rig) {
+				r := startProxy(t, testConfig(addr), func(r *harness) {
 					quickly(r)
-					sendTo(0)(r)
-					accept, dial := r.in.calls.accept, r.in.backends.dial
-					r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
+					sendEachRequest(0)(r)
+					accept, dial := r.proxy.calls.accept, r.proxy.endpoints.dial
+					r.proxy.calls.accept = func(l *net.TCPListener) (connection, error) {
 						conn, err := accept(l)
 						if err != nil {
 							return nil, err
 						}
 						return faulty(conn), nil
 					}
-					r.in.backends.dial = func(addr string) (net.Conn, error) {
+					r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 						conn, err := dial(addr)
 						if err != nil {
 							return nil, err
@@ -256,7 +256,7 @@
 						return faulty(conn.(connection)), nil
 					}
 					var calls atomic.Int32
-					r.in.calls.write = func(fd int, b []byte) (int, error) { // every other time nothing, else a part
+					r.proxy.calls.write = func(fd int, b []byte) (int, error) { // every other time nothing, else a part
 						if calls.Add(1)%2 == 1 {
 							return -1, number
 						}
@@ -269,11 +269,11 @@
 				r.serve(conns)
 				c := r.client()
 				for i := range 3 {
-					c.send(look(fmt.Sprint("a", i))...)
-					if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+					c.send(lookCommand(fmt.Sprint("a", i))...)
+					if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 						t.Fatalf("got %+v", o)
 					}
-					c.served("it")
+					c.wantValue("it")
 				}
 			})
 		}
@@ -285,9 +285,9 @@
 func TestConnectionsThatEndWithAnError(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		t.Run("client, "+number.Error(), func(t *testing.T) {
-			r := start(t, testConfig(noDiscovery), func(r *rig) {
-				accept := r.in.calls.accept
-				r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
+			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
+				accept := r.proxy.calls.accept
+				r.proxy.calls.accept = func(l *net.TCPListener) (connection, error) {
 					conn, err := accept(l)
 					if err != nil {
 						return nil, err
@@ -295,20 +295,20 @@
 					return &afterRead{conn, failing(1, number, "read").err}, nil
 				}
 			})
-			r.client().send(look("a")...)
-			if id := get(t, r.mod.gone); id != "a" {
+			r.client().send(lookCommand("a")...)
+			if id := receive(t, r.decider.gone); id != "a" {
 				t.Errorf("gone: %q", id)
 			}
-			r.until("nothing is left", func() bool {
-				return r.in.clients.open() == 0 && len(r.in.requests) == 0 && len(r.in.clients.room) == 1
+			r.eventually("nothing is left", func() bool {
+				return r.proxy.clients.open() == 0 && len(r.proxy.requests) == 0 && len(r.proxy.clients.places) == 1
 			})
 		})
 		t.Run("backend, "+number.Error(), func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					conn, err := dial(addr)
 					if err != nil {
 						return nil, err
@@ -316,14 +316,14 @@
 					return &afterRead{conn.(connection), failing(1, number, "read").err}, nil
 				}
 			})
-			r.client().send(look("a")...)
-			b := get(t, conns)
-			b.command()
+			r.client().send(lookCommand("a")...)
+			b := receive(t, conns)
+			b.readCommand()
 			io.WriteString(b, "*3\r\n")
-			if o := get(t, r.mod.outcomes); o.Status != policy.Reset {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 				t.Errorf("got %+v", o)
 			}
-			r.until("nothing is left", func() bool { return r.in.backends.open == 0 })
+			r.eventually("nothing is left", func() bool { return r.proxy.endpoints.openConns == 0 })
 		})
 	}
 }
@@ -354,39 +354,39 @@
 				t.Fatal(err)
 			}
 			defer peer.Close()
-			cfg := testConfig(noDiscovery)
+			cfg := testConfig(unreachableAgent)
 			cfg.Settings.Settings.PeerMessages = true
 			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 			at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 			cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
 			var mu sync.Mutex
 			waits := 0
-			r := start(t, cfg, func(r *rig) {
+			r := startProxy(t, cfg, func(r *harness) {
 				in, out := failing(3, number, "recvfrom"), failing(1, number, "sendto")
-				r.in.calls.wait = func(time.Duration) { mu.Lock(); waits++; mu.Unlock() }
-				read, write := r.in.calls.readPacket, r.in.calls.writePacket
-				r.in.calls.readPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
+				r.proxy.calls.wait = func(time.Duration) { mu.Lock(); waits++; mu.Unlock() }
+				read, write := r.proxy.calls.readPacket, r.proxy.calls.writePacket
+				r.proxy.calls.readPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
 					if err := in.next(); err != nil {
 						return 0, netip.AddrPort{}, err
 					}
 					return read(c, b)
 				}
-				r.in.calls.writePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
+				r.proxy.calls.writePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
 					if err := out.next(); err != nil {
 						return 0, err
 					}
 					return write(c, b, to)
 				}
 			})
-			r.do(func() { r.in.SendToPeer(1, []byte("lost")); r.in.SendToPeer(1, []byte("there")) })
+			r.onLoop(func() { r.proxy.SendToPeer(1, []byte("lost")); r.proxy.SendToPeer(1, []byte("there")) })
 			peer.SetReadDeadline(time.Now().Add(patience))
 			buf := make([]byte, maxDatagram)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
 				t.Errorf("the peer got %q, %v", buf[:n], err)
 			}
-			peer.WriteToUDP([]byte("back"), r.in.peers.conn.LocalAddr().(*net.UDPAddr))
-			if m := get(t, r.mod.messages); m.from != 1 || m.data != "back" {
+			peer.WriteToUDP([]byte("back"), r.proxy.peers.conn.LocalAddr().(*net.UDPAddr))
+			if m := receive(t, r.decider.messages); m.from != 1 || m.data != "back" {
 				t.Errorf("got %+v", m)
 			}
 			mu.Lock()
@@ -409,18 +409,18 @@
 			cfg := testConfig()
 			cfg.Discovery = a.addr()
 			fault := failing(4, number, "connect")
-			r := start(t, cfg, func(r *rig) {
-				r.in.pause = func(time.Duration) <-chan time.Time { return time.After(0) }
-				dial := r.in.calls.dialAgent
-				r.in.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			r := startProxy(t, cfg, func(r *harness) {
+				r.proxy.pause = func(time.Duration) <-chan time.Time { return time.After(0) }
+				dial := r.proxy.calls.dialAgent
+				r.proxy.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
 					return dial(ctx, network, addr)
 				}
 			})
-			get(t, r.mod.lists) // that of the configuration
-			if list := get(t, r.mod.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
+			receive(t, r.decider.lists) // that of the configuration
+			if list := receive(t, r.decider.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
 				t.Errorf("got %+v", list)
 			}
 		})
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -34,21 +34,21 @@
 // traceSent tells that the last byte of an attempt was written. Safe for any goroutine that the attempt
 // was handed to: what it reads does not change any more.
 func (p *Proxy) traceSent(a *attempt, to target, from, at float64) {
-	if !p.tracing() || a.req == nil {
+	if !p.tracing() || a.request == nil {
 		return
 	}
-	class := p.class(a.req)
-	p.log.Debug("sent", "id", a.req.ID, "try", a.number, "kind", string(a.kind), "class", class.Name, "effect", effectNames[class.Idempotency],
+	class := p.class(a.request)
+	p.log.Debug("sent", "id", a.request.ID, "try", a.number, "kind", string(a.kind), "class", class.Name, "effect", effectNames[class.Idempotency],
 		"scope", scopeNames[class.DedupScope], "ttl", class.IdempotencyWindow, "backend", to.ID, "zone", to.Zone, "cell", to.Cell,
-		"started", float64(to.StartedMS)/1000, "read", a.req.cameAt, "from", from, "at", at,
-		"until", a.until,
-		"deadline", a.req.deadline, "left", closedByPeer(a.req.client.raw))
+		"started", float64(to.StartedMS)/1000, "read", a.request.cameAt, "from", from, "at", at,
+		"until", a.expiresAt,
+		"deadline", a.request.deadline, "left", closedByPeer(a.request.client.raw))
 }
 
 // traceEnded tells how an attempt ended.
 func (p *Proxy) traceEnded(a *attempt, res result, at float64) {
-	if p.tracing() && a.req != nil {
-		p.log.Debug("ended", "id", a.req.ID, "try", a.number, "status", statusNames[res.status], "at", at,
+	if p.tracing() && a.request != nil {
+		p.log.Debug("ended", "id", a.request.ID, "try", a.number, "status", statusNames[res.status], "at", at,
 			"spoilt", res.spoilt)
 	}
 }
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -29,19 +29,19 @@
 			`.*msg=ended id=a try=0 status=ok .*\n.*msg=answered id=a word=value `,
 		slog.LevelInfo: `^$`,
 	} {
-		addr, conns := listen(t)
+		addr, conns := listenBackend(t)
 		var log lockedBuffer
-		r := start(t, testConfig(addr), func(r *rig) {
-			sendTo(0)(r)
-			r.in.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: level}))
+		r := startProxy(t, testConfig(addr), func(r *harness) {
+			sendEachRequest(0)(r)
+			r.proxy.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: level}))
 		})
 		c := r.client()
-		c.send(look("a")...)
-		b := get(t, conns)
-		b.command()
-		io.WriteString(b, value)
-		c.served("it")
-		get(t, r.mod.outcomes)
+		c.send(lookCommand("a")...)
+		b := receive(t, conns)
+		b.readCommand()
+		io.WriteString(b, valueReply)
+		c.wantValue("it")
+		receive(t, r.decider.outcomes)
 		log.mu.Lock()
 		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.b.String(), "")
 		log.mu.Unlock()
