--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -67,7 +67,7 @@
 	refused := r.client()
 	refused.send(lookCommand("b")...)
 	refused.readLine()
-	log.line(t, "answered", "id=b", "word=BUS", "reason=quota_exceeded")
+	log.line(t, "request completed", "id=b", "reply=BUS", "reason=quota_exceeded")
 	refused.Conn.Write([]byte("junk\r\n"))
 	refused.readLine()
 	refused.Close()
