--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -45,6 +45,28 @@
 	return retry
 }
 
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	status    policy.AttemptStatus
+	value     []byte // of status OK: the value in RESP, as the endpoint wrote it
+	load      *policy.LoadReport
+	malformed error // why the reply could not be used
+}
+
+// malformedReply is the result of an attempt whose reply can't be used: its request may have been executed, and
+// nothing else is known of the endpoint, which is up and at work.
+func malformedReply(err error) attemptResult {
+	return attemptResult{status: policy.Error, malformed: err}
+}
+
+// malformedText is what the log holds of a reply that could not be used, else empty.
+func (r attemptResult) malformedText() string {
+	if r.malformed == nil {
+		return ""
+	}
+	return r.malformed.Error()
+}
+
 // Send implements policy.Actions.
 func (p *Proxy) Send(id, server string, timeoutS, writeWithinS float64) {
 	r := p.requests[id]
@@ -140,10 +162,10 @@
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
 	}
 	left := a.expiresAt - at
-	if a.request.size > longCommand {
+	if a.request.Size > longCommand {
 		reserve = min(left*reserveShare, maxReserveS)
 	}
-	return a.request.appendTo(b, left-reserve), reserve
+	return a.request.AppendTo(b, left-reserve), reserve
 }
 
 // expire stops waiting for an attempt. What was never wholly written has not run.
@@ -151,11 +173,11 @@
 	switch {
 	case a.done:
 	case a.conn == nil:
-		p.finishAttempt(a, result{status: policy.NotSent}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.NotSent}, p.now)
 	case p.abortWrite(a.conn):
-		p.finishAttempt(a, result{status: policy.ConnectFailed}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.ConnectFailed}, p.now)
 	default:
-		p.finishAttempt(a, result{status: policy.Timeout}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.Timeout}, p.now)
 	}
 }
 
@@ -163,11 +185,11 @@
 func (p *Proxy) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	p.releaseAttempt(a)
-	p.deferred = append(p.deferred, func() { p.reportOutcome(a, result{status: status}, p.now) })
+	p.deferred = append(p.deferred, func() { p.reportOutcome(a, attemptResult{status: status}, p.now) })
 }
 
 // finish ends an attempt and reports it.
-func (p *Proxy) finishAttempt(a *attempt, res result, at float64) {
+func (p *Proxy) finishAttempt(a *attempt, res attemptResult, at float64) {
 	if a.done {
 		return
 	}
@@ -192,7 +214,7 @@
 }
 
 // report answers the client, if this is what it waits for, and tells the module.
-func (p *Proxy) reportOutcome(a *attempt, res result, at float64) {
+func (p *Proxy) reportOutcome(a *attempt, res attemptResult, at float64) {
 	spent := max(at-a.sentAt, 0)
 	p.traceEnded(a, res, at)
 	if a.request == nil {
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -6,6 +6,8 @@
 	"os"
 	"syscall"
 	"time"
+
+	"reedlead/internal/readbuf"
 )
 
 const (
@@ -58,7 +60,7 @@
 
 // hold takes from the budget for what the client has not read.
 func (p *Proxy) reserveOutput(c *clientConn, n int) bool {
-	if !p.inputBudget.take(n) {
+	if !p.inputBudget.Reserve(n) {
 		return false
 	}
 	c.reservedOutput += n
@@ -86,7 +88,7 @@
 // push writes what is pending: at once what the socket takes, the rest on a goroutine of its own, which
 // ends with the connection, or when the client has taken nothing for too long.
 func (p *Proxy) writePending(c *clientConn) {
-	p.inputBudget.give(c.reservedOutput)
+	p.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	n, err := p.writeNow(c.raw, c.pending)
 	if err != nil {
@@ -96,7 +98,7 @@
 	c.recordWritten(n)
 	rest := c.pending[n:]
 	if len(rest) == 0 {
-		if c.pending = c.pending[:0]; cap(c.pending) > 4*readSize {
+		if c.pending = c.pending[:0]; cap(c.pending) > 4*readbuf.Size {
 			c.pending = nil
 		}
 		p.allWritten(c)
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/command"
+	"reedlead/internal/readbuf"
 	"reedlead/internal/resp"
 
 	"github.com/tidwall/redcon"
@@ -65,7 +67,7 @@
 	resume chan struct{} // and to go on
 
 	// Its reader's.
-	buffer      buffer
+	buffer      readbuf.Buffer
 	arrivals    arrivalTracker
 	badCommands int
 
@@ -175,7 +177,7 @@
 	if c.closed {
 		return
 	}
-	if (p.leaving || !c.usedSinceRequest) && c.idle() && len(c.buffer.b) == 0 && noDataPending(c.raw) {
+	if (p.leaving || !c.usedSinceRequest) && c.idle() && c.buffer.Len() == 0 && noDataPending(c.raw) {
 		p.closeGracefully(c)
 		return
 	}
@@ -208,7 +210,7 @@
 
 // dropInput reads and drops what still comes, for a while. It returns whether the client has closed its side.
 func (c *clientConn) drainInput(timeout time.Duration) (closed bool) {
-	c.buffer.free()
+	c.buffer.Free()
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 	n, err := io.Copy(io.Discard, io.LimitReader(c.conn, maxLingerBytes))
 	return n < maxLingerBytes && !errors.Is(err, os.ErrDeadlineExceeded)
@@ -272,7 +274,7 @@
 	}()
 	number := uint64(0)
 	calm := 0 // waits for a connection that none came in, after the deadline
-	words := newVocabulary(p.cfg.Settings.Settings)
+	parser := command.NewParser(p.cfg.Settings.Settings)
 	for {
 		select {
 		case p.clients.places <- struct{}{}:
@@ -314,10 +316,10 @@
 		number++
 		c := &clientConn{
 			number: number, conn: steadyConn{conn, p.calls.wait}, raw: raw, permits: make(chan struct{}, maxPipelined), done: make(chan struct{}),
-			resume: make(chan struct{}, 1), buffer: buffer{budget: &p.inputBudget}, arrivals: arrivalTracker{lastEmptyAt: p.loopLag.onScheduleUntil(at)},
+			resume: make(chan struct{}, 1), buffer: readbuf.NewBuffer(p.inputBudget), arrivals: arrivalTracker{lastEmptyAt: p.loopLag.onScheduleUntil(at)},
 		}
 		p.post(at, func() { p.addClient(c) })
-		go c.read(p, words)
+		go c.read(p, parser)
 	}
 }
 
@@ -337,8 +339,8 @@
 
 // read parses what the client sends, and posts each command with the time of its last byte. Its
 // deadline runs while a command is unfinished, and until there was one at all.
-func (c *clientConn) read(p *Proxy, words *vocabulary) {
-	defer c.buffer.free()
+func (c *clientConn) read(p *Proxy, parser *command.Parser) {
+	defer c.buffer.Free()
 	timed := true
 	until := time.Now().Add(p.clients.commandTimeout)
 	limit := func(at time.Time) {
@@ -349,9 +351,9 @@
 	}
 	limit(until)
 	for {
-		room := c.buffer.room()
+		room := c.buffer.Space()
 		if room == nil {
-			c.rejectInput(p, p.clock.now(), errNoRoom)
+			c.rejectInput(p, p.clock.now(), readbuf.ErrExhausted)
 			return
 		}
 		began := p.clock.now()
@@ -362,13 +364,13 @@
 			c.hasReceived.Store(true)
 			came = c.arrivals.estimate(c.raw, &p.loopLag, began, at, n == len(room))
 		}
-		c.buffer.grew(n)
-		used, ok := c.handleCommands(p, at, came, words)
+		c.buffer.Grow(n)
+		used, ok := c.handleCommands(p, at, came, parser)
 		if !ok {
 			return
 		}
-		unfinished := used < len(c.buffer.b)
-		c.buffer.drop(used)
+		unfinished := used < c.buffer.Len()
+		c.buffer.Discard(used)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && c.pauseRequested.Load():
 			p.post(at, func() { p.readerPaused(c) })
@@ -403,12 +405,12 @@
 
 // commands posts the whole commands that have come and returns their length, or false when the
 // connection has ended or is about to.
-func (c *clientConn) handleCommands(p *Proxy, at float64, came arrival, words *vocabulary) (used int, ok bool) {
+func (c *clientConn) handleCommands(p *Proxy, at float64, came arrival, parser *command.Parser) (used int, ok bool) {
 	var space [8][]byte
-	c.arrivals.record(len(c.buffer.b), came)
+	c.arrivals.record(c.buffer.Len(), came)
 	defer func() { c.arrivals.discard(used) }()
-	for used < len(c.buffer.b) {
-		args, size, bad := resp.ParseCommand(c.buffer.b[used:], space[:0])
+	for used < c.buffer.Len() {
+		args, size, bad := resp.ParseCommand(c.buffer.Bytes()[used:], space[:0])
 		if bad != nil {
 			c.rejectInput(p, at, resp.SyntaxError{Cause: bad})
 			return 0, false
@@ -419,7 +421,7 @@
 		if !c.acquirePermit(p) {
 			return 0, false
 		}
-		if bad := c.handleCommand(p, at, c.arrivals.ofCommandEndingAt(used+size), words, args); bad != nil {
+		if bad := c.handleCommand(p, at, c.arrivals.ofCommandEndingAt(used+size), parser, args); bad != nil {
 			if c.badCommands++; c.badCommands == maxBadCommands {
 				<-c.permits // the last answer takes none
 				c.rejectInput(p, at, bad)
@@ -450,23 +452,23 @@
 
 // command posts one whole command, which was read and had come at given times, or returns what is wrong with it,
 // worded for the client.
-func (c *clientConn) handleCommand(p *Proxy, at, came float64, words *vocabulary, args [][]byte) error {
+func (c *clientConn) handleCommand(p *Proxy, at, came float64, parser *command.Parser, args [][]byte) error {
 	switch {
 	case len(args) == 0:
 		return errors.New("empty command")
-	case bytes.EqualFold(args[0], []byte("CALL.GET")), bytes.EqualFold(args[0], []byte("CALL.POST")):
-		call, err := words.parseCall(args)
+	case command.IsRequest(args[0]):
+		request, err := parser.Parse(args)
 		if err != nil {
 			return err
 		}
-		if !p.inputBudget.take(call.size) {
+		if !p.inputBudget.Reserve(request.Size) {
 			p.post(at, func() {
-				p.refuseAtOnce(c, call, inputUsedUp)
+				p.refuseAtOnce(c, request, inputUsedUp)
 			})
 			return nil
 		}
-		call.keep()
-		p.post(at, func() { p.take(c, call, came) })
+		request.CopyArgs()
+		p.post(at, func() { p.take(c, request, came) })
 	case bytes.EqualFold(args[0], []byte("PING")):
 		p.post(at, func() { p.ping(c) })
 	default:
@@ -507,7 +509,7 @@
 	}
 	c.closed = true
 	p.logClientClosed(c, why, err)
-	p.inputBudget.give(c.reservedOutput)
+	p.inputBudget.Release(c.reservedOutput)
 	c.pipeline, c.pending, c.reservedOutput = nil, nil, 0
 	if c.closeRequested {
 		p.clients.closing--
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -1,19 +1,19 @@
 package proxy
 
 import (
-	"fmt"
 	"io"
 	"strings"
 	"testing"
 	"time"
 
+	"reedlead/internal/readbuf"
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
 
 // base tells what an ingress with nothing to do holds: timers and budget.
 func (r *harness) idleUsage() (timers int, left int64) {
-	r.onLoop(func() { timers, left = len(r.proxy.timers), r.proxy.inputBudget.left.Load() })
+	r.onLoop(func() { timers, left = len(r.proxy.timers), r.proxy.inputBudget.Available() })
 	return timers, left
 }
 
@@ -23,7 +23,7 @@
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, half string }{
 		"silence": {}, "half": {half: "*4\r\n$8\r\nCALL"}, "header": {half: "*"},
-		"behind another": {command("PING"), "*1\r\n$4\r\nPI"},
+		"behind another": {encodeCommand("PING"), "*1\r\n$4\r\nPI"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			most := time.Millisecond
@@ -49,7 +49,7 @@
 	t.Run("behind an open request", func(t *testing.T) {
 		r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 		c := r.client()
-		io.WriteString(c, command(lookCommand("a")...))
+		io.WriteString(c, encodeCommand(lookCommand("a")...))
 		receive(t, r.decider.requests)
 		r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
 		io.WriteString(c, "*1")
@@ -69,7 +69,7 @@
 func TestJunkBehindARequest(t *testing.T) {
 	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, command(lookCommand("a")...)+"*1\r\n$60000000\r\n")
+	io.WriteString(c, encodeCommand(lookCommand("a")...)+"*1\r\n$60000000\r\n")
 	receive(t, r.decider.requests)
 	io.WriteString(c, strings.Repeat("x", maxLingerBytes))
 	r.eventually("enough is read", func() bool {
@@ -89,7 +89,7 @@
 func TestBadCommandsAreCounted(t *testing.T) {
 	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, strings.Repeat(command("NOVEL"), 100*maxBadCommands))
+	io.WriteString(c, strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
 		if got := c.readLine(); got != `-ERR unknown command "NOVEL"` {
 			t.Fatalf("answer %d is %q", i, got)
@@ -153,21 +153,21 @@
 	}
 	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	receive(t, r.decider.outcomes)
-	if again, now := r.idleUsage(); again != timers || now != left || req.args != nil {
-		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.args)
+	if again, now := r.idleUsage(); again != timers || now != left || req.Args != nil {
+		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.Args)
 	}
 }
 
 // Guards the memory: what is unfinished or waits has one bound for all connections together.
 func TestInputHasOneBudget(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.inputBudget.left.Store(30_000) })
+	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
 	big := func(id string) string {
-		return command("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
+		return encodeCommand("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
 	}
 	c := r.client()
 	io.WriteString(c, big("a")+big("b")+big("c"))
 	receive(t, r.decider.requests)
-	r.eventually("no more is taken", func() bool { return r.proxy.inputBudget.left.Load() < 20_000 })
+	r.eventually("no more is taken", func() bool { return r.proxy.inputBudget.Available() < 20_000 })
 	d := r.client()
 	io.WriteString(d, "*5\r\n$60000\r\n"+strings.Repeat("x", 59_000))
 	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
@@ -182,52 +182,7 @@
 		}
 	}
 	c.Close()
-	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.left.Load() == 30_000 })
-}
-
-// Guards against numbers and names that mean the same in more than one way, or not what they say: a
-// backend may read them otherwise, and a customer's other spelling would be another customer.
-func TestOnlyCanonicalCalls(t *testing.T) {
-	words := newVocabulary(testConfig().Settings.Settings)
-	parse := func(customer, id, fields string) error {
-		_, err := words.parseCall([][]byte{[]byte("CALL.GET"), []byte(customer), []byte(id), []byte(fields)})
-		return err
-	}
-	const good = "c=look,t=basic,d=480,units=2,spread=2,first=1"
-	if err := parse(testCustomer, "a", good); err != nil {
-		t.Fatal(err)
-	}
-	for _, name := range []string{"d", "units", "spread", "first"} {
-		for _, value := range []string{
-			"", "+1", "-1", "01", "1.0", "2.5", "1e0", "0x1", "0x1p0", "1_0", " 1", "１", "NaN",
-			"Inf", "99999999999999999999", "1000000000",
-		} {
-			fields := good
-			for _, old := range []string{"d=480", "units=2", "spread=2", "first=1"} {
-				if strings.HasPrefix(old, name+"=") {
-					fields = strings.Replace(good, old, name+"="+value, 1)
-				}
-			}
-			if parse(testCustomer, "a", fields) == nil {
-				t.Errorf("%s passes", fields)
-			}
-		}
-	}
-	for _, other := range []string{"00000000B4D65521", "+0000000b4d65521", "0x000000b4d65521", "b4d65521", ""} {
-		if parse(other, "a", good) == nil {
-			t.Errorf("customer %q passes", other)
-		}
-	}
-	for _, id := range []string{"a b", "a\x00", "a\r\n", "\xff", "\u00a0", strings.Repeat("x", maxID+1)} {
-		if parse(testCustomer, id, good) == nil {
-			t.Errorf("id %q passes", id)
-		}
-	}
-	for _, more := range []string{",x=\r\n", ",x=\xff", ",x=" + strings.Repeat("y", maxFields), ",k=", ",r=2"} {
-		if parse(testCustomer, "a", good+more) == nil {
-			t.Errorf("%.40q passes", fmt.Sprint("...", more))
-		}
-	}
+	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.Available() == 30_000 })
 }
 
 // Guards against answers out of order or given twice: a connection's answers come in the order of
@@ -235,7 +190,7 @@
 func TestPipelinedAnswersComeOnceAndInOrder(t *testing.T) {
 	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, command(lookCommand("a")...)+command(lookCommand("b")...)+command("PING")+command("SELECT", "0"))
+	io.WriteString(c, encodeCommand(lookCommand("a")...)+encodeCommand(lookCommand("b")...)+encodeCommand("PING")+encodeCommand("SELECT", "0"))
 	receive(t, r.decider.requests)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
@@ -284,22 +239,22 @@
 		"-ERR Protocol error: line too long":          "*" + strings.Repeat("1", 2*resp.MaxLine),
 		"-ERR Protocol error: malformed line":         "*1\n",
 		"-ERR empty command":                          "*0\r\n",
-		"-ERR unknown command \"NOVEL\"":              command("NOVEL"),
-		"-ERR wrong number of arguments for CALL.GET": command("CALL.GET", testCustomer),
-		"-ERR customer must be":                       command("CALL.GET", "00000002b4d65521", "a", fields),
-		"-ERR the request's id":                       command("CALL.GET", testCustomer, "", fields),
-		"-ERR field d: invalid value \"soon\"":        command("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "soon", 1)),
-		"-ERR field d: invalid value \"NaN\"":         command("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "NaN", 1)),
-		"-ERR field c: invalid value":                 command("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "x", 1)),
-		"-ERR field t: invalid value":                 command("CALL.GET", testCustomer, "a", strings.Replace(fields, "basic", "x", 1)),
-		"-ERR field units: invalid value":             command("CALL.GET", testCustomer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
-		"-ERR field spread: invalid value":            command("CALL.GET", testCustomer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
-		"-ERR field first: invalid value":             command("CALL.GET", testCustomer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
-		"-ERR field first is missing":                 command("CALL.GET", testCustomer, "a", strings.TrimSuffix(fields, ",first=1")),
-		"-ERR field c is given twice":                 command("CALL.GET", testCustomer, "a", fields+",c=look"),
-		"-ERR malformed field":                        command("CALL.GET", testCustomer, "a", fields+","),
-		"-ERR class bill does not go with CALL.GET":   command("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "bill", 1)),
-		"-ERR field k is missing":                     command("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
+		"-ERR unknown command \"NOVEL\"":              encodeCommand("NOVEL"),
+		"-ERR wrong number of arguments for CALL.GET": encodeCommand("CALL.GET", testCustomer),
+		"-ERR customer must be":                       encodeCommand("CALL.GET", "00000002b4d65521", "a", fields),
+		"-ERR the request's id":                       encodeCommand("CALL.GET", testCustomer, "", fields),
+		"-ERR field d: invalid value \"soon\"":        encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "soon", 1)),
+		"-ERR field d: invalid value \"NaN\"":         encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "NaN", 1)),
+		"-ERR field c: invalid value":                 encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "x", 1)),
+		"-ERR field t: invalid value":                 encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "basic", "x", 1)),
+		"-ERR field units: invalid value":             encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
+		"-ERR field spread: invalid value":            encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
+		"-ERR field first: invalid value":             encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
+		"-ERR field first is missing":                 encodeCommand("CALL.GET", testCustomer, "a", strings.TrimSuffix(fields, ",first=1")),
+		"-ERR field c is given twice":                 encodeCommand("CALL.GET", testCustomer, "a", fields+",c=look"),
+		"-ERR malformed field":                        encodeCommand("CALL.GET", testCustomer, "a", fields+","),
+		"-ERR class bill does not go with CALL.GET":   encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "bill", 1)),
+		"-ERR field k is missing":                     encodeCommand("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
 		c := r.client()
 		io.WriteString(c, p)
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"reedlead/internal/readbuf"
 )
 
 // asking is a question to an agent that the test answers by hand.
@@ -210,8 +212,8 @@
 	a := receive(t, asked)
 	a.tell(`{"version":5,"full":false,"servers":[`)
 	go func() {
-		for range maxListValue/readSize + 1 {
-			a.tell(strings.Repeat(" ", readSize))
+		for range maxListValue/readbuf.Size + 1 {
+			a.tell(strings.Repeat(" ", readbuf.Size))
 		}
 	}()
 	if a = receive(t, asked); a.query != "/api/targets" {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -97,7 +97,7 @@
 	if c.send("PING"); c.readLine() != "+PONG" {
 		t.Fatal("not served")
 	}
-	all := command(lookCommand("a")...)
+	all := encodeCommand(lookCommand("a")...)
 	io.WriteString(c, all[:20])
 	r.eventually("half of it is read", func() bool { return noDataPending(r.onlyClient().raw) })
 	r.onLoop(r.proxy.leave)
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -113,7 +113,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for i := range growthRequests {
 		fields := fmt.Sprintf("c=look,t=basic,d=1000,units=1,spread=3,first=%d", i%size.gateways)
-		io.WriteString(conn, command("CALL.GET", fmt.Sprintf("%016x", i%50), fmt.Sprint("q", i), fields))
+		io.WriteString(conn, encodeCommand("CALL.GET", fmt.Sprintf("%016x", i%50), fmt.Sprint("q", i), fields))
 		time.Sleep(growthEvery)
 	}
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -224,9 +224,9 @@
 	return raw
 }
 
-func (w *testConn) send(args ...string) { io.WriteString(w, command(args...)) }
+func (w *testConn) send(args ...string) { io.WriteString(w, encodeCommand(args...)) }
 
-func command(args ...string) string {
+func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, a := range args {
 		b = redcon.AppendBulkString(b, a)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,6 +12,7 @@
 	"runtime/debug"
 	"time"
 
+	"reedlead/internal/readbuf"
 	"reedlead/policy"
 )
 
@@ -101,8 +102,8 @@
 	loopLag       loopLag
 	deferred      []func() // outcomes that an action yielded, for when its event method has returned
 	logLimit      logLimiter
-	commandBuffer []byte // of the command that is being written
-	inputBudget   budget // what clients and backends have sent and nobody has used up yet; of all goroutines
+	commandBuffer []byte          // of the command that is being written
+	inputBudget   *readbuf.Budget // what clients and backends have sent and nobody has used up yet; of all goroutines
 
 	acceptFor       time.Duration                        // how long after the signal new connections are taken
 	drainFor        time.Duration                        // and when all is answered at the latest
@@ -155,8 +156,8 @@
 	p.now = p.clock.now()
 	p.starts.sample(p.now, p.clock.wall())
 	p.readyAt = p.now + readyTimeout.Seconds()
-	p.inputBudget.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
-	p.inputBudget.readAheadLeft = int64(float64(p.inputBudget.left.Load()) * readAheadBudgetShare)
+	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare)
+	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
 	p.clients.init(cfg.Sockets)
 	p.endpoints.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/command"
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -252,12 +253,12 @@
 				args = append(args, []byte(arg))
 			}
 			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return closedByPeer(raw.raw) }, func() {
-				call, err := newVocabulary(r.proxy.cfg.Settings.Settings).parseCall(args)
+				request, err := command.NewParser(r.proxy.cfg.Settings.Settings).Parse(args)
 				if err != nil {
 					t.Error(err)
 				}
-				r.proxy.inputBudget.take(call.size)
-				r.proxy.take(raw, call, r.proxy.clock.now())
+				r.proxy.inputBudget.Reserve(request.Size)
+				r.proxy.take(raw, request, r.proxy.clock.now())
 			})
 			nothing(t, r, conns, "a")
 		})
@@ -349,7 +350,7 @@
 			c := r.client()
 			var all strings.Builder
 			for i := range maxPipelined + 3 {
-				all.WriteString(command(lookCommand(fmt.Sprint("r", i))...))
+				all.WriteString(encodeCommand(lookCommand(fmt.Sprint("r", i))...))
 			}
 			io.WriteString(c, all.String())
 			for range maxPipelined {
@@ -451,7 +452,7 @@
 	c := r.client()
 	var all strings.Builder
 	for i := range maxPipelined + 1000 { // some times what a socket takes at first
-		all.WriteString(command(lookCommand(fmt.Sprintf("r%0100d", i))...))
+		all.WriteString(encodeCommand(lookCommand(fmt.Sprintf("r%0100d", i))...))
 	}
 	written := make(chan struct{})
 	go func() {
@@ -470,5 +471,5 @@
 	if len(r.decider.requests) != 0 {
 		t.Error("more of its commands were taken")
 	}
-	r.eventually("the budget is given back", func() bool { return r.proxy.inputBudget.left.Load() == left })
+	r.eventually("the budget is given back", func() bool { return r.proxy.inputBudget.Available() == left })
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"hash/maphash"
 	"net"
 	"slices"
 	"sync"
@@ -11,6 +10,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/readbuf"
+	"reedlead/internal/reply"
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -39,9 +40,12 @@
 	maxLocalFaultRetry = 250 * time.Millisecond
 )
 
+// maxLoggedBytes is how much the log holds of a reply that could not be used.
+const maxLoggedBytes = 40
+
 var (
-	hashSeed          = maphash.MakeSeed()
-	errDuplicateReply = errors.New("a copy of the answer before it")
+	errDuplicateReply = errors.New("duplicate of an earlier reply")
+	errOtherReply     = errors.New("reply to another kind of command")
 )
 
 // backend is a backend of the list and its connections.
@@ -285,7 +289,7 @@
 			p.assign(c)
 			continue
 		}
-		p.finishAttempt(be.waiting[0], result{status: failed}, p.now)
+		p.finishAttempt(be.waiting[0], attemptResult{status: failed}, p.now)
 	}
 }
 
@@ -338,7 +342,7 @@
 	var reserve float64
 	p.commandBuffer, reserve = p.appendCommand(p.commandBuffer[:0], a, from)
 	b := p.commandBuffer
-	if cap(p.commandBuffer) > 4*readSize {
+	if cap(p.commandBuffer) > 4*readbuf.Size {
 		p.commandBuffer = nil
 	}
 	a.conn, c.attempt = c, a
@@ -399,14 +403,14 @@
 
 // read takes the replies of one connection and notices its end, also while it idles.
 func (c *backendConn) read(p *Proxy) {
-	buf := buffer{budget: &p.inputBudget}
-	defer buf.free()
-	var past replyHistory
+	buffer := readbuf.NewBuffer(p.inputBudget)
+	defer buffer.Free()
+	var history reply.History
 	var ended error // what the last read met
 	for {
-		room := buf.room()
+		room := buffer.Space()
 		if room == nil {
-			c.rejectReply(p, p.clock.now(), nil, errNoRoom)
+			c.rejectReply(p, p.clock.now(), nil, readbuf.ErrExhausted)
 			break
 		}
 		n, err := c.conn.Read(room)
@@ -416,34 +420,34 @@
 			p.post(at, func() { p.warn("bytes that nobody asked for", "backend", c.endpoint.ID, "bytes", n) })
 			break // what follows can't be told apart
 		}
-		buf.grew(n)
-		size, bad := resp.Frame(buf.b)
-		if bad == nil && size == 0 && len(buf.b) > resp.MaxFrame {
+		buffer.Grow(n)
+		size, bad := resp.Frame(buffer.Bytes())
+		if bad == nil && size == 0 && buffer.Len() > resp.MaxFrame {
 			bad = resp.ErrOversized
 		}
 		if bad != nil {
-			c.rejectReply(p, at, buf.b, bad)
+			c.rejectReply(p, at, buffer.Bytes(), bad)
 			break
 		}
 		if size > 0 {
-			res := parseReply(buf.b[:size])
-			if res.spoilt != "" {
-				c.rejectReply(p, at, buf.b, errors.New(res.spoilt))
+			received, err := reply.Parse(buffer.Bytes()[:size])
+			if err != nil {
+				c.rejectReply(p, at, buffer.Bytes(), err)
 				break
 			}
-			// Bytes of a copy that were on their way when the next command was written are told by this.
-			if past.isDuplicate(buf.b[:size], res.status, c.writeStartedAt.load()-p.endpoints.duplicateWindowS) {
-				c.rejectReply(p, at, buf.b, errDuplicateReply)
+			// A duplicate whose bytes were on their way when the next command was written is known by this.
+			if history.IsDuplicate(buffer.Bytes()[:size], received.Status, c.writeStartedAt.load()-p.endpoints.duplicateWindowS) {
+				c.rejectReply(p, at, buffer.Bytes(), errDuplicateReply)
 				break
 			}
-			past.add(buf.b[:size], res.status, at)
-			stray := len(buf.b) > size
-			buf.drop(len(buf.b))
+			history.Add(buffer.Bytes()[:size], received.Status, at)
+			stray := buffer.Len() > size
+			buffer.Discard(buffer.Len())
 			if stray {
 				c.unusable.Store(true)
 			}
 			c.awaitingReply.Store(false)
-			p.post(at, func() { p.replyReceived(c, res, at) })
+			p.post(at, func() { p.replyReceived(c, received, at) })
 			if stray {
 				break
 			}
@@ -463,57 +467,37 @@
 	p.post(at, func() { p.backendConnClosed(c, ended, at) })
 }
 
-// answers are the last ones of a connection, by which a copy of one is known.
-type replyHistory []pastReply
-
-type pastReply struct {
-	hash   uint64
-	status policy.AttemptStatus
-	at     float64
+// rejectReply ends the connection's attempt for what came in place of a reply. It runs on the reader's goroutine.
+func (c *backendConn) rejectReply(p *Proxy, at float64, got []byte, err error) {
+	c.unusable.Store(true)
+	start := string(got[:min(len(got), maxLoggedBytes)])
+	p.post(at, func() {
+		p.warn("bad reply", "backend", c.endpoint.ID, "why", err, "bytes", start)
+		p.endAttemptOn(c, malformedReply(err), at)
+	})
 }
 
-const maxPastReplies = 8 // a copy of an older one has come long before
-
-// copied tells that an answer may be a copy of one that came after a time. A word that work was turned away
-// is trusted least: what was told of the command before must not be taken for this one's, which may run.
-func (a replyHistory) isDuplicate(b []byte, status policy.AttemptStatus, since float64) bool {
-	hash := maphash.Bytes(hashSeed, b)
-	for _, e := range a {
-		if e.at > since && (e.hash == hash || status == policy.Rejected && e.status == status) {
-			return true
-		}
+// replyReceived ends the attempt that the connection carries with its reply.
+func (p *Proxy) replyReceived(c *backendConn, received reply.Reply, at float64) {
+	if c.closed || c.attempt == nil {
+		return
 	}
-	return false
-}
-
-func (a *replyHistory) add(b []byte, status policy.AttemptStatus, at float64) {
-	if len(*a) == maxPastReplies {
-		*a = (*a)[1:]
+	res := attemptResult{status: received.Status, value: received.Value, load: received.Load}
+	if isHealthCheck := c.attempt.request == nil; received.Status == policy.OK && received.HealthCheck != isHealthCheck {
+		c.unusable.Store(true)
+		p.warn("bad reply", "backend", c.endpoint.ID, "why", errOtherReply)
+		res = malformedReply(errOtherReply)
 	}
-	*a = append(*a, pastReply{maphash.Bytes(hashSeed, b), status, at})
-}
-
-// spoilt ends the connection's attempt for what came in place of an answer.
-func (c *backendConn) rejectReply(p *Proxy, at float64, got []byte, why error) {
-	c.unusable.Store(true)
-	start := string(got[:min(len(got), 40)])
-	p.post(at, func() {
-		p.warn("bad reply", "backend", c.endpoint.ID, "why", why, "bytes", start)
-		p.replyReceived(c, spoilt(why.Error()), at)
-	})
+	p.endAttemptOn(c, res, at)
 }
 
-// replied ends the attempt that the connection carries.
-func (p *Proxy) replyReceived(c *backendConn, res result, at float64) {
+// endAttemptOn ends the attempt that the connection carries, and puts the connection into the pool if it may be used
+// again.
+func (p *Proxy) endAttemptOn(c *backendConn, res attemptResult, at float64) {
 	a := c.attempt
 	if c.closed || a == nil {
 		return
 	}
-	if res.status == policy.OK && res.probe != (a.request == nil) {
-		c.unusable.Store(true)
-		p.warn("bad reply", "backend", c.endpoint.ID, "why", "a reply to something else")
-		res = spoilt("a reply to something else")
-	}
 	if c.commandWritten.Load() && !c.unusable.Load() {
 		a.conn = nil
 		p.release(c)
@@ -529,6 +513,6 @@
 		if !c.commandWritten.Load() {
 			status = policy.ConnectFailed
 		}
-		p.finishAttempt(a, result{status: status}, at)
+		p.finishAttempt(a, attemptResult{status: status}, at)
 	}
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -242,41 +242,6 @@
 	c.wantValue("the second")
 }
 
-// Guards against good values thrown away for the figures behind them, against figures out of all range,
-// and against values in replies that are none.
-func TestReplies(t *testing.T) {
-	for reply, want := range map[string]struct {
-		status policy.AttemptStatus
-		load   float64 // of the cores, -1: none
-	}{
-		"*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n":           {policy.OK, 0.25},
-		"*3\r\n$1\r\nv\r\n$3\r\n\x00?!\r\n$-1\r\n":                    {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n:7\r\n$3\r\n\x00?!\r\n":                     {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=1e8\r\n":            {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=NaN\r\n":            {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ncpu_share=-1\r\n":             {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$24\r\ncpu_share=0.5,svc_ms=1e9\r\n": {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n":                          {policy.OK, -1},
-		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                                  {policy.Error, -1},
-		"*0\r\n":                                                      {policy.Error, -1},
-		"+OK\r\n":                                                     {policy.Error, -1},
-		"-BUSY cpu_share=0.5\r\n":                                     {policy.Rejected, 0.5},
-		"-BUSYNESS\r\n":                                               {policy.Error, -1},
-	} {
-		if n, err := resp.Frame([]byte(reply)); n != len(reply) || err != nil {
-			t.Fatalf("%q: frame gives %d, %v", reply, n, err)
-		}
-		res := parseReply([]byte(reply))
-		load := -1.0
-		if res.load != nil {
-			load = res.load.Utilization
-		}
-		if res.status != want.status || load != want.load || (res.value != nil) != (want.status == policy.OK) {
-			t.Errorf("%q: got %+v, load %v", reply, res, load)
-		}
-	}
-}
-
 // Guards against a request that runs twice: one whose last byte was just written when its time was up, before
 // the loop knew, may have run and must not be told as one that never did.
 func TestTimeOutAsTheLastByteIsWritten(t *testing.T) {
--- a/internal/proxy/read_ahead.go
+++ b/internal/proxy/read_ahead.go
@@ -46,8 +46,8 @@
 // readAhead takes in what has come without waiting for more, as far as there is room for it. It tells the loop, and
 // returns true, if the connection has ended.
 func (c *clientConn) readAhead(p *Proxy) (ended bool) {
-	for len(c.buffer.b) < maxReadAhead && p.inputBudget.left.Load() > p.inputBudget.readAheadLeft {
-		room := c.buffer.room()
+	for c.buffer.Len() < maxReadAhead && p.inputBudget.AllowsReadAhead() {
+		room := c.buffer.Space()
 		if room == nil {
 			return false
 		}
@@ -61,8 +61,8 @@
 			return true
 		}
 		came := c.arrivals.estimate(c.raw, &p.loopLag, at, at, n == len(room))
-		c.buffer.grew(n)
-		c.arrivals.record(len(c.buffer.b), came)
+		c.buffer.Grow(n)
+		c.arrivals.record(c.buffer.Len(), came)
 		if n < len(room) {
 			return false
 		}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -4,6 +4,7 @@
 	"math"
 	"strconv"
 
+	"reedlead/internal/command"
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
@@ -11,7 +12,7 @@
 
 // request is one that a client has sent and that is owed one final answer.
 type request struct {
-	*call
+	*command.Request
 	client   *clientConn
 	slot     *pipelineSlot
 	cameAt   float64 // when its last byte had come to this machine
@@ -34,11 +35,11 @@
 }
 
 // take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
-func (p *Proxy) take(c *clientConn, q *call, came float64) {
+func (p *Proxy) take(c *clientConn, q *command.Request, came float64) {
 	taken := false
 	defer func() {
 		if !taken {
-			p.inputBudget.give(q.size)
+			p.inputBudget.Release(q.Size)
 		}
 	}()
 	switch {
@@ -59,7 +60,7 @@
 	}
 	taken = true
 	c.overLimit, c.hasSpoken = false, true
-	r := &request{call: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.waitS}
+	r := &request{Request: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.Wait}
 	r.slot.request = r
 	c.pipeline = append(c.pipeline, r.slot)
 	c.lastUsedAt = p.now
@@ -118,7 +119,7 @@
 )
 
 // refuseAtOnce refuses a request that the module never hears of.
-func (p *Proxy) refuseAtOnce(c *clientConn, q *call, why policy.Reason) {
+func (p *Proxy) refuseAtOnce(c *clientConn, q *command.Request, why policy.Reason) {
 	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
 	p.replyAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
 }
@@ -139,8 +140,8 @@
 	r.over = true
 	p.cutOffUnwritten(r)
 	p.stopTimer(r.timer)
-	p.inputBudget.give(r.size)
-	r.args = nil
+	p.inputBudget.Release(r.Size)
+	r.Args = nil
 	p.forget(r)
 }
 
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -49,13 +49,13 @@
 }
 
 // traceEnded logs how an attempt ended.
-func (p *Proxy) traceEnded(a *attempt, res result, at float64) {
+func (p *Proxy) traceEnded(a *attempt, res attemptResult, at float64) {
 	if !p.tracing() || a.request == nil {
 		return
 	}
 	p.log.Debug(
 		traceAttemptEnded, "id", a.request.ID, "attempt", a.number, "status", res.status.String(), "at", at,
-		"malformed", res.spoilt,
+		"malformed", res.malformedText(),
 	)
 }
 
--- /dev/null
+++ b/internal/reply/reply_test.go
@@ -0,0 +1,85 @@
+package reply
+
+import (
+	"testing"
+
+	"reedlead/internal/resp"
+	"reedlead/policy"
+
+	"github.com/tidwall/redcon"
+)
+
+// TestParse guards against good values thrown away for the load report behind them, against figures out of all
+// range, and against values in replies that are none.
+func TestParse(t *testing.T) {
+	const noLoad = -1.0
+	for text, want := range map[string]struct {
+		status      policy.AttemptStatus
+		utilization float64
+		malformed   bool
+	}{
+		"*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n":           {status: policy.OK, utilization: 0.25},
+		"*3\r\n$1\r\nv\r\n$3\r\n\x00?!\r\n$-1\r\n":                    {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n:7\r\n$3\r\n\x00?!\r\n":                     {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=1e8\r\n":            {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=NaN\r\n":            {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ncpu_share=-1\r\n":             {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n$-1\r\n$24\r\ncpu_share=0.5,svc_ms=1e9\r\n": {status: policy.OK, utilization: noLoad},
+		"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n":                          {status: policy.OK, utilization: noLoad},
+		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                                  {malformed: true},
+		"*0\r\n":                                                      {malformed: true},
+		"+OK\r\n":                                                     {malformed: true},
+		"-BUSY cpu_share=0.5\r\n":                                     {status: policy.Rejected, utilization: 0.5},
+		"-BUSYNESS\r\n":                                               {status: policy.Error, utilization: noLoad},
+	} {
+		if n, err := resp.Frame([]byte(text)); n != len(text) || err != nil {
+			t.Fatalf("%q: frame gives %d, %v", text, n, err)
+		}
+		got, err := Parse([]byte(text))
+		if want.malformed {
+			if err == nil || got.Value != nil || got.Load != nil {
+				t.Errorf("%q: got %+v, %v", text, got, err)
+			}
+			continue
+		}
+		utilization := noLoad
+		if got.Load != nil {
+			utilization = got.Load.Utilization
+		}
+		hasValue := got.Value != nil
+		if err != nil || got.Status != want.status || utilization != want.utilization || hasValue != (want.status == policy.OK) {
+			t.Errorf("%q: got %+v, utilization %v, %v", text, got, utilization, err)
+		}
+	}
+}
+
+// FuzzParse guards the readers of backend connections, in which a panic would end the process: what is served is one
+// value that is not null.
+func FuzzParse(f *testing.F) {
+	for _, seed := range []string{
+		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
+		"$3\r\na=1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*0\r\n", "*3\r\n$3000000000\r\n", ":12\r\n", ":-\r\n", "+OK\r\n", "\x00", "$-1\r\n",
+		"*-1\r\n", ":+1\r\n", ":00\r\n",
+	} {
+		f.Add([]byte(seed))
+	}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		n, err := resp.Frame(b)
+		if n < 0 || n > len(b) || n > 0 && err != nil {
+			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+		}
+		if n == 0 {
+			return
+		}
+		got, err := Parse(b[:n])
+		if err == nil && got.Status == policy.OK && !got.HealthCheck {
+			m, value := redcon.ReadNextRESP(got.Value)
+			if m != len(got.Value) || value.Type != redcon.Bulk || value.Data == nil {
+				t.Fatalf("%q is served as %q", b[:n], got.Value)
+			}
+		}
+		if load := got.Load; load != nil && !(load.Utilization <= MaxUtilization && load.ServiceTimeMS <= MaxLoadFigure) {
+			t.Fatalf("load %+v", load)
+		}
+	})
+}
