--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -78,7 +78,7 @@
 	s.duplicateWindowS = duplicateWindowS
 	s.writeSlack = writeSlack
 	s.idleTimeoutS = cfg.Settings.ConnectionIdleTimeout * idleShare
-	timeout := time.Duration(cfg.Settings.DialTimeoutS * float64(time.Second))
+	timeout := cfg.Settings.DialTimeout
 	s.dial = func(addr string) (net.Conn, error) { return calls.dial(addr, timeout) }
 	s.localFaultRetry = min(timeout, maxLocalFaultRetry)
 }
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -90,7 +90,7 @@
 // parseLoadReport reads a load report. It returns nil if there is none, or if any figure of it is out of range: the
 // report was damaged then, and its other figures are worth no more.
 func parseLoadReport(text string) *policy.LoadReport {
-	report, found := settings.NoLoad, false
+	report, found := settings.EmptyLoadReport, false
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		figure, err := strconv.ParseFloat(value, 64)
