--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -96,7 +96,7 @@
 	if got := p.onScheduleUntil(10.61); got != 10 {
 		t.Errorf("right after: %v", got)
 	}
-	if got := p.onScheduleUntil(10.6 + stallMemoryS + lateS/4); got <= 10.6 {
+	if got := p.onScheduleUntil(10.6 + stallMemory + lateS/4); got <= 10.6 {
 		t.Errorf("later: %v", got)
 	}
 }
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -137,10 +137,10 @@
 // hungUp tells that the client has closed its connection, and takes its leave then, once the module's
 // current event is over.
 func (p *Proxy) clientDisconnected(c *clientConn) bool {
-	if c.closed || !closedByPeer(c.raw) {
+	if c.closed || !closedByPeer(c.rawConn) {
 		return c.closed
 	}
-	p.deferred = append(p.deferred, func() { p.abandonClient(c, peerClosed, nil) })
+	p.deferred = append(p.deferred, func() { c.abandon(peerClosed, nil) })
 	return true
 }
 
--- /dev/null
+++ b/internal/proxy/client_read_ahead.go
@@ -0,0 +1,70 @@
+package proxy
+
+import "time"
+
+// While a reader waits for one of its connection's commands to be replied to, it reads ahead. As long as unread bytes
+// fill the socket, the end of the connection behind them does not reach this machine, and open requests would be
+// forwarded for a client that has disconnected.
+
+const (
+	// readAheadEvery is how often a reader that waits looks at its socket.
+	readAheadEvery = 10 * time.Millisecond
+	// maxReadAhead is up to how many unhandled bytes it reads ahead.
+	maxReadAhead = 256 << 10
+	// readAheadBudgetShare is the share of the input budget that is left for others.
+	readAheadBudgetShare = 0.5
+)
+
+// acquirePermit waits until the connection may have another command open, and reads ahead meanwhile; false if the
+// connection has ended.
+func (r *clientReader) acquirePermit() bool {
+	c := r.client
+	select {
+	case c.permits <- struct{}{}:
+		return true
+	default:
+	}
+	look := time.NewTicker(readAheadEvery)
+	defer look.Stop()
+	ended := false
+	for {
+		select {
+		case c.permits <- struct{}{}:
+			return true
+		case <-c.done:
+			return false
+		case <-look.C:
+		}
+		if !ended {
+			ended = r.readAhead()
+		}
+	}
+}
+
+// readAhead reads what has come without waiting, as far as there is room for it. If the connection has ended, it tells
+// the event loop and returns true.
+func (r *clientReader) readAhead() (ended bool) {
+	p, c := r.proxy, r.client
+	for r.buffer.Len() < maxReadAhead && p.inputBudget.AllowsReadAhead() {
+		space := r.buffer.Space()
+		if space == nil {
+			return false
+		}
+		at := p.clock.now()
+		n, err := receiveNow(c.rawConn, space)
+		if scarce(err) {
+			return false
+		}
+		if err != nil {
+			p.post(at, func() { c.abandon(peerClosed, err) })
+			return true
+		}
+		arrived := r.arrivals.estimate(c.rawConn, &p.loopLag, at, at, n == len(space))
+		r.buffer.Grow(n)
+		r.arrivals.record(r.buffer.Len(), arrived)
+		if n < len(space) {
+			return false
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/proxy/client_set.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"time"
+
+	"reedlead/policy"
+)
+
+const (
+	// minClients is the least limit on client connections.
+	minClients = 8
+	// minOverLimit is the least number of connections beyond the limit that are accepted to be rejected.
+	minOverLimit = 2
+	// clientShare and overLimitShare are what client connections may take of the usable descriptors: those within
+	// the limit, and those beyond it.
+	clientShare    = 1.0 / 2
+	overLimitShare = 1.0 / 8
+	// acceptAhead is how many connections may be accepted that the event loop has not handled yet.
+	acceptAhead = 8
+	// commandTimeout is how long a client may take for its first command, and for a command that it has begun. A
+	// reply is owed within 3 s to what can't be read.
+	commandTimeout = 2 * time.Second
+	// clientIdleTimeout is how long a connection may be idle.
+	clientIdleTimeout policy.Seconds = 10
+	// lateClientGrace is the time for a command on a connection that was accepted during a graceful shutdown.
+	lateClientGrace = 100 * time.Millisecond
+
+	// reservedDescriptors is for the listener, discovery with its concurrent polls, peers, the configuration file,
+	// the connections accepted ahead and the runtime; reservedDescriptorShare for connections that are being closed.
+	reservedDescriptors     = 32
+	reservedDescriptorShare = 1.0 / 32
+)
+
+// usableDescriptors is how many descriptors connections may take of those that the process gets. The rest is kept for
+// all that must never wait for one.
+func usableDescriptors(limit int) int {
+	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
+}
+
+// clientSet holds the connections of clients and bounds their number. The event loop owns it, but for places.
+type clientSet struct {
+	proxy              *Proxy
+	conns              map[*clientConn]struct{}
+	limit              int // of open connections; lower than configured while descriptors are short
+	configuredLimit    int
+	overLimitAllowance int // connections beyond the limit that are accepted, to reject their requests with a reply
+	closing            int // open connections whose close was requested
+	// places has an element for each connection. The listener puts it in before it accepts, the event loop takes it
+	// out as it closes the connection.
+	places chan struct{}
+
+	stallTimeout   time.Duration
+	commandTimeout time.Duration // readers use it too
+}
+
+// init sets the limits for a process that gets so many descriptors.
+func (s *clientSet) init(p *Proxy, descriptors int) {
+	usable := usableDescriptors(descriptors)
+	s.proxy = p
+	s.conns = map[*clientConn]struct{}{}
+	s.limit = max(minClients, int(float64(usable)*clientShare))
+	s.configuredLimit = s.limit
+	s.overLimitAllowance = max(minOverLimit, int(float64(usable)*overLimitShare))
+	s.commandTimeout = commandTimeout
+	s.stallTimeout = stallTimeout
+	s.places = make(chan struct{}, s.limit+s.overLimitAllowance+acceptAhead)
+}
+
+// open is the number of open connections.
+func (s *clientSet) open() int { return len(s.conns) }
+
+// staying is the number of connections that are not about to be closed.
+func (s *clientSet) staying() int { return len(s.conns) - s.closing }
+
+// add takes in a connection that the listener has accepted.
+func (s *clientSet) add(c *clientConn) {
+	p := s.proxy
+	c.overLimit = s.makeRoom(c)
+	if c.overLimit && s.staying() >= s.limit+s.overLimitAllowance {
+		p.warn("client rejected: too many connections", "open", s.open())
+		c.close(tooManyConnections, nil)
+		return
+	}
+	c.openedAt, c.lastUsedAt = p.now, p.now
+	s.conns[c] = struct{}{}
+	if p.leaving { // it came before the listener closed, and so does its command
+		p.after(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
+	}
+}
+
+// sweep closes the connections that were idle for too long, so that clients that keep a connection open hold no
+// memory. A client that has never spoken is left to its reader, which owes it an error.
+func (s *clientSet) sweep() {
+	p := s.proxy
+	for c := range s.conns {
+		if c.hasSpoken && c.idle() && p.now-c.lastUsedAt > clientIdleTimeout {
+			c.requestClose(idleTimeout)
+		}
+		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
+		if c.pipeline.unfinished() >= maxPipelined && closedByPeer(c.rawConn) {
+			c.abandon(peerClosed, nil)
+		}
+	}
+	s.enforceLimit() // no newcomer may come that would make room
+}
+
+// enforceLimit closes idle connections while more are open than the limit.
+func (s *clientSet) enforceLimit() {
+	if s.staying() > s.limit {
+		s.makeRoom(nil)
+	}
+}
+
+// closeIdle closes each connection that waits for no reply.
+func (s *clientSet) closeIdle() {
+	for c := range s.conns {
+		if c.idle() {
+			c.requestClose(draining)
+		}
+	}
+}
+
+// makeRoom closes connections, those of the lowest eviction rank first, until no more are open than the limit. The
+// newcomer, which may be nil, is not counted. It tells whether too many are open all the same.
+func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
+	for {
+		candidate, others := s.evictionCandidate(newcomer)
+		switch {
+		case others < s.limit:
+			return false
+		case candidate == nil:
+			return true
+		case candidate.writing:
+			candidate.abandon(evicted, nil)
+		default:
+			candidate.requestClose(evicted)
+		}
+	}
+}
+
+// evictionCandidate is the connection to close next to make room: of the lowest rank the one unused for longest, nil
+// if there is none. others is the number of connections that stay open beside the newcomer.
+func (s *clientSet) evictionCandidate(newcomer *clientConn) (candidate *clientConn, others int) {
+	var lowest evictionRank
+	for c := range s.conns {
+		if c == newcomer || c.closeRequested {
+			continue
+		}
+		others++
+		if !c.idle() && !c.stalled(s.proxy.now) {
+			continue
+		}
+		rank := c.evictionRank()
+		if candidate == nil || rank < lowest || rank == lowest && c.lastUsedAt < candidate.lastUsedAt {
+			candidate, lowest = c, rank
+		}
+	}
+	return candidate, others
+}
+
+// evictionRank orders the connections that may be closed to make room; the lowest goes first.
+type evictionRank int
+
+const (
+	rankLastReplyQueued evictionRank = iota // its last reply was written or is being written
+	rankNeverSpoken                         // nothing has come on it
+	rankIdle                                // it waits for nothing
+	// rankUnhandledInput has a first command on its way: it could not be closed, and others would have to wait for
+	// that.
+	rankUnhandledInput
+	rankStalled // it takes nothing of its replies
+)
+
+// evictionRank is the rank of a connection that is idle or stalled.
+func (c *clientConn) evictionRank() evictionRank {
+	switch {
+	case c.writing:
+		return rankStalled
+	case c.pipeline.lastReplyQueued:
+		return rankLastReplyQueued
+	case c.hasSpoken:
+		return rankIdle
+	case c.hasReceived.Load() || !noDataPending(c.rawConn):
+		return rankUnhandledInput
+	}
+	return rankNeverSpoken
+}
--- /dev/null
+++ b/internal/proxy/client_writer.go
@@ -0,0 +1,134 @@
+package proxy
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"reedlead/internal/readbuf"
+	"reedlead/policy"
+)
+
+const (
+	// stallTimeout is how long a client may take nothing of a reply that its socket has no room for. A close under a
+	// reply loses it, so this is long; such a client makes room for others earlier.
+	stallTimeout = 30 * time.Second
+	// stalledAfter is the time without progress after which a client may be closed to make room for others.
+	stalledAfter policy.Seconds = 5
+	// maxKeptOutput is the largest buffer in bytes that is kept for the next reply.
+	maxKeptOutput = 4 * readbuf.Size
+)
+
+// flush writes the replies that are due, in the order of their commands. Event loop only.
+func (c *clientConn) flush() {
+	if c.closed {
+		return
+	}
+	replies, size := c.pipeline.queueDue()
+	if replies == 0 {
+		return
+	}
+	c.lastUsedAt, c.usedSinceRequest = c.proxy.now, true
+	if !c.writing {
+		c.writePending()
+	} else if !c.reserveOutput(size) {
+		c.abandon(memoryBudget, nil)
+	}
+}
+
+// reserveOutput reserves n bytes of the budget for what the client has not read.
+func (c *clientConn) reserveOutput(n int) bool {
+	if !c.proxy.inputBudget.Reserve(n) {
+		return false
+	}
+	c.reservedOutput += n
+	return true
+}
+
+// recordWritten notes that the socket has taken n more bytes, and gives back the permits of the replies that are
+// complete.
+func (c *clientConn) recordWritten(n int) {
+	for range c.pipeline.recordWritten(n) {
+		select {
+		case <-c.permits:
+		default: // its command never took one
+		}
+	}
+}
+
+// writePending writes what is pending: at once what the socket takes, and the rest on a writer goroutine. Event loop
+// only.
+func (c *clientConn) writePending() {
+	p := c.proxy
+	p.inputBudget.Release(c.reservedOutput)
+	c.reservedOutput = 0
+	pending := c.pipeline.pending
+	n, err := p.calls.writeNow(c.rawConn, pending)
+	if err != nil {
+		c.abandon(writeFailed, err)
+		return
+	}
+	c.recordWritten(n)
+	rest := pending[n:]
+	if len(rest) == 0 {
+		if c.pipeline.pending = pending[:0]; cap(pending) > maxKeptOutput {
+			c.pipeline.pending = nil
+		}
+		c.allWritten()
+		return
+	}
+	if !c.reserveOutput(len(rest)) {
+		c.abandon(memoryBudget, nil)
+		return
+	}
+	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
+	c.writing, c.pipeline.pending = true, nil
+	c.startWriter(rest)
+}
+
+// startWriter starts the writer goroutine with what the socket has no room for.
+func (c *clientConn) startWriter(rest []byte) {
+	p := c.proxy
+	progressed := func() { c.writeProgressAt.store(p.clock.now()) }
+	progressed()
+	stall := p.clients.stallTimeout
+	go func() {
+		err := p.calls.writeAll(c.conn, c.rawConn, rest, stall, progressed)
+		p.post(p.clock.now(), func() { c.writeFinished(len(rest), err) })
+	}()
+}
+
+// writeFinished handles the end of the writer goroutine, which had n bytes to write. Event loop only.
+func (c *clientConn) writeFinished(n int, err error) {
+	c.writing = false
+	switch {
+	case c.closed:
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		c.abandon(unreadAnswers, err)
+	case err != nil:
+		c.abandon(writeFailed, err)
+	default:
+		c.recordWritten(n)
+		c.writePending()
+	}
+}
+
+// allWritten ends a connection on which nothing more is owed, if it is to end.
+func (c *clientConn) allWritten() {
+	switch lastWritten := c.pipeline.lastReplyQueued; {
+	case lastWritten && !c.lingerDone:
+		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
+	case lastWritten:
+		c.close(lastAnswerWritten, nil)
+	case c.proxy.leaving && len(c.pipeline.slots) == 0:
+		c.requestClose(draining)
+	}
+}
+
+// stalled tells whether the client has taken nothing of its replies for long.
+func (c *clientConn) stalled(now policy.Seconds) bool {
+	return c.writing && now-c.writeProgressAt.load() > stalledAfter
+}
+
+// owed are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
+func (c *clientConn) owed() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/client_write_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -28,7 +28,7 @@
 
 // TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
-	p := &Proxy{calls: realCalls()}
+	calls := realCalls()
 	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -36,14 +36,14 @@
 	}
 	const stall = 20 * time.Millisecond
 	go io.Copy(io.Discard, far)
-	if err := p.writeAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
+	if err := calls.writeAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.writeAll(near, raw, []byte("short"), stall, func() {}); err != nil {
+	if err := calls.writeAll(near, raw, []byte("short"), stall, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * stall) // the deadline of that write has passed by now
-	if n, err := p.writeNow(raw, []byte("x")); n != 1 || err != nil {
+	if n, err := calls.writeNow(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("the loop's write: %d, %v", n, err)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
@@ -55,7 +55,7 @@
 // against one that never ends.
 func TestWriteAllGoesByProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
-	p := &Proxy{calls: realCalls()}
+	calls := realCalls()
 	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	done, progressed := make(chan error, 1), make(chan struct{}, 1<<10)
 	go func() {
-		done <- p.writeAll(near, raw, make([]byte, 64<<20), stall, func() {
+		done <- calls.writeAll(near, raw, make([]byte, 64<<20), stall, func() {
 			select {
 			case progressed <- struct{}{}:
 			default:
@@ -116,12 +116,12 @@
 	}
 	r.onLoop(func() { // the third one waits for an answer, the stuck one has taken nothing for long
 		r.writingClient().writeProgressAt.store(0)
-		for c := range r.proxy.clients.all {
+		for c := range r.proxy.clients.conns {
 			if !c.writing {
-				c.pipeline = append(c.pipeline, &pipelineSlot{})
+				c.pipeline.add(&pipelineSlot{})
 			}
 		}
-		if r.proxy.clients.makeRoom(r.proxy, nil) {
+		if r.proxy.clients.makeRoom(nil) {
 			t.Error("the stalled client made no room")
 		}
 	})
@@ -129,7 +129,7 @@
 
 // writing is the client whose socket is full; on the loop.
 func (r *harness) writingClient() *clientConn {
-	for c := range r.proxy.clients.all {
+	for c := range r.proxy.clients.conns {
 		if c.writing {
 			return c
 		}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -55,7 +55,7 @@
 		io.WriteString(c, "*1")
 		r.eventually("the error waits", func() bool {
 			q := r.proxy.requests["a"]
-			return q != nil && len(q.client.pipeline) == 2
+			return q != nil && len(q.client.pipeline.slots) == 2
 		})
 		r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
 		if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || b != want || c.readLine() != "" {
@@ -126,7 +126,7 @@
 	receive(t, r.decider.requests)
 	idle.send("PING")
 	idle.readLine()
-	r.onLoop(func() { r.proxy.now += clientIdleTimeoutS + 1; r.proxy.clients.sweep(r.proxy) })
+	r.onLoop(func() { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() })
 	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -44,6 +44,6 @@
 		}
 	}
 	s.limit = max(minClients, min(s.limit, s.staying()-n))
-	s.makeRoom(p, nil)
+	s.makeRoom(nil)
 	return true
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -16,7 +16,7 @@
 
 // one is the connection of the only client.
 func (r *harness) onlyClient() (c *clientConn) {
-	for c = range r.proxy.clients.all {
+	for c = range r.proxy.clients.conns {
 	}
 	return c
 }
@@ -26,10 +26,10 @@
 func TestACommandThatWasReadOutlastsTheClose(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
 		"drain": func(r *harness) { r.proxy.leave() },
-		"idle":  func(r *harness) { r.proxy.now += clientIdleTimeoutS + 1; r.proxy.clients.sweep(r.proxy) },
+		"idle":  func(r *harness) { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() },
 		"evicted": func(r *harness) {
 			r.proxy.clients.limit = 1
-			r.proxy.clients.makeRoom(r.proxy, nil)
+			r.proxy.clients.makeRoom(nil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	}
 	all := encodeCommand(lookCommand("a")...)
 	io.WriteString(c, all[:20])
-	r.eventually("half of it is read", func() bool { return noDataPending(r.onlyClient().raw) })
+	r.eventually("half of it is read", func() bool { return noDataPending(r.onlyClient().rawConn) })
 	r.onLoop(r.proxy.leave)
 	r.eventually("the reader goes on", func() bool { return r.onlyClient() == nil || !r.onlyClient().closeRequested })
 	io.WriteString(c, all[20:])
@@ -163,7 +163,7 @@
 func TestACloseDestroysNoAnswer(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
 		"drain":   func(r *harness) { r.proxy.leave() },
-		"evicted": func(r *harness) { r.proxy.clients.limit = 1; r.proxy.clients.makeRoom(r.proxy, nil) },
+		"evicted": func(r *harness) { r.proxy.clients.limit = 1; r.proxy.clients.makeRoom(nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -151,7 +151,7 @@
 	t.Cleanup(func() {
 		cancel()
 		r.onLoop(func() {
-			p.clients.all = map[*clientConn]struct{}{}
+			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests = map[string]*request{}
 			p.leaving, p.accepted = true, true
 		})
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -158,7 +158,7 @@
 	p.readyAt = p.now + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.clients.init(cfg.Sockets)
+	p.clients.init(p, cfg.Sockets)
 	p.endpoints.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
@@ -199,7 +199,7 @@
 	p.every(sweepEvery, func() {
 		p.starts.sample(p.clock.now(), p.clock.wall())
 		p.endpoints.sweep(p)
-		p.clients.sweep(p)
+		p.clients.sweep()
 		p.checkDescriptors()
 	})
 	p.loop(ctx)
@@ -260,7 +260,7 @@
 func (p *Proxy) leave() {
 	p.leaving = true
 	p.listener.SetDeadline(time.Now())
-	p.clients.closeIdle(p)
+	p.clients.closeIdle()
 }
 
 // drainTimeout is how long after the signal a drain may take.
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -209,7 +209,7 @@
 		gone := func(r *harness, id string) func() bool {
 			q := (*request)(nil)
 			r.onLoop(func() { q = r.proxy.requests[id] })
-			return func() bool { return closedByPeer(q.client.raw) }
+			return func() bool { return closedByPeer(q.client.rawConn) }
 		}
 		nothing := func(t *testing.T, r *harness, conns chan *testConn, id string) {
 			t.Helper()
@@ -245,14 +245,14 @@
 			c.readLine()
 			var raw *clientConn
 			r.onLoop(func() {
-				for raw = range r.proxy.clients.all {
+				for raw = range r.proxy.clients.conns {
 				}
 			})
 			var args [][]byte
 			for _, arg := range lookCommand("a") {
 				args = append(args, []byte(arg))
 			}
-			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return closedByPeer(raw.raw) }, func() {
+			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return closedByPeer(raw.rawConn) }, func() {
 				request, err := command.NewParser(r.proxy.cfg.Settings.Settings).Parse(args)
 				if err != nil {
 					t.Error(err)
@@ -300,12 +300,12 @@
 			c.readLine()
 			var raw *clientConn
 			r.onLoop(func() {
-				for raw = range r.proxy.clients.all {
+				for raw = range r.proxy.clients.conns {
 				}
 			})
 			r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
 				c.disconnect(how)
-				for end := time.Now().Add(patience); !closedByPeer(raw.raw) && time.Now().Before(end); {
+				for end := time.Now().Add(patience); !closedByPeer(raw.rawConn) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 				for at := r.proxy.clock.now(); r.proxy.clock.now()-at <= lateS; { // the command has waited for longer than that
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -197,38 +197,6 @@
 	return nil
 }
 
-// silent tells that a connection is open and that no byte waits on it.
-func noDataPending(raw syscall.RawConn) bool {
-	var one [1]byte
-	err := error(nil)
-	closed := raw.Control(func(fd uintptr) {
-		_, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	})
-	return closed == nil && (err == syscall.EAGAIN || err == syscall.EINTR)
-}
-
-// closedByPeer tells that the other end has closed a connection, or reset it, also while bytes of it are
-// still unread here.
-func closedByPeer(raw syscall.RawConn) (gone bool) {
-	raw.Control(func(fd uintptr) {
-		// The first byte of the struct is the state.
-		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
-		switch info & 0xff {
-		case tcpClose, tcpCloseWait, tcpLastAck, tcpClosing:
-			gone = err == nil
-		}
-	})
-	return gone
-}
-
-// States of a connection that its other end has closed (tcp_states.h).
-const (
-	tcpClose     = 7
-	tcpCloseWait = 8
-	tcpLastAck   = 9
-	tcpClosing   = 11
-)
-
 // dialFor has the attempt wait for a new connection; false if there may be no more of them.
 func (p *Proxy) awaitDial(a *attempt) bool {
 	if p.endpoints.openConns >= p.endpoints.limit && !p.evictIdle() {
@@ -349,7 +317,7 @@
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
 	c.writeStartedAt.store(from)
-	n, err := p.writeNow(c.raw, b)
+	n, err := p.calls.writeNow(c.raw, b)
 	switch {
 	case err != nil:
 		p.closeBackendConn(c, writeFailed, err)
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -31,22 +31,6 @@
 	notUsable      closeReason = "not_usable"       // broken, used up, or no longer where its backend stands
 )
 
-// owed are the ids of the requests of a client that have no final answer yet, with those whose answer is
-// known but not wholly written.
-func (c *clientConn) owed() (ids []string) {
-	for _, u := range c.unwritten {
-		if u.requestID != "" {
-			ids = append(ids, u.requestID)
-		}
-	}
-	for _, s := range c.pipeline {
-		if s.request != nil {
-			ids = append(ids, s.request.ID)
-		}
-	}
-	return ids
-}
-
 // logClientClosed tells why a client's connection ended. Lines about connections on which nothing was owed may
 // be thinned, those about others never.
 func (p *Proxy) logClientClosed(c *clientConn, why closeReason, err error) {
@@ -55,7 +39,7 @@
 		attrs = append(attrs, "error", err)
 	}
 	owed := c.owed()
-	unwritten := c.reservedOutput + len(c.pending)
+	unwritten := c.reservedOutput + len(c.pipeline.pending)
 	if len(owed) == 0 && unwritten == 0 {
 		p.log.Debug("client connection closed", attrs...)
 		return
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -60,7 +60,7 @@
 	idle := r.client()
 	idle.send("PING")
 	idle.readLine()
-	r.onLoop(func() { r.proxy.now += clientIdleTimeoutS + 1; r.proxy.clients.sweep(r.proxy) })
+	r.onLoop(func() { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() })
 	log.line(t, "level=DEBUG", "client connection closed", "connection=2", "reason=idle_timeout")
 
 	rejectEachRequest(r)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -28,10 +28,10 @@
 // place when discovery is back.
 func (p *Proxy) ping(c *clientConn) {
 	if !p.endpoints.hasInService() && p.now < p.readyAt {
-		p.replyAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
+		c.replyAtOnce(redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
-	p.replyAtOnce(c, redcon.AppendString(nil, "PONG"), false)
+	c.replyAtOnce(redcon.AppendString(nil, "PONG"), false)
 }
 
 // take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
@@ -48,11 +48,11 @@
 	case p.stopped:
 		p.refuseAtOnce(c, q, processEnds)
 		return
-	case c.overLimit && p.clients.makeRoom(p, c):
+	case c.overLimit && p.clients.makeRoom(c):
 		p.refuseAtOnce(c, q, connectionsUsedUp)
 		return
 	case p.requests[q.ID] != nil:
-		p.replyAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
+		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
 		return
 	case p.cfg.Settings.MaxOpenRequests > 0 && len(p.requests) >= p.cfg.Settings.MaxOpenRequests:
 		p.refuseAtOnce(c, q, tooManyHeld)
@@ -62,7 +62,7 @@
 	c.overLimit, c.hasSpoken = false, true
 	r := &request{Request: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.Wait}
 	r.slot.request = r
-	c.pipeline = append(c.pipeline, r.slot)
+	c.pipeline.add(r.slot)
 	c.lastUsedAt = p.now
 	p.requests[q.ID] = r
 	p.traceAcceptedRequest(r)
@@ -121,7 +121,7 @@
 // refuseAtOnce refuses a request that the module never hears of.
 func (p *Proxy) refuseAtOnce(c *clientConn, q *command.Request, why policy.Reason) {
 	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
-	p.replyAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
+	c.replyAtOnce(p.busy(p.cfg.Settings.MaxRetryAfter), false)
 }
 
 // answer gives the final answer, the first time that it is called for a request, and why it is no value.
@@ -132,7 +132,7 @@
 	r.slot.reply = answer
 	p.traceReply(r, answer, why)
 	p.end(r)
-	p.flushReplies(r.client)
+	r.client.flush()
 }
 
 // end notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
@@ -179,15 +179,15 @@
 			p.decider.HandleClientGone(p.now, r.ID)
 		}
 	}
-	p.clients.closeIdle(p)
+	p.clients.closeIdle()
 	p.after(drainSpare.Seconds()/2, func() {
-		for c := range p.clients.all {
-			p.shutDownSending(c)
+		for c := range p.clients.conns {
+			c.shutDownSending()
 		}
 	})
 	p.after(drainSpare.Seconds()*3/4, func() {
-		for c := range p.clients.all {
-			p.closeClient(c, drainDeadline, nil)
+		for c := range p.clients.conns {
+			c.close(drainDeadline, nil)
 		}
 		p.accepted = true // else its place is taken, and SIGKILL comes
 	})
--- /dev/null
+++ b/internal/proxy/socket_io.go
@@ -0,0 +1,112 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// Reads, writes and looks at sockets that do not wait. The event loop makes them on connections whose deadlines belong
+// to other goroutines.
+
+// writeSlice is how long one write waits before it is looked at whether the other end has taken anything.
+const writeSlice = time.Second
+
+// writeAll writes all of b, for as long as the other end takes some of it within each stall timeout; progressed is
+// called when it has. No deadline outlives it. A deadline that has passed while this process stood still is no stall:
+// the socket is asked before that is returned, as an error that is os.ErrDeadlineExceeded.
+func (s *systemCalls) writeAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
+	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // it fails on a closed connection alone
+	lastProgress := time.Now()
+	for {
+		_ = conn.SetWriteDeadline(time.Now().Add(min(writeSlice, stall))) // where it fails, so does the write
+		n, err := conn.Write(b)
+		if b = b[n:]; err == nil {
+			return nil
+		}
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return err
+		}
+		more, failed := s.writeNow(raw, b)
+		if failed != nil {
+			return failed
+		}
+		b = b[more:]
+		switch {
+		case len(b) == 0:
+			return nil
+		case n+more > 0:
+			lastProgress = time.Now()
+			progressed()
+		case time.Since(lastProgress) >= stall:
+			return err
+		}
+	}
+}
+
+// writeNow writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
+// connection.
+func (s *systemCalls) writeNow(raw syscall.RawConn, b []byte) (n int, err error) {
+	closed := raw.Control(func(fd uintptr) { n, err = s.write(int(fd), b) })
+	switch {
+	case closed != nil:
+		return 0, closed
+	case scarce(err):
+		return 0, nil
+	}
+	return max(n, 0), err
+}
+
+// receiveNow reads what has come on a connection, without waiting; io.EOF at its end.
+func receiveNow(raw syscall.RawConn, b []byte) (n int, err error) {
+	closed := raw.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
+	})
+	switch {
+	case closed != nil:
+		return 0, closed
+	case err == nil && n == 0:
+		return 0, io.EOF
+	}
+	return max(n, 0), err
+}
+
+// noDataPending tells whether a connection is open and no byte waits on it.
+func noDataPending(raw syscall.RawConn) bool {
+	var one [1]byte
+	var err error
+	closed := raw.Control(func(fd uintptr) {
+		_, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return closed == nil && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
+}
+
+// The states of a connection that its other end has closed, as the kernel numbers them (tcp_states.h).
+const (
+	tcpClose     = 7
+	tcpCloseWait = 8
+	tcpLastAck   = 9
+	tcpClosing   = 11
+)
+
+// tcpStateMask leaves the state of a connection, which is the first byte of its TCP_INFO.
+const tcpStateMask = 0xff
+
+// closedByPeer tells whether the other end has closed a connection, or reset it, also while bytes that it has sent
+// before are unread here.
+func closedByPeer(raw syscall.RawConn) (closed bool) {
+	failed := raw.Control(func(fd uintptr) {
+		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+		if err != nil {
+			return
+		}
+		switch info & tcpStateMask {
+		case tcpClose, tcpCloseWait, tcpLastAck, tcpClosing:
+			closed = true
+		}
+	})
+	return failed == nil && closed // it fails on a connection that this side has closed
+}
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -44,7 +44,7 @@
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
 		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
 		"arrived", a.request.cameAt, "write_started", writeStarted, "at", at,
-		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", closedByPeer(a.request.client.raw),
+		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", closedByPeer(a.request.client.rawConn),
 	)
 }
 
