--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 
@@ -153,9 +155,9 @@
 	addr, conns := listenBackend(t)
 	for name, change := range map[string]func(*harness){
 		"draining": func(r *harness) {
-			r.proxy.takeList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}})
+			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}})
 		},
-		"gone": func(r *harness) { r.proxy.takeList(targets{Full: true}) },
+		"gone": func(r *harness) { r.proxy.applyList(discovery.List{Full: true}) },
 		"over": func(r *harness) { r.proxy.Reject("a", 0, policy.QuotaExceeded) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,7 +179,7 @@
 				t.Errorf("got %+v", o)
 			}
 			b := receive(t, conns)
-			r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+			r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
 			if got := b.readCommand(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/settings"
 	"reedlead/policy"
 
@@ -114,7 +116,7 @@
 		}},
 	}
 	for i, addr := range backends {
-		c.Known.Servers = append(c.Known.Servers, target{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
+		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
 	}
 	c.Known.Full = true
 	return c
@@ -130,10 +132,10 @@
 	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan Config)}
 	p.endpoints.duplicateWindowS = 0 // the tests' answers are alike
 	p.endpoints.writeSlack = 3600
-	p.askAgain = time.Hour // a test that is slow is asked once
+	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
 	quiet := make(chan struct{})
 	if cfg.Discovery == unreachableAgent { // asked once, so that no event comes of it later
-		p.pause = func(time.Duration) <-chan time.Time {
+		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
 		}
@@ -323,7 +325,7 @@
 	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent {
 		r.t.Errorf("got %+v", o)
 	}
-	r.onLoop(func() { r.proxy.takeList(targets{Full: true}) })
+	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) })
 	if got := b.readCommand(); got != nil {
 		r.t.Errorf("the backend got %q", got)
 	}
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"reedlead/internal/command"
+	"reedlead/internal/discovery"
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -122,7 +123,7 @@
 				b = receive(t, conns)
 				r.onLoop(func() {
 					be := r.proxy.endpoints.byID["s0"]
-					c := &backendConn{endpoint: be, dialedAs: be.target, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
+					c := &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
 					c.raw, _ = c.conn.SyscallConn()
 					be.idle = append(be.idle, c)
 					r.proxy.endpoints.openConns++
@@ -188,7 +189,7 @@
 		t.Errorf("got %+v", o)
 	}
 	first.conn.writeMu.Unlock()
-	r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
 	if got := receive(t, others).readCommand(); got != nil {
 		t.Errorf("the copy was sent: %q", got)
 	}
@@ -287,7 +288,7 @@
 			io.WriteString(b, "-ERR failed\r\n")
 			receive(t, r.decider.outcomes)
 			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
-				r.proxy.takeList(targets{Full: true, Servers: []target{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
+				r.proxy.applyList(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "in_service", StartedMS: 1}}})
 				r.proxy.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
@@ -339,7 +340,7 @@
 				t.Errorf("got %+v", o)
 			}
 			b := receive(t, conns)
-			r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+			r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
 			if got := b.readCommand(); got != nil {
 				t.Errorf("the backend got %q", got)
 			}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -10,6 +10,7 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/discovery"
 	"reedlead/internal/readbuf"
 	"reedlead/internal/reply"
 	"reedlead/internal/resp"
@@ -50,7 +51,7 @@
 
 // backend is a backend of the list and its connections.
 type endpoint struct {
-	target
+	discovery.Endpoint
 	state   policy.EndpointState
 	idle    []*backendConn // least idle last
 	waiting []*attempt     // for a dial, oldest first
@@ -95,9 +96,9 @@
 
 // apply takes in a list or a change of it. A send that waits for a dial to a backend that may get
 // nothing new is given back to the module at once.
-func (s *endpointSet) apply(p *Proxy, t targets) {
+func (s *endpointSet) apply(p *Proxy, list discovery.List) {
 	listed := map[string]bool{}
-	for _, e := range t.Servers {
+	for _, e := range list.Endpoints {
 		listed[e.ID] = true
 		be := s.byID[e.ID]
 		if be == nil {
@@ -105,13 +106,14 @@
 			s.byID[e.ID] = be
 		}
 		moved := be.Addr != e.Addr || be.StartedMS != e.StartedMS
-		be.target, be.state = e, targetStates[e.State]
+		be.Endpoint = e
+		be.state, _ = e.State.Policy()
 		if moved || be.state != policy.InService {
 			s.retire(p, be)
 		}
 	}
 	for id, be := range s.byID {
-		if t.Full && !listed[id] {
+		if list.Full && !listed[id] {
 			be.state = policy.Removed
 			s.retire(p, be)
 		}
@@ -160,7 +162,7 @@
 // backConn is a connection to a backend. It carries one attempt at a time.
 type backendConn struct {
 	endpoint       *endpoint
-	dialedAs       target // as the backend stood when it was dialled
+	dialedAs       discovery.Endpoint // as the backend stood when it was dialled
 	conn           connection
 	raw            syscall.RawConn
 	awaitingReply  atomic.Bool // a reply is expected
@@ -205,12 +207,12 @@
 	a.endpoint.waiting = append(a.endpoint.waiting, a)
 	a.endpoint.dials++
 	p.endpoints.openConns++
-	go p.dial(a.endpoint, a.endpoint.target)
+	go p.dial(a.endpoint, a.endpoint.Endpoint)
 	return true
 }
 
 // dial makes one connection. Its goroutine ends with the dial's time-out at the latest.
-func (p *Proxy) dial(be *endpoint, at target) {
+func (p *Proxy) dial(be *endpoint, at discovery.Endpoint) {
 	from := p.clock.now()
 	conn, err := p.endpoints.dial(at.Addr)
 	for first := true; ownFault(err) && p.clock.now()-from < p.endpoints.localFaultRetry.Seconds(); first = false {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -38,7 +40,7 @@
 			var c *backendConn
 			r.onLoop(func() { // a pooled connection whose reader has not run yet
 				be := r.proxy.endpoints.byID["s0"]
-				c = &backendConn{endpoint: be, dialedAs: be.target, conn: mine.(*net.TCPConn)}
+				c = &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn)}
 				c.raw, _ = c.conn.SyscallConn()
 				c.idleSince = r.proxy.now
 				be.idle = append(be.idle, c)
@@ -136,9 +138,9 @@
 func TestMovedBackendsConnectionsAreNotPooled(t *testing.T) {
 	from, old := listenBackend(t)
 	to, moved := listenBackend(t)
-	for name, change := range map[string]func(*target){
-		"moved":     func(e *target) { e.Addr = to },
-		"restarted": func(e *target) { e.StartedMS = 5 },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"moved":     func(e *discovery.Endpoint) { e.Addr = to },
+		"restarted": func(e *discovery.Endpoint) { e.StartedMS = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startProxy(t, testConfig(from), sendEachRequest(0))
@@ -147,9 +149,9 @@
 			b := receive(t, old)
 			b.readCommand()
 			r.onLoop(func() {
-				e := r.proxy.endpoints.byID["s0"].target
+				e := r.proxy.endpoints.byID["s0"].Endpoint
 				change(&e)
-				r.proxy.takeList(targets{Servers: []target{e}})
+				r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
 			})
 			io.WriteString(b, valueReply)
 			c.wantValue("the answer that was out")
@@ -171,9 +173,9 @@
 // Guards against a repeat that reaches another group than the one for which it was chosen: a list changes
 // the group of its backend while it waits for a dial.
 func TestNoSendFromADialToAnotherGroup(t *testing.T) {
-	for name, change := range map[string]func(*target){
-		"zone": func(e *target) { e.Zone = "b" },
-		"cell": func(e *target) { e.Cell = 7 },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"zone": func(e *discovery.Endpoint) { e.Zone = "b" },
+		"cell": func(e *discovery.Endpoint) { e.Cell = 7 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenBackend(t)
@@ -189,9 +191,9 @@
 			r.client().send(lookCommand("a")...)
 			receive(t, r.decider.requests)
 			r.onLoop(func() {
-				e := r.proxy.endpoints.byID["s0"].target
+				e := r.proxy.endpoints.byID["s0"].Endpoint
 				change(&e)
-				r.proxy.takeList(targets{Servers: []target{e}})
+				r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
 			})
 			close(free)
 			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/discovery"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -42,7 +44,7 @@
 	}
 	b := receive(t, conns)
 	r.eventually("the connection rests", func() bool { return len(r.proxy.endpoints.byID["s0"].idle) == 1 })
-	r.onLoop(func() { r.proxy.takeList(targets{Full: true}) }) // closes the pool
+	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
 	if got := b.readCommand(); got != nil {
 		t.Errorf("the backend got %q", got)
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -112,15 +112,6 @@
 	}
 }
 
-// verdict is what quota and ceiling say of a first send.
-type admission int
-
-const (
-	rejectRequest admission = iota
-	admitRequest
-	askOwner // the owner is asked
-)
-
 // newCustomer is a customer as a gateway knows it when it is first heard of: with a full window, but
 // an empty split of its ceiling, filling since this gateway's start.
 func (g *Gateway) newCustomer(key uint32, p *plan) *customer {
@@ -138,7 +129,7 @@
 // request waits for the owner's word, which is the post's own call.
 func (g *Gateway) admit(r *request) admission {
 	c, p := r.customer, r.plan
-	if g.owner(c) == g.settings.Self && g.hasCapacity(g.ledger(c), c, r.Units, r.cheapness) &&
+	if g.owner(c) == g.settings.Self && g.hasCapacity(g.ledger(c), c, r.Units, r.priorityDeficit) &&
 		(g.ceilingHasCapacity(c, r.Units) || g.ceilingPoolHasCapacity(c, r.Units)) {
 		return admitRequest
 	} else if g.owner(c) == g.settings.Self {
@@ -155,7 +146,7 @@
 	}
 	need := r.Units
 	if mine+c.othersDemand > p.Rate {
-		need += r.cheapness * cheapReserveFraction * p.Burst
+		need += r.priorityDeficit * cheapReserveFraction * p.Burst
 	}
 	switch old := !c.heardFromOwner || age > grantFreshness; {
 	case p.Rate == 0:
