--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"reedlead/internal/discovery"
-
+	"reedlead/internal/readbuf"
 	"reedlead/policy"
 )
 
@@ -89,33 +89,33 @@
 	events chan event
 	done   chan struct{} // closed when the loop has ended
 
-	decider  decider
-	now      float64 // what the module was last told; never goes back
-	timers   timerHeap
-	wake     *time.Timer
-	wakeAt   float64
-	pace     pace
-	deferred []func() // outcomes that an action yielded, for when its event method has returned
-	logLimit logLimiter
-	bytes    []byte // of the command that is being written
-	input    budget // what clients and backends have sent and nobody has used up yet; of all goroutines
-
-	acceptFor time.Duration     // how long after the signal new connections are taken
-	drainFor  time.Duration     // and when all is answered at the latest
-	discovery discovery.Options // but for what followDiscovery adds
-	calls     systemCalls
-	turn      func()       // lets readers run
-	spare     func() error // tells whether a descriptor is to be had
-	starts    discovery.StartTimes
-	listener  *net.TCPListener
-	clients   clientSet
-	requests  map[string]*request
-	backends  backendSet
-	peers     *peerLink
-	leaving   bool    // connections close between requests
-	accepted  bool    // the listener is closed, all that came there was accepted
-	stopped   bool    // what comes now is refused at once
-	readyAt   float64 // when it is ready without a backend
+	decider       decider
+	now           float64 // what the module was last told; never goes back
+	timers        timerHeap
+	wake          *time.Timer
+	wakeAt        float64
+	loopLag       loopLag
+	deferred      []func() // outcomes that an action yielded, for when its event method has returned
+	logLimit      logLimiter
+	commandBuffer []byte          // of the command that is being written
+	inputBudget   *readbuf.Budget // what clients and backends have sent and nobody has used up yet; of all goroutines
+
+	acceptFor       time.Duration     // how long after the signal new connections are taken
+	drainFor        time.Duration     // and when all is answered at the latest
+	discovery       discovery.Options // but for what followDiscovery adds
+	calls           systemCalls
+	turn            func()       // lets readers run
+	probeDescriptor func() error // tells whether a descriptor is to be had
+	starts          discovery.StartTimes
+	listener        *net.TCPListener
+	clients         clientSet
+	requests        map[string]*request
+	endpoints       endpointSet
+	peers           *peerLink
+	leaving         bool    // connections close between requests
+	accepted        bool    // the listener is closed, all that came there was accepted
+	stopped         bool    // what comes now is refused at once
+	readyAt         float64 // when it is ready without a backend
 }
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
@@ -142,15 +142,15 @@
 		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes),
 		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 		calls:     calls,
-		turn:      func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
+		turn:      func() { time.Sleep(readersTurn) }, probeDescriptor: probeDescriptor,
 	}
 	p.now = p.clock.now()
 	p.starts.Sample(p.now, p.clock.wall())
 	p.readyAt = p.now + readyTimeout.Seconds()
-	p.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
-	p.input.readAheadLeft = int64(float64(p.input.left.Load()) * readAheadBudgetShare)
-	p.clients.init(cfg.Sockets)
-	p.backends.init(cfg, calls)
+	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare)
+	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
+	p.clients.init(p, cfg.Sockets)
+	p.endpoints.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -183,14 +183,14 @@
 	p.decider = gate
 	p.applyList(p.cfg.Known)
 	go p.followDiscovery(background, reread)
-	go p.accept(p.listener)
+	go p.acceptClients(p.listener)
 	if p.peers != nil {
 		go p.peers.receive()
 	}
 	p.every(sweepEvery, func() {
 		p.starts.Sample(p.clock.now(), p.clock.wall())
-		p.backends.sweep(p)
-		p.clients.sweep(p)
+		p.endpoints.sweep(p)
+		p.clients.sweep()
 		p.checkDescriptors()
 	})
 	p.loop(ctx)
@@ -251,7 +251,7 @@
 func (p *Proxy) leave() {
 	p.leaving = true
 	p.listener.SetDeadline(time.Now())
-	p.clients.closeIdle(p)
+	p.clients.closeIdle()
 }
 
 // drainTimeout is how long after the signal a drain may take.
@@ -324,7 +324,7 @@
 		return
 	}
 	p.wakeAt = p.timers[0].at
-	p.pace.dueAt.set(p.wakeAt)
+	p.loopLag.nextTimerDue.store(p.wakeAt)
 	p.wake.Reset(max(0, time.Duration((p.wakeAt-p.clock.now())*float64(time.Second))))
 }
 
@@ -333,7 +333,7 @@
 func (p *Proxy) fire() {
 	now := p.clock.now()
 	if p.stoodStill(now) {
-		p.pace.noteStandstill(p.timers[0].at, now)
+		p.loopLag.recordStall(p.timers[0].at, now)
 		for n := range readersTurns {
 			if p.turn(); len(p.events) == 0 && n > 0 {
 				break
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -36,28 +36,28 @@
 // traceSent logs that the last byte of an attempt was written, at the time at; its writing had started at
 // writeStarted. Safe for any goroutine that the attempt was handed to: what it reads does not change any more.
 func (p *Proxy) traceSent(a *attempt, to discovery.Endpoint, writeStarted, at float64) {
-	if !p.tracing() || a.req == nil {
+	if !p.tracing() || a.request == nil {
 		return
 	}
-	class := p.class(a.req)
+	class := p.class(a.request)
 	p.log.Debug(
-		traceAttemptSent, "id", a.req.ID, "attempt", a.number, "kind", string(a.kind),
+		traceAttemptSent, "id", a.request.ID, "attempt", a.number, "kind", string(a.kind),
 		"class", class.Name, "idempotency", class.Idempotency.String(),
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
 		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
-		"arrived", a.req.cameAt, "write_started", writeStarted, "at", at,
-		"timeout_at", a.until, "deadline", a.req.deadline, "client_closed", closedByPeer(a.req.client.raw),
+		"arrived", a.request.cameAt, "write_started", writeStarted, "at", at,
+		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", closedByPeer(a.request.client.rawConn),
 	)
 }
 
 // traceEnded logs how an attempt ended.
-func (p *Proxy) traceEnded(a *attempt, res result, at float64) {
-	if !p.tracing() || a.req == nil {
+func (p *Proxy) traceEnded(a *attempt, res attemptResult, at float64) {
+	if !p.tracing() || a.request == nil {
 		return
 	}
 	p.log.Debug(
-		traceAttemptEnded, "id", a.req.ID, "attempt", a.number, "status", res.status.String(), "at", at,
-		"malformed", res.spoilt,
+		traceAttemptEnded, "id", a.request.ID, "attempt", a.number, "status", res.status.String(), "at", at,
+		"malformed", res.malformedText(),
 	)
 }
 
