--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -98,5 +98,5 @@
 	s.Plans[0].Burst = 0
 	_, err := policy.New(s, 1, 0, &ingress{})
 	fmt.Println(err)
-	// Output: plan "basic": rates must not be below 0, and a rate needs a burst
+	// Output: policy: setting Plans["basic"].Burst: out of range: is 0, want above 0 with a Rate
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -54,7 +54,10 @@
 
 // New returns the gateway's decisions at its start. The list of servers follows through Servers.
 func New(s Settings, seed uint64, now float64, act Actions) (*Gateway, error) {
-	if err := validate(s, act); err != nil {
+	if act == nil {
+		return nil, ErrNoActions
+	}
+	if err := validate(s); err != nil {
 		return nil, err
 	}
 	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}}
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -1,7 +1,9 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 )
@@ -32,19 +34,47 @@
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for want, change := range map[string]func(*Settings){
-		"gateways": func(s *Settings) { s.GatewayCount = 0 },
-		"8192 at":  func(s *Settings) { s.Plans = make([]Plan, maxPlans+1) },
-		"me is":    func(s *Settings) { s.Self = 2 },
-		"classes":  func(s *Settings) { s.Classes = nil },
-		"deadline": func(s *Settings) { s.Classes[0].Timeout = 0 },
-		"burst":    func(s *Settings) { s.Plans[0].Burst = 0 },
+	for name, tc := range map[string]struct {
+		change  func(*Settings)
+		setting string
+		kind    error
+	}{
+		"no gateways":       {func(s *Settings) { s.GatewayCount = 0 }, "GatewayCount", ErrOutOfRange},
+		"self beyond count": {func(s *Settings) { s.Self = 2 }, "Self", ErrOutOfRange},
+		"negative self":     {func(s *Settings) { s.Self = -1 }, "Self", ErrOutOfRange},
+		"no classes":        {func(s *Settings) { s.Classes = nil }, "Classes", ErrMissing},
+		"too many plans":    {func(s *Settings) { s.Plans = make([]Plan, maxPlans+1) }, "Plans", ErrOutOfRange},
+		"no timeout":        {func(s *Settings) { s.Classes[0].Timeout = 0 }, `Classes["read"].Timeout`, ErrOutOfRange},
+		"timeout of NaN":    {func(s *Settings) { s.Classes[0].Timeout = math.NaN() }, `Classes["read"].Timeout`, ErrOutOfRange},
+		"no objective":      {func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, `Classes["read"].LatencyObjective`, ErrOutOfRange},
+		"negative weight":   {func(s *Settings) { s.Classes[1].PriorityWeight = -1 }, `Classes["put"].PriorityWeight`, ErrOutOfRange},
+		"negative rate":     {func(s *Settings) { s.Plans[0].Rate = -1 }, `Plans["basic"].Rate`, ErrOutOfRange},
+		"no burst":          {func(s *Settings) { s.Plans[0].Burst = 0 }, `Plans["basic"].Burst`, ErrOutOfRange},
+		"negative slots":    {func(s *Settings) { s.Plans[0].MaxConcurrent = -1 }, `Plans["basic"].MaxConcurrent`, ErrOutOfRange},
+		"negative ceiling":  {func(s *Settings) { s.Plans[1].CeilingRate = -1 }, `Plans["capped"].CeilingRate`, ErrOutOfRange},
+		"negative factor":   {func(s *Settings) { s.Plans[3].WeightFactor = -1 }, `Plans["wide"].WeightFactor`, ErrOutOfRange},
 	} {
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1, 0, &recorder{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error about %q, got %v", want, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			tc.change(&settings)
+			_, err := New(settings, 1, 0, &recorder{})
+			var settingErr *SettingError
+			if !errors.As(err, &settingErr) {
+				t.Fatalf("New returned %v, want a SettingError", err)
+			}
+			if settingErr.Setting != tc.setting || !errors.Is(err, tc.kind) {
+				t.Errorf("New returned %q, want the setting %s and %q", err, tc.setting, tc.kind)
+			}
+			if !strings.Contains(err.Error(), tc.setting) {
+				t.Errorf("the text %q does not name %s", err, tc.setting)
+			}
+		})
+	}
+}
+
+func TestNewNeedsActions(t *testing.T) {
+	if _, err := New(testSettings(), 1, 0, nil); !errors.Is(err, ErrNoActions) {
+		t.Errorf("New returned %v, want %v", err, ErrNoActions)
 	}
 }
 
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -1,30 +1,97 @@
 package policy
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
-// validate tells what is wrong with the settings.
-func validate(s Settings, act Actions) error {
+// The kinds of error that New returns. All but ErrNoActions come in a SettingError.
+var (
+	// ErrNoActions tells that New was given no Actions.
+	ErrNoActions = errors.New("policy: no actions given")
+	// ErrMissing tells that a setting is required.
+	ErrMissing = errors.New("missing")
+	// ErrOutOfRange tells that the value of a setting is not allowed, by itself or together with another one.
+	ErrOutOfRange = errors.New("out of range")
+)
+
+// SettingError tells which of the Settings is invalid, and why. It wraps ErrMissing or ErrOutOfRange.
+type SettingError struct {
+	// Setting is the path of the field in Settings, with classes and plans by their names: Plans["basic"].Burst.
+	Setting string
+	Err     error
+}
+
+// Error returns the setting and what is wrong with it.
+func (e *SettingError) Error() string { return "policy: setting " + e.Setting + ": " + e.Err.Error() }
+
+// Unwrap returns the kind of error.
+func (e *SettingError) Unwrap() error { return e.Err }
+
+// missing returns the error for a setting that must be given.
+func missing(setting, detail string) error {
+	return &SettingError{Setting: setting, Err: fmt.Errorf("%w: %s", ErrMissing, detail)}
+}
+
+// outOfRange returns the error for a setting with a value that is not as wanted.
+func outOfRange(setting string, value any, want string) error {
+	return &SettingError{Setting: setting, Err: fmt.Errorf("%w: is %v, want %s", ErrOutOfRange, value, want)}
+}
+
+// validate returns the first error in the settings.
+func validate(settings Settings) error {
 	switch {
-	case act == nil:
-		return fmt.Errorf("no actions given")
-	case s.GatewayCount < 1:
-		return fmt.Errorf("gateways is %d, want 1 at least", s.GatewayCount)
-	case s.Self < 0 || s.Self >= s.GatewayCount:
-		return fmt.Errorf("me is %d, want 0 to %d", s.Self, s.GatewayCount-1)
-	case len(s.Classes) == 0:
-		return fmt.Errorf("no classes given")
-	case len(s.Plans) > maxPlans:
-		return fmt.Errorf("%d plans given, %d at most", len(s.Plans), maxPlans)
+	case settings.GatewayCount < 1:
+		return outOfRange("GatewayCount", settings.GatewayCount, "at least 1")
+	case settings.Self < 0 || settings.Self >= settings.GatewayCount:
+		return outOfRange("Self", settings.Self, fmt.Sprintf("0 to %d", settings.GatewayCount-1))
+	case len(settings.Classes) == 0:
+		return missing("Classes", "no classes given")
+	case len(settings.Plans) > maxPlans:
+		return outOfRange("Plans", len(settings.Plans), fmt.Sprintf("at most %d plans", maxPlans))
 	}
-	for _, c := range s.Classes {
-		if !(c.Timeout > 0) || !(c.LatencyObjective > 0) || c.PriorityWeight < 0 {
-			return fmt.Errorf("class %q: aim and deadline must be above 0 and worth not below", c.Name)
+	for _, class := range settings.Classes {
+		if err := class.validate(); err != nil {
+			return err
 		}
 	}
-	for _, p := range s.Plans {
-		if p.Rate < 0 || p.Rate > 0 && p.Burst <= 0 || p.MaxConcurrent < 0 || p.CeilingRate < 0 || p.WeightFactor < 0 {
-			return fmt.Errorf("plan %q: rates must not be below 0, and a rate needs a burst", p.Name)
+	for _, plan := range settings.Plans {
+		if err := plan.validate(); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// isPositive is false for NaN, too.
+func isPositive(value float64) bool { return value > 0 }
+
+func (c Class) validate() error {
+	field := func(name string) string { return fmt.Sprintf("Classes[%q].%s", c.Name, name) }
+	switch {
+	case !isPositive(c.Timeout):
+		return outOfRange(field("Timeout"), c.Timeout, "above 0")
+	case !isPositive(c.LatencyObjective):
+		return outOfRange(field("LatencyObjective"), c.LatencyObjective, "above 0")
+	case c.PriorityWeight < 0:
+		return outOfRange(field("PriorityWeight"), c.PriorityWeight, "at least 0")
+	}
+	return nil
+}
+
+func (p Plan) validate() error {
+	field := func(name string) string { return fmt.Sprintf("Plans[%q].%s", p.Name, name) }
+	switch {
+	case p.Rate < 0:
+		return outOfRange(field("Rate"), p.Rate, "at least 0")
+	case p.Rate > 0 && p.Burst <= 0:
+		return outOfRange(field("Burst"), p.Burst, "above 0 with a Rate")
+	case p.MaxConcurrent < 0:
+		return outOfRange(field("MaxConcurrent"), p.MaxConcurrent, "at least 0")
+	case p.CeilingRate < 0:
+		return outOfRange(field("CeilingRate"), p.CeilingRate, "at least 0")
+	case p.WeightFactor < 0:
+		return outOfRange(field("WeightFactor"), p.WeightFactor, "at least 0")
+	}
+	return nil
+}
