--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/proxy"
 )
 
@@ -43,7 +45,7 @@
 	defer signal.Stop(hup)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := proxy.RetryAtStart(ctx, func() (proxy.Config, error) { return proxy.ReadConfig(path) })
+	cfg, err := proxy.RetryAtStart(ctx, func() (config.Config, error) { return config.Read(path) })
 	if err != nil {
 		return err
 	}
@@ -58,7 +60,7 @@
 		}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", cfg.Name)
-	reread := make(chan proxy.Config)
+	reread := make(chan config.Config)
 	done := make(chan struct{})
 	defer close(done)
 	go rereadOn(hup, done, path, cfg, reread, log)
@@ -67,8 +69,8 @@
 
 // rereadOn reads the configuration again at each signal and hands it on. What can't be read is logged,
 // and the ingress goes on as it is.
-func rereadOn(hup <-chan os.Signal, done <-chan struct{}, path string, first proxy.Config,
-	to chan<- proxy.Config, log *slog.Logger,
+func rereadOn(hup <-chan os.Signal, done <-chan struct{}, path string, first config.Config,
+	to chan<- config.Config, log *slog.Logger,
 ) {
 	for {
 		select {
@@ -76,14 +78,14 @@
 		case <-done:
 			return
 		}
-		cfg, err := proxy.ReadConfig(path)
+		cfg, err := config.Read(path)
 		for proxy.Transient(err) { // the ingress may make room meanwhile; the signal must not be lost for it
 			select {
 			case <-time.After(retryEvery):
 			case <-done:
 				return
 			}
-			cfg, err = proxy.ReadConfig(path)
+			cfg, err = config.Read(path)
 		}
 		if err != nil {
 			log.Error("configuration not taken over", "error", err)
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"reedlead/internal/proxy"
+	"reedlead/internal/config"
 )
 
 // Guards against a start that hangs or panics on a configuration that can't be used: it must be
@@ -57,10 +57,10 @@
 			t.Fatal(err)
 		}
 	}
-	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan proxy.Config, 2)
+	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan config.Config, 2)
 	defer close(done)
 	logged, w := io.Pipe()
-	go rereadOn(hup, done, path, proxy.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
+	go rereadOn(hup, done, path, config.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
 	lines := bufio.NewReader(logged)
 	write(`{"listen":`)
 	hup <- syscall.SIGHUP
--- /dev/null
+++ b/internal/config/config.go
@@ -0,0 +1,181 @@
+// Package config reads the configuration file of a gateway.
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"reflect"
+	"strconv"
+
+	"reedlead/internal/discovery"
+	"reedlead/internal/settings"
+)
+
+// Config is the configuration of a gateway.
+type Config struct {
+	Name      string
+	Listen    string // IP address and port for clients
+	Discovery string // IP address and port of the discovery agent
+	Seed      uint64
+	MemoryMB  int // memory limit of the process in MiB; 0: not given
+	Sockets   int // file descriptors that the process may hold
+
+	// PeerListen is where datagrams of other gateways come; not valid without peer messages.
+	PeerListen netip.AddrPort
+	// Peers are the addresses of all gateways by their number.
+	Peers []netip.AddrPort
+	// PeersAll reaches all of them; not valid if there is no such address.
+	PeersAll netip.AddrPort
+
+	// Known is the endpoint list that counts until discovery answers.
+	Known    discovery.List
+	Settings settings.Settings
+}
+
+const defaultSockets = 1024
+
+// The causes of a FieldError, beside those of the parsers that are used.
+var (
+	// ErrMissing reports a field that has to be there.
+	ErrMissing = errors.New("missing")
+	// ErrNotPositive reports time-outs that must be above 0.
+	ErrNotPositive = errors.New("limits.dialTimeoutS and limits.connIdleS must be above 0")
+	// ErrPeerCount reports a list of peers that has not one address for each gateway.
+	ErrPeerCount = errors.New("not one address for each gateway")
+)
+
+// FieldError reports a field of the configuration file that can't be used.
+type FieldError struct {
+	Field string // by its name in the file
+	Err   error
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// Differs tells whether more differs than what a running gateway takes over from a configuration that is
+// read again, or than what is new with each start.
+func (c Config) Differs(from Config) bool {
+	c.Discovery, c.Known, c.Seed = from.Discovery, from.Known, from.Seed
+	return !reflect.DeepEqual(c, from)
+}
+
+// Read reads the configuration file. The error wraps a *FieldError where the file was read and a field can't
+// be used.
+func Read(path string) (Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Config{}, fmt.Errorf("configuration: %w", err)
+	}
+	c, err := Parse(text)
+	if err != nil {
+		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	return c, nil
+}
+
+// file is the JSON form of the configuration file; unknown keys are skipped.
+type file struct {
+	Name, Listen, Discovery, Seed string
+
+	Limits struct {
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int `json:"sockets"`
+	}
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
+	PeersAll   string   `json:"peers_all"`
+	Known      discovery.List
+	Settings   json.RawMessage
+}
+
+// Parse reads the text of a configuration file.
+func Parse(text []byte) (Config, error) {
+	var f file
+	if err := json.Unmarshal(text, &f); err != nil {
+		return Config{}, err
+	}
+	c := Config{
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, MemoryMB: f.Limits.MemoryMB,
+		Sockets: f.Limits.Sockets, Known: f.Known,
+	}
+	if c.Sockets <= 0 {
+		c.Sockets = defaultSockets
+	}
+	c.Known.Full = true
+	for _, step := range []func(*Config) error{f.checkAddresses, f.parseSeed, f.parseSettings, f.checkKnown, f.parsePeers} {
+		if err := step(&c); err != nil {
+			return c, err
+		}
+	}
+	return c, nil
+}
+
+func (f *file) checkAddresses(*Config) error {
+	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
+		return &FieldError{"listen", err}
+	}
+	if _, err := netip.ParseAddrPort(f.Discovery); err != nil {
+		return &FieldError{"discovery", err}
+	}
+	return nil
+}
+
+func (f *file) parseSeed(c *Config) (err error) {
+	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return &FieldError{"seed", err}
+	}
+	return nil
+}
+
+func (f *file) parseSettings(c *Config) (err error) {
+	if len(f.Settings) == 0 {
+		return &FieldError{"settings", ErrMissing}
+	}
+	if c.Settings, err = settings.Parse(f.Settings); err != nil {
+		return &FieldError{"settings", err}
+	}
+	if c.Settings.DialTimeout <= 0 || c.Settings.ConnectionIdleTimeout <= 0 {
+		return &FieldError{"settings", ErrNotPositive}
+	}
+	return nil
+}
+
+func (f *file) checkKnown(c *Config) error {
+	if err := c.Known.Validate(); err != nil {
+		return &FieldError{"known", err}
+	}
+	return nil
+}
+
+// parsePeers reads the addresses of the other gateways, where there are peer messages.
+func (f *file) parsePeers(c *Config) (err error) {
+	if !c.Settings.PeerMessages {
+		return nil
+	}
+	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
+		return &FieldError{"peer_listen", err}
+	}
+	if len(f.Peers) != c.Settings.GatewayCount {
+		return &FieldError{"peers", fmt.Errorf("%w: %d addresses given for %d gateways", ErrPeerCount, len(f.Peers), c.Settings.GatewayCount)}
+	}
+	for number, text := range f.Peers {
+		address, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return &FieldError{"peers", fmt.Errorf("number %d: %w", number, err)}
+		}
+		c.Peers = append(c.Peers, address)
+	}
+	if f.PeersAll == "" {
+		return nil
+	}
+	if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+		return &FieldError{"peers_all", err}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/config_test.go
@@ -0,0 +1,48 @@
+package config
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+const goodConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946",
+"peers":["127.0.1.1:7946","127.0.1.2:7946"],"peers_all":"127.0.1.255:7946",
+"known":{"version":41,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"in_service"}]},
+"settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
+
+// TestConfig guards the form of the configuration file, and that each field that can't be used is named.
+func TestConfig(t *testing.T) {
+	c, err := Parse([]byte(goodConfig))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Seed != 0x8c1f30d27a5be964 || len(c.Peers) != 2 || c.Sockets != 1024 || !c.Known.Full || c.Known.Version != 41 {
+		t.Errorf("got %+v", c)
+	}
+	for _, tc := range []struct{ old, new, field, want string }{
+		{goodConfig, "{", "", "unexpected end"},
+		{"127.0.0.1:6379", "nowhere", "listen", "listen: "},
+		{"127.0.0.1:8500", "", "discovery", "discovery: "},
+		{"8c1f30d27a5be964", "seed", "seed", "seed: "},
+		{`"balancers":2`, `"balancers":3`, "peers", "2 addresses given for 3"},
+		{"127.0.1.2:7946", "x", "peers", "peers: number 1"},
+		{"127.0.1.255:7946", "x", "peers_all", "peers_all: "},
+		{`"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`, "peer_listen", "peer_listen: "},
+		{"in_service", "resting", "known", "known: entry"},
+		{"0.25", "0", "settings", "dialTimeoutS"},
+		{`"settings"`, `"set"`, "settings", "settings: missing"},
+	} {
+		t.Run(tc.want, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(goodConfig, tc.old, tc.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Fatalf("got %v, want %q", err, tc.want)
+			}
+			var field *FieldError
+			if errors.As(err, &field) != (tc.field != "") || field != nil && field.Field != tc.field {
+				t.Errorf("got %#v, want an error of field %q", err, tc.field)
+			}
+		})
+	}
+}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -3,13 +3,15 @@
 import (
 	"context"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
 
 // followDiscovery runs the discovery client for as long as ctx lasts. The client starts with the list of the
 // configuration; of each configuration that comes on reloads, its address is switched to.
-func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan Config) {
+func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan config.Config) {
 	options := p.discovery
 	options.DialContext = p.calls.dialAgent
 	options.Notify = func(e discovery.Event) {
@@ -21,7 +23,7 @@
 }
 
 // forwardAddresses hands the discovery client the address of each new configuration. It ends with ctx.
-func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan Config, addresses chan<- string) {
+func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan config.Config, addresses chan<- string) {
 	for {
 		select {
 		case cfg := <-reloads:
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/settings"
@@ -51,8 +53,8 @@
 )
 
 // growthConfig is that of one process; all backends are the one that listens at an address.
-func growthConfig(size growthSize, addr string) Config {
-	c := Config{
+func growthConfig(size growthSize, addr string) config.Config {
+	c := config.Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024, MemoryMB: 192, Seed: 1,
 		Settings: settings.Settings{DialTimeout: time.Second, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/settings"
@@ -95,14 +97,14 @@
 	end  chan struct{}
 	term context.CancelFunc
 
-	reread chan Config
+	reread chan config.Config
 }
 
 // noDiscovery is an address that refuses.
 const noDiscovery = "127.0.0.1:1"
 
-func testConfig(backends ...string) Config {
-	c := Config{
+func testConfig(backends ...string) config.Config {
+	c := config.Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024,
 		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
@@ -122,14 +124,14 @@
 	return c
 }
 
-func start(t *testing.T, cfg Config, change func(*rig)) *rig {
+func start(t *testing.T, cfg config.Config, change func(*rig)) *rig {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{t: t, in: p, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan Config)}
+	r := &rig{t: t, in: p, mod: newModule(), end: make(chan struct{}), term: cancel, reread: make(chan config.Config)}
 	p.backends.copyS = 0 // the tests' answers are alike
 	p.backends.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,6 +12,8 @@
 	"runtime/debug"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/policy"
@@ -27,10 +29,11 @@
 	acceptAfterTerm = 500 * time.Millisecond
 	// SIGKILL may follow this much after the longest deadline, which counts as killCap where it is longer.
 	// By drainSpare before that, all has its answer, and by half of it each connection is closed.
-	killAfter  = 700 * time.Millisecond
-	killCap    = 3 * time.Second
-	drainSpare = 150 * time.Millisecond
-	sweepEvery = time.Second
+	killAfter       = 700 * time.Millisecond
+	killCap         = 3 * time.Second
+	drainSpare      = 150 * time.Millisecond
+	sweepEvery      = time.Second
+	defaultMemoryMB = 192 // where the configuration gives none
 	// Each time limit has 50 ms of slack. A timer that is later than a part of it tells that this process
 	// stood still, and what came meanwhile may still lie in the sockets.
 	lateS = 0.02
@@ -83,7 +86,7 @@
 // Ingress is one gateway on real sockets. Its loop alone owns the gateway and all that is not said
 // to belong to another goroutine.
 type Proxy struct {
-	cfg    Config
+	cfg    config.Config
 	log    *slog.Logger
 	clock  clock
 	events chan event
@@ -120,7 +123,7 @@
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
 // configuration that comes on reread, which may be nil, the address of discovery is taken over.
-func Run(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger) error {
+func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
 	p, err := open(ctx, cfg, log, realCalls())
 	if err != nil {
 		return err
@@ -135,7 +138,7 @@
 }
 
 // open makes an ingress and its sockets; nothing is read from them yet.
-func open(ctx context.Context, cfg Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
+func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
 	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
@@ -176,7 +179,7 @@
 }
 
 // serve starts the readers and runs the loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reread <-chan Config, gate decider) {
+func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, gate decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/resp"
@@ -69,7 +71,7 @@
 	wrote      func(*backConn) // between the last byte of a command that took long and the note of it
 }
 
-func (s *backendSet) init(cfg Config, calls systemCalls) {
+func (s *backendSet) init(cfg config.Config, calls systemCalls) {
 	s.byID = map[string]*backend{}
 	s.wrote = func(*backConn) {}
 	s.limit = max(8, usableFDs(cfg.Sockets)*3/8)
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 	"reedlead/internal/discovery/discoverytest"
 
@@ -21,7 +23,7 @@
 const leastCap = 1024
 
 // manyConfig is that of gateway number me of so many, with as many backends, none of which answers.
-func manyConfig(t *testing.T, me int, peers []netip.AddrPort) Config {
+func manyConfig(t *testing.T, me int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
 	c.MemoryMB, c.Sockets = 192, 1024
 	c.Settings.GatewayCount, c.Settings.Self, c.Settings.Settings.PeerMessages = leastCap, me, true
