--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -202,7 +202,7 @@
 
 // sendUnlimited has a request come that no quota holds.
 func sendUnlimited(g *Gateway, now float64, id, class string) {
-	g.HandleRequest(now, Request{ID: id, Class: class, Deadline: now + g.classes[class].Timeout, GatewayCount: 1, Units: 1})
+	g.HandleRequest(now, Request{ID: id, Class: class, Deadline: now + g.classes.byName[class].Timeout, GatewayCount: 1, Units: 1})
 }
 
 // asMemberOfParallel is asMember of a plan with two slots.
@@ -212,9 +212,9 @@
 }
 
 // sentOnce is an attempt as the network made it.
-type sentOnce struct {
+type recordedAttempt struct {
 	server string
-	in     group
+	in     dedupGroup
 	at     float64 // when its last byte went out
 	status AttemptStatus
 	done   bool
