--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/proxy"
@@ -45,7 +47,7 @@
 	defer signal.Stop(hup)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := proxy.RetryAtStart(ctx, func() (config.Config, error) { return config.Read(path) })
+	cfg, err := netcalls.RetryAtStart(ctx, time.Sleep, func() (config.Config, error) { return config.Read(path) })
 	if err != nil {
 		return err
 	}
@@ -79,7 +81,7 @@
 			return
 		}
 		cfg, err := config.Read(path)
-		for proxy.Transient(err) { // the ingress may make room meanwhile; the signal must not be lost for it
+		for netcalls.IsTransient(err) { // the ingress may make room meanwhile; the signal must not be lost for it
 			select {
 			case <-time.After(retryEvery):
 			case <-done:
--- /dev/null
+++ b/internal/netcalls/retry_test.go
@@ -0,0 +1,72 @@
+package netcalls
+
+import (
+	"errors"
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// TestRetryAtStartGivesUp guards against a process that tries for ever to start: an error that is not transient
+// ends it at once, a shortage after a while.
+func TestRetryAtStartGivesUp(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		number   syscall.Errno
+		maxCalls int
+		took     time.Duration
+	}{
+		{"not transient", syscall.EACCES, 1, 0},
+		{"for too long", syscall.ENFILE, int(startRetryTimeout/RetryInterval) + 1, startRetryTimeout},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			begun := time.Now()
+			now, calls := begun, 0
+			_, err := retryAtStart(
+				t.Context(),
+				func(d time.Duration) { now = now.Add(d) },
+				func() time.Time { return now },
+				func() (int, error) { calls++; return 0, tc.number },
+			)
+			if !errors.Is(err, tc.number) || calls != tc.maxCalls || now.Sub(begun) != tc.took {
+				t.Errorf("%v after %d calls in %v", err, calls, now.Sub(begun))
+			}
+		})
+	}
+}
+
+// TestErrorsByMeaning guards what docs/endings.md says each error number means.
+func TestErrorsByMeaning(t *testing.T) {
+	for _, tc := range []struct {
+		number                                       syscall.Errno
+		outOfDescriptors, shortage, transient, local bool
+	}{
+		{syscall.EMFILE, true, true, true, true},
+		{syscall.ENFILE, true, true, true, true},
+		{syscall.ENOBUFS, false, true, true, true},
+		{syscall.ENOMEM, false, true, true, true},
+		{syscall.EAGAIN, false, true, true, true},
+		{syscall.EINTR, false, true, true, true},
+		{syscall.EADDRINUSE, false, false, true, true},
+		{syscall.EADDRNOTAVAIL, false, false, true, true},
+		{syscall.EIO, false, false, true, false},
+		{syscall.ENETDOWN, false, false, true, true},
+		{syscall.ENETUNREACH, false, false, false, true},
+		{syscall.ECONNABORTED, false, false, false, true},
+		{syscall.EPERM, false, false, false, true},
+		{syscall.EACCES, false, false, false, true},
+		{syscall.ECONNREFUSED, false, false, false, false},
+		{syscall.ECONNRESET, false, false, false, false},
+		{syscall.ETIMEDOUT, false, false, false, false},
+		{syscall.EHOSTUNREACH, false, false, false, false},
+		{syscall.EPIPE, false, false, false, false},
+	} {
+		err := fmt.Errorf("wrapped: %w", tc.number)
+		if IsOutOfDescriptors(err) != tc.outOfDescriptors || IsShortage(err) != tc.shortage ||
+			IsTransient(err) != tc.transient || IsLocalFault(err) != tc.local {
+			t.Errorf("%v: out of descriptors %v, shortage %v, transient %v, local fault %v", tc.number,
+				IsOutOfDescriptors(err), IsShortage(err), IsTransient(err), IsLocalFault(err))
+		}
+	}
+}
--- /dev/null
+++ b/internal/peerlink/link_test.go
@@ -0,0 +1,47 @@
+package peerlink
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"testing"
+
+	"reedlead/internal/netcalls"
+	"reedlead/policy"
+)
+
+// TestSendTellsWhyNot guards the errors of datagrams that can't be sent, and that Send does not block while the
+// socket takes none.
+func TestSendTellsWhyNot(t *testing.T) {
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	blocked := make(chan struct{})
+	calls := netcalls.System()
+	calls.WritePacket = func(*net.UDPConn, []byte, netip.AddrPort) (int, error) { <-blocked; return 0, nil }
+	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}
+	link := New(conn, calls, peers, netip.AddrPort{})
+	t.Cleanup(func() { close(blocked); link.Close() })
+
+	var unknown *UnknownPeerError
+	for _, number := range []int{len(peers), -7} {
+		if err := link.Send(number, nil); !errors.As(err, &unknown) || unknown.Number != number {
+			t.Errorf("to gateway %d: %v", number, err)
+		}
+	}
+	var unsendable *UnsendableError
+	if err := link.Send(0, make([]byte, MaxDatagramSize+1)); !errors.As(err, &unsendable) || unsendable.Bytes != MaxDatagramSize+1 {
+		t.Errorf("too long: %v", err)
+	}
+	if err := link.Send(policy.Broadcast, nil); !errors.As(err, &unsendable) || unsendable.To.IsValid() {
+		t.Errorf("to all, without an address: %v", err)
+	}
+	sent := 0
+	for ; err == nil; err = link.Send(0, make([]byte, MaxDatagramSize)) {
+		sent++
+	}
+	if capacity := queueSize + len(peers); !errors.Is(err, ErrQueueFull) || sent < capacity || sent > capacity+2 {
+		t.Errorf("%v after %d datagrams", err, sent)
+	}
+}
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -6,6 +6,8 @@
 	"os"
 	"syscall"
 	"time"
+
+	"reedlead/internal/netcalls"
 )
 
 const (
@@ -183,11 +185,11 @@
 // tryWrite writes what the socket takes without waiting, which may be nothing. No deadline of the connection matters
 // to it.
 func (p *Proxy) tryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
-	closed := raw.Control(func(fd uintptr) { n, err = p.calls.write(int(fd), b) })
+	closed := raw.Control(func(fd uintptr) { n, err = p.calls.Write(int(fd), b) })
 	switch {
 	case closed != nil:
 		return 0, closed
-	case scarce(err):
+	case netcalls.IsShortage(err):
 		return 0, nil
 	}
 	return max(n, 0), err
--- a/internal/proxy/client_write_test.go
+++ b/internal/proxy/client_write_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -28,7 +30,7 @@
 
 // TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
-	p := &Proxy{calls: realCalls()}
+	p := &Proxy{calls: netcalls.System()}
 	near, far := connected(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -55,7 +57,7 @@
 // against one that never ends.
 func TestWriteAllGoesByProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
-	p := &Proxy{calls: realCalls()}
+	p := &Proxy{calls: netcalls.System()}
 	near, far := connected(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/resp"
 
 	"github.com/tidwall/redcon"
@@ -50,7 +52,7 @@
 // client is one client's connection.
 type client struct {
 	number  uint64 // of the connection, counted by the listener
-	conn    connection
+	conn    netcalls.Conn
 	raw     syscall.RawConn
 	permits chan struct{} // bounds the open commands; taken by the reader
 	quit    chan struct{} // closed with the connection
@@ -278,7 +280,7 @@
 			return
 		}
 		from := time.Now()
-		conn, err := p.calls.accept(l)
+		conn, err := p.calls.Accept(l)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -306,12 +308,12 @@
 				p.warn("accept failed", "error", err)
 				p.makeRoomFor(err)
 			})
-			p.calls.wait(scarceRetry) // out of descriptors: others must end first
+			p.calls.Sleep(netcalls.RetryInterval) // out of descriptors: others must end first
 			continue
 		}
 		number++
 		c := &client{
-			number: number, conn: steadyConn{conn, p.calls.wait}, raw: raw, permits: make(chan struct{}, maxPipelined), quit: make(chan struct{}),
+			number: number, conn: netcalls.RetryingConn{Conn: conn, Sleep: p.calls.Sleep}, raw: raw, permits: make(chan struct{}, maxPipelined), quit: make(chan struct{}),
 			resume: make(chan struct{}, 1), buf: buffer{budget: &p.input}, arrivals: arrivals{emptyAt: p.pace.keptUpUntil(at)},
 		}
 		p.post(at, func() { p.addClient(c) })
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -1,6 +1,10 @@
 package proxy
 
-import "os"
+import (
+	"os"
+
+	"reedlead/internal/netcalls"
+)
 
 // Descriptors: the bounds on connections leave a reserve, and where the process gets fewer than its
 // configuration says, idle clients make room, so that discovery, backends and files are never kept waiting.
@@ -32,7 +36,7 @@
 // makeRoomFor tells whether a call failed for want of descriptors. Idle connections make room then: those to
 // backends first, which cost a new one at most, and clients that are owed nothing, those idle for longest first.
 func (p *Proxy) makeRoomFor(err error) bool {
-	if !outOfDescriptors(err) {
+	if !netcalls.IsOutOfDescriptors(err) {
 		return false
 	}
 	s := &p.clients
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -13,7 +13,7 @@
 // configuration; of each configuration that comes on reloads, its address is switched to.
 func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan config.Config) {
 	options := p.discovery
-	options.DialContext = p.calls.dialAgent
+	options.DialContext = p.calls.DialContext
 	options.Notify = func(e discovery.Event) {
 		p.post(p.clock.now(), func() { p.handleDiscovery(e) })
 	}
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/discovery"
@@ -96,7 +98,7 @@
 		}
 	}()
 	cfg := growthConfig(size, l.Addr().String())
-	p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), netcalls.System())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/discovery"
@@ -126,7 +128,7 @@
 
 func start(t *testing.T, cfg config.Config, change func(*rig)) *rig {
 	t.Helper()
-	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,6 +12,9 @@
 	"runtime/debug"
 	"time"
 
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/discovery"
@@ -106,7 +109,7 @@
 	acceptFor time.Duration     // how long after the signal new connections are taken
 	drainFor  time.Duration     // and when all is answered at the latest
 	discovery discovery.Options // but for what followDiscovery adds
-	calls     systemCalls
+	calls     *netcalls.Calls
 	turn      func()       // lets readers run
 	spare     func() error // tells whether a descriptor is to be had
 	starts    discovery.StartTimes
@@ -114,7 +117,7 @@
 	clients   clientSet
 	requests  map[string]*request
 	backends  backendSet
-	peers     *peerLink
+	peers     *peerlink.Link
 	leaving   bool    // connections close between requests
 	accepted  bool    // the listener is closed, all that came there was accepted
 	stopped   bool    // what comes now is refused at once
@@ -124,7 +127,7 @@
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
 // configuration that comes on reread, which may be nil, the address of discovery is taken over.
 func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
-	p, err := open(ctx, cfg, log, realCalls())
+	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
 		return err
 	}
@@ -138,7 +141,7 @@
 }
 
 // open makes an ingress and its sockets; nothing is read from them yet.
-func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
+func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
@@ -158,12 +161,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	p.listener, err = retryAtStart(ctx, func() (*net.TCPListener, error) { return calls.listen(addr) }, calls.wait, time.Now)
+	p.listener, err = netcalls.RetryAtStart(ctx, calls.Sleep, func() (*net.TCPListener, error) { return calls.Listen(addr) })
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if cfg.Settings.PeerMessages {
-		if p.peers, err = p.openPeers(ctx); err != nil {
+		if p.peers, err = p.openPeerLink(ctx); err != nil {
 			p.listener.Close()
 			return nil, err
 		}
@@ -174,7 +177,7 @@
 func (p *Proxy) close() {
 	p.listener.Close()
 	if p.peers != nil {
-		p.peers.close()
+		p.peers.Close()
 	}
 }
 
@@ -188,7 +191,7 @@
 	go p.followDiscovery(background, reread)
 	go p.accept(p.listener)
 	if p.peers != nil {
-		go p.peers.receive()
+		go p.receivePeerMessages()
 	}
 	p.every(sweepEvery, func() {
 		p.starts.Sample(p.clock.now(), p.clock.wall())
@@ -372,13 +375,6 @@
 	p.after(max(delayS, 0), func() { p.decider.HandleTimer(p.now, token) })
 }
 
-// Tell implements policy.Actions.
-func (p *Proxy) SendToPeer(gateway int, data []byte) {
-	if p.peers != nil {
-		p.peers.tell(gateway, data)
-	}
-}
-
 // Log implements policy.Actions.
 func (p *Proxy) Log(text string) { p.log.Info(text) }
 
--- /dev/null
+++ b/internal/proxy/peer_messages.go
@@ -0,0 +1,49 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
+)
+
+// openPeerLink makes the socket for the other gateways.
+func (p *Proxy) openPeerLink(ctx context.Context) (*peerlink.Link, error) {
+	address := net.UDPAddrFromAddrPort(p.cfg.PeerListen)
+	conn, err := netcalls.RetryAtStart(ctx, p.calls.Sleep, func() (*net.UDPConn, error) {
+		return p.calls.ListenPacket(address)
+	})
+	if err != nil {
+		return nil, fmt.Errorf("peer_listen: %w", err)
+	}
+	return peerlink.New(conn, p.calls, p.cfg.Peers, p.cfg.PeersAll), nil
+}
+
+// receivePeerMessages hands what the other gateways send to the loop. It ends when the link is closed.
+func (p *Proxy) receivePeerMessages() {
+	p.peers.Receive(func(e peerlink.Event) {
+		p.post(p.clock.now(), func() { p.handlePeerEvent(e) })
+	})
+}
+
+// handlePeerEvent handles what has come on the link to the other gateways.
+func (p *Proxy) handlePeerEvent(e peerlink.Event) {
+	switch e := e.(type) {
+	case peerlink.Message:
+		p.decider.HandlePeerMessage(p.now, e.From, e.Data)
+	case peerlink.Dropped:
+		p.warn("datagram dropped", "from", e.From, "bytes", e.Bytes)
+	}
+}
+
+// SendToPeer implements policy.Actions.
+func (p *Proxy) SendToPeer(gateway int, data []byte) {
+	if p.peers == nil {
+		return
+	}
+	if err := p.peers.Send(gateway, data); err != nil {
+		p.warn("datagram not sent", "gateway", gateway, "error", err)
+	}
+}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/peerlink"
+
 	"reedlead/policy"
 )
 
@@ -29,15 +31,15 @@
 	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
 	cfg.PeersAll = addr(all)
 	r := start(t, cfg, nil)
-	here := r.in.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	here := r.in.peers.LocalAddr()
 	stranger.WriteToUDPAddrPort([]byte("spoof"), here)
-	friend.WriteToUDPAddrPort(bytes.Repeat([]byte("x"), maxDatagram+1), here)
+	friend.WriteToUDPAddrPort(bytes.Repeat([]byte("x"), peerlink.MaxDatagramSize+1), here)
 	friend.WriteToUDPAddrPort([]byte("hello"), here)
 	if m := get(t, r.mod.messages); m != (message{1, "hello"}) {
 		t.Errorf("got %+v", m)
 	}
 	r.do(func() {
-		r.in.SendToPeer(1, make([]byte, maxDatagram+1))
+		r.in.SendToPeer(1, make([]byte, peerlink.MaxDatagramSize+1))
 		r.in.SendToPeer(9, []byte("none"))
 		r.in.SendToPeer(1, []byte("one"))
 		r.in.SendToPeer(policy.Broadcast, []byte("all"))
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/discovery"
@@ -71,7 +73,7 @@
 	wrote      func(*backConn) // between the last byte of a command that took long and the note of it
 }
 
-func (s *backendSet) init(cfg config.Config, calls systemCalls) {
+func (s *backendSet) init(cfg config.Config, calls *netcalls.Calls) {
 	s.byID = map[string]*backend{}
 	s.wrote = func(*backConn) {}
 	s.limit = max(8, usableFDs(cfg.Sockets)*3/8)
@@ -79,7 +81,7 @@
 	s.writeSlack = writeSlack
 	s.idleS = cfg.Settings.ConnectionIdleTimeout * idleShare
 	timeout := cfg.Settings.DialTimeout
-	s.dial = func(addr string) (net.Conn, error) { return calls.dial(addr, timeout) }
+	s.dial = func(addr string) (net.Conn, error) { return calls.Dial(addr, timeout) }
 	s.ownRetry = min(timeout, maxOwnRetry)
 }
 
@@ -162,7 +164,7 @@
 type backConn struct {
 	be      *backend
 	at      discovery.Endpoint // as the backend stood when it was dialled
-	conn    connection
+	conn    netcalls.Conn
 	raw     syscall.RawConn
 	busy    atomic.Bool // a reply is expected
 	dead    atomic.Bool // not to be used again
@@ -246,16 +248,16 @@
 func (p *Proxy) dial(be *backend, at discovery.Endpoint) {
 	from := p.clock.now()
 	conn, err := p.backends.dial(at.Addr)
-	for first := true; ownFault(err) && p.clock.now()-from < p.backends.ownRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && p.clock.now()-from < p.backends.ownRetry.Seconds(); first = false {
 		if failed := err; first {
 			p.post(p.clock.now(), func() { p.makeRoomFor(failed) })
 		}
-		p.calls.wait(scarceRetry)
+		p.calls.Sleep(netcalls.RetryInterval)
 		conn, err = p.backends.dial(at.Addr)
 	}
 	var c *backConn
 	if err == nil {
-		c = &backConn{be: be, at: at, conn: steadyConn{conn.(connection), p.calls.wait}}
+		c = &backConn{be: be, at: at, conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: p.calls.Sleep}}
 		if c.raw, err = c.conn.SyscallConn(); err != nil {
 			conn.Close()
 			c = nil
@@ -271,7 +273,7 @@
 	if c == nil {
 		p.backends.open--
 		p.warn("dial failed", "backend", be.ID, "error", err)
-		if p.makeRoomFor(err); ownFault(err) {
+		if p.makeRoomFor(err); netcalls.IsLocalFault(err) {
 			failed = policy.NotSent // it tells nothing of the backend
 		}
 	} else {
--- a/internal/proxy/read_ahead.go
+++ b/internal/proxy/read_ahead.go
@@ -4,6 +4,8 @@
 	"io"
 	"syscall"
 	"time"
+
+	"reedlead/internal/netcalls"
 )
 
 // A reader that waits for one of its connection's commands to be answered reads on meanwhile. While bytes that are
@@ -53,7 +55,7 @@
 		}
 		at := p.clock.now()
 		n, err := receive(c.raw, room)
-		if scarce(err) {
+		if netcalls.IsShortage(err) {
 			return false
 		}
 		if err != nil {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/peerlink"
+
 	"reedlead/internal/config"
 
 	"reedlead/internal/discovery"
@@ -95,8 +97,8 @@
 	if m := get(t, last.mod.messages); m.from != 0 || m.data != "there" {
 		t.Errorf("the last gateway got %+v", m)
 	}
-	last.do(func() { last.in.SendToPeer(0, []byte(strings.Repeat("x", maxDatagram))) })
-	if m := get(t, first.mod.messages); m.from != leastCap-1 || len(m.data) != maxDatagram {
+	last.do(func() { last.in.SendToPeer(0, []byte(strings.Repeat("x", peerlink.MaxDatagramSize))) })
+	if m := get(t, first.mod.messages); m.from != leastCap-1 || len(m.data) != peerlink.MaxDatagramSize {
 		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
 	}
 	first.do(func() {
@@ -199,7 +201,7 @@
 		}
 		if len(*sent[me]) > 0 {
 			m := (*sent[me])[0]
-			if m.to != other || len(m.data) > maxDatagram {
+			if m.to != other || len(m.data) > peerlink.MaxDatagramSize {
 				t.Fatalf("gateway %d told %d bytes to %d", me, len(m.data), m.to)
 			}
 			before := len(*sent[other])
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -10,29 +9,33 @@
 	"net/netip"
 	"os"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
+
 	"reedlead/internal/discovery/discoverytest"
 
 	"reedlead/policy"
 )
 
-// failFirst has a call fail so many times with an error, and then be made.
+// failFirst has the first calls fail with an error, and the later ones be made.
 type failFirst struct {
-	left atomic.Int32
+	left atomic.Int32 // calls that are still to fail
 	err  error
 }
 
+// failing returns a failure of the first n calls of a name, as package net reports it.
 func failing(n int, number syscall.Errno, call string) *failFirst {
 	f := &failFirst{err: &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, number)}}
 	f.left.Store(int32(n))
 	return f
 }
 
+// next returns the error of the next call, if it is to fail.
 func (f *failFirst) next() error {
 	if f.left.Add(-1) >= 0 {
 		return f.err
@@ -42,14 +45,14 @@
 
 // faultyConn is a connection whose reads and writes fail at first, and take a few bytes at a time.
 type faultyConn struct {
-	connection
+	netcalls.Conn
 	read, write *failFirst
-	most        int // bytes at a time; 0: all
+	partSize    int // bytes at a time; 0: all
 }
 
 func (c *faultyConn) part(b []byte) []byte {
-	if c.most > 0 && len(b) > c.most {
-		return b[:c.most]
+	if c.partSize > 0 && len(b) > c.partSize {
+		return b[:c.partSize]
 	}
 	return b
 }
@@ -60,7 +63,7 @@
 			return 0, err
 		}
 	}
-	return c.connection.Read(c.part(b))
+	return c.Conn.Read(c.part(b))
 }
 
 func (c *faultyConn) Write(b []byte) (n int, err error) {
@@ -70,7 +73,7 @@
 				return n, err
 			}
 		}
-		m, err := c.connection.Write(c.part(b[n:]))
+		m, err := c.Conn.Write(c.part(b[n:]))
 		if n += m; err != nil {
 			return n, err
 		}
@@ -78,8 +81,8 @@
 	return n, nil
 }
 
-// once makes the waits before a call is made again short, so that tests need not wait.
-func quickly(r *rig) { r.in.calls.wait = func(time.Duration) { time.Sleep(time.Microsecond) } }
+// quickly makes the pauses before a call is made again short, so that tests need not wait.
+func quickly(r *rig) { r.in.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
 
 // serve has a backend answer each command that comes with a value.
 func (r *rig) serve(conns chan *wire) {
@@ -87,7 +90,7 @@
 		for b := range conns {
 			go func() {
 				for n := 0; b.command() != nil; n++ {
-					fmt.Fprintf(b, "*3\r\n$1\r\nv\r\n:%d\r\n$-1\r\n", n)
+					_, _ = fmt.Fprintf(b, "*3\r\n$1\r\nv\r\n:%d\r\n$-1\r\n", n)
 				}
 			}()
 		}
@@ -105,8 +108,8 @@
 			r := start(t, testConfig(noDiscovery), func(r *rig) {
 				quickly(r)
 				busy(r)
-				accept := r.in.calls.accept
-				r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
+				accept := r.in.calls.Accept
+				r.in.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
@@ -119,58 +122,50 @@
 				if got := c.line(); got != "-BUSY 500" {
 					t.Errorf("got %q", got)
 				}
-				c.Close()
+				_ = c.Close()
 			}
 			r.until("no place is left behind", func() bool { return r.in.clients.open() == 0 && len(r.in.clients.room) == 1 })
 		})
 	}
 }
 
-// TestListeningFailsAtTheStart guards against a process that ends as it starts in a moment of want.
+// TestListeningFailsAtTheStart guards against a process that ends as it starts during a shortage.
 func TestListeningFailsAtTheStart(t *testing.T) {
 	for _, number := range []syscall.Errno{
 		syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR,
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
-			calls := realCalls()
-			calls.wait = func(time.Duration) {}
+			calls := netcalls.System()
+			calls.Sleep = func(time.Duration) {}
 			tcp, udp := failing(3, number, "bind"), failing(3, number, "socket")
-			listen, listenPacket := calls.listen, calls.listenPacket
-			calls.listen = func(a *net.TCPAddr) (*net.TCPListener, error) {
+			listen, listenPacket := calls.Listen, calls.ListenPacket
+			calls.Listen = func(a *net.TCPAddr) (*net.TCPListener, error) {
 				if err := tcp.next(); err != nil {
 					return nil, err
 				}
 				return listen(a)
 			}
-			calls.listenPacket = func(a *net.UDPAddr) (*net.UDPConn, error) {
+			calls.ListenPacket = func(a *net.UDPAddr) (*net.UDPConn, error) {
 				if err := udp.next(); err != nil {
 					return nil, err
 				}
 				return listenPacket(a)
 			}
 			cfg := testConfig()
-			cfg.Settings.Settings.PeerMessages = true
+			cfg.Settings.PeerMessages = true
 			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
-			p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), calls)
+			p, err := open(t.Context(), cfg, slog.New(slog.DiscardHandler), calls)
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.close()
 		})
 	}
-	for name, number := range map[string]syscall.Errno{"for good": syscall.EACCES, "for too long": syscall.ENFILE} {
-		now, tries := time.Now(), 0
-		_, err := retryAtStart(context.Background(), func() (int, error) { tries++; return 0, number },
-			func(d time.Duration) { now = now.Add(d) }, func() time.Time { return now })
-		if !errors.Is(err, number) || name == "for good" && tries != 1 {
-			t.Errorf("%s: %v after %d tries", name, err, tries)
-		}
-	}
 }
 
-// TestDialFails guards against a backend that is blamed for what this side lacks, and against one that is not for
-// what is its own.
+// TestDialFails guards against an endpoint that is blamed for a fault of this side, and against one that is not for
+// a fault of its own.
 func TestDialFails(t *testing.T) {
 	for _, tc := range []struct {
 		number syscall.Errno
@@ -229,44 +224,17 @@
 }
 
 // TestReadsAndWritesFailForAMoment guards against connections that end, with what is owed on them, as a read or a
-// write fails for want of something; and against commands and answers that are garbled where the system takes or
-// gives them in parts of any size.
+// write fails for a shortage; and against commands and replies that are garbled where the system takes or gives
+// them in parts of any size.
 func TestReadsAndWritesFailForAMoment(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
-		for _, most := range []int{1, 2, 3, 7, 64, 0} {
-			t.Run(fmt.Sprint(number, " ", most), func(t *testing.T) {
+		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
+			t.Run(fmt.Sprint(number, " ", partSize), func(t *testing.T) {
 				addr, conns := listen(t)
-				faulty := func(conn connection) connection {
-					return &faultyConn{conn, failing(5, number, "read"), failing(5, number, "write"), most}
-				}
 				r := start(t, testConfig(addr), func(r *rig) {
 					quickly(r)
 					sendTo(0)(r)
-					accept, dial := r.in.calls.accept, r.in.backends.dial
-					r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
-						conn, err := accept(l)
-						if err != nil {
-							return nil, err
-						}
-						return faulty(conn), nil
-					}
-					r.in.backends.dial = func(addr string) (net.Conn, error) {
-						conn, err := dial(addr)
-						if err != nil {
-							return nil, err
-						}
-						return faulty(conn.(connection)), nil
-					}
-					var calls atomic.Int32
-					r.in.calls.write = func(fd int, b []byte) (int, error) { // every other time nothing, else a part
-						if calls.Add(1)%2 == 1 {
-							return -1, number
-						}
-						if most > 0 && len(b) > most {
-							b = b[:most]
-						}
-						return syscall.Write(fd, b)
-					}
+					failReadsAndWrites(r, number, partSize)
 				})
 				r.serve(conns)
 				c := r.client()
@@ -282,21 +250,62 @@
 	}
 }
 
+// failReadsAndWrites has the first reads and writes of each connection fail, and every other write of the loop, and
+// makes all of them in parts of a size; 0: whole.
+func failReadsAndWrites(r *rig, number syscall.Errno, partSize int) {
+	faulty := func(conn netcalls.Conn) netcalls.Conn {
+		return &faultyConn{conn, failing(5, number, "read"), failing(5, number, "write"), partSize}
+	}
+	wrapConns(r, faulty)
+	var calls atomic.Int32
+	r.in.calls.Write = func(fd int, b []byte) (int, error) {
+		if calls.Add(1)%2 == 1 {
+			return -1, number
+		}
+		if partSize > 0 && len(b) > partSize {
+			b = b[:partSize]
+		}
+		return syscall.Write(fd, b)
+	}
+}
+
+// wrapConns replaces each connection of a client, and each to a backend, by another one on top of it.
+func wrapConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
+	wrapClientConns(r, wrap)
+	wrapBackendConns(r, wrap)
+}
+
+func wrapClientConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
+	accept := r.in.calls.Accept
+	r.in.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
+		conn, err := accept(l)
+		if err != nil {
+			return nil, err
+		}
+		return wrap(conn), nil
+	}
+}
+
+func wrapBackendConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
+	dial := r.in.backends.dial
+	r.in.backends.dial = func(addr string) (net.Conn, error) {
+		conn, err := dial(addr)
+		if err != nil {
+			return nil, err
+		}
+		return wrap(conn.(netcalls.Conn)), nil
+	}
+}
+
 // TestConnectionsThatEndWithAnError guards the meaning of errors that end a connection: a client is gone, and an
 // attempt whose command was written may have run.
 func TestConnectionsThatEndWithAnError(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
+		failAfterRead := func(conn netcalls.Conn) netcalls.Conn {
+			return &afterRead{conn, failing(1, number, "read").err}
+		}
 		t.Run("client, "+number.Error(), func(t *testing.T) {
-			r := start(t, testConfig(noDiscovery), func(r *rig) {
-				accept := r.in.calls.accept
-				r.in.calls.accept = func(l *net.TCPListener) (connection, error) {
-					conn, err := accept(l)
-					if err != nil {
-						return nil, err
-					}
-					return &afterRead{conn, failing(1, number, "read").err}, nil
-				}
-			})
+			r := start(t, testConfig(noDiscovery), func(r *rig) { wrapClientConns(r, failAfterRead) })
 			r.client().send(look("a")...)
 			if id := get(t, r.mod.gone); id != "a" {
 				t.Errorf("gone: %q", id)
@@ -309,19 +318,12 @@
 			addr, conns := listen(t)
 			r := start(t, testConfig(addr), func(r *rig) {
 				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
-					conn, err := dial(addr)
-					if err != nil {
-						return nil, err
-					}
-					return &afterRead{conn.(connection), failing(1, number, "read").err}, nil
-				}
+				wrapBackendConns(r, failAfterRead)
 			})
 			r.client().send(look("a")...)
 			b := get(t, conns)
 			b.command()
-			io.WriteString(b, "*3\r\n")
+			_, _ = io.WriteString(b, "*3\r\n")
 			if o := get(t, r.mod.outcomes); o.Status != policy.Reset {
 				t.Errorf("got %+v", o)
 			}
@@ -332,12 +334,12 @@
 
 // afterRead is a connection whose reads fail once one has brought something.
 type afterRead struct {
-	connection
+	netcalls.Conn
 	err error
 }
 
 func (c *afterRead) Read(b []byte) (int, error) {
-	n, err := c.connection.Read(b)
+	n, err := c.Conn.Read(b)
 	if err != nil {
 		return n, err
 	}
@@ -355,52 +357,58 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer peer.Close()
+			t.Cleanup(func() { _ = peer.Close() })
 			cfg := testConfig(noDiscovery)
-			cfg.Settings.Settings.PeerMessages = true
+			cfg.Settings.PeerMessages = true
 			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 			at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 			cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
-			var mu sync.Mutex
-			waits := 0
+			var sleeps atomic.Int32
 			r := start(t, cfg, func(r *rig) {
-				in, out := failing(3, number, "recvfrom"), failing(1, number, "sendto")
-				r.in.calls.wait = func(time.Duration) { mu.Lock(); waits++; mu.Unlock() }
-				read, write := r.in.calls.readPacket, r.in.calls.writePacket
-				r.in.calls.readPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
-					if err := in.next(); err != nil {
-						return 0, netip.AddrPort{}, err
-					}
-					return read(c, b)
-				}
-				r.in.calls.writePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
-					if err := out.next(); err != nil {
-						return 0, err
-					}
-					return write(c, b, to)
-				}
+				failDatagrams(r, number)
+				r.in.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
 			})
 			r.do(func() { r.in.SendToPeer(1, []byte("lost")); r.in.SendToPeer(1, []byte("there")) })
-			peer.SetReadDeadline(time.Now().Add(patience))
-			buf := make([]byte, maxDatagram)
+			if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
+				t.Fatal(err)
+			}
+			buf := make([]byte, peerlink.MaxDatagramSize)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
 				t.Errorf("the peer got %q, %v", buf[:n], err)
 			}
-			peer.WriteToUDP([]byte("back"), r.in.peers.conn.LocalAddr().(*net.UDPAddr))
+			if _, err := peer.WriteToUDPAddrPort([]byte("back"), r.in.peers.LocalAddr()); err != nil {
+				t.Fatal(err)
+			}
 			if m := get(t, r.mod.messages); m.from != 1 || m.data != "back" {
 				t.Errorf("got %+v", m)
 			}
-			mu.Lock()
-			defer mu.Unlock()
-			if waits != 3 {
-				t.Errorf("%d waits for 3 reads that failed", waits)
+			if n := sleeps.Load(); n != 3 {
+				t.Errorf("%d pauses for 3 reads that failed", n)
 			}
 		})
 	}
 }
 
-// TestDiscoveryCallsFail guards against a list that is not asked for any more as calls to the agent fail.
+// failDatagrams has the first three reads of the link to the other gateways fail, and its first write.
+func failDatagrams(r *rig, number syscall.Errno) {
+	readFault, writeFault := failing(3, number, "recvfrom"), failing(1, number, "sendto")
+	read, write := r.in.calls.ReadPacket, r.in.calls.WritePacket
+	r.in.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
+		if err := readFault.next(); err != nil {
+			return 0, netip.AddrPort{}, err
+		}
+		return read(c, b)
+	}
+	r.in.calls.WritePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
+		if err := writeFault.next(); err != nil {
+			return 0, err
+		}
+		return write(c, b, to)
+	}
+}
+
+// TestDiscoveryCallsFail guards against a list that is not polled any more as calls to the agent fail.
 func TestDiscoveryCallsFail(t *testing.T) {
 	for _, number := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
@@ -413,8 +421,8 @@
 			fault := failing(4, number, "connect")
 			r := start(t, cfg, func(r *rig) {
 				r.in.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
-				dial := r.in.calls.dialAgent
-				r.in.calls.dialAgent = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				dial := r.in.calls.DialContext
+				r.in.calls.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
