--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -82,14 +82,14 @@
 }
 
 // quickly makes the pauses before a call is made again short, so that tests need not wait.
-func quickly(r *rig) { r.in.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
+func quickly(r *harness) { r.proxy.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
 
 // serve has a backend answer each command that comes with a value.
-func (r *rig) serve(conns chan *wire) {
+func (r *harness) serve(conns chan *testConn) {
 	go func() {
 		for b := range conns {
 			go func() {
-				for n := 0; b.command() != nil; n++ {
+				for n := 0; b.readCommand() != nil; n++ {
 					_, _ = fmt.Fprintf(b, "*3\r\n$1\r\nv\r\n:%d\r\n$-1\r\n", n)
 				}
 			}()
@@ -105,11 +105,11 @@
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
 			fault := failing(3, number, "accept")
-			r := start(t, testConfig(noDiscovery), func(r *rig) {
+			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
 				quickly(r)
-				busy(r)
-				accept := r.in.calls.Accept
-				r.in.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
+				rejectEachRequest(r)
+				accept := r.proxy.calls.Accept
+				r.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
@@ -118,13 +118,13 @@
 			})
 			for i := range 3 {
 				c := r.client()
-				c.send(look(fmt.Sprint("a", i))...)
-				if got := c.line(); got != "-BUSY 500" {
+				c.send(lookCommand(fmt.Sprint("a", i))...)
+				if got := c.readLine(); got != "-BUSY 500" {
 					t.Errorf("got %q", got)
 				}
 				_ = c.Close()
 			}
-			r.until("no place is left behind", func() bool { return r.in.clients.open() == 0 && len(r.in.clients.room) == 1 })
+			r.eventually("no place is left behind", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
 		})
 	}
 }
@@ -190,33 +190,33 @@
 		{syscall.ECONNRESET, 1, policy.ConnectFailed},
 	} {
 		t.Run(fmt.Sprint(tc.number, " ", tc.times), func(t *testing.T) {
-			addr, conns := listen(t)
+			addr, conns := listenBackend(t)
 			fault := failing(tc.times, tc.number, "connect")
-			r := start(t, testConfig(addr), func(r *rig) {
+			r := startProxy(t, testConfig(addr), func(r *harness) {
 				quickly(r)
-				sendTo(0)(r)
-				dial := r.in.backends.dial
-				r.in.backends.dial = func(addr string) (net.Conn, error) {
+				sendEachRequest(0)(r)
+				dial := r.proxy.endpoints.dial
+				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
 					return dial(addr)
 				}
 				if tc.times > 3 {
-					r.in.backends.ownRetry = time.Millisecond
+					r.proxy.endpoints.localFaultRetry = time.Millisecond
 				} else {
-					r.in.backends.ownRetry = patience
+					r.proxy.endpoints.localFaultRetry = patience
 				}
 			})
 			r.serve(conns)
 			c := r.client()
-			c.send(look("a")...)
-			if o := get(t, r.mod.outcomes); o.Status != tc.want {
+			c.send(lookCommand("a")...)
+			if o := receive(t, r.decider.outcomes); o.Status != tc.want {
 				t.Errorf("got %+v, want %v", o, tc.want)
 			}
-			r.do(func() {
-				if be := r.in.backends.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.in.backends.open != len(be.idle) {
-					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.in.backends.open)
+			r.onLoop(func() {
+				if be := r.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.proxy.endpoints.openConns != len(be.idle) {
+					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.proxy.endpoints.openConns)
 				}
 			})
 		})
@@ -230,20 +230,20 @@
 	for _, number := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
 			t.Run(fmt.Sprint(number, " ", partSize), func(t *testing.T) {
-				addr, conns := listen(t)
-				r := start(t, testConfig(addr), func(r *rig) {
+				addr, conns := listenBackend(t)
+				r := startProxy(t, testConfig(addr), func(r *harness) {
 					quickly(r)
-					sendTo(0)(r)
+					sendEachRequest(0)(r)
 					failReadsAndWrites(r, number, partSize)
 				})
 				r.serve(conns)
 				c := r.client()
 				for i := range 3 {
-					c.send(look(fmt.Sprint("a", i))...)
-					if o := get(t, r.mod.outcomes); o.Status != policy.OK {
+					c.send(lookCommand(fmt.Sprint("a", i))...)
+					if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 						t.Fatalf("got %+v", o)
 					}
-					c.served("it")
+					c.wantValue("it")
 				}
 			})
 		}
@@ -252,13 +252,13 @@
 
 // failReadsAndWrites has the first reads and writes of each connection fail, and every other write of the loop, and
 // makes all of them in parts of a size; 0: whole.
-func failReadsAndWrites(r *rig, number syscall.Errno, partSize int) {
+func failReadsAndWrites(r *harness, number syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, failing(5, number, "read"), failing(5, number, "write"), partSize}
 	}
 	wrapConns(r, faulty)
 	var calls atomic.Int32
-	r.in.calls.Write = func(fd int, b []byte) (int, error) {
+	r.proxy.calls.Write = func(fd int, b []byte) (int, error) {
 		if calls.Add(1)%2 == 1 {
 			return -1, number
 		}
@@ -270,14 +270,14 @@
 }
 
 // wrapConns replaces each connection of a client, and each to a backend, by another one on top of it.
-func wrapConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
+func wrapConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
 	wrapClientConns(r, wrap)
 	wrapBackendConns(r, wrap)
 }
 
-func wrapClientConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
-	accept := r.in.calls.Accept
-	r.in.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
+func wrapClientConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
+	accept := r.proxy.calls.Accept
+	r.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
 		conn, err := accept(l)
 		if err != nil {
 			return nil, err
@@ -286,9 +286,9 @@
 	}
 }
 
-func wrapBackendConns(r *rig, wrap func(netcalls.Conn) netcalls.Conn) {
-	dial := r.in.backends.dial
-	r.in.backends.dial = func(addr string) (net.Conn, error) {
+func wrapBackendConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
+	dial := r.proxy.endpoints.dial
+	r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, err
@@ -305,29 +305,29 @@
 			return &afterRead{conn, failing(1, number, "read").err}
 		}
 		t.Run("client, "+number.Error(), func(t *testing.T) {
-			r := start(t, testConfig(noDiscovery), func(r *rig) { wrapClientConns(r, failAfterRead) })
-			r.client().send(look("a")...)
-			if id := get(t, r.mod.gone); id != "a" {
+			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { wrapClientConns(r, failAfterRead) })
+			r.client().send(lookCommand("a")...)
+			if id := receive(t, r.decider.gone); id != "a" {
 				t.Errorf("gone: %q", id)
 			}
-			r.until("nothing is left", func() bool {
-				return r.in.clients.open() == 0 && len(r.in.requests) == 0 && len(r.in.clients.room) == 1
+			r.eventually("nothing is left", func() bool {
+				return r.proxy.clients.open() == 0 && len(r.proxy.requests) == 0 && len(r.proxy.clients.places) == 1
 			})
 		})
 		t.Run("backend, "+number.Error(), func(t *testing.T) {
-			addr, conns := listen(t)
-			r := start(t, testConfig(addr), func(r *rig) {
-				sendTo(0)(r)
+			addr, conns := listenBackend(t)
+			r := startProxy(t, testConfig(addr), func(r *harness) {
+				sendEachRequest(0)(r)
 				wrapBackendConns(r, failAfterRead)
 			})
-			r.client().send(look("a")...)
-			b := get(t, conns)
-			b.command()
+			r.client().send(lookCommand("a")...)
+			b := receive(t, conns)
+			b.readCommand()
 			_, _ = io.WriteString(b, "*3\r\n")
-			if o := get(t, r.mod.outcomes); o.Status != policy.Reset {
+			if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 				t.Errorf("got %+v", o)
 			}
-			r.until("nothing is left", func() bool { return r.in.backends.open == 0 })
+			r.eventually("nothing is left", func() bool { return r.proxy.endpoints.openConns == 0 })
 		})
 	}
 }
@@ -358,17 +358,17 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = peer.Close() })
-			cfg := testConfig(noDiscovery)
+			cfg := testConfig(unreachableAgent)
 			cfg.Settings.PeerMessages = true
 			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
 			at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 			cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
 			var sleeps atomic.Int32
-			r := start(t, cfg, func(r *rig) {
+			r := startProxy(t, cfg, func(r *harness) {
 				failDatagrams(r, number)
-				r.in.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
+				r.proxy.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
 			})
-			r.do(func() { r.in.SendToPeer(1, []byte("lost")); r.in.SendToPeer(1, []byte("there")) })
+			r.onLoop(func() { r.proxy.SendToPeer(1, []byte("lost")); r.proxy.SendToPeer(1, []byte("there")) })
 			if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
 				t.Fatal(err)
 			}
@@ -377,10 +377,10 @@
 			if err != nil || string(buf[:n]) != "there" {
 				t.Errorf("the peer got %q, %v", buf[:n], err)
 			}
-			if _, err := peer.WriteToUDPAddrPort([]byte("back"), r.in.peers.LocalAddr()); err != nil {
+			if _, err := peer.WriteToUDPAddrPort([]byte("back"), r.proxy.peers.LocalAddr()); err != nil {
 				t.Fatal(err)
 			}
-			if m := get(t, r.mod.messages); m.from != 1 || m.data != "back" {
+			if m := receive(t, r.decider.messages); m.from != 1 || m.data != "back" {
 				t.Errorf("got %+v", m)
 			}
 			if n := sleeps.Load(); n != 3 {
@@ -391,16 +391,16 @@
 }
 
 // failDatagrams has the first three reads of the link to the other gateways fail, and its first write.
-func failDatagrams(r *rig, number syscall.Errno) {
+func failDatagrams(r *harness, number syscall.Errno) {
 	readFault, writeFault := failing(3, number, "recvfrom"), failing(1, number, "sendto")
-	read, write := r.in.calls.ReadPacket, r.in.calls.WritePacket
-	r.in.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
+	read, write := r.proxy.calls.ReadPacket, r.proxy.calls.WritePacket
+	r.proxy.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
 		if err := readFault.next(); err != nil {
 			return 0, netip.AddrPort{}, err
 		}
 		return read(c, b)
 	}
-	r.in.calls.WritePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
+	r.proxy.calls.WritePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
 		if err := writeFault.next(); err != nil {
 			return 0, err
 		}
@@ -419,18 +419,18 @@
 			cfg := testConfig()
 			cfg.Discovery = agent.Address()
 			fault := failing(4, number, "connect")
-			r := start(t, cfg, func(r *rig) {
-				r.in.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
-				dial := r.in.calls.DialContext
-				r.in.calls.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			r := startProxy(t, cfg, func(r *harness) {
+				r.proxy.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
+				dial := r.proxy.calls.DialContext
+				r.proxy.calls.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
 					return dial(ctx, network, addr)
 				}
 			})
-			get(t, r.mod.lists) // that of the configuration
-			if list := get(t, r.mod.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
+			receive(t, r.decider.lists) // that of the configuration
+			if list := receive(t, r.decider.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
 				t.Errorf("got %+v", list)
 			}
 		})
