--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -32,8 +32,10 @@
 	endpointTable
 	slowStart
 	ownerRing
-	classes classTable
-	requestTable
+	classes       classTable
+	requests      requestTable
+	dispatchQueue dispatchQueue
+	retries       retryPolicy
 }
 
 // setUp makes the classes, the plans and the ring.
@@ -48,32 +50,20 @@
 	})
 }
 
-// Started takes the start of a streamed answer: the attempt belongs to the client now.
-func (g *Gateway) HandleStreamStarted(now float64, id string, attempt int) {
-	g.clock.advance(now)
-	if r := g.requests[id]; r != nil {
-		r.streaming = true
-	}
-}
-
-// Gone takes the news that the request needs no answer any more.
-func (g *Gateway) HandleClientGone(now float64, id string) {
-	g.clock.advance(now)
-	if r := g.requests[id]; r != nil && !r.done {
-		g.finishRequest(r)
-	}
-}
-
 // New returns the gateway's decisions at its start. The list of servers follows through Servers.
 func New(s Settings, seed uint64, now float64, act Actions) (*Gateway, error) {
-	if err := validate(s, act); err != nil {
+	if act == nil {
+		return nil, ErrNoActions
+	}
+	if err := validate(s); err != nil {
 		return nil, err
 	}
 	g := &Gateway{settings: s, actions: act, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), clock: &eventClock{now: now}}
 	g.classes = newClassTable(s.Classes)
 	g.endpoints, g.endpointsByHash = map[string]*endpoint{}, map[uint16]*endpoint{}
-	g.requests = map[string]*request{}
 	g.customers = newCustomerTable(s, g.clock, func(c *customer) int { return g.ringSuccessor(c, false) })
+	g.requests = newRequestTable()
+	g.retries = newRetryPolicy(s, g.clock)
 	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
 	g.admittedWorkAt = now
 	g.incarnation = uint8(g.rng.Uint32())
@@ -87,6 +77,57 @@
 	return g, nil
 }
 
+// HandleRequest decides on a client's request. One that is open already is ignored.
+func (g *Gateway) HandleRequest(now Seconds, incoming Request) {
+	g.clock.advance(now)
+	if g.requests.find(incoming.ID) != nil {
+		return
+	}
+	cls := g.classes.byName[incoming.Class]
+	if cls == nil {
+		g.actions.Fail(incoming.ID, UnknownClass)
+		return
+	}
+	r := g.newRequest(incoming, cls)
+	g.healthCheckCredits = min(g.healthCheckCredits+healthChecksPerRequest, 2)
+	g.requests.add(r)
+	g.admitOrReject(r)
+}
+
+// HandleStreamStarted notes that an attempt's reply is being streamed to the client, so that the request is not
+// retried any more.
+func (g *Gateway) HandleStreamStarted(now Seconds, id string, _ int) {
+	g.clock.advance(now)
+	if r := g.requests.find(id); r != nil {
+		r.streaming = true
+	}
+}
+
+// HandleClientGone notes that a request needs no reply any more.
+func (g *Gateway) HandleClientGone(now Seconds, id string) {
+	g.clock.advance(now)
+	if r := g.requests.find(id); r != nil && !r.done {
+		g.finishRequest(r)
+	}
+}
+
+// HandleOutcome takes the end of an attempt: what it tells of the endpoint and of the request, and whether the
+// request is finished or retried.
+func (g *Gateway) HandleOutcome(now Seconds, outcome Outcome) {
+	g.clock.advance(now)
+	r, a := g.endAttempt(outcome)
+	if r == nil {
+		return
+	}
+	g.recordLoadReport(a.endpoint, outcome.Load)
+	g.recordOutcome(r, a, outcome)
+	r.recordStatus(a, outcome.Status)
+	g.chargeActualUnits(r, outcome)
+	g.finishOrRetry(r, outcome)
+	g.dispatchQueued()
+	g.retryQueued()
+}
+
 // Timer takes a timer: all work that no event brings.
 func (g *Gateway) HandleTimer(now float64, token uint64) {
 	g.clock.advance(now)
