--- a/internal/proxy/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -1,4 +1,4 @@
-package proxy
+package netcalls
 
 import (
 	"errors"
@@ -15,10 +15,10 @@
 // writeSlice is how long one write waits before it is looked at whether the other end has taken anything.
 const writeSlice = time.Second
 
-// writeAll writes all of b, for as long as the other end takes some of it within each stall timeout; progressed is
+// WriteAll writes all of b, for as long as the other end takes some of it within each stall timeout; progressed is
 // called when it has. No deadline outlives it. A deadline that has passed while this process stood still is no stall:
 // the socket is asked before that is returned, as an error that is os.ErrDeadlineExceeded.
-func (s *systemCalls) writeAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
+func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // it fails on a closed connection alone
 	lastProgress := time.Now()
 	for {
@@ -30,7 +30,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		more, failed := s.writeNow(raw, b)
+		more, failed := c.WriteNow(raw, b)
 		if failed != nil {
 			return failed
 		}
@@ -47,21 +47,21 @@
 	}
 }
 
-// writeNow writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
+// WriteNow writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
 // connection.
-func (s *systemCalls) writeNow(raw syscall.RawConn, b []byte) (n int, err error) {
-	closed := raw.Control(func(fd uintptr) { n, err = s.write(int(fd), b) })
+func (c *Calls) WriteNow(raw syscall.RawConn, b []byte) (n int, err error) {
+	closed := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
 	case closed != nil:
 		return 0, closed
-	case scarce(err):
+	case IsShortage(err):
 		return 0, nil
 	}
 	return max(n, 0), err
 }
 
-// receiveNow reads what has come on a connection, without waiting; io.EOF at its end.
-func receiveNow(raw syscall.RawConn, b []byte) (n int, err error) {
+// ReceiveNow reads what has come on a connection, without waiting; io.EOF at its end.
+func ReceiveNow(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
 	})
@@ -74,8 +74,8 @@
 	return max(n, 0), err
 }
 
-// noDataPending tells whether a connection is open and no byte waits on it.
-func noDataPending(raw syscall.RawConn) bool {
+// NoDataPending tells whether a connection is open and no byte waits on it.
+func NoDataPending(raw syscall.RawConn) bool {
 	var one [1]byte
 	var err error
 	closed := raw.Control(func(fd uintptr) {
@@ -95,9 +95,9 @@
 // tcpStateMask leaves the state of a connection, which is the first byte of its TCP_INFO.
 const tcpStateMask = 0xff
 
-// closedByPeer tells whether the other end has closed a connection, or reset it, also while bytes that it has sent
+// ClosedByPeer tells whether the other end has closed a connection, or reset it, also while bytes that it has sent
 // before are unread here.
-func closedByPeer(raw syscall.RawConn) (closed bool) {
+func ClosedByPeer(raw syscall.RawConn) (closed bool) {
 	failed := raw.Control(func(fd uintptr) {
 		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		if err != nil {
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -63,7 +63,7 @@
 	p.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	pending := c.pipeline.pending
-	n, err := p.calls.writeNow(c.rawConn, pending)
+	n, err := p.calls.WriteNow(c.rawConn, pending)
 	if err != nil {
 		c.abandon(writeFailed, err)
 		return
@@ -93,7 +93,7 @@
 	progressed()
 	stall := p.clients.stallTimeout
 	go func() {
-		err := p.calls.writeAll(c.conn, c.rawConn, rest, stall, progressed)
+		err := p.calls.WriteAll(c.conn, c.rawConn, rest, stall, progressed)
 		p.post(p.clock.now(), func() { c.writeFinished(len(rest), err) })
 	}()
 }
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/command"
 	"reedlead/internal/discovery"
 	"reedlead/internal/resp"
@@ -137,7 +139,7 @@
 			b.readCommand()
 			come := func() bool { return !r.proxy.requests["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				come = func() bool { return !noDataPending(r.proxy.requests["a"].attempts[0].conn.raw) }
+				come = func() bool { return !netcalls.NoDataPending(r.proxy.requests["a"].attempts[0].conn.raw) }
 			}
 			r.whileLoopWaits(func() { io.WriteString(b, valueReply) }, come, func() { r.proxy.Send("a", "s0", 0, 0) })
 			for {
@@ -210,7 +212,7 @@
 		gone := func(r *harness, id string) func() bool {
 			q := (*request)(nil)
 			r.onLoop(func() { q = r.proxy.requests[id] })
-			return func() bool { return closedByPeer(q.client.rawConn) }
+			return func() bool { return netcalls.ClosedByPeer(q.client.rawConn) }
 		}
 		nothing := func(t *testing.T, r *harness, conns chan *testConn, id string) {
 			t.Helper()
@@ -253,7 +255,7 @@
 			for _, arg := range lookCommand("a") {
 				args = append(args, []byte(arg))
 			}
-			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return closedByPeer(raw.rawConn) }, func() {
+			r.whileLoopWaits(func() { c.disconnect(how) }, func() bool { return netcalls.ClosedByPeer(raw.rawConn) }, func() {
 				request, err := command.NewParser(r.proxy.cfg.Settings.Settings).Parse(args)
 				if err != nil {
 					t.Error(err)
@@ -306,7 +308,7 @@
 			})
 			r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
 				c.disconnect(how)
-				for end := time.Now().Add(patience); !closedByPeer(raw.rawConn) && time.Now().Before(end); {
+				for end := time.Now().Add(patience); !netcalls.ClosedByPeer(raw.rawConn) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 				for at := r.proxy.clock.now(); r.proxy.clock.now()-at <= lateS; { // the command has waited for longer than that
@@ -401,7 +403,7 @@
 			}
 			other := receive(t, conns)
 			io.WriteString(other, unread)
-			if closedByPeer(raw) {
+			if netcalls.ClosedByPeer(raw) {
 				t.Errorf("%d bytes unread: gone before it has left", len(unread))
 			}
 			if how == "half closed" {
@@ -409,7 +411,7 @@
 			} else {
 				other.disconnect(how)
 			}
-			for end := time.Now().Add(patience); !closedByPeer(raw); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patience); !netcalls.ClosedByPeer(raw); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("%s behind %d bytes: not seen", how, len(unread))
 				}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -10,6 +10,9 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 	"reedlead/internal/readbuf"
 	"reedlead/internal/reply"
@@ -72,7 +75,7 @@
 	afterWrite      func(*backendConn) // between the last byte of a command that took long and the note of it
 }
 
-func (s *endpointSet) init(cfg Config, calls systemCalls) {
+func (s *endpointSet) init(cfg config.Config, calls *netcalls.Calls) {
 	s.byID = map[string]*endpoint{}
 	s.afterWrite = func(*backendConn) {}
 	s.limit = max(8, usableDescriptors(cfg.Sockets)*3/8)
@@ -80,7 +83,7 @@
 	s.writeSlack = writeSlack
 	s.idleTimeoutS = cfg.Settings.ConnectionIdleTimeout * idleShare
 	timeout := cfg.Settings.DialTimeout
-	s.dial = func(addr string) (net.Conn, error) { return calls.dial(addr, timeout) }
+	s.dial = func(addr string) (net.Conn, error) { return calls.Dial(addr, timeout) }
 	s.localFaultRetry = min(timeout, maxLocalFaultRetry)
 }
 
@@ -163,7 +166,7 @@
 type backendConn struct {
 	endpoint       *endpoint
 	dialedAs       discovery.Endpoint // as the backend stood when it was dialled
-	conn           connection
+	conn           netcalls.Conn
 	raw            syscall.RawConn
 	awaitingReply  atomic.Bool // a reply is expected
 	unusable       atomic.Bool // not to be used again
@@ -189,7 +192,7 @@
 			i--
 		}
 		c := be.idle[i]
-		if c.unusable.Load() || p.now-c.idleSince > p.endpoints.idleTimeoutS || !noDataPending(c.raw) {
+		if c.unusable.Load() || p.now-c.idleSince > p.endpoints.idleTimeoutS || !netcalls.NoDataPending(c.raw) {
 			p.closeBackendConn(c, notUsable, nil)
 			continue
 		}
@@ -215,16 +218,16 @@
 func (p *Proxy) dial(be *endpoint, at discovery.Endpoint) {
 	from := p.clock.now()
 	conn, err := p.endpoints.dial(at.Addr)
-	for first := true; ownFault(err) && p.clock.now()-from < p.endpoints.localFaultRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && p.clock.now()-from < p.endpoints.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
 			p.post(p.clock.now(), func() { p.freeDescriptorsAfter(failed) })
 		}
-		p.calls.wait(scarceRetry)
+		p.calls.Sleep(netcalls.RetryInterval)
 		conn, err = p.endpoints.dial(at.Addr)
 	}
 	var c *backendConn
 	if err == nil {
-		c = &backendConn{endpoint: be, dialedAs: at, conn: steadyConn{conn.(connection), p.calls.wait}}
+		c = &backendConn{endpoint: be, dialedAs: at, conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: p.calls.Sleep}}
 		if c.raw, err = c.conn.SyscallConn(); err != nil {
 			conn.Close()
 			c = nil
@@ -240,7 +243,7 @@
 	if c == nil {
 		p.endpoints.openConns--
 		p.warn("dial failed", "backend", be.ID, "error", err)
-		if p.freeDescriptorsAfter(err); ownFault(err) {
+		if p.freeDescriptorsAfter(err); netcalls.IsLocalFault(err) {
 			failed = policy.NotSent // it tells nothing of the backend
 		}
 	} else {
@@ -319,7 +322,7 @@
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
 	c.writeStartedAt.store(from)
-	n, err := p.calls.writeNow(c.raw, b)
+	n, err := p.calls.WriteNow(c.raw, b)
 	switch {
 	case err != nil:
 		p.closeBackendConn(c, writeFailed, err)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -4,6 +4,8 @@
 	"context"
 	"log/slog"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/policy"
@@ -46,7 +48,7 @@
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
 		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
 		"arrived", a.request.cameAt, "write_started", writeStarted, "at", at,
-		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", closedByPeer(a.request.client.rawConn),
+		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", netcalls.ClosedByPeer(a.request.client.rawConn),
 	)
 }
 
--- a/policy/endpoint_choice.go
+++ b/policy/endpoint_choice.go
@@ -83,7 +83,7 @@
 		share := g.slowStart.warmUpFraction(s)
 		if share < 1 && s.available(g.clock.now) && g.slowStart.creditAvailable(s) &&
 			g.outliers.score(s, r.class.index) < suspectScore && (share >= minNonIdempotentWarmUp || r.class.Idempotency != NonIdempotent) &&
-			(r.firstExecuted == nil || r.class.Idempotency != IdempotencyKey) {
+			(!r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey) {
 			return s
 		}
 	}
