--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -31,7 +31,7 @@
 		g.reject(r, g.retries.rejectionReason(r))
 		return
 	}
-	if e := g.pickEndpoint(r); e != nil {
+	if e := g.picker.pick(r); e != nil {
 		g.sendAttempt(r, e)
 	} else {
 		g.dispatchQueue.add(r)
@@ -46,7 +46,7 @@
 			g.reject(r, NoEndpointInTime)
 			return true
 		}
-		e := g.pickEndpoint(r)
+		e := g.picker.pick(r)
 		if e != nil {
 			g.sendAttempt(r, e)
 		}
--- /dev/null
+++ b/policy/endpoint_picker_test.go
@@ -0,0 +1,121 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// Each of many gateways met every server in turn, each time by a new connection.
+func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
+	for _, price := range []float64{0, 0.08} {
+		s, r := testSettings(), &recorder{}
+		s.GatewayCount, s.ConnectionIdleTimeout, s.HandshakeCost = 80, 30, price
+		g, err := New(s, 7, 100, r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.HandleEndpoints(100, manyEndpoints(60), true)
+		used := map[string]bool{}
+		for i := range 100 {
+			now := 100 + float64(i)*0.2
+			id := fmt.Sprint("q", i)
+			sendUnlimited(g, now, id, "read")
+			sent := r.ofKind("send", id)
+			if len(sent) != 1 {
+				t.Fatalf("request %d was not sent", i)
+			}
+			used[sent[0].endpoint] = true
+			g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: sent[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
+		}
+		if n := len(used); price == 0 && n < 40 || price > 0 && (n > 30 || n < 4) {
+			t.Errorf("with a price of %v %d of 60 servers were used by 100 requests", price, n)
+		}
+	}
+}
+
+// What is given up takes its connection along, and what idles for long is not counted on.
+func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
+	g, r := largeFleet(t)
+	g.settings.ConnectionIdleTimeout = 10
+	sendUnlimited(g, 100, "a", "read")
+	s := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
+	if s.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("its one connection is in use")
+	}
+	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
+	if !s.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("the connection is free again")
+	}
+	if g.clock.now = 100.1 + 10; s.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("the server may have closed it")
+	}
+	g.clock.now = 100.2
+	req := &request{Request: Request{ID: "b"}, class: g.classes.byName["read"]}
+	g.requests.byID["b"] = req
+	g.startAttempt(req, s)
+	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: s.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
+	if s.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("the connection went with what was given up on it")
+	}
+}
+
+// newTestPicker returns the picker of a lone gateway in zone "a", of the endpoints near and far in zones "a" and "b".
+func newTestPicker() (picker *endpointPicker, near, far *endpoint) {
+	clock := &eventClock{now: 100}
+	random := rand.New(rand.NewPCG(1, 2))
+	slowStart := newSlowStart(testSettings(), clock)
+	table := newTestTable(Endpoint{ID: "near", Zone: "a"}, Endpoint{ID: "far", Zone: "b"})
+	limiter := newConcurrencyLimiter(1, clock)
+	limiter.resize(0, 2)
+	picker = &endpointPicker{
+		clock: clock, random: random, endpoints: table, limiter: limiter, slowStart: slowStart,
+		outliers:     newOutlierDetector(1, clock, random, &gossipBuffer{}),
+		gatewayCount: 1, zone: "a", crossZoneCost: 0.1, idleTimeout: 30,
+	}
+	return picker, table.byID["near"], table.byID["far"]
+}
+
+func TestPickedEndpointByState(t *testing.T) {
+	for name, tc := range map[string]struct {
+		change func(picker *endpointPicker, near, far *endpoint)
+		want   string // "" for none
+	}{
+		"the zone of the gateway": {func(*endpointPicker, *endpoint, *endpoint) {}, "near"},
+		"draining":                {func(_ *endpointPicker, near, _ *endpoint) { near.State = Draining }, "far"},
+		"ejected":                 {func(_ *endpointPicker, near, _ *endpoint) { near.ejectedUntil = 100.1 }, "far"},
+		"no longer ejected":       {func(_ *endpointPicker, near, _ *endpoint) { near.ejectedUntil = 100 }, "near"},
+		"an outlier": {func(_ *endpointPicker, near, _ *endpoint) {
+			near.outlierScores[0] = outlierScore{level: 1, at: 100}
+		}, "far"},
+		"an outlier of another class": {func(_ *endpointPicker, near, _ *endpoint) {
+			near.outlierScores[1] = outlierScore{level: 1, at: 100}
+		}, "near"},
+		"its part of the limit in flight": {func(_ *endpointPicker, near, _ *endpoint) { near.inFlight = 3 }, "far"},
+		"slow":                            {func(_ *endpointPicker, near, _ *endpoint) { near.latencyFactor = 4 }, "far"},
+		"warming, without a credit": {func(_ *endpointPicker, near, _ *endpoint) {
+			near.StartedAt, near.slowStartCredit = 99, 0
+		}, "far"},
+		"warming, with a credit": {func(_ *endpointPicker, near, _ *endpoint) {
+			near.StartedAt, near.slowStartCredit, near.slowStartCreditAt = 99, 1, 100
+		}, "near"},
+		"none available": {func(_ *endpointPicker, near, far *endpoint) {
+			near.State, far.ejectedUntil = Draining, 101
+		}, ""},
+		"the limit reached": {func(picker *endpointPicker, _, _ *endpoint) {
+			picker.limiter.inFlight = int(picker.limiter.limit)
+		}, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			picker, near, far := newTestPicker()
+			tc.change(picker, near, far)
+			got := ""
+			if e := picker.pick(&request{class: newClass(testSettings().Classes[0], 0)}); e != nil {
+				got = e.ID
+			}
+			if got != tc.want {
+				t.Errorf("picked %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -30,6 +30,7 @@
 	gossip        *gossipBuffer
 	endpoints     *endpointTable
 	slowStart     *slowStart
+	picker        *endpointPicker
 	ring          ownerRing
 	classes       classTable
 	requests      requestTable
@@ -59,6 +60,12 @@
 	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.gossip = &gossipBuffer{}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
+	g.picker = &endpointPicker{
+		clock: g.clock, random: g.rng,
+		endpoints: g.endpoints, outliers: g.outliers, limiter: g.limiter, slowStart: g.slowStart,
+		gatewayCount: s.GatewayCount, zone: s.Zone,
+		crossZoneCost: s.CrossZoneCost, handshakeCost: s.HandshakeCost, idleTimeout: s.ConnectionIdleTimeout,
+	}
 	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
 	g.ring = newOwnerRing(s.GatewayCount)
 	g.actions.SetTimer(1, timerInterval)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -81,7 +81,7 @@
 	r.recordPossibleExecution(slow) // the choice of the endpoint depends on it
 	var other *endpoint
 	if g.retries.allowsAttempt(r) {
-		other = g.pickEndpoint(r)
+		other = g.picker.pick(r)
 	}
 	switch {
 	case other == nil || other == slow.endpoint:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -157,12 +157,12 @@
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, negligibleWork), minCompletedFraction), 1)
 	allowed := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
-	if s.gatewayCount <= smallFleetSize {
+	if !isLargeFleet(s.gatewayCount) {
 		return allowed
 	}
 	capacity := max(s.warmedCapacity, warmUpFraction)
 	cautious := warmUpFraction * (minSlowStartShare + slowStartShareRise*warmUpFraction) / capacity
-	needed := allowed * math.Pow(s.warmingCapacity/capacity, 2) // towards all that is allowed if most are warming
+	needed := allowed * math.Pow(s.warmingCapacity/capacity, 2) // approaches allowed if most are warming
 	return min(allowed, max(cautious, needed))
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -123,7 +123,7 @@
 		for range 60000 {
 			req := &request{class: g.classes.byName[class]}
 			g.slowStart.accrueCredits(req, g.endpoints.listed)
-			if s := g.pickWarmingEndpoint(req); s != nil {
+			if s := g.picker.pickWarming(req); s != nil {
 				g.slowStart.spendCredit(s, req.class) // as when it is sent
 				n++
 			}
