--- a/policy/customer.go
+++ b/policy/customer.go
@@ -42,12 +42,7 @@
 	awaitingOwner              []*request // wait for the owner's grant, in the order of arrival
 	slotQueue                  []*request // wait for a concurrency slot, in the order of priority
 	slotRetryAt                Seconds    // when slotQueue is looked at next
-	askedCount                 int        // of awaitingOwner, whose units the last report asked for
-	retransmissions            int
-	awaitingReplySince         Seconds // 0: no reply is expected
-	awaitingReply              bool    // is on the list of those that expect a reply
-	reportScheduled            bool    // is on the list of the peer reportTo
-	reportTo                   int
+	report                     reportState
 }
 
 // gateways returns how many gateways the customer's requests come to, as a divisor of its quota.
@@ -80,7 +75,7 @@
 // isIdle tells whether no request, report or reply of the customer is pending.
 func (c *customer) isIdle() bool {
 	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotQueue) == 0
-	return noRequests && !c.reportScheduled && !c.awaitingReply
+	return noRequests && !c.report.scheduled && !c.report.expected
 }
 
 // customerTable holds the customers that this gateway knows, and the plans.
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -20,10 +20,11 @@
 	rng      *rand.Rand
 	clock    *eventClock
 
+	protocol    peerProtocol
+	reporter    usageReporter
 	customers   customerTable
 	nextSweepAt Seconds // when what expired is evicted next
 
-	peerProtocol
 	slotQueue
 	concurrencyLimiter
 	outlierDetector
@@ -74,14 +75,13 @@
 	g.endpoints, g.endpointsByHash = map[string]*endpoint{}, map[uint16]*endpoint{}
 	g.requests = map[string]*request{}
 	g.customers = newCustomerTable(s, g.clock, func(c *customer) int { return g.ringSuccessor(c, false) })
-	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
 	g.admittedWorkAt = now
-	g.incarnation = uint8(g.rng.Uint32())
-	g.reportTokens, g.reportTokensAt = 2, now
+	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()))
+	g.protocol.gossip, g.protocol.sendToPeer = g.recent, act.SendToPeer
+	g.reporter = newUsageReporter(s, g.clock, &g.protocol, g.owner)
 	g.concurrencyLimit = initialConcurrencyPerEndpoint / float64(s.GatewayCount) // for one server
 	g.voteWeight = max(minVoteWeight, min(1, smallFleetSize/float64(s.GatewayCount)))
 	g.burstAllowance = burstDeviations * max(0, 1-smallFleetSize/float64(s.GatewayCount))
-	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
 	g.initialize(min(ringPoints, max(8, maxRingPoints/s.GatewayCount)))
 	g.actions.SetTimer(1, timerInterval)
 	return g, nil
@@ -99,7 +99,7 @@
 	g.healthCheckNext()
 	g.retransmit()
 	g.retryQueued()
-	g.sendUsageReports()
+	g.reporter.sendDue()
 	if now > g.nextSweepAt {
 		g.nextSweepAt = now + customerExpiry/4
 		g.customers.evictIdle()
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -55,7 +55,7 @@
 
 // alive tells that a peer answers: reports in a row without one take it off the ring for a while.
 func (g *Gateway) reachable(gw int) bool {
-	return gw == g.settings.Self || g.peers[gw].reachable(g.clock.now)
+	return g.protocol.reachable(gw)
 }
 
 // owner is the gateway that counts the customer.
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -20,7 +20,7 @@
 	// That a slot is free again is told at once where others may wait for it.
 	scarce := n < 0 && r.customer.inFlight+r.customer.quota.othersInFlight >= r.plan.MaxConcurrent
 	if r.customer.inFlight += n; r.plan.MaxConcurrent > 0 {
-		g.markForReport(r.customer, scarce)
+		g.reporter.mark(r.customer, scarce)
 	}
 }
 
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -1,271 +1,230 @@
 package policy
 
-// Reports between gateways: batched counts to owners, their answers, and what is done while one is missing.
+import "slices"
 
-import (
-	"math"
-	"slices"
-)
-
-// Times are in seconds.
 const (
-	minReportInterval    = 0.1 // least time between reports to one owner: "a few times a second"
-	unboundedMessageRate = 1e6 // stands for no bound on it
+	// minReportInterval is the least time between two batches of reports to one owner.
+	minReportInterval Seconds = 0.1
+	// reportFraction is the part of Settings.PeerMessageRate that a gateway's own reports may take. All
+	// gateways receive about as much as all send; the rest is left to replies.
+	reportFraction = 0.45
+	// minUrgentTokens and minBatchTokens are how many messages the budget must hold before an urgent batch
+	// is sent, or any other. Either takes one.
+	minUrgentTokens = 1
+	minBatchTokens  = 2
+	// grantTimeout is how long a request waits for a grant before the report is repeated.
+	grantTimeout Seconds = 0.08
+	// reportTimeout is the same for reports that no request waits for.
+	reportTimeout Seconds = 0.3
+	// maxGrantAttempts is the number of reports without a reply after which the local window decides.
+	maxGrantAttempts = 4
 )
 
-// peerProtocol holds the exchange of usage reports with other gateways.
-type peerProtocol struct {
-	format             messageFormat // of messages
-	incarnation        uint8
-	sequence           uint16
-	receivedMessages   float64 // messages a second that come in
-	receivedMessagesAt float64
-	reportTokens       float64 // reports that may be sent
-	reportTokensAt     float64
-	peersWithReports   []int       // peers with reports due
-	awaitingReply      []*customer // with reports unanswered
-	peers              []peer
+// reportState is where a customer stands in the exchange of reports with its owner.
+type reportState struct {
+	scheduled bool // is in the batch of gateway
+	gateway   int  // that the last report goes or went to
+	// expected tells that the customer is on the list of those that expect a reply.
+	expected      bool
+	awaitingSince Seconds // 0: no reply is expected
+	// askedCount is the number of awaiting requests whose units the last report asked for.
+	askedCount int
+	// attempts is the number of reports in a row without a reply.
+	attempts int
 }
 
-// Times are in seconds.
-const (
-	reportFraction   = 0.45 // of peerIntake that a gateway's own reports may take
-	grantTimeout     = 0.08 // how long a request waits for the owner's word before it is asked again
-	reportTimeout    = 0.3  // the same for reports with no request waiting
-	maxGrantAttempts = 4    // then the local window decides
-
-	// ownerQueryFraction is the part of Settings.PeerMessageRate that members may use to ask again after the
-	// owner has rejected their requests.
-	ownerQueryFraction = 0.5
-	// maxBackoffLoad bounds how many times that part the messages received count for.
-	maxBackoffLoad = 3
-)
-
-// expect has the customer's reports looked after until they are answered.
-func (g *Gateway) expectReply(c *customer) {
-	if !c.awaitingReply {
-		c.awaitingReply = true
-		g.awaitingReply = append(g.awaitingReply, c)
-	}
+// reportBatch holds the customers that the next message to a gateway reports on.
+type reportBatch struct {
+	customers []*customer
+	pending   bool // is on the list of batches to send
+	// urgent tells that a request or a free concurrency slot waits for it.
+	urgent bool
+	sentAt Seconds
 }
 
-// newMessage returns an empty message with the next sequence number.
-func (g *Gateway) newMessage() message {
-	g.sequence++
-	return message{incarnation: g.incarnation, sequence: g.sequence}
+// usageReporter is the member's side of the exchange: it reports customers to their owners in batches, within
+// a budget of messages, and watches for the replies.
+type usageReporter struct {
+	clock    *eventClock
+	self     int
+	protocol *peerProtocol
+	owner    func(*customer) int
+	budget   tokenBucket // reports that may be sent
+	batches  []reportBatch
+	pending  []int       // gateways whose batches are not empty
+	expected []*customer // expect a reply
 }
 
-// due puts the customer on the list of what a peer is to be told.
-func (g *Gateway) scheduleReport(c *customer, peer int) {
-	p := &g.peers[peer]
-	c.reportScheduled, c.reportTo = true, peer
-	p.reports = append(p.reports, c)
-	if !p.pending {
-		p.pending = true
-		g.peersWithReports = append(g.peersWithReports, peer)
+// newUsageReporter returns a reporter with nothing to report. owner finds the gateway that owns a customer
+// now.
+func newUsageReporter(
+	s Settings, clock *eventClock, protocol *peerProtocol, owner func(*customer) int,
+) usageReporter {
+	return usageReporter{
+		clock: clock, self: s.Self, protocol: protocol, owner: owner,
+		budget:  tokenBucket{tokens: minBatchTokens, updatedAt: clock.now},
+		batches: make([]reportBatch, s.GatewayCount),
 	}
 }
 
-// markForReport marks the customer for the next report to its owner.
-func (g *Gateway) markForReport(c *customer, urgent bool) {
-	o := g.owner(c)
-	if o == g.settings.Self {
+// mark has the customer reported to its owner, at once if urgent. At the owner itself there is nothing to
+// report.
+func (u *usageReporter) mark(c *customer, urgent bool) {
+	owner := u.owner(c)
+	if owner == u.self {
 		c.acknowledgedUnits = c.totalUnits
 		return
 	}
-	if !c.reportScheduled || c.reportTo != o {
-		g.scheduleReport(c, o)
+	if !c.report.scheduled || c.report.gateway != owner {
+		u.schedule(c, owner)
 	}
-	g.peers[o].urgent = g.peers[o].urgent || urgent
+	u.batches[owner].urgent = u.batches[owner].urgent || urgent
 }
 
-// ask holds the request until its customer's owner has spoken.
-func (g *Gateway) awaitOwner(r *request) {
-	c := r.customer
-	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
-	if len(c.awaitingOwner) > 1 {
-		return // it joins the next report
+// schedule adds the customer to the batch of a gateway. In a batch of another gateway it is passed over.
+func (u *usageReporter) schedule(c *customer, gateway int) {
+	c.report.scheduled, c.report.gateway = true, gateway
+	batch := &u.batches[gateway]
+	batch.customers = append(batch.customers, c)
+	if !batch.pending {
+		batch.pending = true
+		u.pending = append(u.pending, gateway)
 	}
-	c.retransmissions, c.awaitingReplySince = 0, g.clock.now
-	g.expectReply(c)
-	g.markForReport(c, true)
-	g.sendUsageReports()
 }
 
-// flush sends what is due to peers. All hear about as much as all send, so each gateway keeps its own
-// reports to a share of what one takes in; answers come on top.
-func (g *Gateway) sendUsageReports() {
-	share := g.settings.PeerMessageRate * reportFraction
-	g.reportTokens = min(max(2, share*minReportInterval*2), g.reportTokens+share*(g.clock.now-g.reportTokensAt))
-	g.reportTokensAt = g.clock.now
-	g.peersWithReports = slices.DeleteFunc(g.peersWithReports, func(i int) bool {
-		p := &g.peers[i]
-		if p.urgent && g.reportTokens >= 1 || g.reportTokens >= 2 && g.clock.now-p.lastSentAt >= minReportInterval {
-			g.reportTokens--
-			g.sendUsageReport(i)
+// ask reports the customer at once, as the first of its requests waits for a grant.
+func (u *usageReporter) ask(c *customer) {
+	c.report.attempts, c.report.awaitingSince = 0, u.clock.now
+	u.expectReply(c)
+	u.mark(c, true)
+	u.sendDue()
+}
+
+// sendDue sends the batches that are due, as far as the budget holds.
+func (u *usageReporter) sendDue() {
+	rate := u.protocol.messageRate * reportFraction
+	u.budget.refill(rate, max(minBatchTokens, rate*minReportInterval*2), u.clock.now)
+	u.pending = slices.DeleteFunc(u.pending, func(gateway int) bool {
+		batch := &u.batches[gateway]
+		if u.isDue(batch) {
+			u.budget.tokens--
+			u.sendBatch(gateway)
 		}
-		p.pending = len(p.reports) > 0
-		return !p.pending
+		batch.pending = len(batch.customers) > 0
+		return !batch.pending
 	})
 }
 
-// tell reports to a peer as owner.
-func (g *Gateway) sendUsageReport(i int) {
-	p, n := &g.peers[i], 0
-	m := g.newMessage()
-	for _, c := range p.reports {
-		if !g.format.recordsFit(len(m.records) + 1) {
+// isDue tells whether a batch can be sent now.
+func (u *usageReporter) isDue(batch *reportBatch) bool {
+	if batch.urgent && u.budget.tokens >= minUrgentTokens {
+		return true
+	}
+	return u.budget.tokens >= minBatchTokens && u.clock.now-batch.sentAt >= minReportInterval
+}
+
+// sendBatch sends one message with as many customers of a batch as it holds.
+func (u *usageReporter) sendBatch(gateway int) {
+	batch, taken := &u.batches[gateway], 0
+	m := u.protocol.newMessage()
+	for _, c := range batch.customers {
+		if !u.protocol.format.recordsFit(len(m.records) + 1) {
 			break
 		}
-		if n++; c.reportTo != i || !c.reportScheduled {
-			continue
-		}
-		c.reportScheduled = false
-		c.usedAt = g.clock.now
-		remaining := c.remainingUnits(g.clock.now)
-		r := usageRecord{
-			Key: c.key, Plan: c.plan.index, Known: c.quota.known, CeilingPool: i == c.primaryOwner, Total: c.totalUnits,
-			Remaining: remaining, Demand: c.demand.at(g.clock.now), InFlight: c.inFlight, Unacknowledged: c.unacknowledgedUnits(),
-		}
-		c.askedCount = len(c.awaitingOwner)
-		for k, q := range c.awaitingOwner {
-			if r.WantedUnits += q.Units; k == 0 {
-				r.FirstWantedUnits, r.Cheapness = q.Units, q.priorityDeficit
-			}
-		}
-		m.records = append(m.records, r)
-		if c.awaitingReplySince == 0 || c.askedCount > 0 {
-			c.awaitingReplySince = g.clock.now
+		taken++
+		if c.report.gateway == gateway && c.report.scheduled {
+			m.records = append(m.records, u.takeRecord(c))
 		}
-		g.expectReply(c)
 	}
-	p.reports = slices.Delete(p.reports, 0, n)
-	p.lastSentAt, p.urgent = g.clock.now, p.urgent && len(p.reports) > 0
-	g.sendMessage(i, m)
+	batch.customers = slices.Delete(batch.customers, 0, taken)
+	batch.sentAt, batch.urgent = u.clock.now, batch.urgent && len(batch.customers) > 0
+	u.protocol.send(gateway, m)
 }
 
-// post sends a message with records, and with what is new of servers in the room left.
-func (g *Gateway) sendMessage(to int, m message) {
-	if len(m.records) == 0 {
-		return
-	}
-	m.updates = g.recent(g.format.updatesBeside(len(m.records)), g.clock.now)
-	g.actions.SendToPeer(to, g.format.encode(m, g.clock.now))
+// takeRecord returns the report on a scheduled customer, and starts to wait for its reply.
+func (u *usageReporter) takeRecord(c *customer) usageRecord {
+	now := u.clock.now
+	c.usedAt = now
+	remaining := c.remainingUnits(now) // first, as it may change the customer's state
+	record := usageRecord{
+		Key: c.key, Plan: c.plan.index, Known: c.quota.known, CeilingPool: c.report.gateway == c.primaryOwner,
+		Total: c.totalUnits, Remaining: remaining, Demand: c.demand.at(now), InFlight: c.inFlight,
+		Unacknowledged: c.unacknowledgedUnits(),
+	}
+	for _, r := range c.awaitingOwner {
+		record.WantedUnits += r.Units
+	}
+	if len(c.awaitingOwner) > 0 {
+		first := c.awaitingOwner[0]
+		record.FirstWantedUnits, record.Cheapness = first.Units, first.priorityDeficit
+	}
+	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
+	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
+		c.report.awaitingSince = now
+	}
+	u.expectReply(c)
+	return record
 }
 
-// unanswered looks after reports without a reply: they are told again, after a second silence to the
-// next on the ring, and after a third the request falls back to the local window. A gap in this
-// gateway's own time is nobody's silence.
-func (g *Gateway) retransmit() {
-	for _, c := range g.awaitingReply {
-		most := reportTimeout
-		if len(c.awaitingOwner) > 0 {
-			most = grantTimeout
-		}
-		if c.awaitingReplySince > 0 && g.clock.since(c.awaitingReplySince) > most {
-			if !c.reportScheduled { // it was told
-				p := &g.peers[c.reportTo]
-				p.unanswered, p.lastUnansweredAt = p.unanswered+1, g.clock.now
-			}
-			c.retransmissions++
-			c.awaitingReplySince, c.askedCount = 0, 0
-			if c.retransmissions >= maxGrantAttempts {
-				c.retransmissions = 0
-				g.settleAwaiting(c, len(c.awaitingOwner), func(r *request) bool { return c.reserveLocal(r.Units, g.clock.now) }, false)
-			} else {
-				g.markForReport(c, len(c.awaitingOwner) > 0)
-				if len(c.awaitingOwner) > 0 {
-					c.awaitingReplySince = g.clock.now
-				}
-			}
-		}
-		c.awaitingReply = c.awaitingReplySince > 0
+// expectReply puts the customer on the list of those whose reply is watched for.
+func (u *usageReporter) expectReply(c *customer) {
+	if !c.report.expected {
+		c.report.expected = true
+		u.expected = append(u.expected, c)
 	}
-	g.awaitingReply = slices.DeleteFunc(g.awaitingReply, func(c *customer) bool { return !c.awaitingReply })
 }
 
-// resolve ends the wait of the first n requests that asked.
-func (g *Gateway) settleAwaiting(c *customer, n int, ok func(*request) bool, paid bool) {
-	list := c.awaitingOwner[:n]
-	c.awaitingOwner = slices.Clone(c.awaitingOwner[n:])
-	for _, r := range list {
-		switch r.awaitingOwner = false; {
-		case r.done:
-		case ok(r) && (paid || c.ceilingSplitHasCapacity(r.Units, g.clock.now)):
-			g.reserve(r, paid)
-			g.dispatch(r)
-		case g.worthQueueing(r):
-			g.queueForSlot(r)
-		default:
-			g.reject(r, QuotaExceeded)
-		}
+// replyOverdue tells whether the customer's reply did not come in time. Time in which this gateway itself
+// stood still does not count.
+func (u *usageReporter) replyOverdue(c *customer) bool {
+	timeout := reportTimeout
+	if len(c.awaitingOwner) > 0 {
+		timeout = grantTimeout
 	}
+	return c.report.awaitingSince > 0 && u.clock.since(c.report.awaitingSince) > timeout
 }
 
-// Peer takes a message of another gateway. Reports are answered at once, all in one message.
-func (g *Gateway) HandlePeerMessage(now float64, from int, data []byte) {
-	g.clock.advance(now)
-	received, err := g.format.decode(data, now)
-	if err != nil || from < 0 || from >= len(g.peers) || from == g.settings.Self {
-		return
-	}
-	p := &g.peers[from]
-	if !p.acceptSequence(received.incarnation, received.sequence) {
-		return
-	}
-	p.unanswered = 0
-	g.receivedMessages, g.receivedMessagesAt = g.receivedMessages*math.Exp(g.receivedMessagesAt-now)+1, now
-	for _, n := range received.updates {
-		g.mergeGossip(n)
+// recordOverdue notes a reply that did not come, and returns true after the last attempt to get one.
+func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
+	if !c.report.scheduled { // the report was sent
+		u.protocol.recordUnanswered(c.report.gateway)
 	}
-	reply := g.newMessage()
-	for _, r := range received.records {
-		c := g.customers.byKey[r.Key]
-		switch {
-		case r.Plan >= len(g.customers.plansByIndex):
-		case r.Owner && c != nil && c.reportTo == from:
-			g.applyGrant(c, r)
-		case !r.Owner:
-			if c == nil {
-				c = g.customers.add(r.Key, g.customers.plansByIndex[r.Plan])
-			}
-			c.usedAt = now
-			report := memberReport{usageRecord: r, from: from, incarnation: received.incarnation, receivedAt: now}
-			reply.records = append(reply.records, c.answerReport(report, g.format, g.queryBackoff))
-		}
+	c.report.attempts++
+	c.report.awaitingSince, c.report.askedCount = 0, 0
+	if c.report.attempts < maxGrantAttempts {
+		return false
 	}
-	g.sendMessage(from, reply)
-	g.retryQueued()
-	g.sendUsageReports()
+	c.report.attempts = 0
+	return true
 }
 
-// queryBackoff returns how long the given number of members is to ask for nothing after a rejection. They
-// share a part of what this gateway can receive, the less the more messages come in.
-func (g *Gateway) queryBackoff(members int) Seconds {
-	queryRate := max(g.settings.PeerMessageRate*ownerQueryFraction, 1)
-	return float64(members) / queryRate * min(g.receivedMessages/queryRate, maxBackoffLoad)
+// repeat reports the customer again, to its owner as the reachable gateways are now.
+func (u *usageReporter) repeat(c *customer) {
+	waiting := len(c.awaitingOwner) > 0
+	u.mark(c, waiting)
+	if waiting {
+		c.report.awaitingSince = u.clock.now
+	}
 }
 
-// heard takes in what the owner says.
-func (g *Gateway) applyGrant(c *customer, r usageRecord) {
-	most := c.totalUnits + g.format.roundDifference(r.Total-c.totalUnits)
-	c.quota.known, c.quota.window, c.acknowledgedUnits = true, tokenBucket{r.Remaining, g.clock.now}, most
-	c.quota.othersDemand, c.quota.othersInFlight = r.Demand, r.InFlight
-	if r.WantedUnits > 0 && c.askedCount > 0 {
-		n := min(c.askedCount, len(c.awaitingOwner))
-		c.askedCount, c.retransmissions, c.quota.backoffUntil = 0, 0, g.clock.now+r.Backoff
-		g.settleAwaiting(c, n, func(q *request) bool { return c.totalUnits+q.Units <= most+g.format.roundingSlack() }, r.CeilingPool)
-		if r.Backoff > 0 {
-			g.settleAwaiting(c, len(c.awaitingOwner), func(*request) bool { return false }, false)
+// forEachOverdue calls handle for the customers whose reply did not come in time, and drops those that no
+// reply is expected for any more.
+func (u *usageReporter) forEachOverdue(handle func(*customer)) {
+	for _, c := range u.expected {
+		if u.replyOverdue(c) {
+			handle(c)
 		}
+		c.report.expected = c.report.awaitingSince > 0
 	}
-	if c.acknowledgedUnits = min(most, c.totalUnits); most > c.totalUnits || len(c.awaitingOwner) > 0 && c.askedCount == 0 {
-		g.markForReport(c, len(c.awaitingOwner) > 0)
-	}
+	u.expected = slices.DeleteFunc(u.expected, func(c *customer) bool { return !c.report.expected })
+}
+
+// finishReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
+func (u *usageReporter) finishReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
-		c.awaitingReplySince, c.retransmissions = 0, 0
-	} else if c.askedCount == 0 {
-		c.awaitingReplySince = g.clock.now
-		g.expectReply(c)
+		c.report.awaitingSince, c.report.attempts = 0, 0
+	} else if c.report.askedCount == 0 {
+		c.report.awaitingSince = u.clock.now
+		u.expectReply(c)
 	}
 }
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -74,7 +74,7 @@
 func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
 	g, _, ask := asMember(t, nil)
 	c := ask(100, "q", 1)
-	g.peers[1].unanswered, g.peers[1].lastUnansweredAt = maxUnansweredReports, 100
+	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owner(c) != 0 {
 		t.Fatal("a silent owner still owns")
 	}
@@ -97,7 +97,7 @@
 			}
 			from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total += 2; v.Remaining = 6 })
 			g.HandlePeerMessage(now, from, b)
-			if len(r.ofKind("send", "q")) != 1 || g.peers[owner].unanswered != 0 {
+			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unanswered != 0 {
 				t.Fatal("the answer to the third report is not taken")
 			}
 			return
