--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -10,10 +10,10 @@
 	"reedlead/policy"
 )
 
-// ids waits for the next list that the module gets.
-func (r *rig) ids() (ids []string) {
+// nextEndpoints waits for the next list that the module gets.
+func (r *harness) nextEndpoints() (ids []string) {
 	r.t.Helper()
-	for _, s := range get(r.t, r.mod.lists) {
+	for _, s := range receive(r.t, r.decider.lists) {
 		ids = append(ids, fmt.Sprint(s.ID, " ", s.State))
 	}
 	return ids
@@ -44,19 +44,19 @@
 			cfg := testConfig()
 			cfg.Discovery = a.Address()
 			cfg.Known = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
-			r := start(t, cfg, nil)
+			r := startProxy(t, cfg, nil)
 			for _, want := range []string{"[old in_service]", "[x in_service y in_service]", "[x draining]", "[z in_service]"} {
-				if got := fmt.Sprint(r.ids()); got != want {
+				if got := fmt.Sprint(r.nextEndpoints()); got != want {
 					t.Fatalf("the module got %s, want %s", got, want)
 				}
 			}
-			r.do(func() {
-				if len(r.in.backends.byID) != 1 || r.in.backends.byID["z"].state != policy.InService {
-					t.Errorf("backends: %+v", r.in.backends.byID)
+			r.onLoop(func() {
+				if len(r.proxy.endpoints.byID) != 1 || r.proxy.endpoints.byID["z"].state != policy.InService {
+					t.Errorf("backends: %+v", r.proxy.endpoints.byID)
 				}
 			})
 			for _, want := range []string{"?watch=1&after=4", "?watch=1&after=5", "", "?watch=1&after=8"} {
-				if got := get(t, a.Polls); got != "/api/targets"+want {
+				if got := receive(t, a.Polls); got != "/api/targets"+want {
 					t.Errorf("asked %q, want %q", got, want)
 				}
 			}
@@ -76,20 +76,20 @@
 	})
 	cfg := testConfig()
 	cfg.Discovery = from.Address()
-	r := start(t, cfg, nil)
-	r.ids()
-	if got := fmt.Sprint(r.ids()); got != "[x in_service]" {
+	r := startProxy(t, cfg, nil)
+	r.nextEndpoints()
+	if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service]" {
 		t.Fatalf("the first address told %s", got)
 	}
 	cfg.Discovery = to.Address()
 	cfg.Known = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 	r.reread <- cfg
 	for _, want := range []string{"[y in_service]", "[v in_service]"} {
-		if got := fmt.Sprint(r.ids()); got != want {
+		if got := fmt.Sprint(r.nextEndpoints()); got != want {
 			t.Errorf("the module got %s, want %s", got, want)
 		}
 	}
-	if a, b := get(t, to.Polls), get(t, to.Polls); a != "/api/targets" || b != "/api/targets?watch=1&after=2" {
+	if a, b := receive(t, to.Polls), receive(t, to.Polls); a != "/api/targets" || b != "/api/targets?watch=1&after=2" {
 		t.Errorf("asked %q, then %q", a, b)
 	}
 }
@@ -97,17 +97,17 @@
 // TestAListAfterAStepOfTheWallClock guards the way from the list of the discovery client to the decision module.
 func TestAListAfterAStepOfTheWallClock(t *testing.T) {
 	for _, step := range []float64{-3600, 3600} {
-		r := start(t, testConfig(), nil)
-		get(t, r.mod.lists)
+		r := startProxy(t, testConfig(), nil)
+		receive(t, r.decider.lists)
 		now, at := 0.0, 0.0
-		r.do(func() {
-			wall := r.in.clock.wall
-			r.in.clock.wall = func() float64 { return wall() + step }
-			now = r.in.clock.now()
+		r.onLoop(func() {
+			wall := r.proxy.clock.wall
+			r.proxy.clock.wall = func() float64 { return wall() + step }
+			now = r.proxy.clock.now()
 			at = wall() + step // a start before the step has the old time
-			r.in.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", StartedMS: int64(at * 1000)}}})
+			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", StartedMS: int64(at * 1000)}}})
 		})
-		if got := get(t, r.mod.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
+		if got := receive(t, r.decider.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
 			t.Errorf("step of %v: a start of now is taken for %.1f s from now", step, got-now)
 		}
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -4,6 +4,7 @@
 	"math"
 	"strconv"
 
+	"reedlead/internal/command"
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
@@ -11,9 +12,9 @@
 
 // request is one that a client has sent and that is owed one final answer.
 type request struct {
-	*call
-	client   *client
-	slot     *slot
+	*command.Request
+	client   *clientConn
+	slot     *pipelineSlot
 	cameAt   float64 // when its last byte had come to this machine
 	deadline float64
 	timer    *timer     // rings when the module ought to have answered; stopped with the answer
@@ -25,44 +26,44 @@
 // ping tells the front that this ingress can serve. While discovery is down and the list that it was started
 // with names no backend of use, it is ready all the same after a moment: it answers what comes, and has its
 // place when discovery is back.
-func (p *Proxy) ping(c *client) {
-	if !p.backends.ready() && p.now < p.readyAt {
-		p.answerAtOnce(c, redcon.AppendError(nil, "LOADING no backends known yet"), false)
+func (p *Proxy) ping(c *clientConn) {
+	if !p.endpoints.hasInService() && p.now < p.readyAt {
+		c.replyAtOnce(redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
-	p.answerAtOnce(c, redcon.AppendString(nil, "PONG"), false)
+	c.replyAtOnce(redcon.AppendString(nil, "PONG"), false)
 }
 
 // take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
-func (p *Proxy) take(c *client, q *call, came float64) {
+func (p *Proxy) take(c *clientConn, q *command.Request, came float64) {
 	taken := false
 	defer func() {
 		if !taken {
-			p.input.give(q.size)
+			p.inputBudget.Release(q.Size)
 		}
 	}()
 	switch {
-	case c.closed, c.shut:
+	case c.closed, c.sendingShutDown:
 		return
 	case p.stopped:
 		p.refuseAtOnce(c, q, processEnds)
 		return
-	case c.surplus && p.clients.full(p, c):
+	case c.overLimit && p.clients.makeRoom(c):
 		p.refuseAtOnce(c, q, connectionsUsedUp)
 		return
 	case p.requests[q.ID] != nil:
-		p.answerAtOnce(c, redcon.AppendError(nil, "ERR a request of this id is open"), false)
+		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
 		return
 	case p.cfg.Settings.MaxOpenRequests > 0 && len(p.requests) >= p.cfg.Settings.MaxOpenRequests:
 		p.refuseAtOnce(c, q, tooManyHeld)
 		return
 	}
 	taken = true
-	c.surplus, c.spoke = false, true
-	r := &request{call: q, client: c, slot: &slot{}, cameAt: came, deadline: came + q.waitS}
-	r.slot.req = r
-	c.slots = append(c.slots, r.slot)
-	c.usedAt = p.now
+	c.overLimit, c.hasSpoken = false, true
+	r := &request{Request: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.Wait}
+	r.slot.request = r
+	c.pipeline.add(r.slot)
+	c.lastUsedAt = p.now
 	p.requests[q.ID] = r
 	p.traceAcceptedRequest(r)
 	// The module answers well before; should it fail to, the client hears all the same.
@@ -118,9 +119,9 @@
 )
 
 // refuseAtOnce refuses a request that the module never hears of.
-func (p *Proxy) refuseAtOnce(c *client, q *call, why policy.Reason) {
+func (p *Proxy) refuseAtOnce(c *clientConn, q *command.Request, why policy.Reason) {
 	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
-	p.answerAtOnce(c, p.busy(p.cfg.Settings.MaxRetryAfter), false)
+	c.replyAtOnce(p.busy(p.cfg.Settings.MaxRetryAfter), false)
 }
 
 // answer gives the final answer, the first time that it is called for a request, and why it is no value.
@@ -128,10 +129,10 @@
 	if r.over {
 		return
 	}
-	r.slot.answer = answer
+	r.slot.reply = answer
 	p.traceReply(r, answer, why)
 	p.end(r)
-	p.flush(r.client)
+	r.client.flush()
 }
 
 // end notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
@@ -139,8 +140,8 @@
 	r.over = true
 	p.cutOffUnwritten(r)
 	p.stopTimer(r.timer)
-	p.input.give(r.size)
-	r.args = nil
+	p.inputBudget.Release(r.Size)
+	r.Args = nil
 	p.forget(r)
 }
 
@@ -148,11 +149,11 @@
 // byte one would begin after the request's end.
 func (p *Proxy) cutOffUnwritten(r *request) {
 	for _, a := range r.attempts {
-		if a.done || a.conn == nil || a.conn.written.Load() {
+		if a.done || a.conn == nil || a.conn.commandWritten.Load() {
 			continue
 		}
 		status := policy.Cancelled
-		if p.cutOff(a.conn) {
+		if p.abortWrite(a.conn) {
 			status = policy.NotSent
 		}
 		p.finishDeferred(a, status)
@@ -178,15 +179,15 @@
 			p.decider.HandleClientGone(p.now, r.ID)
 		}
 	}
-	p.clients.closeIdle(p)
+	p.clients.closeIdle()
 	p.after(drainSpare.Seconds()/2, func() {
-		for c := range p.clients.all {
-			p.shutDown(c)
+		for c := range p.clients.conns {
+			c.shutDownSending()
 		}
 	})
 	p.after(drainSpare.Seconds()*3/4, func() {
-		for c := range p.clients.all {
-			p.closeClient(c, drainDeadline, nil)
+		for c := range p.clients.conns {
+			c.close(drainDeadline, nil)
 		}
 		p.accepted = true // else its place is taken, and SIGKILL comes
 	})
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	next := g.clock.now + timerInterval
-	if next > r.firstWriteBy || next+r.class.meanLatency > r.objectiveAt || !g.mayRetry(r) {
+	if next > r.firstWriteBy || next+r.class.meanLatency > r.objectiveAt || !g.retries.allowsAttempt(r) {
 		return false
 	}
 	available := c.availableUnits(g.owner(c) == g.settings.Self, g.clock.now)
