--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Guards against first tries refused as later ones: when clients begin to wait for another time, that
-// soon is the time of first tries.
+// When clients change their timeout, the new one soon is the time of first attempts, and these are not rejected
+// as retries.
 func TestFirstAttemptsWithANewTimeoutAreTakenForSuch(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
 	now := 100.0
-	sent := func(n int, d float64) (sent int) {
+	send := func(n int, timeout Seconds) (sent int) {
 		for range n {
 			now += 0.02
 			id := fmt.Sprint("q", now)
-			g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "wide", Customer: "c", Deadline: now + d, GatewayCount: 1, Units: 1})
+			g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "wide", Customer: "c", Deadline: now + timeout, GatewayCount: 1, Units: 1})
 			for _, a := range r.ofKind("send", id) {
 				sent++
 				g.HandleOutcome(now, Outcome{RequestID: id, Endpoint: a.endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
@@ -23,16 +23,16 @@
 		}
 		return sent
 	}
-	if n := sent(2000, 2); n != 2000 {
+	if n := send(2000, 2); n != 2000 {
 		t.Fatalf("%d of 2000 sent", n)
 	}
-	sent(maxRemainingObservations, 0.9)
-	if n := sent(200, 0.9); n != 200 {
-		t.Errorf("%d of 200 sent, after as many as count came with the new time", n)
+	send(maxRemainingObservations, 0.9)
+	if n := send(200, 0.9); n != 200 {
+		t.Errorf("%d of 200 sent, after as many as are counted with the new timeout", n)
 	}
 }
 
-// Guards rounds 4 and 5: later tries were served after their aim.
+// A client's retry has what is left of the time of its first attempt. It was served after its objective once.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
 	for i := range 40 {
@@ -40,37 +40,35 @@
 		sendRequest(g, 100+float64(i), id, "read", "basic", 1)
 		g.HandleOutcome(100+float64(i), Outcome{RequestID: id, Endpoint: r.ofKind("send", id)[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
 	}
-	try := func(id, customer string, left float64) (sent, refused int) {
-		g.HandleRequest(150, Request{ID: id, Class: "read", Plan: "basic", Customer: customer, Deadline: 150 + left, GatewayCount: 1, Units: 1})
+	send := func(id, customer string, remaining Seconds) (sent, rejected int) {
+		g.HandleRequest(150, Request{ID: id, Class: "read", Plan: "basic", Customer: customer, Deadline: 150 + remaining, GatewayCount: 1, Units: 1})
 		return len(r.ofKind("send", id)), len(r.ofKind("reject", id))
 	}
-	if sent, _ := try("first", "x", 0.8); sent != 1 {
-		t.Fatal("a first try with little time was refused, of a customer that was never turned away")
+	if sent, _ := send("first", "x", 0.8); sent != 1 {
+		t.Fatal("a first attempt with little time was rejected, of a customer that never was")
 	}
 	g.customers.find(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
-	if sent, refused := try("late", "x", 0.8); sent != 0 || refused != 1 {
-		t.Fatal("a try past its aim was sent on")
+	if sent, rejected := send("late", "x", 0.8); sent != 0 || rejected != 1 {
+		t.Fatal("a retry past its objective was forwarded")
 	}
-	if sent, _ := try("soon", "x", 1.7); sent != 1 {
-		t.Fatal("a try that can still make its aim was refused")
+	if sent, _ := send("soon", "x", 1.7); sent != 1 {
+		t.Fatal("a retry that can still meet its objective was rejected")
 	}
 	for i := range 4 { // each half a second's worth of the rate, in no time
-		try(fmt.Sprint("many", i), "y", 2)
+		send(fmt.Sprint("many", i), "y", 2)
 	}
-	if sent, _ := try("over", "y", 0.8); sent != 0 {
-		t.Fatal("a try past its aim of a customer beyond its rate was sent on")
+	if sent, _ := send("over", "y", 0.8); sent != 0 {
+		t.Fatal("a retry past its objective was forwarded, of a customer beyond its rate")
 	}
 }
 
-// observeEach gives a detector the same remaining times over and over, and returns the last verdict on each.
-func observeEach(detector *clientRetryDetector, rounds int, remaining ...Seconds) map[Seconds]bool {
-	verdicts := map[Seconds]bool{}
+// observeEach gives a detector the same remaining times over and over.
+func observeEach(detector *clientRetryDetector, rounds int, remaining ...Seconds) {
 	for range rounds {
-		for _, time := range remaining {
-			verdicts[time] = detector.observe(time)
+		for _, seconds := range remaining {
+			detector.observe(seconds)
 		}
 	}
-	return verdicts
 }
 
 func TestClientRetryDetectorTellsUncommonRemainingTimes(t *testing.T) {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -30,13 +30,13 @@
 	}
 	g.latencyRatio = 2 * highLatencyRatio // while answers are slow as well
 	for i := range 5 {
-		sendUnlimited(g, 100, fmt.Sprint("q", i), "read")
+		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); n != 5 {
 		t.Fatalf("%d of 5 sent at once", n)
 	}
 	for i := range 60 {
-		sendUnlimited(g, 100, fmt.Sprint("more", i), "read")
+		sendUnlimited(g, 100, fmt.Sprint("more", i))
 	}
 	if n := len(r.ofKind("send", "")); n > 15 {
 		t.Fatalf("%d attempts out: nothing bounds a gateway any more", n)
@@ -48,7 +48,7 @@
 	g, r := newTestGateway(t, nil)
 	g.latencyRatio = 2 * highLatencyRatio
 	for i := range 60 {
-		sendUnlimited(g, 100, fmt.Sprint("q", i), "read")
+		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); float64(n) > g.concurrencyLimit {
 		t.Fatalf("%d attempts out over a limit of %.2f", n, g.concurrencyLimit)
--- a/policy/endpoint_choice_test.go
+++ b/policy/endpoint_choice_test.go
@@ -14,12 +14,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.HandleEndpoints(100, manyEndpoints(60), true)
+		g.HandleEndpoints(100, largeFleetEndpoints(), true)
 		used := map[string]bool{}
 		for i := range 100 {
 			now := 100 + float64(i)*0.2
 			id := fmt.Sprint("q", i)
-			sendUnlimited(g, now, id, "read")
+			sendUnlimited(g, now, id)
 			sent := r.ofKind("send", id)
 			if len(sent) != 1 {
 				t.Fatalf("request %d was not sent", i)
@@ -37,7 +37,7 @@
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := largeFleet(t)
 	g.settings.ConnectionIdleTimeout = 10
-	sendUnlimited(g, 100, "a", "read")
+	sendUnlimited(g, 100, "a")
 	s := g.endpoints[r.ofKind("send", "a")[0].endpoint]
 	if g.hasIdleConnection(s) {
 		t.Fatal("its one connection is in use")
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -1,102 +1,115 @@
 package policy_test
 
 import (
+	"errors"
 	"fmt"
 
 	"reedlead/policy"
 )
 
-// ingress is the least that an ingress has to do: carry out what the gateway asks.
-type ingress struct {
-	name string
-	out  [][]byte // messages on their way
-	sent []string
+// printedActions is the least that the network side has to do: here it prints what the gateway asks for, and
+// keeps the messages to its peer.
+type printedActions struct {
+	name     string
+	messages [][]byte // not delivered yet
 }
 
-func (in *ingress) Send(id, server string, timeoutS, _ float64) {
-	in.sent = append(in.sent, server)
-	fmt.Printf("%s: send %s to %s\n", in.name, id, server)
+func (p *printedActions) Send(id, endpoint string, _, _ policy.Seconds) {
+	fmt.Printf("%s: send %s to %s\n", p.name, id, endpoint)
 }
 
-func (in *ingress) Reject(id string, _ float64, _ policy.Reason) {
-	fmt.Printf("%s: refuse %s\n", in.name, id)
+func (p *printedActions) Reject(id string, _ policy.Seconds, why policy.Reason) {
+	fmt.Printf("%s: reject %s, %s\n", p.name, id, why)
 }
 
-func (in *ingress) Fail(id string, _ policy.Reason)       { fmt.Printf("%s: fail %s\n", in.name, id) }
-func (in *ingress) Cancel(id string, attempt int)         {}
-func (in *ingress) SetTimer(token uint64, delayS float64) {}
-func (in *ingress) HealthCheck(server string)             {}
-func (in *ingress) Log(text string)                       { fmt.Printf("%s: %s\n", in.name, text) }
-func (in *ingress) SendToPeer(gateway int, data []byte) {
-	in.out = append(in.out, data)
+func (p *printedActions) Fail(id string, why policy.Reason) {
+	fmt.Printf("%s: fail %s, %s\n", p.name, id, why)
 }
 
-func settings(me, gateways int) policy.Settings {
+func (p *printedActions) Cancel(string, int)              {}
+func (p *printedActions) SetTimer(uint64, policy.Seconds) {}
+func (p *printedActions) HealthCheck(string)              {}
+func (p *printedActions) Log(text string)                 { fmt.Printf("%s: %s\n", p.name, text) }
+func (p *printedActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
+
+// exampleSettings has one class, and one plan with a quota of 3 units that grows by 1 a second.
+func exampleSettings(self, gatewayCount int) policy.Settings {
 	return policy.Settings{
-		Self: me, GatewayCount: gateways, PeerMessages: gateways > 1, PeerMessageRate: 40, MaxAttempts: 3, MaxRetryAfter: 1,
-		Classes: []policy.Class{{Name: "read", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, WeightFactor: 1, OverQuotaCostFraction: 1}},
+		Self: self, GatewayCount: gatewayCount, PeerMessages: gatewayCount > 1, PeerMessageRate: 40,
+		MaxAttempts: 3, MaxRetryAfter: 1,
+		Classes: []policy.Class{
+			{Name: "read", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
+		},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, WeightFactor: 1, OverQuotaCostFraction: 1}},
+	}
+}
+
+// exampleRequest is a request of two units.
+func exampleRequest(now policy.Seconds, id string, gatewayCount int) policy.Request {
+	return policy.Request{
+		ID: id, Class: "read", Plan: "basic", Customer: "ada",
+		Deadline: now + 2, GatewayCount: gatewayCount, Units: 2,
 	}
 }
 
-// One gateway from its start to a final answer.
+// One gateway from its start to a final reply: the quota holds one of two requests.
 func ExampleGateway() {
-	in := &ingress{name: "gateway"}
-	g, err := policy.New(settings(0, 1), 42, 10, in)
+	actions := &printedActions{name: "gateway"}
+	gateway, err := policy.New(exampleSettings(0, 1), 42, 10, actions)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	g.HandleEndpoints(10, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
+	gateway.HandleEndpoints(10, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
 	for i := range 2 {
-		g.HandleRequest(10, policy.Request{
-			ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
-			Deadline: 12, GatewayCount: 1, Units: 2,
-		})
+		gateway.HandleRequest(10, exampleRequest(10, fmt.Sprint("r", i), 1))
 	}
-	g.HandleOutcome(10.1, policy.Outcome{RequestID: "r0", Endpoint: "10.0.0.1:80", Status: policy.OK, RequestDone: true, Elapsed: 0.1})
+	gateway.HandleOutcome(10.1, policy.Outcome{
+		RequestID: "r0", Endpoint: "10.0.0.1:80", Status: policy.OK, RequestDone: true, Elapsed: 0.1,
+	})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
-	// gateway: refuse r1
+	// gateway: reject r1, quota_exceeded
 }
 
-// Two gateways keep one customer to one quota: what one lets in, the other hears of.
+// Two gateways keep one customer to one quota: what one admits is reported to the other.
 func ExampleGateway_owners() {
-	ins := [2]*ingress{{name: "west"}, {name: "east"}}
-	var gates [2]*policy.Gateway
+	actions := [2]*printedActions{{name: "west"}, {name: "east"}}
+	var gateways [2]*policy.Gateway
 	now := 10.0
-	for i := range gates {
-		gates[i], _ = policy.New(settings(i, 2), uint64(i), now, ins[i])
-		gates[i].HandleEndpoints(now, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
+	for i := range gateways {
+		gateways[i], _ = policy.New(exampleSettings(i, 2), uint64(i), now, actions[i])
+		gateways[i].HandleEndpoints(now, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
 	}
-	ask := func(gateway int, id string) {
-		gates[gateway].HandleRequest(now, policy.Request{
-			ID: id, Class: "read", Plan: "basic", Customer: "ada",
-			Deadline: now + 2, GatewayCount: 2, Units: 2,
-		})
-	}
-	ask(0, "first")
-	for range 30 { // the ingress's timers: 0.6 s, some batches each way
+	gateways[0].HandleRequest(now, exampleRequest(now, "first", 2))
+	for range 30 { // 0.6 s, with some messages each way
 		now += 0.02
-		for i, g := range gates {
-			g.HandleTimer(now, 1)
-			for _, data := range ins[1-i].out {
-				g.HandlePeerMessage(now, 1-i, data)
+		for i, gateway := range gateways {
+			gateway.HandleTimer(now, 1)
+			peer := actions[1-i]
+			for _, data := range peer.messages {
+				gateway.HandlePeerMessage(now, 1-i, data)
 			}
-			ins[1-i].out = nil
+			peer.messages = nil
 		}
 	}
-	ask(1, "second")
+	gateways[1].HandleRequest(now, exampleRequest(now, "second", 2))
 	// Output:
 	// west: send first to 10.0.0.1:80
-	// east: refuse second
+	// east: reject second, quota_exceeded
 }
 
-// Invalid settings come back as an error.
+// Invalid settings come back as an error that names the field.
 func ExampleNew() {
-	s := settings(0, 1)
-	s.Plans[0].Burst = 0
-	_, err := policy.New(s, 1, 0, &ingress{})
+	settings := exampleSettings(0, 1)
+	settings.Plans[0].Burst = 0
+	_, err := policy.New(settings, 1, 0, &printedActions{})
+	var settingErr *policy.SettingError
+	if errors.As(err, &settingErr) {
+		fmt.Println(settingErr.Setting)
+	}
 	fmt.Println(err)
-	// Output: policy: setting Plans["basic"].Burst: out of range: is 0, want above 0 with a Rate
+	// Output:
+	// Plans["basic"].Burst
+	// policy: setting Plans["basic"].Burst: out of range: is 0, want above 0 with a Rate
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -29,7 +29,7 @@
 	g.HandleHealthCheck(100, HealthCheckResult{Endpoint: "none"})
 	g.HandleTimer(100, 77)
 	if len(r.actions) != n {
-		t.Fatalf("acted on odd input: %v", r.actions[n:])
+		t.Fatalf("acted on malformed input: %v", r.actions[n:])
 	}
 }
 
@@ -97,6 +97,6 @@
 		logs[k] = fmt.Sprint(r.actions)
 	}
 	if logs[0] != logs[1] {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events gave different actions")
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -1,50 +1,55 @@
 package policy
 
 import (
+	"bytes"
 	"fmt"
 	"testing"
 )
 
-// action is one action as the tests see it.
+// action is one call of Actions. The fields that its kind doesn't have are 0.
 type action struct {
-	kind, id, endpoint   string
-	to, attempt          int
-	seconds, writeWithin float64
-	data                 []byte
+	kind        string // send, reject, fail, cancel, health_check or send_to_peer
+	id          string // of the request
+	endpoint    string
+	to          int     // the gateway that a message goes to
+	attempt     int     // which one is cancelled
+	seconds     Seconds // the timeout of a send, the Retry-After of a rejection
+	writeWithin Seconds
+	data        []byte
 }
 
-// recorder keeps the actions of one gateway.
+// recorder is an Actions that records the calls in their order.
 type recorder struct{ actions []action }
 
-func (r *recorder) Send(id, s string, t, whole float64) {
-	r.actions = append(r.actions, action{kind: "send", id: id, endpoint: s, seconds: t, writeWithin: whole})
+func (r *recorder) Send(id, endpoint string, timeout, writeWithin Seconds) {
+	r.actions = append(r.actions, action{kind: "send", id: id, endpoint: endpoint, seconds: timeout, writeWithin: writeWithin})
 }
 
-func (r *recorder) Reject(id string, x float64, _ Reason) {
-	r.actions = append(r.actions, action{kind: "reject", id: id, seconds: x})
+func (r *recorder) Reject(id string, retryAfter Seconds, _ Reason) {
+	r.actions = append(r.actions, action{kind: "reject", id: id, seconds: retryAfter})
 }
 
 func (r *recorder) Fail(id string, _ Reason) {
 	r.actions = append(r.actions, action{kind: "fail", id: id})
 }
 
-func (r *recorder) Cancel(id string, n int) {
-	r.actions = append(r.actions, action{kind: "cancel", id: id, attempt: n})
+func (r *recorder) Cancel(id string, attempt int) {
+	r.actions = append(r.actions, action{kind: "cancel", id: id, attempt: attempt})
 }
 
-func (r *recorder) SetTimer(uint64, float64) {}
+func (r *recorder) SetTimer(uint64, Seconds) {}
 
-func (r *recorder) HealthCheck(s string) {
-	r.actions = append(r.actions, action{kind: "health_check", endpoint: s})
+func (r *recorder) HealthCheck(endpoint string) {
+	r.actions = append(r.actions, action{kind: "health_check", endpoint: endpoint})
 }
 
-func (r *recorder) SendToPeer(to int, b []byte) {
-	r.actions = append(r.actions, action{kind: "send_to_peer", to: to, data: append([]byte(nil), b...)})
+func (r *recorder) SendToPeer(gateway int, data []byte) {
+	r.actions = append(r.actions, action{kind: "send_to_peer", to: gateway, data: bytes.Clone(data)})
 }
 
 func (r *recorder) Log(string) {}
 
-// ofKind returns the actions of a kind for a request ("" for all) and count how many.
+// ofKind returns the actions of a kind for a request, or for all requests with an id of "".
 func (r *recorder) ofKind(kind, id string) (list []action) {
 	for _, a := range r.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
@@ -54,7 +59,7 @@
 	return list
 }
 
-// testFormat is the format that messages take with the tests' settings.
+// testFormat is the format of messages with the settings of the tests.
 var testFormat = messageFormat{unitsPerStep: 1}
 
 func testSettings() Settings {
@@ -78,6 +83,7 @@
 	}
 }
 
+// newTestGateway returns a gateway at time 100 with three endpoints in three cells of two zones.
 func newTestGateway(t *testing.T, change func(*Settings)) (*Gateway, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
@@ -92,25 +98,30 @@
 	return g, r
 }
 
+// singleGateway sets up a gateway without peers.
 func singleGateway(s *Settings) { s.GatewayCount = 1 }
 
-func sendRequest(g *Gateway, now float64, id, class, plan string, units float64) {
-	d := 2.0
+// sendRequest gives the gateway a request of one customer a plan, with the timeout of its class.
+func sendRequest(g *Gateway, now Seconds, id, class, plan string, units float64) {
+	timeout := 2.0
 	if class != "read" {
-		d = 4
+		timeout = 4
 	}
 	g.HandleRequest(now, Request{
-		ID: id, Class: class, Plan: plan, Customer: "c-" + plan, Deadline: now + d,
+		ID: id, Class: class, Plan: plan, Customer: "c-" + plan, Deadline: now + timeout,
 		FirstGateway: 0, GatewayCount: g.settings.GatewayCount, Units: units,
 	})
 }
 
-// pair joins two gateways by a perfect wire.
-func pair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
+// pair returns two gateways with their recorders, and a function that runs their timers and delivers all messages.
+func pair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
+	t.Helper()
 	return pairOf(t, func(*Settings) {})
 }
 
-func pairOf(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
+// pairOf is pair with changed settings.
+func pairOf(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
+	t.Helper()
 	for i := range 2 {
 		g[i], r[i] = newTestGateway(t, func(s *Settings) { change(s); s.Self = i })
 	}
@@ -129,7 +140,7 @@
 	}
 }
 
-// replyToAll answers all that was sent since the last call.
+// replyToAll has endpoints reply to all that was sent since the last call, and returns the requests.
 func replyToAll(g *Gateway, r *recorder, seen *int, now float64) (ids []string) {
 	for ; *seen < len(r.actions); *seen++ {
 		if a := r.actions[*seen]; a.kind == "send" {
@@ -140,7 +151,7 @@
 	return ids
 }
 
-// asMember returns a gateway of a fleet and a customer's request that another one owns.
+// asMember returns a gateway, and a function that gives it a request of a customer that another gateway owns.
 func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -160,19 +171,20 @@
 	}
 }
 
+// ofGateways sets the size of the fleet.
 func ofGateways(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
-// ownerReply is the owner's answer to the last report a gateway has sent.
+// ownerReply returns the owner's reply to the last report that a gateway has sent, as changed by the caller.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
-	tells := r.ofKind("send_to_peer", "")
-	if len(tells) == 0 {
-		t.Fatal("nothing was told")
+	sent := r.ofKind("send_to_peer", "")
+	if len(sent) == 0 {
+		t.Fatal("no message was sent")
 	}
-	last := tells[len(tells)-1]
+	last := sent[len(sent)-1]
 	report, err := testFormat.decode(last.data, 0)
 	if err != nil || len(report.records) == 0 {
-		t.Fatal("no report was told")
+		t.Fatal("the last message has no report")
 	}
 	asked := report.records[0]
 	v := usageRecord{Key: asked.Key, Plan: asked.Plan, Owner: true, Known: true, Total: asked.Total, WantedUnits: asked.WantedUnits}
@@ -180,7 +192,7 @@
 	return last.to, testFormat.encode(message{incarnation: 9, sequence: seq, records: []usageRecord{v}}, 0)
 }
 
-// largeFleet returns one gateway of a fleet of 80, with 60 servers in three zones of four cells each.
+// largeFleet returns one gateway of a fleet of 80, with the endpoints of largeFleetEndpoints.
 func largeFleet(t *testing.T) (*Gateway, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
@@ -189,20 +201,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.HandleEndpoints(100, manyEndpoints(60), true)
+	g.HandleEndpoints(100, largeFleetEndpoints(), true)
 	return g, r
 }
 
-func manyEndpoints(n int) (list []Endpoint) {
-	for i := range n {
+// largeFleetEndpoints returns 60 endpoints in three zones of four cells each.
+func largeFleetEndpoints() (list []Endpoint) {
+	for i := range 60 {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%3)), Cell: i % 12})
 	}
 	return list
 }
 
-// sendUnlimited has a request come that no quota holds.
-func sendUnlimited(g *Gateway, now float64, id, class string) {
-	g.HandleRequest(now, Request{ID: id, Class: class, Deadline: now + g.classes.byName[class].Timeout, GatewayCount: 1, Units: 1})
+// sendUnlimited gives the gateway a request of the class "read" to which no quota applies.
+func sendUnlimited(g *Gateway, now Seconds, id string) {
+	g.HandleRequest(now, Request{ID: id, Class: "read", Deadline: now + g.classes.byName["read"].Timeout, GatewayCount: 1, Units: 1})
 }
 
 // asMemberOfParallel is asMember of a plan with two slots.
@@ -210,12 +223,3 @@
 	t.Helper()
 	return asMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
 }
-
-// sentOnce is an attempt as the network made it.
-type recordedAttempt struct {
-	server string
-	in     dedupGroup
-	at     float64 // when its last byte went out
-	status AttemptStatus
-	done   bool
-}
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Guards against work that may run only once and is sent again: each further attempt of a keyed request
-// carries the end of its key's window, as it may wait for a connection until after it. The window counts
-// from the first attempt that may have run, and one that never ran opens none.
+// Each retry of a request with an idempotency key carries the end of its window, as it may wait for a connection
+// until after that. The window counts from the first attempt that may have executed; one that can't have executed
+// opens none.
 func TestRetriesCarryTheEndOfTheIdempotencyWindow(t *testing.T) {
-	const ttl = 2.0
-	left := func(now, first float64) float64 { return first + ttl - clockUncertainty - now }
+	const window Seconds = 2 // of the class "put"
+	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
 	for name, tc := range map[string]struct {
 		class  string
 		events func(g *Gateway)
@@ -19,17 +19,17 @@
 	}{
 		"after a reset": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
-		}, []float64{0, left(100.3, 100)}},
-		"after one that never ran and one that may have": {"put", func(g *Gateway) {
+		}, []float64{0, remaining(100.3, 100)}},
+		"after one that can't have executed and one that may have": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.2, Outcome{RequestID: "k", Attempt: 0, Status: ConnectFailed})
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 1, Status: Error})
-		}, []float64{0, 0, left(100.3, 100.2)}},
-		"beside one that is out": {"put", func(g *Gateway) {
-			for i := range 13 { // in doubt from four mean latencies on
+		}, []float64{0, 0, remaining(100.3, 100.2)}},
+		"beside one that is in flight": {"put", func(g *Gateway) {
+			for i := range 13 { // hedged after four mean latencies
 				g.HandleTimer(100+0.05*float64(i+1), 1)
 			}
-		}, []float64{0, left(100.65, 100)}},
-		"safe work": {"read", func(g *Gateway) {
+		}, []float64{0, remaining(100.65, 100)}},
+		"idempotent": {"read", func(g *Gateway) {
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
 		}, []float64{0, 0}},
 	} {
@@ -51,9 +51,8 @@
 	}
 }
 
-// Guards against work that is sent again to servers that know nothing of its first send: a list may change
-// the group of the server that may have run it, and what counts is where that one stood then. Nothing tells
-// whether its memory went along, so where it stands now counts as well.
+// An endpoint list may change the group of the endpoint that may have executed a request. Nothing tells whether
+// its memory of keys moved along, so retries need its group at that time and its group by now.
 func TestEndpointListThatChangesGroupsMovesNoRepeat(t *testing.T) {
 	for name, moved := range map[string]Endpoint{
 		"to another zone": {ID: "s1", Zone: "b", Cell: 1},
@@ -72,95 +71,188 @@
 				t.Errorf("sent again to %s", sends[1].endpoint)
 			}
 			if len(r.ofKind("fail", "k")) != 1 {
-				t.Error("no failure was told")
+				t.Error("no failure was replied")
 			}
 		})
 	}
 }
 
-// Guards the rule on repeats over all effects, scopes and windows: whatever becomes of the attempts and
-// however late they are written, none goes out that could run work again, nor a refusal behind one.
+// Whatever becomes of the attempts and however late they are written, none goes out that could execute a request
+// a second time, nor a rejection behind one: over all classes, outcomes, scopes and windows.
 func TestNothingExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		ttl := []float64{0.02, clockUncertainty, 0.1, 0.3, 1, 3}[rng.IntN(6)]
-		g, r := newTestGateway(t, func(s *Settings) {
-			s.GatewayCount, s.MaxAttempts, s.Hedging = 1, 2+rng.IntN(6), rng.IntN(2) == 0
-			s.Classes = nil
-			for _, c := range []Class{{Name: "all", DedupScope: DedupFleet}, {Name: "zone", DedupScope: DedupZone}, {Name: "cell", DedupScope: DedupCell}, {Name: "unsafe", Idempotency: NonIdempotent}} {
-				c.LatencyObjective, c.Timeout, c.PriorityWeight, c.LateWeightFraction, c.IdempotencyWindow = 2, 4, 1, 0.5, ttl
-				if c.Idempotency != NonIdempotent {
-					c.Idempotency = IdempotencyKey
-				}
-				s.Classes = append(s.Classes, c)
-			}
-		})
-		groups := map[string]dedupGroup{}
-		list := func(now float64) {
-			var l []Endpoint
-			for i := range 8 {
-				s := Endpoint{ID: fmt.Sprint("s", i), Zone: string(rune('a' + rng.IntN(2))), Cell: rng.IntN(3), State: EndpointState(rng.IntN(8) / 7)}
-				groups[s.ID] = dedupGroup{s.Zone, s.Cell}
-				l = append(l, s)
-			}
-			g.HandleEndpoints(now, l, true)
+		newRepeatScenario(t, seed).run()
+	}
+}
+
+// recordedAttempt is an attempt as the network made it.
+type recordedAttempt struct {
+	endpoint  string
+	group     dedupGroup // when it was sent
+	writtenAt Seconds    // when its last byte went out
+	status    AttemptStatus
+	done      bool
+}
+
+// end notes the outcome.
+func (a *recordedAttempt) end(status AttemptStatus) { a.status, a.done = status, true }
+
+// mayHaveExecuted tells whether the attempt may have executed, or may still do so.
+func (a *recordedAttempt) mayHaveExecuted() bool {
+	return !a.done || a.status != Rejected && a.status != ConnectFailed && a.status != NotSent
+}
+
+// repeatScenario is one request of a random class, at endpoints whose list and outcomes are random, too.
+type repeatScenario struct {
+	t                 *testing.T
+	seed              uint64
+	rng               *rand.Rand
+	idempotencyWindow Seconds
+	gateway           *Gateway
+	recorder          *recorder
+	class             Class
+	groups            map[string]dedupGroup // of the endpoints, by the last list
+	attempts          []*recordedAttempt
+	observed          int // actions of the recorder that were looked at
+}
+
+const repeatScenarioRequest = "k"
+
+func newRepeatScenario(t *testing.T, seed uint64) *repeatScenario {
+	t.Helper()
+	s := &repeatScenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]dedupGroup{}}
+	s.idempotencyWindow = []Seconds{0.02, clockUncertainty, 0.1, 0.3, 1, 3}[s.rng.IntN(6)]
+	s.gateway, s.recorder = newTestGateway(t, func(settings *Settings) {
+		settings.GatewayCount = 1
+		settings.MaxAttempts = 2 + s.rng.IntN(6)
+		settings.Hedging = s.rng.IntN(2) == 0
+		settings.Classes = repeatScenarioClasses(s.idempotencyWindow)
+	})
+	s.listEndpoints(100)
+	s.class = s.gateway.settings.Classes[s.rng.IntN(4)]
+	sendRequest(s.gateway, 100, repeatScenarioRequest, s.class.Name, "wide", 1)
+	return s
+}
+
+// repeatScenarioClasses returns a class with an idempotency key for each scope, and one that is not idempotent.
+func repeatScenarioClasses(idempotencyWindow Seconds) []Class {
+	classes := []Class{
+		{Name: "all", Idempotency: IdempotencyKey, DedupScope: DedupFleet},
+		{Name: "zone", Idempotency: IdempotencyKey, DedupScope: DedupZone},
+		{Name: "cell", Idempotency: IdempotencyKey, DedupScope: DedupCell},
+		{Name: "unsafe", Idempotency: NonIdempotent},
+	}
+	for i := range classes {
+		classes[i].LatencyObjective, classes[i].Timeout = 2, 4
+		classes[i].PriorityWeight, classes[i].LateWeightFraction = 1, 0.5
+		classes[i].IdempotencyWindow = idempotencyWindow
+	}
+	return classes
+}
+
+// listEndpoints gives the gateway a list of eight endpoints in random groups, of which some are draining.
+func (s *repeatScenario) listEndpoints(now Seconds) {
+	var list []Endpoint
+	for i := range 8 {
+		entry := Endpoint{
+			ID:    fmt.Sprint("s", i),
+			Zone:  string(rune('a' + s.rng.IntN(2))),
+			Cell:  s.rng.IntN(3),
+			State: EndpointState(s.rng.IntN(8) / 7),
 		}
-		list(100)
-		class := g.settings.Classes[rng.IntN(4)]
-		sendRequest(g, 100, "k", class.Name, "wide", 1)
-		var made []*recordedAttempt
-		seen := 0
-		for now := 100.0; now < 104.5; now += 0.02 {
-			for ; seen < len(r.actions); seen++ {
-				a := r.actions[seen]
-				switch a.kind {
-				case "send":
-					s := &recordedAttempt{server: a.endpoint, in: groups[a.endpoint], at: now + rng.Float64()*0.5}
-					if rng.IntN(2) == 0 {
-						s.at = now
-					}
-					if a.writeWithin > 0 && s.at > now+a.writeWithin {
-						s.status, s.done = NotSent, true // as the sockets have it
-						g.HandleOutcome(now, Outcome{RequestID: "k", Attempt: len(made), Status: NotSent})
-					}
-					for _, e := range made {
-						ran := !e.done || e.status != Rejected && e.status != ConnectFailed && e.status != NotSent
-						if !ran || s.done {
-							continue
-						}
-						if class.Idempotency == NonIdempotent || !sameDedupGroup(class.DedupScope, e.in, s.in) || s.at > e.at+ttl {
-							t.Fatalf("seed %d: %+v is sent behind %+v, class %s, window %v", seed, s, e, class.Name, ttl)
-						}
-						break // the window counts from the first that may have run
-					}
-					made = append(made, s)
-				case "reject":
-					for _, e := range made {
-						ran := !e.done || e.status != Rejected && e.status != ConnectFailed && e.status != NotSent
-						if ran && (class.Idempotency == NonIdempotent || class.DedupScope != DedupFleet) {
-							t.Fatalf("seed %d: refused behind %+v, class %s", seed, e, class.Name)
-						}
-					}
-				case "cancel":
-					if e := made[a.attempt]; !e.done {
-						e.status, e.done = Cancelled, true
-						g.HandleOutcome(now, Outcome{RequestID: "k", Attempt: a.attempt, Status: Cancelled})
-					}
-				}
-			}
-			if rng.IntN(20) == 0 {
-				list(now)
-			}
-			for i, e := range made {
-				if !e.done && now >= e.at && rng.IntN(10) == 0 {
-					e.status, e.done = AttemptStatus(1+rng.IntN(6)), true // anything but served
-					g.HandleOutcome(now, Outcome{RequestID: "k", Attempt: i, Status: e.status, Elapsed: now - e.at})
-				}
+		s.groups[entry.ID] = dedupGroup{entry.Zone, entry.Cell}
+		list = append(list, entry)
+	}
+	s.gateway.HandleEndpoints(now, list, true)
+}
+
+// run plays the request until after its deadline.
+func (s *repeatScenario) run() {
+	s.t.Helper()
+	for now := 100.0; now < 104.5; now += 0.02 {
+		s.observeActions(now)
+		if s.rng.IntN(20) == 0 {
+			s.listEndpoints(now)
+		}
+		s.endSomeAttempts(now)
+		s.gateway.HandleTimer(now, 1)
+	}
+	rejections := s.recorder.ofKind("reject", repeatScenarioRequest)
+	failures := s.recorder.ofKind("fail", repeatScenarioRequest)
+	if n := len(rejections) + len(failures); n != 1 {
+		s.t.Errorf("seed %d: %d final replies", s.seed, n)
+	}
+}
+
+// observeActions carries out and checks what the gateway asked for since the last call.
+func (s *repeatScenario) observeActions(now Seconds) {
+	s.t.Helper()
+	for ; s.observed < len(s.recorder.actions); s.observed++ {
+		switch observed := s.recorder.actions[s.observed]; observed.kind {
+		case "send":
+			s.observeSend(now, observed)
+		case "reject":
+			s.checkRejection()
+		case "cancel":
+			if cancelled := s.attempts[observed.attempt]; !cancelled.done {
+				cancelled.end(Cancelled)
+				s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: observed.attempt, Status: Cancelled})
 			}
-			g.HandleTimer(now, 1)
 		}
-		if n := len(r.ofKind("reject", "k")) + len(r.ofKind("fail", "k")); n != 1 {
-			t.Errorf("seed %d: %d final answers", seed, n)
+	}
+}
+
+// observeSend writes an attempt, at once or somewhat later. As on the network, one that can't be written within
+// its time is not sent.
+func (s *repeatScenario) observeSend(now Seconds, send action) {
+	s.t.Helper()
+	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
+	if s.rng.IntN(2) == 0 {
+		sent.writtenAt = now
+	}
+	if send.writeWithin > 0 && sent.writtenAt > now+send.writeWithin {
+		sent.end(NotSent)
+		s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: len(s.attempts), Status: NotSent})
+	} else {
+		s.checkRepeat(sent)
+	}
+	s.attempts = append(s.attempts, sent)
+}
+
+// checkRepeat fails the test if an attempt could execute the request a second time. The window counts from the
+// first attempt that may have executed.
+func (s *repeatScenario) checkRepeat(sent *recordedAttempt) {
+	s.t.Helper()
+	for _, earlier := range s.attempts {
+		if !earlier.mayHaveExecuted() {
+			continue
+		}
+		if s.class.Idempotency == NonIdempotent || !sameDedupGroup(s.class.DedupScope, earlier.group, sent.group) ||
+			sent.writtenAt > earlier.writtenAt+s.idempotencyWindow {
+			s.t.Fatalf("seed %d: %+v is sent behind %+v, class %s, window %v",
+				s.seed, sent, earlier, s.class.Name, s.idempotencyWindow)
+		}
+		return
+	}
+}
+
+// checkRejection fails the test if the request is rejected, which lets the client send it again, although that
+// could execute it a second time.
+func (s *repeatScenario) checkRejection() {
+	s.t.Helper()
+	for _, earlier := range s.attempts {
+		if earlier.mayHaveExecuted() && (s.class.Idempotency == NonIdempotent || s.class.DedupScope != DedupFleet) {
+			s.t.Fatalf("seed %d: rejected behind %+v, class %s", s.seed, earlier, s.class.Name)
+		}
+	}
+}
+
+// endSomeAttempts ends attempts that were written, at random and with any outcome but OK.
+func (s *repeatScenario) endSomeAttempts(now Seconds) {
+	for i, sent := range s.attempts {
+		if !sent.done && now >= sent.writtenAt && s.rng.IntN(10) == 0 {
+			sent.end(AttemptStatus(1 + s.rng.IntN(6)))
+			s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: i, Status: sent.status, Elapsed: now - sent.writtenAt})
 		}
 	}
 }
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -377,7 +377,7 @@
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", StartedAt: 99}, {ID: "s2", Zone: "a"}}, true)
 	for i := range 200 {
 		now := 100 + float64(i)*0.04
-		sendUnlimited(g, now, fmt.Sprint("q", i), "read")
+		sendUnlimited(g, now, fmt.Sprint("q", i))
 		g.HandleTimer(now+0.01, 1)
 	}
 	probed := map[string]int{}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -76,7 +76,7 @@
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, perS := range []float64{1, 10} {
 		g, r := largeFleet(t)
-		list := manyEndpoints(60)
+		list := largeFleetEndpoints()
 		for i := range 30 {
 			list[i].StartedAt = 100 // cold from now on
 		}
@@ -91,7 +91,7 @@
 				g.clock.now = now
 				g.admittedWork = perS * g.classes.byName["read"].meanLatency
 				g.updateLoadEstimates()
-				sendUnlimited(g, now, id, "read")
+				sendUnlimited(g, now, id)
 				sent := r.ofKind("send", id)
 				if len(sent) != 1 {
 					t.Fatalf("request %s was not sent", id)
@@ -116,7 +116,7 @@
 func TestColdestEndpointsGetLeast(t *testing.T) {
 	count := func(class string, age float64) (n int) {
 		g, _ := largeFleet(t)
-		list := manyEndpoints(60)
+		list := largeFleetEndpoints()
 		list[0].StartedAt = 100 - age
 		g.HandleEndpoints(100, list, true)
 		g.updateLoadEstimates()
