--- /dev/null
+++ b/internal/proxy/backend_pool.go
@@ -0,0 +1,167 @@
+package proxy
+
+import (
+	"net"
+	"slices"
+
+	"reedlead/internal/discovery"
+	"reedlead/policy"
+)
+
+// connectionRest is how long a connection rests before it is preferred for another command: a duplicate of a reply
+// comes right behind it, and is noticed before the next command goes out.
+const connectionRest policy.Seconds = 0.005
+
+// acquireIdle takes a connection of an endpoint out of the pool, nil if there is none that can be used: the one used
+// last of those that have rested, else the one that has rested longest. A connection that has unsolicited bytes, or
+// that has ended, must not get a command, also if its reader has not noticed yet.
+func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
+	now := s.proxy.now
+	for len(e.idle) > 0 {
+		i := len(e.idle) - 1
+		for i > 0 && now-e.idle[i].idleSince < connectionRest {
+			i--
+		}
+		c := e.idle[i]
+		if c.unusable.Load() || now-c.idleSince > s.idleTimeout || !noDataPending(c.rawConn) {
+			c.close(notUsable, nil)
+			continue
+		}
+		e.idle = slices.Delete(e.idle, i, i+1)
+		return c
+	}
+	return nil
+}
+
+// usable tells whether the connection may carry another command: its endpoint is in service, and is the one that it was
+// dialed as, in the group for which the decision module chose it.
+func (c *backendConn) usable() bool {
+	e, dialed := c.endpoint, c.dialedAs
+	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
+		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
+}
+
+// assign gives a connection to the attempt that has waited longest, else to the pool.
+func (s *endpointSet) assign(c *backendConn) {
+	e := c.endpoint
+	for len(e.waiting) > 0 {
+		a := e.waiting[0]
+		e.waiting = e.waiting[1:]
+		if s.proxy.unsendable(a) || a.request != nil && s.proxy.alreadySettled(a.request) {
+			s.proxy.finishDeferred(a, policy.NotSent)
+			continue
+		}
+		c.writeCommand(a)
+		return
+	}
+	c.release()
+}
+
+// release puts the connection into the pool. No waiting attempt gets it: each of them has a dial under way, and a
+// duplicate of the reply may be right behind it.
+func (c *backendConn) release() {
+	c.attempt = nil
+	if !c.usable() {
+		c.close(notUsable, nil)
+		return
+	}
+	c.idleSince = c.proxy.now
+	c.endpoint.idle = append(c.endpoint.idle, c)
+}
+
+// awaitDial has the attempt wait for a new connection; false if there may be no more of them.
+func (s *endpointSet) awaitDial(a *attempt) bool {
+	if s.openConns >= s.limit && !s.evictIdle() {
+		return false
+	}
+	e := a.endpoint
+	e.waiting = append(e.waiting, a)
+	e.dials++
+	s.openConns++
+	go s.dialEndpoint(e, e.Endpoint)
+	return true
+}
+
+// dialEndpoint makes one connection, and hands it or the failure to the event loop. Its goroutine, which awaitDial
+// starts, ends with the timeout of the dial at the latest.
+func (s *endpointSet) dialEndpoint(e *endpoint, dialedAs discovery.Endpoint) {
+	p := s.proxy
+	conn, err := s.dialWithRetry(dialedAs.Addr)
+	var c *backendConn
+	if err == nil {
+		c, err = s.newConn(e, dialedAs, conn)
+	}
+	p.post(p.clock.now(), func() { s.dialed(e, c, err) })
+}
+
+// dialWithRetry dials an address, again for a while where that fails for something on this side.
+func (s *endpointSet) dialWithRetry(addr string) (net.Conn, error) {
+	p := s.proxy
+	startedAt := p.clock.now()
+	conn, err := s.dial(addr)
+	for first := true; ownFault(err) && p.clock.now()-startedAt < s.localFaultRetry.Seconds(); first = false {
+		if failed := err; first {
+			p.post(p.clock.now(), func() { p.freeDescriptorsAfter(failed) })
+		}
+		p.calls.wait(scarceRetry)
+		conn, err = s.dial(addr)
+	}
+	return conn, err
+}
+
+// newConn makes a backend connection of what was dialed.
+func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn net.Conn) (*backendConn, error) {
+	p := s.proxy
+	c := &backendConn{proxy: p, endpoint: e, dialedAs: dialedAs, conn: steadyConn{conn.(connection), p.calls.wait}}
+	var err error
+	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
+		_ = conn.Close() // nobody knows it yet
+		return nil, err
+	}
+	return c, nil
+}
+
+// dialed handles the end of a dial: with a connection, or with nil and an error. Event loop only.
+func (s *endpointSet) dialed(e *endpoint, c *backendConn, err error) {
+	e.dials--
+	var failure policy.AttemptStatus // of attempts that wait for no dial any more
+	if c != nil {
+		failure = s.dialSucceeded(c)
+	} else {
+		failure = s.dialFailed(e, err)
+	}
+	for len(e.waiting) > e.dials {
+		if idle := s.acquireIdle(e); idle != nil {
+			s.assign(idle)
+			continue
+		}
+		s.proxy.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.proxy.now)
+	}
+}
+
+// dialFailed returns how an attempt that waited for the dial ends.
+func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
+	s.openConns--
+	s.proxy.warn("dial failed", "endpoint", e.ID, "error", err)
+	s.proxy.freeDescriptorsAfter(err)
+	if ownFault(err) { // it tells nothing of the endpoint
+		return policy.NotSent
+	}
+	return policy.ConnectFailed
+}
+
+// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns how an attempt ends
+// that waited for the dial and has got no connection.
+func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
+	go c.read()
+	if c.usable() {
+		s.assign(c)
+		return policy.ConnectFailed
+	}
+	failure := policy.ConnectFailed
+	if !c.unusable.Load() || c.dialedAs.Addr != c.endpoint.Addr {
+		failure = policy.NotSent // the endpoint is another one by now, of which the dial tells nothing
+	}
+	c.close(notUsable, nil)
+	return failure
+}
--- /dev/null
+++ b/internal/proxy/backend_reader.go
@@ -0,0 +1,151 @@
+package proxy
+
+import (
+	"errors"
+
+	"reedlead/internal/readbuf"
+	"reedlead/internal/reply"
+	"reedlead/internal/resp"
+	"reedlead/policy"
+)
+
+const (
+	// duplicateWindow is how long after a reply the same bytes once more are taken for a duplicate of it, if the
+	// command was written within that. Duplicates come right behind the reply, or some milliseconds later. The values
+	// of requests differ, as do the load reports beside them; equal errors may be two replies, and then one is given
+	// up needlessly, with its connection.
+	duplicateWindow policy.Seconds = 0.1
+	// maxLoggedBytes is how much the log holds of a reply that could not be used.
+	maxLoggedBytes = 40
+)
+
+var (
+	errDuplicateReply = errors.New("duplicate of an earlier reply")
+	errOtherReply     = errors.New("reply to another kind of command")
+)
+
+// backendReader reads the replies on one connection, and notices its end, also while it is idle. Its goroutine, which
+// the event loop starts, owns it and ends with the connection, or behind what is no reply.
+type backendReader struct {
+	conn    *backendConn
+	proxy   *Proxy
+	buffer  readbuf.Buffer
+	history reply.History
+}
+
+// read runs the reader of the connection.
+func (c *backendConn) read() {
+	p := c.proxy
+	r := &backendReader{conn: c, proxy: p, buffer: readbuf.NewBuffer(p.inputBudget)}
+	defer r.buffer.Free()
+	goOn, cause := true, error(nil)
+	for goOn {
+		goOn, cause = r.readOnce()
+	}
+	c.unusable.Store(true)
+	_ = c.conn.Close() // whatever was written on it, no more will be
+	c.writeMu.Lock()   // whether the command was wholly written decides what the end means
+	if c.writeErr != nil {
+		cause = c.writeErr
+	}
+	c.writeMu.Unlock()
+	at := p.clock.now()
+	p.post(at, func() { c.readerEnded(cause, at) })
+}
+
+// readOnce reads what has come, waiting for it, and handles a reply that is whole. It tells whether to go on, and the
+// error of the read.
+func (r *backendReader) readOnce() (goOn bool, err error) {
+	c, p := r.conn, r.proxy
+	space := r.buffer.Space()
+	if space == nil {
+		r.rejectReply(p.clock.now(), nil, readbuf.ErrExhausted)
+		return false, nil
+	}
+	n, err := c.conn.Read(space)
+	at := p.clock.now()
+	if n > 0 && !c.awaitingReply.Load() {
+		p.post(at, func() { p.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
+		return false, err // what follows can't be told apart
+	}
+	r.buffer.Grow(n)
+	if !r.handleReply(at) {
+		return false, err
+	}
+	return err == nil, err
+}
+
+// handleReply posts the reply in the buffer if it is whole. It tells whether to go on.
+func (r *backendReader) handleReply(at policy.Seconds) (goOn bool) {
+	c, content := r.conn, r.buffer.Bytes()
+	size, err := resp.Frame(content)
+	if err == nil && size == 0 && len(content) > resp.MaxFrame {
+		err = resp.ErrOversized
+	}
+	if err != nil {
+		r.rejectReply(at, content, err)
+		return false
+	}
+	if size == 0 {
+		return true
+	}
+	received, err := reply.Parse(content[:size])
+	if err != nil {
+		r.rejectReply(at, content, err)
+		return false
+	}
+	// A duplicate whose bytes were on their way when the command was written is known by this.
+	since := c.writeStartedAt.load() - r.proxy.endpoints.duplicateWindow
+	if r.history.IsDuplicate(content[:size], received.Status, since) {
+		r.rejectReply(at, content, errDuplicateReply)
+		return false
+	}
+	r.history.Add(content[:size], received.Status, at)
+	hasMore := len(content) > size
+	r.buffer.Discard(len(content))
+	if hasMore {
+		c.unusable.Store(true)
+	}
+	c.awaitingReply.Store(false)
+	r.proxy.post(at, func() { c.replyReceived(received, at) })
+	return !hasMore
+}
+
+// rejectReply ends the connection's attempt for what came in place of a reply.
+func (r *backendReader) rejectReply(at policy.Seconds, got []byte, err error) {
+	c, p := r.conn, r.proxy
+	c.unusable.Store(true)
+	start := string(got[:min(len(got), maxLoggedBytes)])
+	p.post(at, func() {
+		p.warn("malformed reply", "endpoint", c.endpoint.ID, "error", err, "bytes", start)
+		c.endAttempt(malformedReply(err), at)
+	})
+}
+
+// replyReceived ends the attempt that the connection carries with its reply. Event loop only.
+func (c *backendConn) replyReceived(received reply.Reply, at policy.Seconds) {
+	if c.closed || c.attempt == nil {
+		return
+	}
+	res := attemptResult{status: received.Status, value: received.Value, load: received.Load}
+	if isHealthCheck := c.attempt.request == nil; received.Status == policy.OK && received.HealthCheck != isHealthCheck {
+		c.unusable.Store(true)
+		c.proxy.warn("malformed reply", "endpoint", c.endpoint.ID, "error", errOtherReply)
+		res = malformedReply(errOtherReply)
+	}
+	c.endAttempt(res, at)
+}
+
+// endAttempt ends the attempt that the connection carries, and puts the connection into the pool if it may be used
+// again. Event loop only.
+func (c *backendConn) endAttempt(res attemptResult, at policy.Seconds) {
+	a := c.attempt
+	if c.closed || a == nil {
+		return
+	}
+	if c.commandWritten.Load() && !c.unusable.Load() {
+		a.conn = nil
+		c.release()
+	}
+	c.proxy.finishAttempt(a, res, at)
+}
--- /dev/null
+++ b/internal/proxy/backend_writer.go
@@ -0,0 +1,103 @@
+package proxy
+
+import (
+	"bytes"
+	"time"
+
+	"reedlead/internal/readbuf"
+	"reedlead/policy"
+
+	"github.com/tidwall/redcon"
+)
+
+const (
+	// writeSlack is how long what the socket does not take at once may take to be written: the command tells how much
+	// time its client had left as its writing started, and may tell 0.15 s too much.
+	writeSlack policy.Seconds = 0.1
+	// A command of more than longCommand bytes tells less time than its client has left, as it may take longer to
+	// write: writeReserveShare of it less, but not more than maxWriteReserve.
+	longCommand                      = 16 << 10
+	writeReserveShare                = 0.25
+	maxWriteReserve   policy.Seconds = 0.5
+	// maxKeptCommand is the largest buffer in bytes that is kept for the next command.
+	maxKeptCommand = 4 * readbuf.Size
+)
+
+// writeCommand sends the command of an attempt: at once what the socket takes, the rest on a writer goroutine. The last
+// byte goes out in the attempt's time or never: the loop's time is that of the event that it handles, and may be well
+// behind the clock; a dial, and an endpoint that reads slowly, take time as well. Event loop only.
+func (c *backendConn) writeCommand(a *attempt) {
+	p := c.proxy
+	startedAt := p.clock.now()
+	if startedAt >= min(a.writeDeadline, a.expiresAt) {
+		c.release()
+		p.finishDeferred(a, policy.NotSent)
+		return
+	}
+	command, reserve := a.appendCommand(p.commandBuffer[:0], startedAt)
+	if p.commandBuffer = command; cap(command) > maxKeptCommand {
+		p.commandBuffer = nil
+	}
+	a.conn, c.attempt = c, a
+	c.commandWritten.Store(false)
+	c.awaitingReply.Store(true)
+	c.writeStartedAt.store(startedAt)
+	n, err := p.calls.writeNow(c.rawConn, command)
+	switch {
+	case err != nil:
+		c.close(writeFailed, err)
+		p.finishDeferred(a, policy.ConnectFailed)
+	case n == len(command):
+		c.commandWritten.Store(true)
+		p.traceSent(a, c.dialedAs, startedAt, p.clock.now())
+	default:
+		deadline := min(a.writeDeadline, a.expiresAt, startedAt+reserve+p.endpoints.writeSlack)
+		c.startWriter(a, bytes.Clone(command[n:]), startedAt, p.clock.at(deadline))
+	}
+}
+
+// appendCommand appends what the attempt sends if its writing starts at a time. It returns also how long the writing
+// may take beyond the usual, which its client has left and the endpoint is not told of.
+func (a *attempt) appendCommand(b []byte, startedAt policy.Seconds) (command []byte, reserve policy.Seconds) {
+	if a.request == nil {
+		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
+	}
+	remaining := a.expiresAt - startedAt
+	if a.request.Size > longCommand {
+		reserve = min(remaining*writeReserveShare, maxWriteReserve)
+	}
+	return a.request.AppendTo(b, remaining-reserve), reserve
+}
+
+// startWriter starts the writer goroutine with what the socket has not taken of a command.
+func (c *backendConn) startWriter(a *attempt, rest []byte, startedAt policy.Seconds, deadline time.Time) {
+	p := c.proxy
+	c.writeMu.Lock()                      // its own reader alone takes it besides, for a moment at its end
+	_ = c.conn.SetWriteDeadline(deadline) // where it fails, so does the write
+	go func() {
+		defer c.writeMu.Unlock()
+		_, err := c.conn.Write(rest)
+		p.endpoints.afterWrite(c)
+		if err != nil {
+			c.writeErr = err
+			_ = c.conn.Close() // its reader reports the end
+			return
+		}
+		_ = c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, the connection may be used again
+		c.commandWritten.Store(true)
+		p.traceSent(a, c.dialedAs, startedAt, p.clock.now())
+	}()
+}
+
+// abortWrite tells whether the command on the connection was never wholly written, and closes the connection then.
+// Nobody knows while a writer runs: the connection is closed first, which ends the writer, and then the writer's note
+// is read. Event loop only.
+func (c *backendConn) abortWrite() (aborted bool) {
+	if c.commandWritten.Load() {
+		return false
+	}
+	c.close(attemptGivenUp, nil)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return !c.commandWritten.Load()
+}
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -2,48 +2,50 @@
 
 import "os"
 
-// Descriptors: the bounds on connections leave a reserve, and where the process gets fewer than its
-// configuration says, idle clients make room, so that discovery, backends and files are never kept waiting.
+// The limits on connections leave a reserve of descriptors. Where the process gets fewer than its configuration says,
+// idle connections make room, so that discovery, new connections and files never have to wait for one.
 
 const (
-	// Of the clients, that go when there is no descriptor left, and of their bound, that comes back with each
-	// check that finds one.
-	evictShare         = 8
+	// evictShare is the part of the client connections that is closed when there is no descriptor left, as a divisor.
+	evictShare = 8
+	// limitRecoveryShare is the part of the limit on client connections that is given back by each check that finds
+	// a descriptor, as a divisor.
 	limitRecoveryShare = 32
 )
 
-// spareDescriptor fails if no descriptor is to be had.
+// probeDescriptor fails if no descriptor is to be had.
 func probeDescriptor() error {
-	f, err := os.Open(os.DevNull)
+	file, err := os.Open(os.DevNull)
 	if err != nil {
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
 
-// checkDescriptors makes room before a call fails that has nobody to tell of it, and gives the bound on
-// clients back once there is room again.
+// checkDescriptors makes room before a call fails that nobody learns of, and gives the limit on clients back once there
+// is room again.
 func (p *Proxy) checkDescriptors() {
-	if s := &p.clients; !p.freeDescriptorsAfter(p.probeDescriptor()) && s.limit < s.configuredLimit {
+	s := &p.clients
+	if !p.freeDescriptorsAfter(p.probeDescriptor()) && s.limit < s.configuredLimit {
 		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryShare))
 	}
 }
 
-// makeRoomFor tells whether a call failed for want of descriptors. Idle connections make room then: those to
-// backends first, which cost a new one at most, and clients that are owed nothing, those idle for longest first.
+// freeDescriptorsAfter tells whether a call failed for want of descriptors. Idle connections are closed then: those to
+// endpoints first, which cost a new dial at most, and clients that are owed nothing, those idle for longest first.
 func (p *Proxy) freeDescriptorsAfter(err error) bool {
 	if !outOfDescriptors(err) {
 		return false
 	}
 	s := &p.clients
-	n := max(1, s.staying()/evictShare)
-	p.warn("no descriptor left", "clients", s.open(), "backends", p.endpoints.openConns)
-	for range max(1, n/2) {
-		if !p.evictIdle() {
+	evictions := max(1, s.staying()/evictShare)
+	p.warn("no descriptor left", "clients", s.open(), "backend_connections", p.endpoints.openConns)
+	for range max(1, evictions/2) {
+		if !p.endpoints.evictIdle() {
 			break
 		}
 	}
-	s.limit = max(minClients, min(s.limit, s.staying()-n))
+	s.limit = max(minClients, min(s.limit, s.staying()-evictions))
 	s.makeRoom(nil)
 	return true
 }
--- /dev/null
+++ b/internal/proxy/endpoint_set.go
@@ -0,0 +1,136 @@
+package proxy
+
+import (
+	"net"
+	"time"
+
+	"reedlead/internal/discovery"
+	"reedlead/policy"
+)
+
+const (
+	// minBackendConns is the least limit on backend connections.
+	minBackendConns = 8
+	// backendShare is what they may take of the usable descriptors.
+	backendShare = 3.0 / 8
+	// idleTimeoutShare is when a connection is retired, as a share of the time after which endpoints close it: a
+	// request that is written after that ends as a reset.
+	idleTimeoutShare = 0.5
+	// maxLocalFaultRetry is how long a dial that fails for something on this side is made again.
+	maxLocalFaultRetry = 250 * time.Millisecond
+)
+
+// endpoint is an entry of the endpoint list with the connections to it.
+type endpoint struct {
+	discovery.Endpoint
+	state   policy.EndpointState
+	idle    []*backendConn // the one used last is the last
+	waiting []*attempt     // for a dial, oldest first
+	dials   int            // under way
+}
+
+// endpointSet holds the endpoints of the list, and bounds the connections to them. The event loop owns it, but for
+// dial, localFaultRetry, duplicateWindow and afterWrite, which never change while it runs.
+type endpointSet struct {
+	proxy       *Proxy
+	byID        map[string]*endpoint
+	openConns   int // with those that are being dialed
+	limit       int // of them
+	idleTimeout policy.Seconds
+	writeSlack  policy.Seconds
+
+	dial            func(addr string) (net.Conn, error)
+	localFaultRetry time.Duration
+	duplicateWindow policy.Seconds
+	afterWrite      func(*backendConn) // runs between the last byte of a command that took long and the note of it
+}
+
+// init sets the limits by the configuration.
+func (s *endpointSet) init(p *Proxy, cfg Config) {
+	dial, dialTimeout := p.calls.dial, cfg.Settings.DialTimeout
+	s.proxy = p
+	s.byID = map[string]*endpoint{}
+	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.Sockets))*backendShare))
+	s.idleTimeout = cfg.Settings.ConnectionIdleTimeout * idleTimeoutShare
+	s.writeSlack = writeSlack
+	s.dial = func(addr string) (net.Conn, error) { return dial(addr, dialTimeout) }
+	s.localFaultRetry = min(dialTimeout, maxLocalFaultRetry)
+	s.duplicateWindow = duplicateWindow
+	s.afterWrite = func(*backendConn) {}
+}
+
+// hasInService tells whether a request could be sent to any endpoint.
+func (s *endpointSet) hasInService() bool {
+	for _, e := range s.byID {
+		if e.state == policy.InService {
+			return true
+		}
+	}
+	return false
+}
+
+// apply takes in a list, or a change of it. An attempt that waits for a dial to an endpoint that may get nothing new
+// is given back to the decision module at once.
+func (s *endpointSet) apply(list discovery.List) {
+	listed := map[string]bool{}
+	for _, entry := range list.Endpoints {
+		listed[entry.ID] = true
+		e := s.byID[entry.ID]
+		if e == nil {
+			e = &endpoint{}
+			s.byID[entry.ID] = e
+		}
+		moved := e.Addr != entry.Addr || e.StartedMS != entry.StartedMS
+		e.Endpoint = entry
+		e.state, _ = entry.State.Policy() // it was validated
+		if moved || e.state != policy.InService {
+			s.retire(e)
+		}
+	}
+	for id, e := range s.byID {
+		if list.Full && !listed[id] {
+			e.state = policy.Removed
+			s.retire(e)
+		}
+		if e.state == policy.Removed {
+			delete(s.byID, id) // its attempts keep it until they end
+		}
+	}
+}
+
+// retire closes an endpoint's idle connections and, unless it is in service, ends what waits for a dial.
+func (s *endpointSet) retire(e *endpoint) {
+	for len(e.idle) > 0 {
+		e.idle[len(e.idle)-1].close(backendRetired, nil)
+	}
+	if e.state == policy.InService {
+		return
+	}
+	for len(e.waiting) > 0 {
+		s.proxy.finishDeferred(e.waiting[0], policy.NotSent)
+	}
+}
+
+// sweep closes the connections that were idle for too long.
+func (s *endpointSet) sweep() {
+	for _, e := range s.byID {
+		for len(e.idle) > 0 && s.proxy.now-e.idle[0].idleSince > s.idleTimeout {
+			e.idle[0].close(idleTimeout, nil)
+		}
+	}
+}
+
+// evictIdle closes the idle connection that was used longest ago, and tells whether there was one.
+func (s *endpointSet) evictIdle() bool {
+	var oldest *backendConn
+	for _, e := range s.byID {
+		if len(e.idle) > 0 && (oldest == nil || e.idle[0].idleSince < oldest.idleSince) {
+			oldest = e.idle[0]
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	oldest.close(evicted, nil)
+	return true
+}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -61,7 +61,7 @@
 			Weight: e.Weight, StartedAt: p.starts.EventTime(e.ID, e.StartedMS),
 		})
 	}
-	p.endpoints.apply(p, list)
+	p.endpoints.apply(list)
 	p.starts.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.now, endpoints, list.Full)
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -130,7 +130,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan Config)}
-	p.endpoints.duplicateWindowS = 0 // the tests' answers are alike
+	p.endpoints.duplicateWindow = 0 // the tests' answers are alike
 	p.endpoints.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
 	quiet := make(chan struct{})
@@ -206,6 +206,22 @@
 	return newTestConn(r.t, c)
 }
 
+// addIdleConn puts a connection without a reader into the pool of an endpoint; on the loop.
+func (r *harness) addIdleConn(endpointID string, conn net.Conn) *backendConn {
+	r.t.Helper()
+	e := r.proxy.endpoints.byID[endpointID]
+	c := &backendConn{
+		proxy: r.proxy, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.now,
+	}
+	var err error
+	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
+		r.t.Error(err)
+	}
+	e.idle = append(e.idle, c)
+	r.proxy.endpoints.openConns++
+	return c
+}
+
 // dialTo connects to an address.
 func mustDial(t *testing.T, addr string) net.Conn {
 	t.Helper()
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -150,7 +150,7 @@
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
 	p.clients.init(p, cfg.Sockets)
-	p.endpoints.init(cfg, calls)
+	p.endpoints.init(p, cfg)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -189,7 +189,7 @@
 	}
 	p.every(sweepEvery, func() {
 		p.starts.Sample(p.clock.now(), p.clock.wall())
-		p.endpoints.sweep(p)
+		p.endpoints.sweep()
 		p.clients.sweep()
 		p.checkDescriptors()
 	})
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -122,11 +122,7 @@
 				}
 				b = receive(t, conns)
 				r.onLoop(func() {
-					be := r.proxy.endpoints.byID["s0"]
-					c := &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
-					c.raw, _ = c.conn.SyscallConn()
-					be.idle = append(be.idle, c)
-					r.proxy.endpoints.openConns++
+					r.addIdleConn("s0", mine)
 				})
 			}
 			c := r.client()
@@ -137,7 +133,7 @@
 			b.readCommand()
 			come := func() bool { return !r.proxy.requests["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				come = func() bool { return !noDataPending(r.proxy.requests["a"].attempts[0].conn.raw) }
+				come = func() bool { return !noDataPending(r.proxy.requests["a"].attempts[0].conn.rawConn) }
 			}
 			r.whileLoopWaits(func() { io.WriteString(b, valueReply) }, come, func() { r.proxy.Send("a", "s0", 0, 0) })
 			for {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -39,14 +39,9 @@
 			}
 			var c *backendConn
 			r.onLoop(func() { // a pooled connection whose reader has not run yet
-				be := r.proxy.endpoints.byID["s0"]
-				c = &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn)}
-				c.raw, _ = c.conn.SyscallConn()
-				c.idleSince = r.proxy.now
-				be.idle = append(be.idle, c)
-				r.proxy.endpoints.openConns++
+				c = r.addIdleConn("s0", mine)
 			})
-			r.eventually("it has come", func() bool { return !noDataPending(c.raw) })
+			r.eventually("it has come", func() bool { return !noDataPending(c.rawConn) })
 			client := r.client()
 			client.send(lookCommand("a")...)
 			b := receive(t, conns)
@@ -79,7 +74,7 @@
 			addr, conns := listenBackend(t)
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				sendEachRequest(0)(r)
-				r.proxy.endpoints.duplicateWindowS = 3600
+				r.proxy.endpoints.duplicateWindow = 3600
 			})
 			c := r.client()
 			send := func(id string) {
@@ -117,7 +112,7 @@
 	addr, conns := listenBackend(t)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
-		r.proxy.endpoints.duplicateWindowS = 0.001
+		r.proxy.endpoints.duplicateWindow = 0.001
 	})
 	c := r.client()
 	c.send(lookCommand("a")...)
@@ -249,7 +244,7 @@
 func TestTimeOutAsTheLastByteIsWritten(t *testing.T) {
 	l, r := startWithSmallSockets(t, func(r *harness) {
 		r.proxy.endpoints.afterWrite = func(c *backendConn) { // all is written; nobody is told before the time-out
-			for end := time.Now().Add(patience); c.raw.Control(func(uintptr) {}) == nil && time.Now().Before(end); {
+			for end := time.Now().Add(patience); c.rawConn.Control(func(uintptr) {}) == nil && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -294,7 +289,7 @@
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
-	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeoutS + 1; r.proxy.endpoints.sweep(r.proxy) })
+	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeout + 1; r.proxy.endpoints.sweep() })
 	if b.readCommand() != nil {
 		t.Error("a connection that idled for long was used")
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		status := policy.Cancelled
-		if p.abortWrite(a.conn) {
+		if a.conn.abortWrite() {
 			status = policy.NotSent
 		}
 		p.finishDeferred(a, status)
