--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -79,5 +79,5 @@
 // that are sent with little time left would be rejected.
 func (g *Gateway) likelyRetrying(c *customer, cls *class) bool {
 	return g.clock.now-c.rejectedAt < cls.Timeout ||
-		c.plan.Rate > 0 && c.demand.at(g.clock.now)+c.othersDemand > c.plan.Rate
+		c.plan.Rate > 0 && c.demand.at(g.clock.now)+c.quota.othersDemand > c.plan.Rate
 }
