--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -141,14 +143,14 @@
 func (p *Proxy) replyPending(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
-		return c != nil && !a.done && (c.unusable.Load() || !c.awaitingReply.Load() || !noDataPending(c.rawConn))
+		return c != nil && !a.done && (c.unusable.Load() || !c.awaitingReply.Load() || !netcalls.NoDataPending(c.rawConn))
 	})
 }
 
 // clientDisconnected tells whether the client has closed its connection. If so, it is abandoned once the current event
 // of the decision module is over.
 func (p *Proxy) clientDisconnected(c *clientConn) bool {
-	if c.closed || !closedByPeer(c.rawConn) {
+	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
 	}
 	p.deferred = append(p.deferred, func() { c.abandon(peerClosed, nil) })
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -6,6 +6,8 @@
 	"sync/atomic"
 	"syscall"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
@@ -24,7 +26,7 @@
 	proxy    *Proxy
 	endpoint *endpoint
 	dialedAs discovery.Endpoint // as the entry of the list was at the dial
-	conn     connection
+	conn     netcalls.Conn
 	rawConn  syscall.RawConn
 
 	awaitingReply  atomic.Bool // a command was or is being written, and its reply has not come
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -4,6 +4,8 @@
 	"net"
 	"slices"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
@@ -23,7 +25,7 @@
 			i--
 		}
 		c := e.idle[i]
-		if c.unusable.Load() || now-c.idleSince > s.idleTimeout || !noDataPending(c.rawConn) {
+		if c.unusable.Load() || now-c.idleSince > s.idleTimeout || !netcalls.NoDataPending(c.rawConn) {
 			c.close(notUsable, nil)
 			continue
 		}
@@ -99,11 +101,11 @@
 	p := s.proxy
 	startedAt := p.clock.now()
 	conn, err := s.dial(addr)
-	for first := true; ownFault(err) && p.clock.now()-startedAt < s.localFaultRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && p.clock.now()-startedAt < s.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
 			p.post(p.clock.now(), func() { p.freeDescriptorsAfter(failed) })
 		}
-		p.calls.wait(scarceRetry)
+		p.calls.Sleep(netcalls.RetryInterval)
 		conn, err = s.dial(addr)
 	}
 	return conn, err
@@ -112,7 +114,7 @@
 // newConn makes a backend connection of what was dialed.
 func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn net.Conn) (*backendConn, error) {
 	p := s.proxy
-	c := &backendConn{proxy: p, endpoint: e, dialedAs: dialedAs, conn: steadyConn{conn.(connection), p.calls.wait}}
+	c := &backendConn{proxy: p, endpoint: e, dialedAs: dialedAs, conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: p.calls.Sleep}}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
 		_ = conn.Close() // nobody knows it yet
@@ -144,7 +146,7 @@
 	s.openConns--
 	s.proxy.warn("dial failed", "endpoint", e.ID, "error", err)
 	s.proxy.freeDescriptorsAfter(err)
-	if ownFault(err) { // it tells nothing of the endpoint
+	if netcalls.IsLocalFault(err) { // it tells nothing of the endpoint
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -42,7 +42,7 @@
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
 	c.writeStartedAt.store(startedAt)
-	n, err := p.calls.writeNow(c.rawConn, command)
+	n, err := p.calls.WriteNow(c.rawConn, command)
 	switch {
 	case err != nil:
 		c.close(writeFailed, err)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/command"
 	"reedlead/internal/readbuf"
 )
@@ -55,7 +57,7 @@
 func (l *clientListener) acceptOne() (goOn bool) {
 	p := l.proxy
 	startedAt := time.Now()
-	conn, err := p.calls.accept(l.listener)
+	conn, err := p.calls.Accept(l.listener)
 	switch {
 	case errors.Is(err, net.ErrClosed):
 		return false
@@ -75,7 +77,7 @@
 			p.warn("accept failed", "error", err)
 			p.freeDescriptorsAfter(err)
 		})
-		p.calls.wait(scarceRetry) // without descriptors, other connections must end first
+		p.calls.Sleep(netcalls.RetryInterval) // without descriptors, other connections must end first
 		return true
 	}
 	l.accepted++
@@ -100,10 +102,10 @@
 }
 
 // newConn makes the connection that was accepted at a time.
-func (l *clientListener) newConn(conn connection, rawConn syscall.RawConn, at float64) *clientConn {
+func (l *clientListener) newConn(conn netcalls.Conn, rawConn syscall.RawConn, at float64) *clientConn {
 	p := l.proxy
 	c := &clientConn{
-		proxy: p, number: l.accepted, conn: steadyConn{conn, p.calls.wait}, rawConn: rawConn,
+		proxy: p, number: l.accepted, conn: netcalls.RetryingConn{Conn: conn, Sleep: p.calls.Sleep}, rawConn: rawConn,
 		permits: make(chan struct{}, maxPipelined), done: make(chan struct{}), resume: make(chan struct{}, 1),
 	}
 	c.reader = clientReader{
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -1,6 +1,10 @@
 package proxy
 
-import "time"
+import (
+	"time"
+
+	"reedlead/internal/netcalls"
+)
 
 // While a reader waits for one of its connection's commands to be replied to, it reads ahead. As long as unread bytes
 // fill the socket, the end of the connection behind them does not reach this machine, and open requests would be
@@ -51,8 +55,8 @@
 			return false
 		}
 		at := p.clock.now()
-		n, err := receiveNow(c.rawConn, space)
-		if scarce(err) {
+		n, err := netcalls.ReceiveNow(c.rawConn, space)
+		if netcalls.IsShortage(err) {
 			return false
 		}
 		if err != nil {
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -97,7 +99,7 @@
 			c.requestClose(idleTimeout)
 		}
 		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
-		if c.pipeline.unfinished() >= maxPipelined && closedByPeer(c.rawConn) {
+		if c.pipeline.unfinished() >= maxPipelined && netcalls.ClosedByPeer(c.rawConn) {
 			c.abandon(peerClosed, nil)
 		}
 	}
@@ -180,7 +182,7 @@
 		return rankLastReplyQueued
 	case c.hasSpoken:
 		return rankIdle
-	case c.hasReceived.Load() || !noDataPending(c.rawConn):
+	case c.hasReceived.Load() || !netcalls.NoDataPending(c.rawConn):
 		return rankUnhandledInput
 	}
 	return rankNeverSpoken
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -1,6 +1,10 @@
 package proxy
 
-import "os"
+import (
+	"os"
+
+	"reedlead/internal/netcalls"
+)
 
 // The limits on connections leave a reserve of descriptors. Where the process gets fewer than its configuration says,
 // idle connections make room, so that discovery, new connections and files never have to wait for one.
@@ -34,7 +38,7 @@
 // freeDescriptorsAfter tells whether a call failed for want of descriptors. Idle connections are closed then: those to
 // endpoints first, which cost a new dial at most, and clients that are owed nothing, those idle for longest first.
 func (p *Proxy) freeDescriptorsAfter(err error) bool {
-	if !outOfDescriptors(err) {
+	if !netcalls.IsOutOfDescriptors(err) {
 		return false
 	}
 	s := &p.clients
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -99,7 +101,7 @@
 	}
 	all := encodeCommand(lookCommand("a")...)
 	io.WriteString(c, all[:20])
-	r.eventually("half of it is read", func() bool { return noDataPending(r.onlyClient().rawConn) })
+	r.eventually("half of it is read", func() bool { return netcalls.NoDataPending(r.onlyClient().rawConn) })
 	r.onLoop(r.proxy.leave)
 	r.eventually("the reader goes on", func() bool { return r.onlyClient() == nil || !r.onlyClient().closeRequested })
 	io.WriteString(c, all[20:])
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -4,6 +4,8 @@
 	"net"
 	"time"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
@@ -46,8 +48,8 @@
 }
 
 // init sets the limits by the configuration.
-func (s *endpointSet) init(p *Proxy, cfg Config) {
-	dial, dialTimeout := p.calls.dial, cfg.Settings.DialTimeout
+func (s *endpointSet) init(p *Proxy, cfg config.Config) {
+	dial, dialTimeout := p.calls.Dial, cfg.Settings.DialTimeout
 	s.proxy = p
 	s.byID = map[string]*endpoint{}
 	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.Sockets))*backendShare))
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/peerlink"
+
 	"reedlead/policy"
 )
 
@@ -29,15 +31,15 @@
 	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
 	cfg.PeersAll = addr(all)
 	r := startProxy(t, cfg, nil)
-	here := r.proxy.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	here := r.proxy.peers.LocalAddr()
 	stranger.WriteToUDPAddrPort([]byte("spoof"), here)
-	friend.WriteToUDPAddrPort(bytes.Repeat([]byte("x"), maxDatagram+1), here)
+	friend.WriteToUDPAddrPort(bytes.Repeat([]byte("x"), peerlink.MaxDatagramSize+1), here)
 	friend.WriteToUDPAddrPort([]byte("hello"), here)
 	if m := receive(t, r.decider.messages); m != (peerMessage{1, "hello"}) {
 		t.Errorf("got %+v", m)
 	}
 	r.onLoop(func() {
-		r.proxy.SendToPeer(1, make([]byte, maxDatagram+1))
+		r.proxy.SendToPeer(1, make([]byte, peerlink.MaxDatagramSize+1))
 		r.proxy.SendToPeer(9, []byte("none"))
 		r.proxy.SendToPeer(1, []byte("one"))
 		r.proxy.SendToPeer(policy.Broadcast, []byte("all"))
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/resp"
@@ -41,7 +43,7 @@
 			r.onLoop(func() { // a pooled connection whose reader has not run yet
 				c = r.addIdleConn("s0", mine)
 			})
-			r.eventually("it has come", func() bool { return !noDataPending(c.rawConn) })
+			r.eventually("it has come", func() bool { return !netcalls.NoDataPending(c.rawConn) })
 			client := r.client()
 			client.send(lookCommand("a")...)
 			b := receive(t, conns)
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -9,6 +9,9 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/config"
+	"reedlead/internal/peerlink"
+
 	"reedlead/internal/discovery"
 	"reedlead/internal/discovery/discoverytest"
 
@@ -21,7 +24,7 @@
 const leastCap = 1024
 
 // manyConfig is that of gateway number me of so many, with as many backends, none of which answers.
-func manyConfig(t *testing.T, me int, peers []netip.AddrPort) Config {
+func manyConfig(t *testing.T, me int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
 	c.MemoryMB, c.Sockets = 192, 1024
 	c.Settings.GatewayCount, c.Settings.Self, c.Settings.Settings.PeerMessages = leastCap, me, true
@@ -93,8 +96,8 @@
 	if m := receive(t, last.decider.messages); m.from != 0 || m.data != "there" {
 		t.Errorf("the last gateway got %+v", m)
 	}
-	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", maxDatagram))) })
-	if m := receive(t, first.decider.messages); m.from != leastCap-1 || len(m.data) != maxDatagram {
+	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", peerlink.MaxDatagramSize))) })
+	if m := receive(t, first.decider.messages); m.from != leastCap-1 || len(m.data) != peerlink.MaxDatagramSize {
 		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
 	}
 	first.onLoop(func() {
@@ -197,7 +200,7 @@
 		}
 		if len(*sent[me]) > 0 {
 			m := (*sent[me])[0]
-			if m.to != other || len(m.data) > maxDatagram {
+			if m.to != other || len(m.data) > peerlink.MaxDatagramSize {
 				t.Fatalf("gateway %d told %d bytes to %d", me, len(m.data), m.to)
 			}
 			before := len(*sent[other])
