--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -124,11 +124,7 @@
 				}
 				b = receive(t, conns)
 				r.onLoop(func() {
-					be := r.proxy.endpoints.byID["s0"]
-					c := &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
-					c.raw, _ = c.conn.SyscallConn()
-					be.idle = append(be.idle, c)
-					r.proxy.endpoints.openConns++
+					r.addIdleConn("s0", mine)
 				})
 			}
 			c := r.client()
@@ -139,7 +135,7 @@
 			b.readCommand()
 			come := func() bool { return !r.proxy.requests["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				come = func() bool { return !netcalls.NoDataPending(r.proxy.requests["a"].attempts[0].conn.raw) }
+				come = func() bool { return !netcalls.NoDataPending(r.proxy.requests["a"].attempts[0].conn.rawConn) }
 			}
 			r.whileLoopWaits(func() { io.WriteString(b, valueReply) }, come, func() { r.proxy.Send("a", "s0", 0, 0) })
 			for {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -3,7 +3,6 @@
 // The gateway's state, its start and its timer.
 
 import (
-	"cmp"
 	"math/rand/v2"
 )
 
@@ -19,11 +18,12 @@
 	rng      *rand.Rand
 	clock    *eventClock
 
+	protocol    peerProtocol
+	reporter    usageReporter
 	customers   customerTable
+	slotQueue   slotQueue
 	nextSweepAt Seconds // when what expired is evicted next
 
-	peerProtocol
-	slotQueue
 	limiter       *concurrencyLimiter
 	outliers      *outlierDetector
 	healthChecks  *healthChecker
@@ -54,11 +54,11 @@
 	g.customers = newCustomerTable(s, g.clock, g.findPrimaryOwner)
 	g.requests = newRequestTable()
 	g.retries = newRetryPolicy(s, g.clock)
-	g.peers, g.format = make([]peer, s.GatewayCount), newMessageFormat(s)
-	g.incarnation = uint8(g.rng.Uint32())
-	g.reportTokens, g.reportTokensAt = 2, now
-	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.gossip = &gossipBuffer{}
+	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()))
+	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, act.SendToPeer
+	g.reporter = newUsageReporter(s, g.clock, &g.protocol, g.owner)
+	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.picker = &endpointPicker{
 		clock: g.clock, random: g.rng,
@@ -66,7 +66,6 @@
 		gatewayCount: s.GatewayCount, zone: s.Zone,
 		crossZoneCost: s.CrossZoneCost, handshakeCost: s.HandshakeCost, idleTimeout: s.ConnectionIdleTimeout,
 	}
-	g.settings.PeerMessageRate = cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate)
 	g.ring = newOwnerRing(s.GatewayCount)
 	g.actions.SetTimer(1, timerInterval)
 	return g, nil
@@ -135,7 +134,7 @@
 	g.sendHealthCheck()
 	g.retransmit()
 	g.retryQueued()
-	g.sendUsageReports()
+	g.reporter.sendDue()
 	if now > g.nextSweepAt {
 		g.nextSweepAt = now + customerExpiry/4
 		g.customers.evictIdle()
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -28,7 +28,7 @@
 // reachable tells whether a gateway is this one or a peer that replies. Another one stands in for an owner
 // that does not.
 func (g *Gateway) reachable(gateway int) bool {
-	return gateway == g.settings.Self || g.peers[gateway].reachable(g.clock.now)
+	return g.protocol.reachable(gateway)
 }
 
 // owner returns the gateway that counts the customer now.
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -76,7 +76,7 @@
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, perS := range []int{10, 50} {
 		g, r := largeFleet(t)
-		list := manyEndpoints(60)
+		list := largeFleetEndpoints()
 		for i := range 30 {
 			list[i].StartedAt = 100 // cold from now on
 		}
@@ -90,7 +90,7 @@
 				id := fmt.Sprint(round, "-", i)
 				g.clock.now = now
 				g.slowStart.updateEstimates(g.classes.ordered, g.endpoints.listed)
-				sendUnlimited(g, now, id, "read")
+				sendUnlimited(g, now, id)
 				sent := r.ofKind("send", id)
 				if len(sent) != 1 {
 					t.Fatalf("request %s was not sent", id)
@@ -115,7 +115,7 @@
 func TestColdestEndpointsGetLeast(t *testing.T) {
 	count := func(class string, age float64) (n int) {
 		g, _ := largeFleet(t)
-		list := manyEndpoints(60)
+		list := largeFleetEndpoints()
 		list[0].StartedAt = 100 - age
 		g.HandleEndpoints(100, list, true)
 		g.slowStart.updateEstimates(g.classes.ordered, g.endpoints.listed)
