--- /dev/null
+++ b/policy/fleet_simulation_test.go
@@ -0,0 +1,375 @@
+package policy
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+)
+
+// A simulation of a whole fleet with its endpoints and clients, in which some of the endpoints restart and warm
+// up. It shows what all gateways together send to these.
+
+const (
+	simulationStart Seconds = 100
+	restartAt       Seconds = 104 // when endpoints restart
+	simulationEnd   Seconds = 112
+
+	defaultServiceRate          = 20.0 // mean attempts a second that a warm endpoint serves
+	endpointQueueLength         = 25.0 // attempts; an endpoint rejects further ones
+	networkDelay        Seconds = 0.01
+
+	listDelay       Seconds = 0.5 // the latest that a gateway hears of a restart
+	faultyListDelay Seconds = 3
+
+	burstDuration       Seconds = 3 // of a fault, from restartAt on
+	burstFactor                 = 2.0
+	gatewayRestartShare         = 0.9 // fraction of the gateways that restart in a fault
+	gatewayRestartDelay Seconds = 4   // the latest, from restartAt on
+
+	clientTimeout Seconds = 1.5
+)
+
+// How simulated clients retry.
+const (
+	clientRetryRate = 0.7 // fraction of the rejected clients that retry
+	maxClientRetry  = 3
+)
+
+// fleetCase describes a simulated fleet.
+type fleetCase struct {
+	gateways, endpoints int
+	restarting          float64 // fraction of the endpoints that restart
+	load                float64 // fraction of the capacity of all endpoints when warm
+	seed                uint64
+	serviceRate         float64 // mean attempts a second that a warm endpoint serves
+	// faults adds a burst of requests, late endpoint lists and restarts of gateways to the restart of endpoints.
+	faults bool
+}
+
+// restartingEndpoints is the number of endpoints that restart.
+func (c fleetCase) restartingEndpoints() int { return int(c.restarting * float64(c.endpoints)) }
+
+// simulatedEndpoint serves one attempt after another, with the least capacity that the settings allow.
+type simulatedEndpoint struct {
+	id          string
+	restartedAt Seconds // 0 if it did not restart
+	busyUntil   Seconds
+	sent        []Seconds // when attempts were sent by gateways that knew of its last restart
+}
+
+func (e *simulatedEndpoint) capacity(now Seconds, settings Settings) float64 {
+	if e.restartedAt == 0 {
+		return 1
+	}
+	age := max(now-e.restartedAt, 0)
+	return min(1, settings.SlowStartMinCapacity+(1-settings.SlowStartMinCapacity)*age/settings.SlowStartDuration)
+}
+
+// serve returns how and when an attempt that is sent now ends.
+func (e *simulatedEndpoint) serve(now, timeout Seconds, rate float64, random *rand.Rand) (AttemptStatus, Seconds) {
+	if e.busyUntil > now+endpointQueueLength/rate {
+		return Rejected, now + networkDelay
+	}
+	e.busyUntil = max(e.busyUntil, now) + 1/rate*(0.5+random.Float64())
+	if e.busyUntil > now+timeout {
+		return Timeout, now + timeout
+	}
+	return OK, e.busyUntil + networkDelay
+}
+
+// maxSentWithin returns the largest number of attempts sent within a window as a multiple of the bound, and a
+// description of that window.
+func (e *simulatedEndpoint) maxSentWithin(window Seconds, bound func(from Seconds) float64) (ratio float64, what string) {
+	for i, from := range e.sent {
+		if e.restartedAt == 0 || from < e.restartedAt {
+			continue
+		}
+		count := 0
+		for count < len(e.sent)-i && e.sent[i+count] < from+window {
+			count++
+		}
+		if r := float64(count) / bound(from); r > ratio {
+			ratio = r
+			what = fmt.Sprintf("%s got %d attempts from %.2f s on, the bound is %.1f", e.id, count, from-e.restartedAt, bound(from))
+		}
+	}
+	return ratio, what
+}
+
+// simulationEvent runs at a time; those of the same time run in the order of their numbers.
+type simulationEvent struct {
+	at     Seconds
+	number int
+	run    func(now Seconds)
+}
+
+// simulationEvents is a heap of events by time.
+type simulationEvents []simulationEvent
+
+func (h simulationEvents) Len() int { return len(h) }
+
+func (h simulationEvents) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
+}
+
+func (h simulationEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *simulationEvents) Push(event any) { *h = append(*h, event.(simulationEvent)) }
+
+func (h *simulationEvents) Pop() any {
+	last := len(*h) - 1
+	event := (*h)[last]
+	*h = (*h)[:last]
+	return event
+}
+
+// clientTry is one send of a client's request to a gateway.
+type clientTry struct {
+	deadline Seconds
+	earlier  int // tries before this one
+}
+
+// fleetSimulation runs a fleetCase.
+type fleetSimulation struct {
+	fleetCase
+	settings  Settings
+	random    *rand.Rand
+	gateways  []*simulatedGateway
+	weights   []float64 // of the gateways in the traffic, summed up
+	list      []Endpoint
+	endpoints map[string]*simulatedEndpoint
+	tries     map[string]clientTry // by request ID
+	events    simulationEvents
+	now       Seconds
+	number    int // of the last event or request
+}
+
+// simulateFleet runs a case from simulationStart to simulationEnd.
+func simulateFleet(c fleetCase) *fleetSimulation {
+	c.serviceRate = cmp.Or(c.serviceRate, defaultServiceRate)
+	f := &fleetSimulation{
+		fleetCase: c,
+		settings:  simulationSettings(c.gateways),
+		random:    rand.New(rand.NewPCG(c.seed, 3)),
+		endpoints: map[string]*simulatedEndpoint{},
+		tries:     map[string]clientTry{},
+	}
+	f.addEndpoints()
+	for number := range c.gateways {
+		f.addGateway(number)
+	}
+	f.schedule(restartAt, f.restartEndpoints)
+	f.schedule(simulationStart, f.arrive)
+	for f.events[0].at < simulationEnd {
+		event := heap.Pop(&f.events).(simulationEvent)
+		f.now = event.at
+		event.run(event.at)
+	}
+	return f
+}
+
+func simulationSettings(gateways int) Settings {
+	settings := testSettings()
+	settings.GatewayCount = gateways
+	settings.PeerMessages = false
+	settings.SlowStartMinCapacity, settings.SlowStartDuration = 0.15, 14
+	settings.OverloadMultiple, settings.OverloadWindow = 2.5, 1
+	settings.Classes = []Class{
+		{Name: "read", LatencyObjective: 0.6, Timeout: clientTimeout, PriorityWeight: 1, Idempotency: Idempotent},
+	}
+	return settings
+}
+
+// schedule runs a function at a time.
+func (f *fleetSimulation) schedule(at Seconds, run func(now Seconds)) {
+	f.number++
+	heap.Push(&f.events, simulationEvent{at: at, number: f.number, run: run})
+}
+
+func (f *fleetSimulation) addEndpoints() {
+	for i := range f.fleetCase.endpoints {
+		id := fmt.Sprintf("s%03d", i)
+		f.endpoints[id] = &simulatedEndpoint{id: id}
+		f.list = append(f.list, Endpoint{ID: id, Zone: string(rune('a' + i%3)), Cell: i % 12})
+	}
+}
+
+func (f *fleetSimulation) restartEndpoints(Seconds) {
+	for _, entry := range f.list[:f.restartingEndpoints()] {
+		restarted := f.endpoints[entry.ID]
+		restarted.restartedAt, restarted.busyUntil, restarted.sent = restartAt, 0, nil
+	}
+}
+
+// addGateway starts a gateway with a part of the traffic that is drawn at random.
+func (f *fleetSimulation) addGateway(number int) {
+	gateway := &simulatedGateway{fleet: f, number: number, attempts: map[string]int{}}
+	gateway.start(simulationStart, f.list)
+	weight := math.Exp(f.random.NormFloat64() * 0.7)
+	if number > 0 {
+		weight += f.weights[number-1]
+	}
+	f.gateways, f.weights = append(f.gateways, gateway), append(f.weights, weight)
+	f.schedule(simulationStart+f.random.Float64()*timerInterval, gateway.tick)
+	f.announceRestarts(gateway)
+}
+
+// announceRestarts has a gateway hear of the restart of each endpoint at a time of its own, and restarts the
+// gateway itself in a fault.
+func (f *fleetSimulation) announceRestarts(gateway *simulatedGateway) {
+	delay := listDelay
+	if f.faults {
+		delay = faultyListDelay
+	}
+	var known []Endpoint
+	for _, entry := range f.list[:f.restartingEndpoints()] {
+		entry.StartedAt = restartAt
+		f.schedule(restartAt+delay*f.random.Float64(), func(now Seconds) {
+			known = append(known, entry)
+			gateway.policy.HandleEndpoints(now, []Endpoint{entry}, false)
+		})
+	}
+	if f.faults && f.random.Float64() < gatewayRestartShare {
+		f.schedule(restartAt+gatewayRestartDelay*f.random.Float64(), func(now Seconds) {
+			gateway.start(now, f.list)
+			gateway.policy.HandleEndpoints(now, known, false)
+		})
+	}
+}
+
+// arrive sends a new request, and schedules the next one.
+func (f *fleetSimulation) arrive(now Seconds) {
+	f.request(now, clientTry{deadline: now + clientTimeout})
+	rate := f.load * f.serviceRate * float64(f.fleetCase.endpoints)
+	if f.faults && now > restartAt && now < restartAt+burstDuration {
+		rate *= burstFactor
+	}
+	f.schedule(now+f.random.ExpFloat64()/rate, f.arrive)
+}
+
+// request sends a request to a gateway, drawn by the weights.
+func (f *fleetSimulation) request(now Seconds, try clientTry) {
+	drawn, gateway := f.random.Float64()*f.weights[len(f.weights)-1], 0
+	for f.weights[gateway] < drawn {
+		gateway++
+	}
+	f.number++
+	id := fmt.Sprint("q", f.number)
+	f.tries[id] = try
+	f.gateways[gateway].policy.HandleRequest(now, Request{
+		ID: id, Class: "read", Deadline: try.deadline, GatewayCount: 1, Units: 1,
+	})
+}
+
+// retry has most clients whose request was rejected send it again, to any gateway, as long as they have time.
+func (f *fleetSimulation) retry(id string) {
+	try := f.tries[id]
+	delete(f.tries, id)
+	if f.random.Float64() > clientRetryRate || try.earlier >= maxClientRetry {
+		return
+	}
+	f.schedule(f.now+0.1+0.3*f.random.Float64(), func(now Seconds) {
+		if now < try.deadline-0.05 {
+			f.request(now, clientTry{deadline: try.deadline, earlier: try.earlier + 1})
+		}
+	})
+}
+
+// overloadBound is the largest number of attempts that an endpoint may get in the window from a time on: what
+// the settings allow, and what chance adds.
+func (f *fleetSimulation) overloadBound(e *simulatedEndpoint, from Seconds) float64 {
+	allowed := f.settings.OverloadMultiple * f.serviceRate * e.capacity(from, f.settings) * f.settings.OverloadWindow
+	if allowed < 30 {
+		return allowed + 3*math.Sqrt(allowed) + 3
+	}
+	return allowed + 2*math.Sqrt(allowed) + 2
+}
+
+// worstOverload returns the largest number of attempts that a warming endpoint got in a window, as a multiple of
+// the bound, and a description of it.
+func (f *fleetSimulation) worstOverload() (ratio float64, what string) {
+	for _, e := range f.endpoints {
+		bound := func(from Seconds) float64 { return f.overloadBound(e, from) }
+		if r, description := e.maxSentWithin(f.settings.OverloadWindow, bound); r > ratio {
+			ratio, what = r, description
+		}
+	}
+	return ratio, what
+}
+
+// sentToRestarted is the number of attempts sent to the endpoints since their restart.
+func (f *fleetSimulation) sentToRestarted() (sent int) {
+	for _, e := range f.endpoints {
+		if e.restartedAt > 0 {
+			sent += len(e.sent)
+		}
+	}
+	return sent
+}
+
+// simulatedGateway carries out the actions of one gateway.
+type simulatedGateway struct {
+	fleet       *fleetSimulation
+	policy      *Gateway
+	number      int
+	incarnation uint64         // counts its starts
+	attempts    map[string]int // by request, so far
+	inFlight    int
+}
+
+// start begins the first or a further incarnation of the gateway, which knows nothing of the attempts in flight.
+func (g *simulatedGateway) start(now Seconds, list []Endpoint) {
+	settings := g.fleet.settings
+	settings.Self = g.number
+	g.incarnation++
+	seed := g.fleet.seed<<16 + uint64(g.number) + g.incarnation<<40
+	policy, err := New(settings, seed, now, g)
+	if err != nil {
+		panic(err)
+	}
+	g.policy, g.inFlight = policy, 0
+	policy.HandleEndpoints(now, list, true)
+}
+
+// tick calls the timer, less often while there is nothing to do.
+func (g *simulatedGateway) tick(now Seconds) {
+	g.policy.HandleTimer(now, 1)
+	interval := timerInterval
+	if g.inFlight == 0 && g.policy.dispatchQueue.isEmpty() {
+		interval = 4 * timerInterval
+	}
+	g.fleet.schedule(now+interval, g.tick)
+}
+
+func (g *simulatedGateway) Send(id, endpoint string, timeout, _ Seconds) {
+	f, now, attempt := g.fleet, g.policy.clock.now, g.attempts[id]
+	g.attempts[id]++
+	g.inFlight++
+	e := f.endpoints[endpoint]
+	knowsOfRestart := g.policy.endpoints.byID[endpoint].StartedAt == e.restartedAt
+	if e.restartedAt == 0 || knowsOfRestart {
+		e.sent = append(e.sent, now)
+	}
+	status, end := e.serve(now, timeout, f.serviceRate*e.capacity(now, f.settings), f.random)
+	incarnation := g.incarnation
+	f.schedule(end, func(at Seconds) {
+		if g.incarnation != incarnation {
+			return
+		}
+		g.inFlight--
+		g.policy.HandleOutcome(at, Outcome{
+			RequestID: id, Endpoint: endpoint, Attempt: attempt, Status: status,
+			RequestDone: status == OK, Elapsed: at - now,
+		})
+	})
+}
+
+func (g *simulatedGateway) Reject(id string, _ Seconds, _ Reason) { g.fleet.retry(id) }
+func (g *simulatedGateway) Fail(id string, _ Reason)              { g.fleet.retry(id) }
+func (g *simulatedGateway) Cancel(string, int)                    {}
+func (g *simulatedGateway) SetTimer(uint64, Seconds)              {}
+func (g *simulatedGateway) HealthCheck(string)                    {}
+func (g *simulatedGateway) SendToPeer(int, []byte)                {}
+func (g *simulatedGateway) Log(string)                            {}
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 func TestHealthCheckGoesToTheEndpointLeastRecentlyKnown(t *testing.T) {
 	settings := testSettings()
@@ -29,3 +32,22 @@
 		t.Errorf("%s is checked after the credits of many requests are spent", e.ID)
 	}
 }
+
+// Guards against health checks of many gateways that add up at a warming endpoint, beside the attempts that
+// their credits allow.
+func TestWarmingEndpointsGetNoHealthChecks(t *testing.T) {
+	g, r := newTestGateway(t, func(s *Settings) { s.HealthChecks, s.LoadReportInHealthCheck = true, true })
+	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", StartedAt: 99}, {ID: "s2", Zone: "a"}}, true)
+	for i := range 200 {
+		now := 100 + float64(i)*0.04
+		sendUnlimited(g, now, fmt.Sprint("q", i))
+		g.HandleTimer(now+0.01, 1)
+	}
+	checked := map[string]int{}
+	for _, a := range r.ofKind("health_check", "") {
+		checked[a.endpoint]++
+	}
+	if checked["s1"] > 0 || checked["s2"] == 0 {
+		t.Errorf("health checks by endpoint: %v", checked)
+	}
+}
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -25,19 +25,14 @@
 	return owner
 }
 
-// reachable tells whether a gateway is this one or a peer that replies. Another one stands in for an owner
-// that does not.
-func (g *Gateway) reachable(gateway int) bool {
-	return g.protocol.reachable(gateway)
-}
-
-// owner returns the gateway that counts the customer now.
+// owner returns the gateway that counts the customer now: its primary owner, or the next one on the ring if
+// that is unreachable.
 func (g *Gateway) owner(c *customer) int {
 	switch {
 	case !g.settings.PeerMessages || c.gatewayCount == 1:
 		return g.settings.Self
-	case c.gatewayCount == 0 || g.reachable(c.primaryOwner):
+	case c.gatewayCount == 0 || g.protocol.reachable(c.primaryOwner):
 		return c.primaryOwner
 	}
-	return g.ringSuccessor(c, g.reachable)
+	return g.ringSuccessor(c, g.protocol.reachable)
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -162,7 +162,8 @@
 	}
 	capacity := max(s.warmedCapacity, warmUpFraction)
 	cautious := warmUpFraction * (minSlowStartShare + slowStartShareRise*warmUpFraction) / capacity
-	needed := allowed * math.Pow(s.warmingCapacity/capacity, 2) // approaches allowed if most are warming
+	warmingPart := s.warmingCapacity / capacity
+	needed := allowed * (warmingPart * warmingPart) // approaches allowed if most are warming
 	return min(allowed, max(cautious, needed))
 }
 
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -35,7 +35,7 @@
 	if tells := r.ofKind("send_to_peer", ""); len(tells) < maxGrantAttempts || tells[len(tells)-1].to == first {
 		t.Fatalf("a silent owner was never passed over: %v", tells)
 	}
-	if g.reachable(first) {
+	if g.protocol.reachable(first) {
 		t.Fatal("an owner that left all unanswered counts as alive")
 	}
 }
@@ -46,7 +46,7 @@
 	ask(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
-	if !g.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
+	if !g.protocol.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
 		t.Fatal("a gap of this gateway counted as silence of another")
 	}
 	from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total += 2 })
