--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -61,13 +61,6 @@
 	return bytes.Count(o.b.Bytes(), []byte(text))
 }
 
-// text is all that was logged.
-func (o *output) text() string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.b.String()
-}
-
 // tail is the end of what was logged.
 func (o *output) tail() string {
 	const most = 4000
@@ -121,7 +114,7 @@
 		}
 	}
 	writeConfig(first)
-	p := startWithDescriptors(t, path, fewDescriptors)
+	p := launch(t, path, fewDescriptors)
 	idle := keepIdleClients(t, listen)
 	eventually(t, "clients fill what they may", func() bool { return len(idle) > fewDescriptors })
 	if configured > fewDescriptors {
@@ -182,25 +175,6 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startWithDescriptors starts the program with a limit of descriptors. It is killed with the end of the test, and its
-// log is shown if that has failed.
-func startWithDescriptors(t *testing.T, path string, descriptors int) *program {
-	t.Helper()
-	p := &program{t: t, log: &output{}, ended: make(chan error, 1)}
-	p.cmd = programCommand(path, descriptors, p.log)
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() { p.ended <- p.cmd.Wait() }()
-	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
-		if err := <-p.ended; t.Failed() {
-			t.Log(err, p.log.text())
-		}
-	})
-	return p
-}
-
 // keepIdleClients has many clients connect, get one reply, and idle until they are closed; then they connect again. A
 // word comes on the channel for each reply.
 func keepIdleClients(t *testing.T, addr string) <-chan struct{} {
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -112,27 +112,16 @@
 
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// startProgram starts the program and waits until it is ready. It is killed with the end of the test, and its
-// log is shown if that has failed.
+// startProgram starts the program, with its trace, and waits until it is ready.
 func startProgram(t *testing.T, c programConfig) *program {
 	t.Helper()
-	p := &program{t: t, listen: freeAddress(t), log: &output{}, ended: make(chan error, 1)}
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(c.text(p.listen)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(c.text(listen)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd = programCommand(path, 1024, p.log)
-	p.cmd.Env = append(p.cmd.Env, "EDGE_LOG=DEBUG")
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() { p.ended <- p.cmd.Wait() }()
-	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
-		if err := <-p.ended; t.Failed() {
-			t.Log(err, p.log.tail())
-		}
-	})
+	p := launch(t, path, 1024, "EDGE_LOG=DEBUG")
+	p.listen = listen
 	eventually(t, "the program is ready", func() bool {
 		conn, err := net.Dial("tcp", p.listen)
 		if err != nil {
@@ -147,6 +136,26 @@
 	return p
 }
 
+// launch starts the program with a configuration file, a limit of descriptors and additions to the environment. It is
+// killed with the end of the test, and the end of its log is shown if that has failed.
+func launch(t *testing.T, path string, descriptors int, environment ...string) *program {
+	t.Helper()
+	p := &program{t: t, log: &output{}, ended: make(chan error, 1)}
+	p.cmd = programCommand(path, descriptors, p.log)
+	p.cmd.Env = append(p.cmd.Env, environment...)
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() { p.ended <- p.cmd.Wait() }()
+	t.Cleanup(func() {
+		_ = p.cmd.Process.Kill() // it may have ended
+		if err := <-p.ended; t.Failed() {
+			t.Log(err, p.log.tail())
+		}
+	})
+	return p
+}
+
 // suspend stops all threads of the process. SIGCONT resumes them.
 func (p *program) suspend() {
 	p.t.Helper()
