--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -3,15 +3,17 @@
 import (
 	"context"
 
+	"reedlead/internal/config"
+
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
 
 // followDiscovery runs the discovery client for as long as ctx lasts. The client starts with the list of the
 // configuration; of each configuration that comes on reloads, its address is switched to.
-func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan Config) {
+func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan config.Config) {
 	options := p.discovery
-	options.DialContext = p.calls.dialAgent
+	options.DialContext = p.calls.DialContext
 	options.Notify = func(e discovery.Event) {
 		p.post(p.clock.now(), func() { p.handleDiscovery(e) })
 	}
@@ -21,7 +23,7 @@
 }
 
 // forwardAddresses hands the discovery client the address of each new configuration. It ends with ctx.
-func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan Config, addresses chan<- string) {
+func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan config.Config, addresses chan<- string) {
 	for {
 		select {
 		case cfg := <-reloads:
@@ -46,7 +48,7 @@
 		p.warn("entry of the list left out", "error", e.Err)
 	case discovery.WatchEnded:
 		p.warn("watch ended", "error", e.Err, "address", e.Address, "version", e.Version)
-		p.makeRoomFor(e.Err)
+		p.freeDescriptorsAfter(e.Err)
 	}
 }
 
@@ -61,7 +63,7 @@
 			Weight: e.Weight, StartedAt: p.starts.EventTime(e.ID, e.StartedMS),
 		})
 	}
-	p.backends.apply(p, list)
-	p.starts.Forget(func(id string) bool { return p.backends.byID[id] != nil })
+	p.endpoints.apply(p, list)
+	p.starts.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.now, endpoints, list.Full)
 }
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -13,6 +13,9 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/settings"
@@ -51,9 +54,9 @@
 )
 
 // growthConfig is that of one process; all backends are the one that listens at an address.
-func growthConfig(size growthSize, addr string) Config {
-	c := Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: noDiscovery, Sockets: 1024, MemoryMB: 192, Seed: 1,
+func growthConfig(size growthSize, addr string) config.Config {
+	c := config.Config{
+		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024, MemoryMB: 192, Seed: 1,
 		Settings: settings.Settings{DialTimeout: time.Second, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
 			MaxRequestUnits: 6, MaxAttempts: 4, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true, PeerMessages: true, PeerMessageRate: 40,
@@ -94,7 +97,7 @@
 		}
 	}()
 	cfg := growthConfig(size, l.Addr().String())
-	p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.DiscardHandler), netcalls.System())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -115,7 +118,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for i := range growthRequests {
 		fields := fmt.Sprintf("c=look,t=basic,d=1000,units=1,spread=3,first=%d", i%size.gateways)
-		io.WriteString(conn, command("CALL.GET", fmt.Sprintf("%016x", i%50), fmt.Sprint("q", i), fields))
+		io.WriteString(conn, encodeCommand("CALL.GET", fmt.Sprintf("%016x", i%50), fmt.Sprint("q", i), fields))
 		time.Sleep(growthEvery)
 	}
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,8 +12,12 @@
 	"runtime/debug"
 	"time"
 
-	"reedlead/internal/discovery"
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
 
+	"reedlead/internal/discovery"
+	"reedlead/internal/readbuf"
 	"reedlead/policy"
 )
 
@@ -27,10 +31,11 @@
 	acceptAfterTerm = 500 * time.Millisecond
 	// SIGKILL may follow this much after the longest deadline, which counts as killCap where it is longer.
 	// By drainSpare before that, all has its answer, and by half of it each connection is closed.
-	killAfter  = 700 * time.Millisecond
-	killCap    = 3 * time.Second
-	drainSpare = 150 * time.Millisecond
-	sweepEvery = time.Second
+	killAfter       = 700 * time.Millisecond
+	killCap         = 3 * time.Second
+	drainSpare      = 150 * time.Millisecond
+	sweepEvery      = time.Second
+	defaultMemoryMB = 192 // where the configuration gives none
 	// Each time limit has 50 ms of slack. A timer that is later than a part of it tells that this process
 	// stood still, and what came meanwhile may still lie in the sockets.
 	lateS = 0.02
@@ -83,45 +88,45 @@
 // Ingress is one gateway on real sockets. Its loop alone owns the gateway and all that is not said
 // to belong to another goroutine.
 type Proxy struct {
-	cfg    Config
+	cfg    config.Config
 	log    *slog.Logger
 	clock  clock
 	events chan event
 	done   chan struct{} // closed when the loop has ended
 
-	decider  decider
-	now      float64 // what the module was last told; never goes back
-	timers   timerHeap
-	wake     *time.Timer
-	wakeAt   float64
-	pace     pace
-	deferred []func() // outcomes that an action yielded, for when its event method has returned
-	logLimit logLimiter
-	bytes    []byte // of the command that is being written
-	input    budget // what clients and backends have sent and nobody has used up yet; of all goroutines
-
-	acceptFor time.Duration     // how long after the signal new connections are taken
-	drainFor  time.Duration     // and when all is answered at the latest
-	discovery discovery.Options // but for what followDiscovery adds
-	calls     systemCalls
-	turn      func()       // lets readers run
-	spare     func() error // tells whether a descriptor is to be had
-	starts    discovery.StartTimes
-	listener  *net.TCPListener
-	clients   clientSet
-	requests  map[string]*request
-	backends  backendSet
-	peers     *peerLink
-	leaving   bool    // connections close between requests
-	accepted  bool    // the listener is closed, all that came there was accepted
-	stopped   bool    // what comes now is refused at once
-	readyAt   float64 // when it is ready without a backend
+	decider       decider
+	now           float64 // what the module was last told; never goes back
+	timers        timerHeap
+	wake          *time.Timer
+	wakeAt        float64
+	loopLag       loopLag
+	deferred      []func() // outcomes that an action yielded, for when its event method has returned
+	logLimit      logLimiter
+	commandBuffer []byte          // of the command that is being written
+	inputBudget   *readbuf.Budget // what clients and backends have sent and nobody has used up yet; of all goroutines
+
+	acceptFor       time.Duration     // how long after the signal new connections are taken
+	drainFor        time.Duration     // and when all is answered at the latest
+	discovery       discovery.Options // but for what followDiscovery adds
+	calls           *netcalls.Calls
+	turn            func()       // lets readers run
+	probeDescriptor func() error // tells whether a descriptor is to be had
+	starts          discovery.StartTimes
+	listener        *net.TCPListener
+	clients         clientSet
+	requests        map[string]*request
+	endpoints       endpointSet
+	peers           *peerlink.Link
+	leaving         bool    // connections close between requests
+	accepted        bool    // the listener is closed, all that came there was accepted
+	stopped         bool    // what comes now is refused at once
+	readyAt         float64 // when it is ready without a backend
 }
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
 // configuration that comes on reread, which may be nil, the address of discovery is taken over.
-func Run(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger) error {
-	p, err := open(ctx, cfg, log, realCalls())
+func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
+	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
 		return err
 	}
@@ -135,32 +140,32 @@
 }
 
 // open makes an ingress and its sockets; nothing is read from them yet.
-func open(ctx context.Context, cfg Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
+func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterTerm, drainFor: drainTimeout(cfg.Settings.Classes),
 		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 		calls:     calls,
-		turn:      func() { time.Sleep(readersTurn) }, spare: spareDescriptor,
+		turn:      func() { time.Sleep(readersTurn) }, probeDescriptor: probeDescriptor,
 	}
 	p.now = p.clock.now()
 	p.starts.Sample(p.now, p.clock.wall())
 	p.readyAt = p.now + readyTimeout.Seconds()
-	p.input.left.Store(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare))
-	p.input.readAheadLeft = int64(float64(p.input.left.Load()) * readAheadBudgetShare)
-	p.clients.init(cfg.Sockets)
-	p.backends.init(cfg, calls)
+	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputShare)
+	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
+	p.clients.init(p, cfg.Sockets)
+	p.endpoints.init(cfg, calls)
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	p.listener, err = retryAtStart(ctx, func() (*net.TCPListener, error) { return calls.listen(addr) }, calls.wait, time.Now)
+	p.listener, err = netcalls.RetryAtStart(ctx, calls.Sleep, func() (*net.TCPListener, error) { return calls.Listen(addr) })
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if cfg.Settings.PeerMessages {
-		if p.peers, err = p.openPeers(ctx); err != nil {
+		if p.peers, err = p.openPeerLink(ctx); err != nil {
 			p.listener.Close()
 			return nil, err
 		}
@@ -171,26 +176,26 @@
 func (p *Proxy) close() {
 	p.listener.Close()
 	if p.peers != nil {
-		p.peers.close()
+		p.peers.Close()
 	}
 }
 
 // serve starts the readers and runs the loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reread <-chan Config, gate decider) {
+func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, gate decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.decider = gate
 	p.applyList(p.cfg.Known)
 	go p.followDiscovery(background, reread)
-	go p.accept(p.listener)
+	go p.acceptClients(p.listener)
 	if p.peers != nil {
-		go p.peers.receive()
+		go p.receivePeerMessages()
 	}
 	p.every(sweepEvery, func() {
 		p.starts.Sample(p.clock.now(), p.clock.wall())
-		p.backends.sweep(p)
-		p.clients.sweep(p)
+		p.endpoints.sweep(p)
+		p.clients.sweep()
 		p.checkDescriptors()
 	})
 	p.loop(ctx)
@@ -251,7 +256,7 @@
 func (p *Proxy) leave() {
 	p.leaving = true
 	p.listener.SetDeadline(time.Now())
-	p.clients.closeIdle(p)
+	p.clients.closeIdle()
 }
 
 // drainTimeout is how long after the signal a drain may take.
@@ -324,7 +329,7 @@
 		return
 	}
 	p.wakeAt = p.timers[0].at
-	p.pace.dueAt.set(p.wakeAt)
+	p.loopLag.nextTimerDue.store(p.wakeAt)
 	p.wake.Reset(max(0, time.Duration((p.wakeAt-p.clock.now())*float64(time.Second))))
 }
 
@@ -333,7 +338,7 @@
 func (p *Proxy) fire() {
 	now := p.clock.now()
 	if p.stoodStill(now) {
-		p.pace.noteStandstill(p.timers[0].at, now)
+		p.loopLag.recordStall(p.timers[0].at, now)
 		for n := range readersTurns {
 			if p.turn(); len(p.events) == 0 && n > 0 {
 				break
@@ -369,13 +374,6 @@
 	p.after(max(delayS, 0), func() { p.decider.HandleTimer(p.now, token) })
 }
 
-// Tell implements policy.Actions.
-func (p *Proxy) SendToPeer(gateway int, data []byte) {
-	if p.peers != nil {
-		p.peers.tell(gateway, data)
-	}
-}
-
 // Log implements policy.Actions.
 func (p *Proxy) Log(text string) { p.log.Info(text) }
 
