--- /dev/null
+++ b/internal/eventloop/loop.go
@@ -0,0 +1,188 @@
+// Package eventloop runs events and timers one at a time on one goroutine, which thereby owns the state that
+// they work on. Event time is that of a monotonic clock in seconds, and never goes back.
+package eventloop
+
+import (
+	"runtime/debug"
+	"time"
+
+	"reedlead/policy"
+)
+
+const (
+	queueSize = 1024
+	// After a stall the readers of sockets are given turns of this length, until one brings nothing more,
+	// and so many at most.
+	readerTurn     = 200 * time.Microsecond
+	maxReaderTurns = 10
+)
+
+// event is something that happened outside the loop, with the time at which it did.
+type event struct {
+	at  policy.Seconds
+	run func()
+}
+
+// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it: all
+// methods are for functions that the loop runs, but for Post, Ended and Lag, which are safe for concurrent use, and for
+// what is done before Run.
+type Loop struct {
+	clock    Clock
+	events   chan event
+	ended    chan struct{} // closed when Run has returned
+	now      policy.Seconds
+	timers   timerHeap
+	wake     *time.Timer
+	wakeAt   policy.Seconds // when wake rings; 0: it is not set
+	lag      Lag
+	deferred []func()
+	onPanic  func(cause any, stack []byte)
+
+	// YieldToReaders lets the readers of sockets run for a moment. It may be replaced before Run.
+	YieldToReaders func()
+}
+
+// New returns a loop whose event time is that of a clock. onPanic is called on the loop with the cause of a
+// panic, which ends the event that met it and not the process.
+func New(clock Clock, onPanic func(cause any, stack []byte)) *Loop {
+	return &Loop{
+		clock: clock, now: clock.Now(), onPanic: onPanic,
+		events: make(chan event, queueSize), ended: make(chan struct{}),
+		wake:           time.NewTimer(time.Hour),
+		YieldToReaders: func() { time.Sleep(readerTurn) },
+	}
+}
+
+// Run handles events and timers until finished returns true, which is asked before each of them. Once shutdown is
+// closed, onShutdown is called.
+func (l *Loop) Run(finished func() bool, shutdown <-chan struct{}, onShutdown func()) {
+	defer close(l.ended)
+	for !finished() {
+		l.setWake()
+		select {
+		case e := <-l.events:
+			l.handle(e)
+		case <-l.wake.C:
+			l.wakeAt = 0
+			l.runTimers()
+		case <-shutdown:
+			shutdown = nil
+			onShutdown()
+		}
+	}
+}
+
+// Post hands the loop an event of another goroutine, which happened at a time of the clock. It blocks while the
+// queue is full, and drops the event once Run has returned.
+func (l *Loop) Post(at policy.Seconds, run func()) {
+	select {
+	case l.events <- event{at, run}:
+	case <-l.ended:
+	}
+}
+
+// Defer runs a function after the event that is being handled, before any other.
+func (l *Loop) Defer(run func()) { l.deferred = append(l.deferred, run) }
+
+// Now returns the time of the event that is being handled, or that of the one before.
+func (l *Loop) Now() policy.Seconds { return l.now }
+
+// Ended returns a channel that is closed when Run has returned.
+func (l *Loop) Ended() <-chan struct{} { return l.ended }
+
+// Lag tells readers of sockets whether the process has kept up with the clock.
+func (l *Loop) Lag() *Lag { return &l.lag }
+
+// QueuedEvents returns how many events wait to be handled.
+func (l *Loop) QueuedEvents() int { return len(l.events) }
+
+// PendingTimers returns how many timers are set.
+func (l *Loop) PendingTimers() int { return len(l.timers) }
+
+// After runs a function on the loop after a delay from now. One that is not positive is over at once.
+func (l *Loop) After(delay policy.Seconds, run func()) *Timer { return l.timers.add(l.now+delay, run) }
+
+// Every runs a function on the loop at an interval, the first time after one.
+func (l *Loop) Every(interval time.Duration, run func()) {
+	l.After(interval.Seconds(), func() {
+		l.Every(interval, run)
+		run()
+	})
+}
+
+// Stop keeps a timer from running; nil and one that has run are fine.
+func (l *Loop) Stop(timer *Timer) { l.timers.remove(timer) }
+
+// AdvanceTo moves event time on, unless it is later already.
+func (l *Loop) AdvanceTo(at policy.Seconds) { l.now = max(l.now, at) }
+
+// handle runs one event and what it deferred.
+func (l *Loop) handle(e event) {
+	l.AdvanceTo(e.at)
+	l.guard(e.run)
+	for len(l.deferred) > 0 {
+		run := l.deferred[0]
+		l.deferred = l.deferred[1:]
+		l.guard(run)
+	}
+	l.deferred = nil
+}
+
+// guard runs a function. A panic costs the event, not the process.
+func (l *Loop) guard(run func()) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			l.onPanic(cause, debug.Stack())
+		}
+	}()
+	run()
+}
+
+// setWake sets the one system timer to the timer that is due first, unless it rings before that anyway.
+func (l *Loop) setWake() {
+	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
+		return
+	}
+	l.wakeAt = l.timers[0].at
+	l.lag.SetNextTimerDue(l.wakeAt)
+	l.wake.Reset(max(0, time.Duration((l.wakeAt-l.clock.Now())*float64(time.Second))))
+}
+
+// runTimers runs the timers that are due. What has come goes first, a reply, a disconnect or a list: else a hedge
+// would be sent beside the reply, or an attempt timed out that is done.
+func (l *Loop) runTimers() {
+	now := l.clock.Now()
+	if l.hasStalled(now) {
+		l.lag.recordStall(l.timers[0].at, now)
+		l.letReadersCatchUp()
+	}
+	for {
+		l.handleQueued()
+		if len(l.timers) == 0 || l.timers[0].at > now {
+			return
+		}
+		l.handle(event{now, l.timers.next().run})
+	}
+}
+
+// hasStalled tells by an overdue timer that the process has.
+func (l *Loop) hasStalled(now policy.Seconds) bool {
+	return len(l.timers) > 0 && now-l.timers[0].at > LagTolerance
+}
+
+// letReadersCatchUp handles what the readers of sockets find after a stall.
+func (l *Loop) letReadersCatchUp() {
+	for turn := range maxReaderTurns {
+		if l.YieldToReaders(); len(l.events) == 0 && turn > 0 {
+			return
+		}
+		l.handleQueued()
+	}
+}
+
+// handleQueued handles what is in the queue by now.
+func (l *Loop) handleQueued() {
+	for range len(l.events) {
+		l.handle(<-l.events)
+	}
+}
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -3,6 +3,8 @@
 import (
 	"syscall"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/policy"
 
 	"golang.org/x/sys/unix"
@@ -70,12 +72,12 @@
 
 // estimate bounds when the bytes of a read arrived, from when the read was started and ended, and whether it filled
 // its space.
-func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *loopLag, startedAt, endedAt policy.Seconds, filled bool) arrival {
+func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{first: endedAt, last: endedAt}
-	if startedAt-t.lastEmptyAt > lateS { // the reader was held up: all may have arrived right after the last read
+	if startedAt-t.lastEmptyAt > eventloop.LagTolerance { // the reader was held up: all may have arrived right after the last read
 		read.first = t.lastEmptyAt
 	} else {
-		read.first = max(lag.onScheduleUntil(endedAt), t.lastEmptyAt)
+		read.first = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
 		read.last = max(endedAt-age, t.lastEmptyAt)
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
@@ -20,8 +22,8 @@
 	receive(t, r.decider.requests)
 	left := 0.0
 	r.onLoop(func() {
-		waitForClock(r.proxy, r.proxy.now+0.05)
-		left = r.proxy.requests["a"].deadline - r.proxy.clock.now()
+		waitForClock(r.proxy, r.proxy.loop.Now()+0.05)
+		left = r.proxy.requests["a"].deadline - r.proxy.clock.Now()
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	if args := b.readCommand(); len(args) != 4 {
@@ -55,8 +57,8 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
-		r.proxy.requests["a"].deadline = r.proxy.now + 0.01
-		waitForClock(r.proxy, r.proxy.now+0.02)
+		r.proxy.requests["a"].deadline = r.proxy.loop.Now() + 0.01
+		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	r.wantNotSent(b)
@@ -80,27 +82,6 @@
 	}
 }
 
-// TestPaceRemembersAStandstill guards against requests that came while the process stood still and count as new: it
-// is known while it lasts, and for a moment after the loop has seen it.
-func TestPaceRemembersAStandstill(t *testing.T) {
-	var p loopLag
-	p.nextTimerDue.store(10)
-	if got := p.onScheduleUntil(10 + lateS/2); got != 10+lateS/2 {
-		t.Errorf("on time: %v", got)
-	}
-	if got := p.onScheduleUntil(10.6); got != 10 {
-		t.Errorf("before the loop ran: %v", got)
-	}
-	p.recordStall(10, 10.6)
-	p.nextTimerDue.store(10.62)
-	if got := p.onScheduleUntil(10.61); got != 10 {
-		t.Errorf("right after: %v", got)
-	}
-	if got := p.onScheduleUntil(10.6 + stallMemory + lateS/4); got <= 10.6 {
-		t.Errorf("later: %v", got)
-	}
-}
-
 // TestArrivals guards the bounds on when the bytes of a read had come.
 func TestArrivals(t *testing.T) {
 	addr, conns := listenBackend(t)
@@ -118,8 +99,8 @@
 		"after a standstill, new":          {emptyAt: 2.55, dueAt: 2, began: 2.55, ended: 2.6, first: 2.55},
 		"with more behind it":              {emptyAt: 1, began: 1.5, ended: 1.5, filled: true, first: 1},
 	} {
-		var p loopLag
-		p.nextTimerDue.store(tc.dueAt)
+		var p eventloop.Lag
+		p.SetNextTimerDue(tc.dueAt)
 		a := arrivalTracker{lastEmptyAt: tc.emptyAt}
 		got := a.estimate(raw, &p, tc.began, tc.ended, tc.filled)
 		if got.first > tc.first || got.first < tc.first-1 || got.last < got.first || got.last > tc.ended {
--- a/internal/proxy/backends.go
+++ b/internal/proxy/backends.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/netcalls"
 
 	"reedlead/policy"
@@ -19,9 +21,9 @@
 	endpoint      *endpoint
 	number        int
 	sentAt        float64
-	expiresAt     float64 // when the ingress stops waiting
-	writeDeadline float64 // when the last byte must be out, by the clock and not by the loop's time; +Inf: at any time
-	timer         *timer  // rings then
+	expiresAt     float64          // when the ingress stops waiting
+	writeDeadline float64          // when the last byte must be out, by the clock and not by the loop's time; +Inf: at any time
+	timer         *eventloop.Timer // rings then
 	conn          *backendConn
 	done          bool
 	kind          attemptKind
@@ -77,14 +79,14 @@
 		return
 	}
 	a := &attempt{
-		request: r, endpoint: p.endpoints.byID[server], number: len(r.attempts), sentAt: p.now, expiresAt: r.deadline,
+		request: r, endpoint: p.endpoints.byID[server], number: len(r.attempts), sentAt: p.loop.Now(), expiresAt: r.deadline,
 		writeDeadline: math.Inf(1),
 	}
 	if timeoutS != 0 {
-		a.expiresAt = min(a.expiresAt, p.now+timeoutS)
+		a.expiresAt = min(a.expiresAt, p.loop.Now()+timeoutS)
 	}
 	if writeWithinS != 0 {
-		a.writeDeadline = p.now + writeWithinS
+		a.writeDeadline = p.loop.Now() + writeWithinS
 	}
 	a.kind = kindOf(r)
 	r.attempts = append(r.attempts, a)
@@ -108,7 +110,7 @@
 
 // Probe implements policy.Actions.
 func (p *Proxy) HealthCheck(server string) {
-	a := &attempt{endpoint: p.endpoints.byID[server], sentAt: p.now, expiresAt: p.now + healthCheckTimeoutS, writeDeadline: math.Inf(1)}
+	a := &attempt{endpoint: p.endpoints.byID[server], sentAt: p.loop.Now(), expiresAt: p.loop.Now() + healthCheckTimeoutS, writeDeadline: math.Inf(1)}
 	if a.endpoint == nil {
 		p.warn("probe of a backend that is not listed", "id", server)
 		return
@@ -118,7 +120,7 @@
 
 // unsendable tells that no byte of the attempt may be written any more.
 func (p *Proxy) unsendable(a *attempt) bool {
-	return a.endpoint == nil || a.endpoint.state != policy.InService || a.request != nil && a.request.over || p.now >= a.expiresAt
+	return a.endpoint == nil || a.endpoint.state != policy.InService || a.request != nil && a.request.over || p.loop.Now() >= a.expiresAt
 }
 
 // superseded tells that what would make a send of the request needless or wrong has come, though the loop
@@ -142,13 +144,13 @@
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
 	}
-	p.deferred = append(p.deferred, func() { c.abandon(peerClosed, nil) })
+	p.loop.Defer(func() { c.abandon(peerClosed, nil) })
 	return true
 }
 
 // start writes the attempt to an idle connection, or has it wait for a new one.
 func (p *Proxy) startAttempt(a *attempt) {
-	a.timer = p.after(a.expiresAt-p.now, func() { p.expireAttempt(a) })
+	a.timer = p.loop.After(a.expiresAt-p.loop.Now(), func() { p.expireAttempt(a) })
 	if c := p.acquireIdle(a.endpoint); c != nil {
 		p.writeCommand(c, a)
 	} else if !p.awaitDial(a) {
@@ -175,11 +177,11 @@
 	switch {
 	case a.done:
 	case a.conn == nil:
-		p.finishAttempt(a, attemptResult{status: policy.NotSent}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.NotSent}, p.loop.Now())
 	case p.abortWrite(a.conn):
-		p.finishAttempt(a, attemptResult{status: policy.ConnectFailed}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.ConnectFailed}, p.loop.Now())
 	default:
-		p.finishAttempt(a, attemptResult{status: policy.Timeout}, p.now)
+		p.finishAttempt(a, attemptResult{status: policy.Timeout}, p.loop.Now())
 	}
 }
 
@@ -187,7 +189,7 @@
 func (p *Proxy) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	p.releaseAttempt(a)
-	p.deferred = append(p.deferred, func() { p.reportOutcome(a, attemptResult{status: status}, p.now) })
+	p.loop.Defer(func() { p.reportOutcome(a, attemptResult{status: status}, p.loop.Now()) })
 }
 
 // finish ends an attempt and reports it.
@@ -202,7 +204,7 @@
 
 // detach gives up what an attempt still holds: giving up a connection in use means closing it.
 func (p *Proxy) releaseAttempt(a *attempt) {
-	p.stopTimer(a.timer)
+	p.loop.Stop(a.timer)
 	if a.conn != nil {
 		why := attemptGivenUp
 		if a.conn.unusable.Load() {
@@ -220,7 +222,7 @@
 	spent := max(at-a.sentAt, 0)
 	p.traceEnded(a, res, at)
 	if a.request == nil {
-		p.decider.HandleHealthCheck(p.now, policy.HealthCheckResult{Endpoint: a.endpoint.ID, Status: res.status, Elapsed: spent, Load: res.load})
+		p.decider.HandleHealthCheck(p.loop.Now(), policy.HealthCheckResult{Endpoint: a.endpoint.ID, Status: res.status, Elapsed: spent, Load: res.load})
 		return
 	}
 	r := a.request
@@ -233,7 +235,7 @@
 	if a.endpoint != nil {
 		server = a.endpoint.ID
 	}
-	p.decider.HandleOutcome(p.now, policy.Outcome{
+	p.decider.HandleOutcome(p.loop.Now(), policy.Outcome{
 		RequestID: r.ID, Endpoint: server, Attempt: a.number, Status: res.status,
 		RequestDone: r.over, Elapsed: spent, Load: res.load,
 	})
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -5,6 +5,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/netcalls"
 
 	"reedlead/policy"
@@ -39,10 +41,10 @@
 	done    chan struct{} // closed with the connection
 	resume  chan struct{} // ends a pause of the reader
 
-	pauseRequested  atomic.Bool // the reader is to pause between commands
-	discardInput    atomic.Bool // the reader is to discard what still comes
-	hasReceived     atomic.Bool // something was read
-	writeProgressAt atomicTime  // when the socket last took something of a write that it had no room for
+	pauseRequested  atomic.Bool          // the reader is to pause between commands
+	discardInput    atomic.Bool          // the reader is to discard what still comes
+	hasReceived     atomic.Bool          // something was read
+	writeProgressAt eventloop.AtomicTime // when the socket last took something of a write that it had no room for
 
 	reader clientReader
 
@@ -95,7 +97,7 @@
 	if c.closed {
 		return
 	}
-	unused := c.proxy.leaving || !c.usedSinceRequest
+	unused := c.proxy.drain.started || !c.usedSinceRequest
 	if unused && c.idle() && c.reader.buffer.Len() == 0 && netcalls.NoDataPending(c.rawConn) {
 		c.closeGracefully()
 		return
@@ -112,7 +114,7 @@
 // lately only the sending side is shut down, and what still comes is discarded until the client closes too; it repeats
 // on another connection what it had sent meanwhile.
 func (c *clientConn) closeGracefully() {
-	if c.proxy.now-c.lastUsedAt > replyInFlight {
+	if c.proxy.loop.Now()-c.lastUsedAt > replyInFlight {
 		c.close(c.closeReason, nil)
 		return
 	}
@@ -142,7 +144,7 @@
 		}
 		p.traceGone(r)
 		p.end(r)
-		p.decider.HandleClientGone(p.now, r.ID)
+		p.decider.HandleClientGone(p.loop.Now(), r.ID)
 	}
 }
 
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -39,12 +39,12 @@
 	}
 	defer func() {
 		_ = listener.Close() // a second close of it fails, and changes nothing
-		p.post(p.clock.now(), func() { p.accepted = true })
+		p.loop.Post(p.clock.Now(), func() { p.drain.acceptorEnded = true })
 	}()
 	for {
 		select {
 		case p.clients.places <- struct{}{}:
-		case <-p.done:
+		case <-p.loop.Ended():
 			return
 		}
 		if !l.acceptOne() {
@@ -70,10 +70,10 @@
 			_ = conn.Close() // nobody knows it yet
 		}
 	}
-	at := p.clock.now()
+	at := p.clock.Now()
 	if err != nil {
 		<-p.clients.places
-		p.post(at, func() {
+		p.loop.Post(at, func() {
 			p.warn("accept failed", "error", err)
 			p.freeDescriptorsAfter(err)
 		})
@@ -82,7 +82,7 @@
 	}
 	l.accepted++
 	c := l.newConn(conn, rawConn, at)
-	p.post(at, func() { p.clients.add(c) })
+	p.loop.Post(at, func() { p.clients.add(c) })
 	go c.reader.run()
 	return true
 }
@@ -110,7 +110,7 @@
 	}
 	c.reader = clientReader{
 		client: c, proxy: p, parser: l.parser, buffer: readbuf.NewBuffer(p.inputBudget),
-		arrivals: arrivalTracker{lastEmptyAt: p.loopLag.onScheduleUntil(at)},
+		arrivals: arrivalTracker{lastEmptyAt: p.loop.Lag().OnScheduleUntil(at)},
 	}
 	return c
 }
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -54,16 +54,16 @@
 		if space == nil {
 			return false
 		}
-		at := p.clock.now()
+		at := p.clock.Now()
 		n, err := netcalls.ReceiveNow(c.rawConn, space)
 		if netcalls.IsShortage(err) {
 			return false
 		}
 		if err != nil {
-			p.post(at, func() { c.abandon(peerClosed, err) })
+			p.loop.Post(at, func() { c.abandon(peerClosed, err) })
 			return true
 		}
-		arrived := r.arrivals.estimate(c.rawConn, &p.loopLag, at, at, n == len(space))
+		arrived := r.arrivals.estimate(c.rawConn, p.loop.Lag(), at, at, n == len(space))
 		r.buffer.Grow(n)
 		r.arrivals.record(r.buffer.Len(), arrived)
 		if n < len(space) {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -77,16 +77,16 @@
 func (r *clientReader) readOnce() (goOn bool) {
 	space := r.buffer.Space()
 	if space == nil {
-		r.rejectInput(r.proxy.clock.now(), readbuf.ErrExhausted)
+		r.rejectInput(r.proxy.clock.Now(), readbuf.ErrExhausted)
 		return false
 	}
-	startedAt := r.proxy.clock.now()
+	startedAt := r.proxy.clock.Now()
 	n, err := r.client.conn.Read(space)
-	at := r.proxy.clock.now()
+	at := r.proxy.clock.Now()
 	var arrived arrival
 	if n > 0 {
 		r.client.hasReceived.Store(true)
-		arrived = r.arrivals.estimate(r.client.rawConn, &r.proxy.loopLag, startedAt, at, n == len(space))
+		arrived = r.arrivals.estimate(r.client.rawConn, r.proxy.loop.Lag(), startedAt, at, n == len(space))
 	}
 	r.buffer.Grow(n)
 	used, ok := r.handleCommands(at, arrived)
@@ -127,14 +127,14 @@
 		r.rejectInput(at, errNoCommand)
 		return false
 	}
-	r.proxy.post(at, func() { r.client.abandon(peerClosed, err) })
+	r.proxy.loop.Post(at, func() { r.client.abandon(peerClosed, err) })
 	return false
 }
 
 // pause lets the event loop decide between commands whether the connection is closed. It tells whether to go on.
 func (r *clientReader) pause(at float64) (goOn bool) {
 	c := r.client
-	r.proxy.post(at, c.readerPaused)
+	r.proxy.loop.Post(at, c.readerPaused)
 	select {
 	case <-c.resume:
 	case <-c.done:
@@ -145,7 +145,7 @@
 		return true
 	}
 	r.drainInput(shutdownTimeout)
-	r.proxy.post(r.proxy.clock.now(), func() { c.close(c.closeReason, nil) })
+	r.proxy.loop.Post(r.proxy.clock.Now(), func() { c.close(c.closeReason, nil) })
 	return false
 }
 
@@ -190,13 +190,13 @@
 			return err
 		}
 		if !p.inputBudget.Reserve(request.Size) {
-			p.post(at, func() { p.refuseAtOnce(c, request, inputUsedUp) })
+			p.loop.Post(at, func() { p.refuseAtOnce(c, request, inputUsedUp) })
 			return nil
 		}
 		request.CopyArgs()
-		p.post(at, func() { p.take(c, request, arrivedAt) })
+		p.loop.Post(at, func() { p.take(c, request, arrivedAt) })
 	case bytes.EqualFold(args[0], []byte(pingCommand)):
-		p.post(at, func() { p.ping(c) })
+		p.loop.Post(at, func() { p.ping(c) })
 	default:
 		return fmt.Errorf("unknown command %.*q", maxQuotedBytes, args[0])
 	}
@@ -211,7 +211,7 @@
 		return false
 	}
 	reply := errorReply(err)
-	r.proxy.post(at, func() { r.client.replyAtOnce(reply, false) })
+	r.proxy.loop.Post(at, func() { r.client.replyAtOnce(reply, false) })
 	return true
 }
 
@@ -222,9 +222,9 @@
 // close over unread bytes would reset the connection, and might destroy the reply.
 func (r *clientReader) rejectInput(at float64, err error) {
 	c, reply := r.client, errorReply(err)
-	r.proxy.post(at, func() { c.replyAtOnce(reply, true) })
+	r.proxy.loop.Post(at, func() { c.replyAtOnce(reply, true) })
 	closedByClient := r.drainInput(lingerTimeout)
-	r.proxy.post(r.proxy.clock.now(), func() {
+	r.proxy.loop.Post(r.proxy.clock.Now(), func() {
 		c.lingerDone = true
 		if closedByClient || c.idle() {
 			c.abandon(protocolError, err)
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -83,10 +83,10 @@
 		c.close(tooManyConnections, nil)
 		return
 	}
-	c.openedAt, c.lastUsedAt = p.now, p.now
+	c.openedAt, c.lastUsedAt = p.loop.Now(), p.loop.Now()
 	s.conns[c] = struct{}{}
-	if p.leaving { // it came before the listener closed, and so does its command
-		p.after(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
+	if p.drain.started { // it came before the listener closed, and so does its command
+		p.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
 	}
 }
 
@@ -95,7 +95,7 @@
 func (s *clientSet) sweep() {
 	p := s.proxy
 	for c := range s.conns {
-		if c.hasSpoken && c.idle() && p.now-c.lastUsedAt > clientIdleTimeout {
+		if c.hasSpoken && c.idle() && p.loop.Now()-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
 		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
@@ -149,7 +149,7 @@
 			continue
 		}
 		others++
-		if !c.idle() && !c.stalled(s.proxy.now) {
+		if !c.idle() && !c.stalled(s.proxy.loop.Now()) {
 			continue
 		}
 		rank := c.evictionRank()
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -28,7 +28,7 @@
 	if replies == 0 {
 		return
 	}
-	c.lastUsedAt, c.usedSinceRequest = c.proxy.now, true
+	c.lastUsedAt, c.usedSinceRequest = c.proxy.loop.Now(), true
 	if !c.writing {
 		c.writePending()
 	} else if !c.reserveOutput(size) {
@@ -89,12 +89,12 @@
 // startWriter starts the writer goroutine with what the socket has no room for.
 func (c *clientConn) startWriter(rest []byte) {
 	p := c.proxy
-	progressed := func() { c.writeProgressAt.store(p.clock.now()) }
+	progressed := func() { c.writeProgressAt.Store(p.clock.Now()) }
 	progressed()
 	stall := p.clients.stallTimeout
 	go func() {
 		err := p.calls.WriteAll(c.conn, c.rawConn, rest, stall, progressed)
-		p.post(p.clock.now(), func() { c.writeFinished(len(rest), err) })
+		p.loop.Post(p.clock.Now(), func() { c.writeFinished(len(rest), err) })
 	}()
 }
 
@@ -120,14 +120,14 @@
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
 		c.close(lastAnswerWritten, nil)
-	case c.proxy.leaving && len(c.pipeline.slots) == 0:
+	case c.proxy.drain.started && len(c.pipeline.slots) == 0:
 		c.requestClose(draining)
 	}
 }
 
 // stalled tells whether the client has taken nothing of its replies for long.
 func (c *clientConn) stalled(now policy.Seconds) bool {
-	return c.writing && now-c.writeProgressAt.load() > stalledAfter
+	return c.writing && now-c.writeProgressAt.Load() > stalledAfter
 }
 
 // owed are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -117,7 +117,7 @@
 		t.Error("the idle client made no room")
 	}
 	r.onLoop(func() { // the third one waits for an answer, the stuck one has taken nothing for long
-		r.writingClient().writeProgressAt.store(0)
+		r.writingClient().writeProgressAt.Store(0)
 		for c := range r.proxy.clients.conns {
 			if !c.writing {
 				c.pipeline.add(&pipelineSlot{})
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -13,7 +13,7 @@
 
 // base tells what an ingress with nothing to do holds: timers and budget.
 func (r *harness) idleUsage() (timers int, left int64) {
-	r.onLoop(func() { timers, left = len(r.proxy.timers), r.proxy.inputBudget.Available() })
+	r.onLoop(func() { timers, left = r.proxy.loop.PendingTimers(), r.proxy.inputBudget.Available() })
 	return timers, left
 }
 
@@ -126,7 +126,7 @@
 	receive(t, r.decider.requests)
 	idle.send("PING")
 	idle.readLine()
-	r.onLoop(func() { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() })
+	r.onLoop(func() { r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1); r.proxy.clients.sweep() })
 	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -101,9 +101,9 @@
 		receive(t, r.decider.lists)
 		now, at := 0.0, 0.0
 		r.onLoop(func() {
-			wall := r.proxy.clock.wall
-			r.proxy.clock.wall = func() float64 { return wall() + step }
-			now = r.proxy.clock.now()
+			wall := r.proxy.wallClock
+			r.proxy.wallClock = func() float64 { return wall() + step }
+			now = r.proxy.clock.Now()
 			at = wall() + step // a start before the step has the old time
 			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", StartedMS: int64(at * 1000)}}})
 		})
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -27,8 +27,11 @@
 // been read, and waits in the queue while the loop takes the connection for idle.
 func TestACommandThatWasReadOutlastsTheClose(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
-		"drain": func(r *harness) { r.proxy.leave() },
-		"idle":  func(r *harness) { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() },
+		"drain": func(r *harness) { r.proxy.stopAccepting() },
+		"idle": func(r *harness) {
+			r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1)
+			r.proxy.clients.sweep()
+		},
 		"evicted": func(r *harness) {
 			r.proxy.clients.limit = 1
 			r.proxy.clients.makeRoom(nil)
@@ -60,7 +63,7 @@
 		c := r.client()
 		c.send(lookCommand("a")...)
 		receive(t, r.decider.requests)
-		r.onLoop(r.proxy.leave)
+		r.onLoop(r.proxy.stopAccepting)
 		rejectEachRequest(r)
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
 		if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || b != "-BUSY 500" {
@@ -76,8 +79,8 @@
 		c.send(lookCommand("a")...)
 		receive(t, r.decider.requests)
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() {
-			r.proxy.leave()
-			r.proxy.stop()
+			r.proxy.stopAccepting()
+			r.proxy.endDrain()
 		})
 		if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || b != "-BUSY 1000" {
 			t.Errorf("got %q and %q", a, b)
@@ -102,7 +105,7 @@
 	all := encodeCommand(lookCommand("a")...)
 	io.WriteString(c, all[:20])
 	r.eventually("half of it is read", func() bool { return netcalls.NoDataPending(r.onlyClient().rawConn) })
-	r.onLoop(r.proxy.leave)
+	r.onLoop(r.proxy.stopAccepting)
 	r.eventually("the reader goes on", func() bool { return r.onlyClient() == nil || !r.onlyClient().closeRequested })
 	io.WriteString(c, all[20:])
 	if got := c.readLine(); got != "-BUSY 500" || c.readLine() != "" {
@@ -116,7 +119,7 @@
 	t.Run("accepted", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 		c := (*testConn)(nil)
-		r.whileLoopWaits(func() { c = r.client(); c.send(lookCommand("a")...) }, r.queued(2), r.proxy.leave)
+		r.whileLoopWaits(func() { c = r.client(); c.send(lookCommand("a")...) }, r.queued(2), r.proxy.stopAccepting)
 		if got := c.readLine(); got != "-BUSY 500" || c.readLine() != "" {
 			t.Errorf("got %q", got)
 		}
@@ -132,7 +135,7 @@
 		}
 		second := r.client()
 		second.send(lookCommand("a")...)
-		r.onLoop(r.proxy.leave)
+		r.onLoop(r.proxy.stopAccepting)
 		if first.readLine() != "" {
 			t.Error("the idle connection is open")
 		}
@@ -153,7 +156,7 @@
 		kill := time.Duration(min(deadlineS, 3)*float64(time.Second)) + 700*time.Millisecond
 		r := startProxy(t, cfg, nil)
 		r.onLoop(func() {
-			if d := r.proxy.drainFor; d >= kill || d < kill-200*time.Millisecond || d <= r.proxy.acceptFor {
+			if d := r.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= r.proxy.drain.acceptGrace {
 				t.Errorf("deadline of %g s: all ends after %v, SIGKILL comes after %v", deadlineS, d, kill)
 			}
 		})
@@ -164,7 +167,7 @@
 // in the moment in which it is closed between requests: the sending side alone ends, until the client has closed too.
 func TestACloseDestroysNoAnswer(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
-		"drain":   func(r *harness) { r.proxy.leave() },
+		"drain":   func(r *harness) { r.proxy.stopAccepting() },
 		"evicted": func(r *harness) { r.proxy.clients.limit = 1; r.proxy.clients.makeRoom(nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -203,7 +206,7 @@
 	addr, conns := listenBackend(t)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
-		r.proxy.acceptFor, r.proxy.drainFor = time.Hour, time.Hour // until the test says so
+		r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
 	})
 	idle, old := r.client(), r.client()
 	idle.send("PING")
@@ -216,7 +219,7 @@
 	if late.send("PING"); late.readLine() != "+PONG" {
 		t.Fatal("a connection after the signal was not served")
 	}
-	r.onLoop(r.proxy.leave)
+	r.onLoop(r.proxy.stopAccepting)
 	if idle.readLine() != "" || late.readLine() != "" {
 		t.Error("connections between requests were not closed")
 	}
@@ -226,7 +229,7 @@
 	}
 	receive(t, r.ended)
 
-	r = startProxy(t, testConfig(addr), func(r *harness) { r.proxy.acceptFor, r.proxy.drainFor = time.Millisecond, time.Hour })
+	r = startProxy(t, testConfig(addr), func(r *harness) { r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Millisecond, time.Hour })
 	r.terminate()
 	receive(t, r.ended) // by itself, once the time for late connections is over
 
@@ -234,7 +237,7 @@
 	c := r.client()
 	c.send(lookCommand("mute")...)
 	receive(t, r.decider.requests)
-	r.onLoop(func() { r.proxy.leave(); r.proxy.stop() })
+	r.onLoop(func() { r.proxy.stopAccepting(); r.proxy.endDrain() })
 	if got := c.readLine(); got != "-ERR failed" || c.readLine() != "" {
 		t.Errorf("at the end of a drain that took too long: %q", got)
 	}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -15,7 +15,7 @@
 	options := p.discovery
 	options.DialContext = p.calls.DialContext
 	options.Notify = func(e discovery.Event) {
-		p.post(p.clock.now(), func() { p.handleDiscovery(e) })
+		p.loop.Post(p.clock.Now(), func() { p.handleDiscovery(e) })
 	}
 	addresses := make(chan string)
 	go p.forwardAddresses(ctx, reloads, addresses)
@@ -54,7 +54,7 @@
 
 // applyList applies a list, or a change of it, to the connection pools and hands it to the decision module.
 func (p *Proxy) applyList(list discovery.List) {
-	p.starts.Sample(p.clock.now(), p.clock.wall())
+	p.starts.Sample(p.clock.Now(), p.wallClock())
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
 		state, _ := e.State.Policy() // it was validated
@@ -65,5 +65,5 @@
 	}
 	p.endpoints.apply(p, list)
 	p.starts.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
-	p.decider.HandleEndpoints(p.now, endpoints, list.Full)
+	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	decider, err := policy.New(cfg.Settings.Settings, cfg.Seed, p.now, p)
+	decider, err := policy.New(cfg.Settings.Settings, cfg.Seed, p.loop.Now(), p)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -158,7 +158,7 @@
 		r.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests = map[string]*request{}
-			p.leaving, p.accepted = true, true
+			p.drain.started, p.drain.acceptorEnded = true, true
 		})
 		<-r.ended
 	})
@@ -168,7 +168,7 @@
 // do runs f on the loop and waits for it.
 func (r *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	r.proxy.post(0, func() { defer close(done); f() })
+	r.proxy.loop.Post(0, func() { defer close(done); f() })
 	select {
 	case <-done:
 	case <-r.ended:
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -8,8 +8,8 @@
 func TestTimeNeverGoesBack(t *testing.T) {
 	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
-	r.proxy.post(r.proxy.clock.now()+5, func() { first = r.proxy.now })
-	r.onLoop(func() { second = r.proxy.now })
+	r.proxy.loop.Post(r.proxy.clock.Now()+5, func() { first = r.proxy.loop.Now() })
+	r.onLoop(func() { second = r.proxy.loop.Now() })
 	if second < first {
 		t.Errorf("the time went from %f to %f", first, second)
 	}
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/netcalls"
 
 	"reedlead/internal/command"
@@ -22,7 +24,7 @@
 	r.t.Helper()
 	in, out, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	failed := false
-	r.proxy.post(0, func() {
+	r.proxy.loop.Post(0, func() {
 		defer close(done)
 		close(in)
 		<-out
@@ -45,7 +47,9 @@
 }
 
 // queued tells that events wait; on the loop.
-func (r *harness) queued(n int) func() bool { return func() bool { return len(r.proxy.events) >= n } }
+func (r *harness) queued(n int) func() bool {
+	return func() bool { return r.proxy.loop.QueuedEvents() >= n }
+}
 
 // Guards against timers that overtake what has come while the process stood still: an attempt that was
 // answered would be timed out, and a drain that was told be passed by a send.
@@ -60,14 +64,14 @@
 	stands, come := make(chan struct{}), make(chan struct{})
 	r.onLoop(func() {
 		a := r.proxy.requests["a"].attempts[0]
-		r.proxy.after(0, func() { // the first late timer; the next one is due as well
+		r.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
 			close(stands)
 			<-come
 			for !r.queued(1)() {
 				time.Sleep(time.Millisecond)
 			}
 		})
-		r.proxy.after(0, func() { r.proxy.expireAttempt(a) })
+		r.proxy.loop.After(0, func() { r.proxy.expireAttempt(a) })
 	})
 	receive(t, stands)
 	io.WriteString(b, valueReply)
@@ -94,15 +98,15 @@
 	r.eventually("the reader stands", a.conn.unusable.Load)
 	r.onLoop(func() {
 		turns := 0
-		r.proxy.turn = func() {
+		r.proxy.loop.YieldToReaders = func() {
 			if turns++; turns == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); turns == 2 && len(r.proxy.events) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); turns == 2 && r.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		r.proxy.after(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
+		r.proxy.loop.After(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
 	})
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want what the reader had to tell", o)
@@ -125,7 +129,7 @@
 				b = receive(t, conns)
 				r.onLoop(func() {
 					be := r.proxy.endpoints.byID["s0"]
-					c := &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn), idleSince: r.proxy.now}
+					c := &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn), idleSince: r.proxy.loop.Now()}
 					c.raw, _ = c.conn.SyscallConn()
 					be.idle = append(be.idle, c)
 					r.proxy.endpoints.openConns++
@@ -261,7 +265,7 @@
 					t.Error(err)
 				}
 				r.proxy.inputBudget.Reserve(request.Size)
-				r.proxy.take(raw, request, r.proxy.clock.now())
+				r.proxy.take(raw, request, r.proxy.clock.Now())
 			})
 			nothing(t, r, conns, "a")
 		})
@@ -273,8 +277,8 @@
 			receive(t, r.decider.requests)
 			left := gone(r, "a")
 			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
-				r.proxy.requests["a"].cameAt = r.proxy.clock.now() // it was only read now
-				r.proxy.after(-1, func() {})
+				r.proxy.requests["a"].cameAt = r.proxy.clock.Now() // it was only read now
+				r.proxy.loop.After(-1, func() {})
 				r.proxy.Send("a", "s0", 0, 0)
 			})
 			nothing(t, r, conns, "a")
@@ -311,7 +315,7 @@
 				for end := time.Now().Add(patience); !netcalls.ClosedByPeer(raw.rawConn) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
-				for at := r.proxy.clock.now(); r.proxy.clock.now()-at <= lateS; { // the command has waited for longer than that
+				for at := r.proxy.clock.Now(); r.proxy.clock.Now()-at <= eventloop.LagTolerance; { // the command has waited for longer than that
 					time.Sleep(time.Millisecond)
 				}
 			})
--- a/internal/proxy/peer_messages.go
+++ b/internal/proxy/peer_messages.go
@@ -24,7 +24,7 @@
 // receivePeerMessages hands what the other gateways send to the loop. It ends when the link is closed.
 func (p *Proxy) receivePeerMessages() {
 	p.peers.Receive(func(e peerlink.Event) {
-		p.post(p.clock.now(), func() { p.handlePeerEvent(e) })
+		p.loop.Post(p.clock.Now(), func() { p.handlePeerEvent(e) })
 	})
 }
 
@@ -32,7 +32,7 @@
 func (p *Proxy) handlePeerEvent(e peerlink.Event) {
 	switch e := e.(type) {
 	case peerlink.Message:
-		p.decider.HandlePeerMessage(p.now, e.From, e.Data)
+		p.decider.HandlePeerMessage(p.loop.Now(), e.From, e.Data)
 	case peerlink.Dropped:
 		p.warn("datagram dropped", "from", e.From, "bytes", e.Bytes)
 	}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/config"
 	"reedlead/internal/netcalls"
 
@@ -142,7 +144,7 @@
 // sweep retires what has idled for long.
 func (s *endpointSet) sweep(p *Proxy) {
 	for _, be := range s.byID {
-		for len(be.idle) > 0 && p.now-be.idle[0].idleSince > s.idleTimeoutS {
+		for len(be.idle) > 0 && p.loop.Now()-be.idle[0].idleSince > s.idleTimeoutS {
 			p.closeBackendConn(be.idle[0], idleTimeout, nil)
 		}
 	}
@@ -168,11 +170,11 @@
 	dialedAs       discovery.Endpoint // as the backend stood when it was dialled
 	conn           netcalls.Conn
 	raw            syscall.RawConn
-	awaitingReply  atomic.Bool // a reply is expected
-	unusable       atomic.Bool // not to be used again
-	commandWritten atomic.Bool // the whole of the attempt's command
-	writeStartedAt atomicTime  // when the writing of its command did
-	writeMu        sync.Mutex  // held while a write that the loop does not wait for goes on
+	awaitingReply  atomic.Bool          // a reply is expected
+	unusable       atomic.Bool          // not to be used again
+	commandWritten atomic.Bool          // the whole of the attempt's command
+	writeStartedAt eventloop.AtomicTime // when the writing of its command did
+	writeMu        sync.Mutex           // held while a write that the loop does not wait for goes on
 
 	writeErr error // what that write met; guarded by writing
 
@@ -188,11 +190,11 @@
 func (p *Proxy) acquireIdle(be *endpoint) *backendConn {
 	for len(be.idle) > 0 {
 		i := len(be.idle) - 1
-		for i > 0 && p.now-be.idle[i].idleSince < connectionRestS {
+		for i > 0 && p.loop.Now()-be.idle[i].idleSince < connectionRestS {
 			i--
 		}
 		c := be.idle[i]
-		if c.unusable.Load() || p.now-c.idleSince > p.endpoints.idleTimeoutS || !netcalls.NoDataPending(c.raw) {
+		if c.unusable.Load() || p.loop.Now()-c.idleSince > p.endpoints.idleTimeoutS || !netcalls.NoDataPending(c.raw) {
 			p.closeBackendConn(c, notUsable, nil)
 			continue
 		}
@@ -216,11 +218,11 @@
 
 // dial makes one connection. Its goroutine ends with the dial's time-out at the latest.
 func (p *Proxy) dial(be *endpoint, at discovery.Endpoint) {
-	from := p.clock.now()
+	from := p.clock.Now()
 	conn, err := p.endpoints.dial(at.Addr)
-	for first := true; netcalls.IsLocalFault(err) && p.clock.now()-from < p.endpoints.localFaultRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && p.clock.Now()-from < p.endpoints.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
-			p.post(p.clock.now(), func() { p.freeDescriptorsAfter(failed) })
+			p.loop.Post(p.clock.Now(), func() { p.freeDescriptorsAfter(failed) })
 		}
 		p.calls.Sleep(netcalls.RetryInterval)
 		conn, err = p.endpoints.dial(at.Addr)
@@ -233,7 +235,7 @@
 			c = nil
 		}
 	}
-	p.post(p.clock.now(), func() { p.dialed(be, c, err) })
+	p.loop.Post(p.clock.Now(), func() { p.dialed(be, c, err) })
 }
 
 // dialed gives a new connection to the attempt that has waited longest, or takes its failure.
@@ -262,7 +264,7 @@
 			p.assign(c)
 			continue
 		}
-		p.finishAttempt(be.waiting[0], attemptResult{status: failed}, p.now)
+		p.finishAttempt(be.waiting[0], attemptResult{status: failed}, p.loop.Now())
 	}
 }
 
@@ -297,7 +299,7 @@
 		p.closeBackendConn(c, notUsable, nil)
 		return
 	}
-	c.idleSince = p.now
+	c.idleSince = p.loop.Now()
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
@@ -306,7 +308,7 @@
 // that of what it handles, and may be well behind the clock; a dial and a backend that reads slowly take
 // time as well.
 func (p *Proxy) writeCommand(c *backendConn, a *attempt) {
-	from := p.clock.now()
+	from := p.clock.Now()
 	if from >= min(a.writeDeadline, a.expiresAt) {
 		p.release(c)
 		p.finishDeferred(a, policy.NotSent)
@@ -321,7 +323,7 @@
 	a.conn, c.attempt = c, a
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
-	c.writeStartedAt.store(from)
+	c.writeStartedAt.Store(from)
 	n, err := p.calls.WriteNow(c.raw, b)
 	switch {
 	case err != nil:
@@ -329,11 +331,11 @@
 		p.finishDeferred(a, policy.ConnectFailed)
 	case n == len(b):
 		c.commandWritten.Store(true)
-		p.traceSent(a, c.dialedAs, from, p.clock.now())
+		p.traceSent(a, c.dialedAs, from, p.clock.Now())
 	default:
 		rest := bytes.Clone(b[n:])
 		c.writeMu.Lock() // only its own reader takes it besides, for a moment at its end
-		c.conn.SetWriteDeadline(p.clock.at(min(a.writeDeadline, a.expiresAt, from+reserve+p.endpoints.writeSlack)))
+		c.conn.SetWriteDeadline(p.clock.Time(min(a.writeDeadline, a.expiresAt, from+reserve+p.endpoints.writeSlack)))
 		go func() {
 			defer c.writeMu.Unlock()
 			_, err := c.conn.Write(rest)
@@ -341,7 +343,7 @@
 			if err == nil {
 				c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, it may be used again
 				c.commandWritten.Store(true)
-				p.traceSent(a, c.dialedAs, from, p.clock.now())
+				p.traceSent(a, c.dialedAs, from, p.clock.Now())
 			} else {
 				c.writeErr = err
 				c.conn.Close() // its reader reports it
@@ -383,14 +385,14 @@
 	for {
 		room := buffer.Space()
 		if room == nil {
-			c.rejectReply(p, p.clock.now(), nil, readbuf.ErrExhausted)
+			c.rejectReply(p, p.clock.Now(), nil, readbuf.ErrExhausted)
 			break
 		}
 		n, err := c.conn.Read(room)
 		ended = err
-		at := p.clock.now()
+		at := p.clock.Now()
 		if n > 0 && !c.awaitingReply.Load() {
-			p.post(at, func() { p.warn("bytes that nobody asked for", "backend", c.endpoint.ID, "bytes", n) })
+			p.loop.Post(at, func() { p.warn("bytes that nobody asked for", "backend", c.endpoint.ID, "bytes", n) })
 			break // what follows can't be told apart
 		}
 		buffer.Grow(n)
@@ -409,7 +411,7 @@
 				break
 			}
 			// A duplicate whose bytes were on their way when the next command was written is known by this.
-			if history.IsDuplicate(buffer.Bytes()[:size], received.Status, c.writeStartedAt.load()-p.endpoints.duplicateWindowS) {
+			if history.IsDuplicate(buffer.Bytes()[:size], received.Status, c.writeStartedAt.Load()-p.endpoints.duplicateWindowS) {
 				c.rejectReply(p, at, buffer.Bytes(), errDuplicateReply)
 				break
 			}
@@ -420,7 +422,7 @@
 				c.unusable.Store(true)
 			}
 			c.awaitingReply.Store(false)
-			p.post(at, func() { p.replyReceived(c, received, at) })
+			p.loop.Post(at, func() { p.replyReceived(c, received, at) })
 			if stray {
 				break
 			}
@@ -436,15 +438,15 @@
 		ended = c.writeErr
 	}
 	c.writeMu.Unlock()
-	at := p.clock.now()
-	p.post(at, func() { p.backendConnClosed(c, ended, at) })
+	at := p.clock.Now()
+	p.loop.Post(at, func() { p.backendConnClosed(c, ended, at) })
 }
 
 // rejectReply ends the connection's attempt for what came in place of a reply. It runs on the reader's goroutine.
 func (c *backendConn) rejectReply(p *Proxy, at float64, got []byte, err error) {
 	c.unusable.Store(true)
 	start := string(got[:min(len(got), maxLoggedBytes)])
-	p.post(at, func() {
+	p.loop.Post(at, func() {
 		p.warn("bad reply", "backend", c.endpoint.ID, "why", err, "bytes", start)
 		p.endAttemptOn(c, malformedReply(err), at)
 	})
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -44,7 +44,7 @@
 				be := r.proxy.endpoints.byID["s0"]
 				c = &backendConn{endpoint: be, dialedAs: be.Endpoint, conn: mine.(*net.TCPConn)}
 				c.raw, _ = c.conn.SyscallConn()
-				c.idleSince = r.proxy.now
+				c.idleSince = r.proxy.loop.Now()
 				be.idle = append(be.idle, c)
 				r.proxy.endpoints.openConns++
 			})
@@ -128,7 +128,7 @@
 	io.WriteString(b, valueReply)
 	c.wantValue("the first")
 	receive(t, r.decider.outcomes)
-	waitForClock(r.proxy, r.proxy.clock.now()+0.002)
+	waitForClock(r.proxy, r.proxy.clock.Now()+0.002)
 	c.send(lookCommand("b")...)
 	b.readCommand()
 	io.WriteString(b, valueReply)
@@ -296,7 +296,10 @@
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
-	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeoutS + 1; r.proxy.endpoints.sweep(r.proxy) })
+	r.onLoop(func() {
+		r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + r.proxy.endpoints.idleTimeoutS + 1)
+		r.proxy.endpoints.sweep(r.proxy)
+	})
 	if b.readCommand() != nil {
 		t.Error("a connection that idled for long was used")
 	}
--- /dev/null
+++ b/internal/proxy/proxy.go
@@ -0,0 +1,177 @@
+// Package proxy carries out on real sockets what the decision module, package policy, decides, and hands it the
+// outcomes. It decides nothing about quotas, endpoints or retries itself.
+package proxy
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"reedlead/internal/eventloop"
+
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
+
+	"reedlead/internal/discovery"
+	"reedlead/internal/readbuf"
+	"reedlead/policy"
+)
+
+const (
+	// inputMemoryShare is the share of the memory that unfinished and queued input may take beside a first buffer
+	// for each connection. The collector lets as much again lie, and the program itself needs some MB.
+	inputMemoryShare = 0.2
+	defaultMemoryMB  = 192 // where the configuration gives none
+	sweepInterval    = time.Second
+	// readyTimeout is how long after the start a list with an endpoint in service is waited for before this
+	// gateway reports that it is ready. Nine in ten gateways have to be within 10 s.
+	readyTimeout = 2 * time.Second
+)
+
+// decider is the decision module, a *policy.Gateway but for tests. Its methods are called on the event loop.
+type decider interface {
+	HandleRequest(now policy.Seconds, request policy.Request)
+	HandleOutcome(now policy.Seconds, outcome policy.Outcome)
+	HandleClientGone(now policy.Seconds, id string)
+	HandleEndpoints(now policy.Seconds, list []policy.Endpoint, whole bool)
+	HandleTimer(now policy.Seconds, token uint64)
+	HandlePeerMessage(now policy.Seconds, from int, data []byte)
+	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
+}
+
+// Proxy is a gateway on real sockets. It carries out the actions of the decision module and hands it the events.
+//
+// The event loop owns all of its state that is not said to belong to another goroutine. Goroutines of their own
+// are: the acceptor, until the listener is closed; a reader for each connection, until the connection ends; one
+// for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
+// the sender of the peer link, until it is closed. All of them post what they find to the loop.
+type Proxy struct {
+	cfg    config.Config
+	log    *slog.Logger
+	calls  *netcalls.Calls
+	clock  eventloop.Clock
+	loop   *eventloop.Loop
+	drain  drainState
+	starts discovery.StartTimes
+	// wallClock returns Unix time by the wall clock, which may be stepped.
+	wallClock func() policy.Seconds
+
+	decider   decider
+	listener  *net.TCPListener
+	clients   clientSet
+	requests  map[string]*request // open ones by id
+	endpoints endpointSet
+	peers     *peerlink.Link    // nil without peer messages
+	discovery discovery.Options // but for what followDiscovery adds
+	warnings  warningLimiter
+	// inputBudget bounds what clients and endpoints have sent and nobody has used up yet. All goroutines share it.
+	inputBudget   *readbuf.Budget
+	commandBuffer []byte // of the command that is being written
+	// probeDescriptor fails if no file descriptor is to be had.
+	probeDescriptor func() error
+	// readyAt is when the gateway is ready without an endpoint in service.
+	readyAt policy.Seconds
+}
+
+// Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that
+// comes on reread, which may be nil, the address of discovery is taken over.
+func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
+	p, err := open(ctx, cfg, log, netcalls.System())
+	if err != nil {
+		return err
+	}
+	gateway, err := policy.New(cfg.Settings.Settings, cfg.Seed, p.loop.Now(), p)
+	if err != nil {
+		p.close()
+		return fmt.Errorf("settings: %w", err)
+	}
+	p.serve(ctx, reread, gateway)
+	return nil
+}
+
+// open makes a proxy and its sockets; nothing is read from them yet.
+func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
+	p := &Proxy{
+		cfg: cfg, log: log, calls: calls, clock: eventloop.NewClock(),
+		wallClock:       func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
+		drain:           newDrainState(cfg.Settings.Classes),
+		requests:        map[string]*request{},
+		discovery:       discovery.DefaultOptions(cfg.Settings.DrainNotice),
+		probeDescriptor: probeDescriptor,
+	}
+	p.loop = eventloop.New(p.clock, p.logPanic)
+	p.starts.Sample(p.loop.Now(), p.wallClock())
+	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
+	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
+	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
+	p.clients.init(p, cfg.Sockets)
+	p.endpoints.init(cfg, calls)
+	if err := p.openSockets(ctx); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// openSockets makes the listener and, with peer messages, the link to the other gateways.
+func (p *Proxy) openSockets(ctx context.Context) error {
+	address, err := net.ResolveTCPAddr("tcp", p.cfg.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	p.listener, err = netcalls.RetryAtStart(ctx, p.calls.Sleep, func() (*net.TCPListener, error) {
+		return p.calls.Listen(address)
+	})
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if !p.cfg.Settings.PeerMessages {
+		return nil
+	}
+	if p.peers, err = p.openPeerLink(ctx); err != nil {
+		_ = p.listener.Close() // nothing has come on it
+	}
+	return err
+}
+
+func (p *Proxy) close() {
+	_ = p.listener.Close() // nothing is accepted any more
+	if p.peers != nil {
+		p.peers.Close()
+	}
+}
+
+// serve starts the goroutines and runs the event loop to the end of the drain.
+func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, decider decider) {
+	defer p.close()
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	p.decider = decider
+	p.applyList(p.cfg.Known)
+	go p.followDiscovery(background, reread)
+	go p.acceptClients(p.listener)
+	if p.peers != nil {
+		go p.receivePeerMessages()
+	}
+	p.loop.Every(sweepInterval, p.sweep)
+	p.loop.Run(p.drained, ctx.Done(), p.startDrain)
+}
+
+// sweep closes connections that were idle for long, follows the wall clock and looks for free descriptors.
+func (p *Proxy) sweep() {
+	p.starts.Sample(p.clock.Now(), p.wallClock())
+	p.endpoints.sweep(p)
+	p.clients.sweep()
+	p.checkDescriptors()
+}
+
+// SetTimer implements policy.Actions.
+func (p *Proxy) SetTimer(token uint64, delay policy.Seconds) {
+	p.loop.After(max(delay, 0), func() { p.decider.HandleTimer(p.loop.Now(), token) })
+}
+
+// Log implements policy.Actions.
+func (p *Proxy) Log(text string) { p.log.Info(text) }
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -48,8 +48,8 @@
 	if why == peerClosed { // its requests are its own to give up
 		level = slog.LevelInfo
 	}
-	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", p.now-c.openedAt,
-		"last_answer_before", p.now-c.lastUsedAt)
+	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", p.loop.Now()-c.openedAt,
+		"last_answer_before", p.loop.Now()-c.lastUsedAt)
 	p.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
@@ -65,6 +65,6 @@
 		return
 	}
 	attrs = append(attrs, "id", a.request.ID, "try", a.number, "written", c.commandWritten.Load(),
-		"after", time.Duration((p.now-a.sentAt)*float64(time.Second)).String())
+		"after", time.Duration((p.loop.Now()-a.sentAt)*float64(time.Second)).String())
 	p.log.Info("backend connection closed", attrs...)
 }
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -60,7 +60,7 @@
 	idle := r.client()
 	idle.send("PING")
 	idle.readLine()
-	r.onLoop(func() { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() })
+	r.onLoop(func() { r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1); r.proxy.clients.sweep() })
 	log.line(t, "level=DEBUG", "client connection closed", "connection=2", "reason=idle_timeout")
 
 	rejectEachRequest(r)
@@ -73,7 +73,7 @@
 	refused.Close()
 	log.line(t, "client connection closed", "connection=3", "reason=protocol_error")
 
-	r.onLoop(func() { r.proxy.stopped = true })
+	r.onLoop(func() { r.proxy.drain.timedOut = true })
 	late := r.client()
 	late.send(lookCommand("c")...)
 	late.readLine()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -4,6 +4,8 @@
 	"math"
 	"strconv"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/command"
 	"reedlead/policy"
 
@@ -17,8 +19,8 @@
 	slot     *pipelineSlot
 	cameAt   float64 // when its last byte had come to this machine
 	deadline float64
-	timer    *timer     // rings when the module ought to have answered; stopped with the answer
-	attempts []*attempt // as many as the module may ask for, and one
+	timer    *eventloop.Timer // rings when the module ought to have answered; stopped with the answer
+	attempts []*attempt       // as many as the module may ask for, and one
 	out      int
 	over     bool
 }
@@ -27,7 +29,7 @@
 // with names no backend of use, it is ready all the same after a moment: it answers what comes, and has its
 // place when discovery is back.
 func (p *Proxy) ping(c *clientConn) {
-	if !p.endpoints.hasInService() && p.now < p.readyAt {
+	if !p.endpoints.hasInService() && p.loop.Now() < p.readyAt {
 		c.replyAtOnce(redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
@@ -45,7 +47,7 @@
 	switch {
 	case c.closed, c.sendingShutDown:
 		return
-	case p.stopped:
+	case p.drain.timedOut:
 		p.refuseAtOnce(c, q, processEnds)
 		return
 	case c.overLimit && p.clients.makeRoom(c):
@@ -63,14 +65,14 @@
 	r := &request{Request: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.Wait}
 	r.slot.request = r
 	c.pipeline.add(r.slot)
-	c.lastUsedAt = p.now
+	c.lastUsedAt = p.loop.Now()
 	p.requests[q.ID] = r
 	p.traceAcceptedRequest(r)
 	// The module answers well before; should it fail to, the client hears all the same.
-	r.timer = p.after(r.deadline+p.cfg.Settings.ReplySlack-p.now, func() {
+	r.timer = p.loop.After(r.deadline+p.cfg.Settings.ReplySlack-p.loop.Now(), func() {
 		p.warn("no answer from the module in time", "id", r.ID)
 		p.fail(r, noDecision)
-		p.decider.HandleClientGone(p.now, r.ID)
+		p.decider.HandleClientGone(p.loop.Now(), r.ID)
 	})
 	q.Request.Deadline = r.deadline
 	handed := false
@@ -79,7 +81,7 @@
 			p.fail(r, noDecision)
 		}
 	}()
-	p.decider.HandleRequest(p.now, q.Request)
+	p.decider.HandleRequest(p.loop.Now(), q.Request)
 	handed = true
 }
 
@@ -139,7 +141,7 @@
 func (p *Proxy) end(r *request) {
 	r.over = true
 	p.cutOffUnwritten(r)
-	p.stopTimer(r.timer)
+	p.loop.Stop(r.timer)
 	p.inputBudget.Release(r.Size)
 	r.Args = nil
 	p.forget(r)
@@ -165,30 +167,3 @@
 		delete(p.requests, r.ID)
 	}
 }
-
-// stop ends a drain that takes too long: what is still owed fails while its client can hear of it. What comes
-// after that is refused at once, until its connection stands still for long enough to be closed.
-func (p *Proxy) stop() {
-	p.stopped = true
-	if !p.leaving {
-		p.leave()
-	}
-	for _, r := range p.requests {
-		if !r.over {
-			p.fail(r, processEnds)
-			p.decider.HandleClientGone(p.now, r.ID)
-		}
-	}
-	p.clients.closeIdle()
-	p.after(drainSpare.Seconds()/2, func() {
-		for c := range p.clients.conns {
-			c.shutDownSending()
-		}
-	})
-	p.after(drainSpare.Seconds()*3/4, func() {
-		for c := range p.clients.conns {
-			c.close(drainDeadline, nil)
-		}
-		p.accepted = true // else its place is taken, and SIGKILL comes
-	})
-}
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -101,11 +101,11 @@
 		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
 	}
 	first.onLoop(func() {
-		before := first.proxy.logLimit
+		before := first.proxy.warnings
 		for i := 1; i < leastCap; i++ { // all in one event: nothing may be lost before the socket
 			first.proxy.SendToPeer(i, []byte("all"))
 		}
-		if first.proxy.logLimit != before {
+		if first.proxy.warnings != before {
 			t.Error("datagrams were lost in the queue")
 		}
 	})
@@ -132,7 +132,7 @@
 			address, polls := discoverytest.NewManualAgent(t) // silent
 			cfg := testConfig()
 			cfg.Discovery, cfg.Known.Endpoints = address, servers
-			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.now + 3600 })
+			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.loop.Now() + 3600 })
 			receive(t, polls)
 			c := r.client()
 			want := "-LOADING no backends known yet"
@@ -144,7 +144,7 @@
 					t.Errorf("at the start: got %q, want %q", got, want)
 				}
 			}
-			r.onLoop(func() { r.proxy.readyAt = r.proxy.now })
+			r.onLoop(func() { r.proxy.readyAt = r.proxy.loop.Now() })
 			c.send("PING")
 			if got := c.readLine(); got != "+PONG" {
 				t.Errorf("a moment later: got %q", got)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -31,7 +31,7 @@
 	}
 	p.log.Debug(
 		traceAccepted, "id", r.ID, "connection", r.client.number,
-		"arrived", r.cameAt, "at", p.clock.now(), "deadline", r.deadline,
+		"arrived", r.cameAt, "at", p.clock.Now(), "deadline", r.deadline,
 	)
 }
 
@@ -68,7 +68,7 @@
 	if !p.tracing() {
 		return
 	}
-	p.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", p.clock.now())
+	p.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", p.clock.Now())
 }
 
 // replyKind is "value", or of an error the first three letters of its code.
@@ -85,7 +85,7 @@
 	if !p.tracing() {
 		return
 	}
-	p.log.Debug(traceClientGone, "id", r.ID, "at", p.clock.now())
+	p.log.Debug(traceClientGone, "id", r.ID, "at", p.clock.Now())
 }
 
 // class is that of a request, as the settings describe it.
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -14,7 +14,7 @@
 
 // passes waits until the clock has passed a time.
 func waitForClock(p *Proxy, at float64) {
-	for p.clock.now() < at {
+	for p.clock.Now() < at {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -57,7 +57,7 @@
 	c.send("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", "body")
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
-		waitForClock(r.proxy, r.proxy.now+0.02)
+		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
 		r.proxy.Send("a", "s0", 0, 0.01)
 	})
 	r.wantNotSent(b)
