--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -123,7 +123,7 @@
 	io.WriteString(b, valueReply)
 	c.wantValue("the first")
 	receive(t, r.decider.outcomes)
-	waitForClock(r.proxy, r.proxy.clock.now()+0.002)
+	waitForClock(r.proxy, r.proxy.clock.Now()+0.002)
 	c.send(lookCommand("b")...)
 	b.readCommand()
 	io.WriteString(b, valueReply)
@@ -291,7 +291,10 @@
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
-	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeout + 1; r.proxy.endpoints.sweep() })
+	r.onLoop(func() {
+		r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + r.proxy.endpoints.idleTimeout + 1)
+		r.proxy.endpoints.sweep()
+	})
 	if b.readCommand() != nil {
 		t.Error("a connection that idled for long was used")
 	}
