--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -61,7 +61,7 @@
 		"PEERS_KNOWN: field rosterId names no list": "PEERS_KNOWN\ti=0\trosterId=9\tkind=Complete\trevision=1\n",
 		"ITEM: field status cannot be read":         "REGISTER\trosterId=0\tlines=1\nITEM\tbackend=b\thall=a\tstatus=Z\n",
 		"ENLIST: field settings":                    "ENLIST\ti=0\tentropy=1\tsettings={\n",
-		"setting GatewayCount: out of range: is 0":    "ENLIST\ti=0\tentropy=1\tsettings={}\n",
+		"setting GatewayCount: out of range: is 0":  "ENLIST\ti=0\tentropy=1\tsettings={}\n",
 		"input ended within a batch":                "",
 		"ITEM: the list ends early":                 "REGISTER\trosterId=0\tlines=1\n",
 	} {
