--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -116,7 +116,7 @@
 // sweep closes the connections that were idle for too long.
 func (s *endpointSet) sweep() {
 	for _, e := range s.byID {
-		for len(e.idle) > 0 && s.proxy.now-e.idle[0].idleSince > s.idleTimeout {
+		for len(e.idle) > 0 && s.proxy.loop.Now()-e.idle[0].idleSince > s.idleTimeout {
 			e.idle[0].close(idleTimeout, nil)
 		}
 	}
