--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards round 26 (i1620fa): the fleet grew from 37 to 189 servers while the limit stayed.
+// Guards the limit of a fleet that grows: once it went from 37 to 189 endpoints while the limit stayed.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	g, _ := newTestGateway(t, singleGateway)
 	before := g.limiter.limit
@@ -15,7 +15,7 @@
 		more = append(more, Endpoint{ID: fmt.Sprint("m", i), Zone: "a"})
 	}
 	if g.HandleEndpoints(101, more, false); g.limiter.limit != 10*before {
-		t.Fatalf("limit %v with 3 servers, %v with 30", before, g.limiter.limit)
+		t.Fatalf("the limit is %v with 3 endpoints, %v with 30", before, g.limiter.limit)
 	}
 	g.HandleEndpoints(102, nil, true)
 	if g.HandleEndpoints(103, more, true); g.limiter.limit <= 0 {
@@ -23,13 +23,14 @@
 	}
 }
 
-// A limit of two attempts made requests of a small cluster wait while most of the fleet idled.
+// Guards against requests that wait while most of the endpoints are idle: a gateway of a large fleet has a limit of
+// few attempts, but may exceed it by what chance does to few requests.
 func TestSmallLimitAllowsFewRequestsAtOnce(t *testing.T) {
 	g, r := largeFleet(t)
 	if g.limiter.limit >= 3 {
-		t.Fatalf("the part of the limit is %.2f: the test needs one under what comes", g.limiter.limit)
+		t.Fatalf("the limit is %.2f: the test needs one below the requests that follow", g.limiter.limit)
 	}
-	g.limiter.latencyRatio = 2 * highLatencyRatio // while answers are slow as well
+	g.limiter.latencyRatio = 2 * highLatencyRatio // replies are slow as well
 	for i := range 5 {
 		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
@@ -40,11 +41,11 @@
 		sendUnlimited(g, 100, fmt.Sprint("more", i))
 	}
 	if n := len(r.ofKind("send", "")); n > 15 {
-		t.Fatalf("%d attempts out: nothing bounds a gateway any more", n)
+		t.Fatalf("%d attempts are in flight, without a bound", n)
 	}
 }
 
-// Where a gateway sees a good part of all requests its limit stays what it was.
+// A gateway that sees a good part of all requests does not exceed its limit.
 func TestSmallFleetKeepsToItsLimit(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	g.limiter.latencyRatio = 2 * highLatencyRatio
@@ -52,7 +53,7 @@
 		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); float64(n) > g.limiter.limit {
-		t.Fatalf("%d attempts out over a limit of %.2f", n, g.limiter.limit)
+		t.Fatalf("%d attempts are in flight, above the limit of %.2f", n, g.limiter.limit)
 	}
 }
 
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Each of many gateways met every server in turn, each time by a new connection.
+// Guards against a new connection for each attempt: each gateway of a large fleet sent to every endpoint in turn.
 func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
-	for _, price := range []float64{0, 0.08} {
+	for _, cost := range []float64{0, 0.08} {
 		s, r := testSettings(), &recorder{}
-		s.GatewayCount, s.ConnectionIdleTimeout, s.HandshakeCost = 80, 30, price
+		s.GatewayCount, s.ConnectionIdleTimeout, s.HandshakeCost = 80, 30, cost
 		g, err := New(s, 7, 100, r)
 		if err != nil {
 			t.Fatal(err)
@@ -28,35 +28,35 @@
 			used[sent[0].endpoint] = true
 			g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: sent[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
 		}
-		if n := len(used); price == 0 && n < 40 || price > 0 && (n > 30 || n < 4) {
-			t.Errorf("with a price of %v %d of 60 servers were used by 100 requests", price, n)
+		if n := len(used); cost == 0 && n < 40 || cost > 0 && (n > 30 || n < 4) {
+			t.Errorf("with a handshake cost of %v, 100 requests used %d of 60 endpoints", cost, n)
 		}
 	}
 }
 
-// What is given up takes its connection along, and what idles for long is not counted on.
+// An attempt without a reply takes its connection with it, and a connection that idles for long is not counted on.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := largeFleet(t)
 	g.settings.ConnectionIdleTimeout = 10
 	sendUnlimited(g, 100, "a")
-	s := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
-	if s.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("its one connection is in use")
+	e := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
+	if e.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("the only connection is in use, and counts as idle")
 	}
-	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: s.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
-	if !s.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("the connection is free again")
+	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: e.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
+	if !e.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("the connection is idle again, and is not counted on")
 	}
-	if g.clock.now = 100.1 + 10; s.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("the server may have closed it")
+	if g.clock.now = 100.1 + 10; e.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("a connection is counted on that the endpoint may have closed")
 	}
 	g.clock.now = 100.2
 	req := &request{Request: Request{ID: "b"}, class: g.classes.byName["read"]}
 	g.requests.byID["b"] = req
-	g.startAttempt(req, s)
-	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: s.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
-	if s.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("the connection went with what was given up on it")
+	g.startAttempt(req, e)
+	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: e.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
+	if e.hasIdleConnection(g.clock.now, 10) {
+		t.Fatal("a connection is counted on that was closed with its attempt")
 	}
 }
 
--- a/policy/endpoint_table_test.go
+++ b/policy/endpoint_table_test.go
@@ -12,7 +12,7 @@
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
 	if len(g.dispatchQueue.requests) == 0 {
-		t.Fatal("nothing waits, the test shows nothing")
+		t.Fatal("no request is queued, so the test shows nothing")
 	}
 	g.HandleEndpoints(100.1, []Endpoint{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
 	before := len(r.actions)
@@ -27,12 +27,12 @@
 		if a.kind == "send" {
 			later++
 			if a.endpoint != "s3" {
-				t.Fatalf("sent to %s after its drain notice", a.endpoint)
+				t.Fatalf("sent to %s, which is draining or removed", a.endpoint)
 			}
 		}
 	}
 	if later == 0 {
-		t.Fatal("nothing was sent after the notice, the test shows nothing")
+		t.Fatal("no queued request was sent, so the test shows nothing")
 	}
 }
 
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// What one gateway of many sees too rarely is told: use and sickness of servers ride on messages.
+// A gateway of a large fleet learns the utilization and outlier scores of endpoints from its peers' messages, and
+// passes them on.
 func TestGossipIsPassedOn(t *testing.T) {
 	a, ra, ask := asMember(t, ofGateways(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
@@ -12,19 +13,23 @@
 	a.recordLoadReport(a.endpoints.byID["s1"], &LoadReport{Utilization: 0.6})
 	ask(100, "q", 2)
 	b.HandlePeerMessage(100.01, 0, ra.ofKind("send_to_peer", "")[0].data)
-	if b.outliers.score(b.endpoints.byID["s2"], b.classes.byName["pay"].index) < 0.9 || b.outliers.score(b.endpoints.byID["s2"], b.classes.byName["read"].index) > 0 {
-		t.Fatal("sickness was not told on")
+	outlier, loaded := b.endpoints.byID["s2"], b.endpoints.byID["s1"]
+	if score := b.outliers.score(outlier, b.classes.byName["pay"].index); score < 0.9 {
+		t.Fatalf("the score for the failed class is %.2f", score)
 	}
-	if u := b.endpoints.byID["s1"].utilization; u < 0.59 || u > 0.61 {
-		t.Fatalf("use told is %v", u)
+	if score := b.outliers.score(outlier, b.classes.byName["read"].index); score > 0 {
+		t.Fatalf("the score for another class is %.2f", score)
+	}
+	if u := loaded.utilization; u < 0.59 || u > 0.61 {
+		t.Fatalf("the utilization is %v, want 0.6", u)
 	}
 	reply, err := testFormat.decode(rb.ofKind("send_to_peer", "")[0].data, 100)
 	if err != nil || len(reply.updates) != 2 {
 		t.Fatalf("%d updates passed on, want 2 (%v)", len(reply.updates), err)
 	}
-	old := b.endpoints.byID["s1"].utilizationAt
-	if b.gossip.merge(b.endpoints, healthUpdate{b.endpoints.byID["s1"].hash, loadUpdate, 0.1, old - 1}); b.endpoints.byID["s1"].utilization < 0.5 {
-		t.Fatal("older news overtook newer")
+	older := healthUpdate{endpointHash: loaded.hash, class: loadUpdate, value: 0.1, at: loaded.utilizationAt - 1}
+	if b.gossip.merge(b.endpoints, older); loaded.utilization < 0.5 {
+		t.Fatal("an older update replaced a newer one")
 	}
 }
 
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against settings that the messages can't hold: with large units no member was ever granted a
-// request, as its owner heard of 63.75 units at most; and with many plans gateways would not start.
+// Guards against settings that the messages can't hold: with large units no member was ever granted a request, as
+// a record held 63.75 wanted units at most; and with many plans gateways did not start.
 func TestMessageFormatFitsTheSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		units  float64 // of a request
@@ -36,18 +36,18 @@
 					sent[k] += len(replyToAll(g[k], r[k], &seen[k], now))
 				}
 			}
-			// 10 s of 2 requests' units a second, and a burst of 8 of them.
+			// 10 s at the rate of 2 requests a second, and a burst of 8.
 			if all := sent[0] + sent[1]; all < 22 || all > 31 {
-				t.Errorf("%d requests were sent on, the quota holds 28", all)
+				t.Errorf("%d requests were sent, the quota holds 28", all)
 			}
 			if sent[0] < 5 || sent[1] < 5 {
-				t.Errorf("one gateway sent %d, the other %d: both ask for as much", sent[0], sent[1])
+				t.Errorf("one gateway sent %d, the other %d: both get as many requests", sent[0], sent[1])
 			}
 		})
 	}
 }
 
-// plansLike makes plans of which the last is as large as p, and the others let next to nothing in.
+// plansLike returns n plans, of which the last is as large as p and the others admit next to nothing.
 func plansLike(p Plan, n int) (list []Plan) {
 	last := p
 	for i := range n - 1 {
@@ -58,7 +58,7 @@
 	return append(list, last)
 }
 
-// Guards the fields of a record, in the form of any settings, against losing more than their rounding.
+// Guards the fields of a record, in the format of any settings, against losing more than their rounding.
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, f := range []messageFormat{testFormat, {unitsPerStep: 12.5}, {unitsPerStep: 3, widePlan: true}} {
 		for plan := range 3 * plansInFlags {
@@ -126,14 +126,14 @@
 		data []byte
 		want error
 	}{
-		"empty":            {nil, errMessageLength},
-		"header cut":       {good[:headerSize-1], errMessageLength},
-		"record cut":       {good[:len(good)-1], errMessageLength},
-		"update cut":       {append(bytes.Clone(good), 1, 2, 3), errMessageLength},
-		"too long":         {make([]byte, maxMessageSize+1), errMessageLength},
-		"another version":  {append([]byte{messageVersion + 1}, good[1:]...), errMessageVersion},
-		"whole":            {good, nil},
-		"whole, an update": {append(bytes.Clone(good), 1, 2, 3, 4, 5), nil},
+		"empty":           {nil, errMessageLength},
+		"header cut":      {good[:headerSize-1], errMessageLength},
+		"record cut":      {good[:len(good)-1], errMessageLength},
+		"update cut":      {append(bytes.Clone(good), 1, 2, 3), errMessageLength},
+		"too long":        {make([]byte, maxMessageSize+1), errMessageLength},
+		"another version": {append([]byte{messageVersion + 1}, good[1:]...), errMessageVersion},
+		"complete":        {good, nil},
+		"with an update":  {append(bytes.Clone(good), 1, 2, 3, 4, 5), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := testFormat.decode(tc.data, 100); !errors.Is(err, tc.want) {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// Guards against attempts spent on a server that turns all away: it is left alone, the longer the more
-// often it does so, and tried again in the end. One broken connection is not a broken server; two are.
+// Guards against attempts spent on an endpoint that rejects all, or breaks all connections: it is ejected, and
+// tried again later.
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
-	for status, most := range map[AttemptStatus]int{Rejected: 12, Reset: 12, ConnectFailed: 12} {
+	const maxSent = 24
+	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
 		g, r := newTestGateway(t, singleGateway)
-		at := map[string]int{}
+		sent := map[string]int{}
 		for i := range 400 {
 			now := 100 + float64(i)*0.02
 			id := fmt.Sprint("q", i)
@@ -22,51 +23,58 @@
 				if len(list) == n {
 					break
 				}
-				s := list[n].endpoint
-				at[s]++
-				o := Outcome{RequestID: id, Endpoint: s, Attempt: n, Status: OK, RequestDone: true, Elapsed: 0.1}
-				if s == "s1" {
+				e := list[n].endpoint
+				sent[e]++
+				o := Outcome{RequestID: id, Endpoint: e, Attempt: n, Status: OK, RequestDone: true, Elapsed: 0.1}
+				if e == "s1" {
 					o.Status, o.RequestDone = status, false
 				}
 				g.HandleOutcome(now, o)
 			}
 			g.HandleTimer(now, 1)
 		}
-		if at["s1"] < 1 || at["s1"] > 2*most || at["s2"] < 100 {
-			t.Errorf("status %v from s1: sent %v", status, at)
+		if sent["s1"] < 1 || sent["s1"] > maxSent || sent["s2"] < 100 {
+			t.Errorf("all attempts at s1 end with %v: sent are %v", status, sent)
 		}
 	}
+}
+
+// One lost connection does not mean that the endpoint is broken; two in a row do.
+func TestTwoLostConnectionsEject(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}}, true)
 	sendRequest(g, 100, "a", "pay", "wide", 1)
 	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: "s1", Status: Reset})
 	if sendRequest(g, 100.2, "b", "pay", "wide", 1); len(r.ofKind("send", "b")) != 1 {
-		t.Error("after one broken connection the server counts as down")
+		t.Error("the endpoint is ejected after one lost connection")
 	}
 	g.HandleOutcome(100.3, Outcome{RequestID: "b", Endpoint: "s1", Status: Reset})
 	if sendRequest(g, 100.4, "c", "pay", "wide", 1); len(r.ofKind("send", "c")) != 0 {
-		t.Error("after two in a row it does not")
+		t.Error("the endpoint is not ejected after two lost connections in a row")
 	}
 }
 
-// Guards round 27 (class_fail): servers that answer other classes left one unanswered for good.
+// Guards against an endpoint that never replies to one class, while it goes on replying to the others.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
-	for _, k := range g.classes.ordered {
-		k.meanLatency, k.successes = 0.05, 100
+	for _, cls := range g.classes.ordered {
+		cls.meanLatency, cls.successes = 0.05, 100
 	}
-	sick := g.endpoints.byID["s1"]
+	outlier := g.endpoints.byID["s1"]
 	sendRequest(g, 100, "q", "read", "wide", 1)
 	r.actions = nil
-	g.requests.byID["q"].attempts[0].endpoint = sick
+	g.requests.byID["q"].attempts[0].endpoint = outlier
 	for now := 100.02; now < 100.5; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if g.outliers.score(sick, g.classes.byName["read"].index) < 0.9 || g.outliers.score(sick, g.classes.byName["pay"].index) > 0 {
-		t.Fatal("silence for a class is not told from silence for all")
+	if score := g.outliers.score(outlier, g.classes.byName["read"].index); score < 0.9 {
+		t.Fatalf("the score for the silent class is %.2f", score)
+	}
+	if score := g.outliers.score(outlier, g.classes.byName["pay"].index); score > 0 {
+		t.Fatalf("the score for another class is %.2f", score)
 	}
 	if a := r.ofKind("send", "q"); len(a) != 1 || a[0].endpoint == "s1" {
-		t.Fatalf("the silent attempt was not tried elsewhere: %v", a)
+		t.Fatalf("the silent attempt was not hedged at another endpoint: %v", a)
 	}
 	pays := 0
 	for i := range 40 {
@@ -75,57 +83,57 @@
 			sendRequest(g, 100.5, id, class, "wide", 1)
 			at := r.ofKind("send", id)[0].endpoint
 			if g.HandleOutcome(100.5, Outcome{RequestID: id, Status: OK, RequestDone: true, Elapsed: 0.05}); at == "s1" && class == "read" {
-				t.Fatal("a server sick for a class was sent it")
+				t.Fatal("an outlier for a class was sent a request of it")
 			} else if at == "s1" {
 				pays++
 			}
 		}
 	}
 	if pays == 0 {
-		t.Fatal("the server lost the classes that it serves")
+		t.Fatal("an outlier for a class gets no requests of the others")
 	}
 }
 
-// One missing answer, told to all, made the whole fleet leave a server for seconds and flood the next.
+// Guards against one missing reply that, by gossip, made the whole fleet leave an endpoint and overload the next.
 func TestLargeFleetScoresByTheUnansweredFraction(t *testing.T) {
 	g, _ := largeFleet(t)
-	cls, s := g.classes.byName["read"], g.endpoints.byID["s00"]
-	attempt := func(now float64, id string, st AttemptStatus) {
+	cls, e := g.classes.byName["read"], g.endpoints.byID["s00"]
+	attempt := func(now Seconds, id string, status AttemptStatus) {
 		req := &request{Request: Request{ID: id}, class: cls}
 		g.requests.byID[id] = req
 		g.clock.now = now
-		g.startAttempt(req, s)
-		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: st, RequestDone: true, Elapsed: 0.1})
+		g.startAttempt(req, e)
+		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: status, RequestDone: true, Elapsed: 0.1})
 	}
 	attempt(100, "a", Timeout)
-	if x := g.outliers.score(s, cls.index); x <= 0 || x >= suspectScore {
-		t.Fatalf("sickness is %.2f after one attempt without answer: all others would leave too", x)
+	if score := g.outliers.score(e, cls.index); score <= 0 || score >= suspectScore {
+		t.Fatalf("the score is %.2f after one attempt without a reply: all other gateways would avoid it", score)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
-	high := g.outliers.score(s, cls.index)
+	high := g.outliers.score(e, cls.index)
 	if high < 0.8 {
-		t.Fatalf("sickness is %.2f after thirteen attempts without answer", high)
+		t.Fatalf("the score is %.2f after thirteen attempts without a reply", high)
 	}
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
-	if x := g.outliers.score(s, cls.index); x >= high || x < suspectScore {
-		t.Fatalf("one answer takes sickness from %.2f to %.2f, want a part of it off", high, x)
+	if score := g.outliers.score(e, cls.index); score >= high || score < suspectScore {
+		t.Fatalf("one reply takes the score from %.2f to %.2f, want a part of it off", high, score)
 	}
 	if len(g.gossip.updates) != 1 || g.gossip.updates[0].value >= high {
-		t.Fatalf("the others are not told that it serves again: %v", g.gossip.updates)
+		t.Fatalf("the lower score is not published: %v", g.gossip.updates)
 	}
 }
 
-// A few gateways see enough themselves: one answer shows that a server is well.
+// The gateways of a small fleet see enough themselves: one reply shows that an endpoint is healthy.
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	cls, s := g.classes.byName["read"], g.endpoints.byID["s1"]
-	g.outliers.recordFailure(s, cls.index, errorScore)
-	g.outliers.recordSuccess(s, cls.index)
-	if x := g.outliers.score(s, cls.index); x != 0 {
-		t.Fatalf("sickness is %.2f after an answer", x)
+	cls, e := g.classes.byName["read"], g.endpoints.byID["s1"]
+	g.outliers.recordFailure(e, cls.index, errorScore)
+	g.outliers.recordSuccess(e, cls.index)
+	if score := g.outliers.score(e, cls.index); score != 0 {
+		t.Fatalf("the score is %.2f after a reply", score)
 	}
 }
 
