--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -76,7 +76,8 @@
 	return e.State == InService && now >= e.ejectedUntil
 }
 
-// startAttempt counts an attempt as in flight. idleTimeout is the time after which idle connections close.
+// startAttempt counts an attempt as in flight. idleTimeout is the time after which the endpoint closes idle
+// connections: after a pause that long none is counted on any more.
 func (e *endpoint) startAttempt(now, idleTimeout Seconds) {
 	if now-e.lastSentAt > reusableIdleFraction*idleTimeout {
 		e.openConnections = e.inFlight
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -185,7 +185,7 @@
 		candidates = candidates[1:]
 	}
 	for _, units := range candidates {
-		if c.ledgerHasCapacity(l, units, report.Cheapness, report.receivedAt) {
+		if c.ledgerHasCapacity(l, units, report.PriorityDeficit, report.receivedAt) {
 			return units
 		}
 	}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -22,18 +22,18 @@
 
 // The layout of a usage record: the offsets of its fields, in bytes.
 const (
-	keyOffset            = 0
-	flagsOffset          = 4 // three flags in the high bits, the low bits of the plan's index in the others
-	totalOffset          = 5
-	remainingOffset      = 7
-	demandOffset         = 9
-	inFlightOffset       = 11
-	unacknowledgedOffset = 13
-	wantedOffset         = 14
-	firstWantedOffset    = 15 // an owner's record has the backoff in this place
-	cheapnessOffset      = 16
-	planHighOffset       = 17 // present only with more than plansInFlags plans
-	baseRecordSize       = 17
+	keyOffset             = 0
+	flagsOffset           = 4 // three flags in the high bits, the low bits of the plan's index in the others
+	totalOffset           = 5
+	remainingOffset       = 7
+	demandOffset          = 9
+	inFlightOffset        = 11
+	unacknowledgedOffset  = 13
+	wantedOffset          = 14
+	firstWantedOffset     = 15 // an owner's record has the backoff in this place
+	priorityDeficitOffset = 16
+	planHighOffset        = 17 // present only with more than plansInFlags plans
+	baseRecordSize        = 17
 
 	ownerFlag       = 1 << 7
 	knownFlag       = 1 << 6
@@ -102,7 +102,7 @@
 	Unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; members only
 	WantedUnits      float64 // units of waiting requests, up to 63.75; owner: copied from the member's record
 	FirstWantedUnits float64 // units of the first waiting request, up to 63.75; members only
-	Cheapness        float64 // of the first waiting request, 0 to 1; members only
+	PriorityDeficit  float64 // of the first waiting request, 0 to 1; members only
 	Backoff          Seconds // time before which a retry is pointless, up to 12.75; owners only
 }
 
@@ -200,7 +200,7 @@
 		clampToByte(record.Unacknowledged*stepsPerUnit),
 		clampToByte(math.Ceil(record.WantedUnits*stepsPerUnit)),
 		clampToByte(firstWanted),
-		clampToByte(record.Cheapness*maxByte))
+		clampToByte(record.PriorityDeficit*maxByte))
 	if f.widePlan {
 		data = append(data, byte(record.Plan/plansInFlags))
 	}
@@ -263,18 +263,18 @@
 func (f messageFormat) decodeRecord(data []byte) usageRecord {
 	flags := data[flagsOffset]
 	record := usageRecord{
-		Key:            binary.BigEndian.Uint32(data[keyOffset:]),
-		Plan:           int(flags % plansInFlags),
-		Owner:          flags&ownerFlag != 0,
-		Known:          flags&knownFlag != 0,
-		CeilingPool:    flags&ceilingPoolFlag != 0,
-		Total:          float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
-		Remaining:      float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
-		Demand:         float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
-		InFlight:       int(binary.BigEndian.Uint16(data[inFlightOffset:])),
-		Unacknowledged: float64(data[unacknowledgedOffset]) / stepsPerUnit,
-		WantedUnits:    float64(data[wantedOffset]) / stepsPerUnit,
-		Cheapness:      float64(data[cheapnessOffset]) / maxByte,
+		Key:             binary.BigEndian.Uint32(data[keyOffset:]),
+		Plan:            int(flags % plansInFlags),
+		Owner:           flags&ownerFlag != 0,
+		Known:           flags&knownFlag != 0,
+		CeilingPool:     flags&ceilingPoolFlag != 0,
+		Total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
+		Remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
+		Demand:          float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
+		InFlight:        int(binary.BigEndian.Uint16(data[inFlightOffset:])),
+		Unacknowledged:  float64(data[unacknowledgedOffset]) / stepsPerUnit,
+		WantedUnits:     float64(data[wantedOffset]) / stepsPerUnit,
+		PriorityDeficit: float64(data[priorityDeficitOffset]) / maxByte,
 	}
 	if record.Owner {
 		record.Backoff = float64(data[firstWantedOffset]) * backoffStep
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -67,7 +67,7 @@
 			}
 			want := usageRecord{
 				Key: 7, Plan: plan, Known: true, Total: 40 * f.unitsPerStep, Remaining: -2 * f.unitsPerStep, Demand: 9 * f.unitsPerStep, InFlight: 3,
-				Unacknowledged: 5 * f.unitsPerStep, WantedUnits: 20 * f.unitsPerStep, FirstWantedUnits: 2 * f.unitsPerStep, Cheapness: 1,
+				Unacknowledged: 5 * f.unitsPerStep, WantedUnits: 20 * f.unitsPerStep, FirstWantedUnits: 2 * f.unitsPerStep, PriorityDeficit: 1,
 			}
 			update := healthUpdate{endpointHash: 9, class: loadUpdate, value: 1, at: 50}
 			sent := message{incarnation: 3, sequence: 700, records: []usageRecord{want}, updates: []healthUpdate{update}}
@@ -98,7 +98,7 @@
 		records: []usageRecord{
 			{
 				Key: 0x0a0b0c0d, Plan: 2*plansInFlags + 5, Known: true, Total: 64.25, Remaining: -1, Demand: 2.5,
-				InFlight: 258, Unacknowledged: 1.75, WantedUnits: 2, FirstWantedUnits: 1, Cheapness: 1,
+				InFlight: 258, Unacknowledged: 1.75, WantedUnits: 2, FirstWantedUnits: 1, PriorityDeficit: 1,
 			},
 			{Key: 7, Owner: true, CeilingPool: true, WantedUnits: 2, Backoff: 0.5},
 		},
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -68,45 +68,45 @@
 }
 
 // score tells how sure it is, from 0 to 1, that the endpoint does not reply to the class.
-func (d *outlierDetector) score(e *endpoint, class int) float64 {
-	return e.outlierScores[class].value(d.clock.now)
+func (d *outlierDetector) score(e *endpoint, classIndex int) float64 {
+	return e.outlierScores[classIndex].value(d.clock.now)
 }
 
 // recordFailure raises the score for a class by severity, a fraction of what is missing to 1.
-func (d *outlierDetector) recordFailure(e *endpoint, class int, severity float64) {
-	score := d.score(e, class)
+func (d *outlierDetector) recordFailure(e *endpoint, classIndex int, severity float64) {
+	score := d.score(e, classIndex)
 	level := score + severity*(1-score)
-	e.outlierScores[class] = outlierScore{level: level, at: d.clock.now}
-	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: class, value: level, at: d.clock.now})
+	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
+	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 }
 
 // recordFailureOfAll raises the score for all classes.
 func (d *outlierDetector) recordFailureOfAll(e *endpoint, severity float64) {
-	for class := range e.outlierScores {
-		d.recordFailure(e, class, severity)
+	for classIndex := range e.outlierScores {
+		d.recordFailure(e, classIndex, severity)
 	}
 }
 
 // recordSuccess lowers the score for a class.
-func (d *outlierDetector) recordSuccess(e *endpoint, class int) {
-	e.lastSuccessAt[class], e.consecutiveErrors[class] = d.clock.now, 0
-	level := d.score(e, class) * (1 - d.voteWeight)
-	e.outlierScores[class] = outlierScore{level: level, at: d.clock.now}
+func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
+	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
+	level := d.score(e, classIndex) * (1 - d.voteWeight)
+	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
 	if level > singleFailureScore/2 {
-		d.gossip.publish(healthUpdate{endpointHash: e.hash, class: class, value: level, at: d.clock.now})
+		d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 	}
 }
 
 // recordOutcome takes in the end of an attempt.
-func (d *outlierDetector) recordOutcome(e *endpoint, class int, status AttemptStatus) {
+func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
-		d.recordSuccess(e, class)
+		d.recordSuccess(e, classIndex)
 		e.consecutiveConnectFailures, e.consecutiveRejections = 0, 0
 	case Timeout:
-		d.recordFailure(e, class, min(errorScore, d.voteWeight))
+		d.recordFailure(e, classIndex, min(errorScore, d.voteWeight))
 	case Error:
-		d.recordError(e, class)
+		d.recordError(e, classIndex)
 	case ConnectFailed, Reset:
 		d.recordConnectFailure(e)
 	case Rejected:
@@ -115,13 +115,13 @@
 	}
 }
 
-func (d *outlierDetector) recordError(e *endpoint, class int) {
-	e.consecutiveErrors[class]++
+func (d *outlierDetector) recordError(e *endpoint, classIndex int) {
+	e.consecutiveErrors[classIndex]++
 	severity := errorScore
-	if e.consecutiveErrors[class] >= consecutiveFailuresToEject {
+	if e.consecutiveErrors[classIndex] >= consecutiveFailuresToEject {
 		severity = repeatedErrorScore
 	}
-	d.recordFailure(e, class, severity)
+	d.recordFailure(e, classIndex, severity)
 }
 
 // recordConnectFailure takes in a connection that was refused or lost.
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 )
 
@@ -137,3 +138,93 @@
 		t.Errorf("of non-idempotent requests a young endpoint gets %d, an older one %d", young, old)
 	}
 }
+
+func newTestSlowStart(gateways int) *slowStart {
+	settings := testSettings()
+	settings.GatewayCount = gateways
+	return newSlowStart(settings, &eventClock{now: 100})
+}
+
+func TestWarmUpFractionGrowsWithAge(t *testing.T) {
+	s := newTestSlowStart(1)
+	for name, tc := range map[string]struct {
+		startedAt Seconds
+		want      float64
+	}{
+		"just started":           {100, 0.2},
+		"starts in the future":   {101, 0.2}, // the clocks of hosts differ
+		"half-way":               {95, 0.6},
+		"at the end":             {90, 1},
+		"long ago":               {10, 1},
+		"at a time not reported": {0, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := s.warmUpFraction(&endpoint{Endpoint: Endpoint{StartedAt: tc.startedAt}}); math.Abs(got-tc.want) > 1e-9 {
+				t.Errorf("the fraction is %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// Guards against gateways that all begin with the same credit, and so send to a warming endpoint all at once.
+func TestInitialCreditsAreSpreadOverTheGateways(t *testing.T) {
+	const gateways = 100
+	var credits [10]int // by tenths
+	for self := range gateways {
+		s := newTestSlowStart(gateways)
+		s.self = self
+		credits[int(10*s.initialCredit(4711))]++
+	}
+	for tenth, count := range credits {
+		if count < 8 || count > 12 {
+			t.Errorf("%d of 100 gateways begin with a credit from 0.%d on, want 10: %v", count, tenth, credits)
+		}
+	}
+}
+
+func TestCreditsAccrueOncePerFirstAttempt(t *testing.T) {
+	s := newTestSlowStart(1)
+	classes := []*class{newClass(testSettings().Classes[0], 0)}
+	warming := &endpoint{Endpoint: Endpoint{ID: "w", StartedAt: 95}}
+	endpoints := []*endpoint{warming, {Endpoint: Endpoint{ID: "a"}}, {Endpoint: Endpoint{ID: "b"}}}
+	s.updateEstimates(classes, endpoints)
+	first := &request{class: classes[0]}
+	s.accrueCredits(first, endpoints)
+	credit := warming.slowStartCredit
+	// 0.6 of the capacity, 3 times that is allowed, one of 3 endpoints, half of the work taken as completed.
+	if math.Abs(credit-0.3) > 1e-9 {
+		t.Fatalf("a request brings a credit of %v, want 0.3", credit)
+	}
+	s.accrueCredits(first, endpoints)
+	s.accrueCredits(&request{class: classes[0], likelyRetry: true}, endpoints)
+	if warming.slowStartCredit != credit {
+		t.Errorf("retries raise the credit from %v to %v", credit, warming.slowStartCredit)
+	}
+	for range 10 {
+		s.accrueCredits(&request{class: classes[0]}, endpoints)
+	}
+	if warming.slowStartCredit != 1 || !s.creditAvailable(warming) {
+		t.Errorf("the credit is %v after 11 requests, want 1", warming.slowStartCredit)
+	}
+	if s.spendCredit(warming, classes[0]); s.creditAvailable(warming) {
+		t.Error("the credit is available after it was spent")
+	}
+}
+
+// Guards against a burst: credits of many gateways that none could spend for long must not all be spent at once.
+func TestUnspentCreditsExpire(t *testing.T) {
+	s := newTestSlowStart(1)
+	classes := []*class{newClass(testSettings().Classes[0], 0)}
+	warming := &endpoint{Endpoint: Endpoint{StartedAt: 99}, slowStartCredit: 1, slowStartCreditAt: 100}
+	if !s.creditAvailable(warming) {
+		t.Fatal("a new credit is not available")
+	}
+	s.clock.now += s.overloadWindow + 0.1
+	if s.creditAvailable(warming) {
+		t.Error("a credit is available after the overload window")
+	}
+	s.accrueCredits(&request{class: classes[0]}, []*endpoint{warming})
+	if warming.slowStartCredit >= 1 {
+		t.Error("an expired credit is renewed by one request")
+	}
+}
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -156,7 +156,7 @@
 	}
 	if len(c.awaitingOwner) > 0 {
 		first := c.awaitingOwner[0]
-		record.FirstWantedUnits, record.Cheapness = first.Units, first.priorityDeficit
+		record.FirstWantedUnits, record.PriorityDeficit = first.Units, first.priorityDeficit
 	}
 	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
 	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
