--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -142,3 +142,20 @@
 		})
 	}
 }
+
+func TestFullMessageKeepsToItsSize(t *testing.T) {
+	for _, format := range []messageFormat{testFormat, {unitsPerStep: 1, widePlan: true}} {
+		full := message{}
+		for format.recordsFit(len(full.records) + 1) {
+			full.records = append(full.records, usageRecord{Key: 1})
+		}
+		full.updates = make([]healthUpdate, format.updatesBeside(len(full.records)))
+		size := len(format.encode(full, 100))
+		if size > maxMessageSize || size <= maxMessageSize-updateSize {
+			t.Errorf("%+v: a full message has %d bytes, at most %d are allowed", format, size, maxMessageSize)
+		}
+		if decoded, err := format.decode(format.encode(full, 100), 100); err != nil || len(decoded.records) != len(full.records) {
+			t.Errorf("%+v: a full message is decoded with error %v", format, err)
+		}
+	}
+}
