--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 // Whichever gateways a customer has, their splits and the one pool never exceed the ceiling.
 func TestCeilingPartsAddUpToTheCeiling(t *testing.T) {
@@ -37,3 +40,71 @@
 		t.Errorf("%v units are left of a split that was reserved whole", c.ceilingSplit.tokens)
 	}
 }
+
+// A restarted gateway may just have spent its split of the ceiling.
+func TestCeilingSplitStartsEmpty(t *testing.T) {
+	g, r := newTestGateway(t, nil)
+	sent := func() int { return len(r.ofKind("send", "")) }
+	sendRequest(g, 100, "first", "read", "capped", 4)
+	if sent() != 0 {
+		t.Fatal("units were admitted from an empty split")
+	}
+	for i := range 400 {
+		now := 101 + float64(i)*0.005
+		sendRequest(g, now, fmt.Sprint("q", i), "read", "capped", 1)
+		g.HandleTimer(now, 1)
+	}
+	if limit := int(20.0 / 2 * 3); sent() == 0 || sent() > limit {
+		t.Fatalf("%d units forwarded in 3 s, want some and %d at most", sent(), limit)
+	}
+}
+
+// The splits and the pool add up to the ceiling, whatever is lost or restarted.
+func TestCeilingHoldsThroughLossAndRestarts(t *testing.T) {
+	const fleet = 6
+	var gateways [fleet]*Gateway
+	var recorders [fleet]*recorder
+	var seen [fleet]int
+	restart := func(i int, now Seconds) {
+		s := testSettings()
+		s.Self, s.GatewayCount, s.Plans[1].Rate, s.Plans[1].Burst = i, fleet, 1000, 4000
+		recorders[i], seen[i] = &recorder{}, 0
+		gateways[i], _ = New(s, uint64(i), now, recorders[i])
+		gateways[i].HandleEndpoints(now, []Endpoint{{ID: "s1"}, {ID: "s2"}}, true)
+	}
+	for i := range fleet {
+		restart(i, 100)
+	}
+	units := 0.0
+	deliver := func(from int, now Seconds) {
+		for ; seen[from] < len(recorders[from].actions); seen[from]++ {
+			switch a := recorders[from].actions[seen[from]]; {
+			case a.kind == "send":
+				units += 2
+				gateways[from].HandleOutcome(now, Outcome{RequestID: a.id, Status: OK, RequestDone: true, Elapsed: 0.05})
+			case a.kind == "send_to_peer" && seen[from]%5 != 0: // every fifth action, if a message, is lost
+				gateways[a.to].HandlePeerMessage(now, from, a.data)
+			}
+		}
+	}
+	for step := range 2000 {
+		now := 100 + float64(step)*0.005
+		if step%300 == 299 {
+			restart(step/300%fleet, now)
+		}
+		gateways[step*7%fleet].HandleRequest(now, Request{
+			ID: fmt.Sprint("q", step), Class: "read", Plan: "capped", Customer: "c", Deadline: now + 2,
+			GatewayCount: fleet, Units: 2,
+		})
+		for i := range fleet {
+			gateways[i].HandleTimer(now, 1)
+			if step%4 == 0 {
+				deliver(i, now)
+			}
+		}
+	}
+	// 10 s of 20 units a second and a burst of 40.
+	if units > 240 || units < 100 {
+		t.Fatalf("%v units forwarded under a ceiling of 240", units)
+	}
+}
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -56,7 +56,9 @@
 		case record.Owner && c != nil && c.report.gateway == from:
 			q.applyGrant(c, record)
 		case !record.Owner:
-			report := memberReport{record, from, received.incarnation, q.clock.now}
+			report := memberReport{
+				usageRecord: record, from: from, incarnation: received.incarnation, receivedAt: q.clock.now,
+			}
 			answer.records = append(answer.records, q.answerReport(report))
 		}
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -167,7 +167,7 @@
 			ID: id, Class: "read", Plan: "basic", Customer: name, Deadline: now + 2, GatewayCount: g.settings.GatewayCount,
 			Units: units,
 		})
-		return g.quota.customers.byKey[uint32(hashCustomer(name)>>32)]
+		return findTestCustomer(g, name)
 	}
 }
 
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -5,52 +5,54 @@
 	"testing"
 )
 
-// Guards the count of an owner: a member that has forgotten a customer starts its count at 0, which must
-// not be taken for units handed back, nor the new ones be lost, whoever of the two has forgotten what.
+// A member that has evicted a customer starts its count at 0, which must not be taken for units that are
+// returned, nor may the new ones be lost, whichever of owner and member has evicted what.
 func TestOwnerAndMemberEvictInStep(t *testing.T) {
-	for _, pause := range []float64{1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry} {
+	for _, pause := range []Seconds{
+		1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry,
+	} {
 		g, r, pump := pair(t)
-		var q Request
-		for i := range 100 { // a customer of g[0] that asks at g[1] alone
-			q = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
-			if g[1].owner(g[1].quota.customers.find(q)) == 0 {
+		var request Request
+		for i := range 100 { // of a customer that g[0] owns, and that comes to g[1] alone
+			request = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
+			if g[1].owner(g[1].quota.customers.find(request)) == 0 {
 				break
 			}
 		}
-		now, n := 100.0, 0
-		run := func(until float64) {
+		now, attempts := 100.0, 0
+		run := func(until Seconds) {
 			for ; now < until; now += 0.02 {
 				g[0].HandleTimer(now, 1)
 				g[1].HandleTimer(now, 1)
 				pump(now)
 			}
 		}
-		try := func() bool {
-			n++
-			q.ID, q.Deadline = fmt.Sprint("q", n), now+4
-			g[1].HandleRequest(now, q)
+		send := func() bool {
+			attempts++
+			request.ID, request.Deadline = fmt.Sprint("q", attempts), now+4
+			g[1].HandleRequest(now, request)
 			run(now + 0.2)
-			sent := r[1].ofKind("send", q.ID)
-			for _, a := range sent {
-				g[1].HandleOutcome(now, Outcome{RequestID: q.ID, Endpoint: a.endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
+			forwarded := r[1].ofKind("send", request.ID)
+			for _, a := range forwarded {
+				g[1].HandleOutcome(now, Outcome{RequestID: request.ID, Endpoint: a.endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
 			}
 			run(now + 0.2)
-			return len(sent) > 0
+			return len(forwarded) > 0
 		}
 		for range 3 {
-			try()
+			send()
 		}
 		run(now + pause)
 		before := now
-		passed := 0
+		admitted := 0
 		for range 8 {
-			if try() {
-				passed++
+			if send() {
+				admitted++
 			}
 		}
 		// A window of 8 that fills at 2 a second, and requests of 2.
-		if most := int((8 + 2*(now-before)) / 2); passed > most || passed < min(most, 8)-2 {
-			t.Errorf("after a pause of %v s %d of 8 passed, %d are inside the quota", pause, passed, most)
+		if limit := int((8 + 2*(now-before)) / 2); admitted > limit || admitted < min(limit, 8)-2 {
+			t.Errorf("after a pause of %v s %d of 8 are admitted, the quota holds %d", pause, admitted, limit)
 		}
 	}
 }
@@ -68,41 +70,41 @@
 	}
 	// 10 s of 2 a second and a burst of 8.
 	if units < 22 || units > 31 {
-		t.Fatalf("%d units sent on, the quota holds 28", units)
+		t.Fatalf("%d units forwarded, the quota holds 28", units)
 	}
 }
 
 func TestRestartedOwnerRecoversFromTheNextReports(t *testing.T) {
 	g, r, pump := pair(t)
-	own := g[0].quota.customers.find(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
-	m, seen := 1-own, 0
+	owner := g[0].quota.customers.find(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
+	member, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
-		sendRequest(g[m], now, fmt.Sprint("q", i), "read", "basic", 1)
+		sendRequest(g[member], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
-		replyToAll(g[m], r[m], &seen, now)
+		replyToAll(g[member], r[member], &seen, now)
 	}
 	s := testSettings()
-	s.Self = own
-	fresh, err := New(s, 99, 104, r[own])
+	s.Self = owner
+	restarted, err := New(s, 99, 104, r[owner])
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.HandleEndpoints(104, []Endpoint{{ID: "s1", Zone: "a", Cell: 1}}, true)
-	g[own] = fresh
-	n := len(r[m].actions)
+	restarted.HandleEndpoints(104, []Endpoint{{ID: "s1", Zone: "a", Cell: 1}}, true)
+	g[owner] = restarted
+	before := len(r[member].actions)
 	for now := 104.02; now < 104.3; now += 0.02 {
-		sendRequest(g[m], now, fmt.Sprint("after", now), "read", "basic", 1)
-		g[m].HandleTimer(now, 1)
+		sendRequest(g[member], now, fmt.Sprint("after", now), "read", "basic", 1)
+		g[member].HandleTimer(now, 1)
 	}
-	for _, a := range r[m].actions[n:] {
+	for _, a := range r[member].actions[before:] {
 		if a.kind == "send_to_peer" {
-			fresh.HandlePeerMessage(104.3, m, a.data)
+			restarted.HandlePeerMessage(104.3, member, a.data)
 		}
 	}
-	c := fresh.quota.customers.byKey[uint32(hashCustomer("c-basic")>>32)]
+	c := findTestCustomer(restarted, "c-basic")
 	if c == nil || c.currentLedger(104.3).window.tokens > 4 {
-		t.Fatal("the restarted owner grants a fresh window")
+		t.Fatal("the restarted owner grants from a full window")
 	}
 }
 
@@ -110,15 +112,15 @@
 	g, r := newTestGateway(t, ofGateways(100))
 	granted := 0.0
 	for i := range 30 {
-		b := encodeRecord(1, usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1})
-		g.HandlePeerMessage(100, 1+i, b)
-		tells := r.ofKind("send_to_peer", "")
-		reply, err := testFormat.decode(tells[len(tells)-1].data, 100)
+		report := usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1}
+		g.HandlePeerMessage(100, 1+i, encodeRecord(1, report))
+		sent := r.ofKind("send_to_peer", "")
+		reply, err := testFormat.decode(sent[len(sent)-1].data, 100)
 		if err != nil || len(reply.records) != 1 {
 			t.Fatalf("the reply has %d records, want 1 (%v)", len(reply.records), err)
 		}
 		if granted += reply.records[0].Total; i == 29 && reply.records[0].Backoff == 0 {
-			t.Fatal("an owner asked thirty times at once did not tell its members to hold")
+			t.Fatal("an owner asked thirty times at once gave its members no backoff")
 		}
 	}
 	if granted != 8 {
@@ -126,30 +128,61 @@
 	}
 }
 
-// A grant that its member did not use must not stay set aside.
+// A grant that its member did not use must not stay reserved.
 func TestUnusedGrantIsReturned(t *testing.T) {
 	g, _ := newTestGateway(t, ofGateways(100))
-	tell := func(seq uint16, r usageRecord) {
-		b := encodeRecord(seq, r)
-		g.HandlePeerMessage(100, 1, b)
+	report := func(sequence uint16, record usageRecord) {
+		g.HandlePeerMessage(100, 1, encodeRecord(sequence, record))
 	}
-	tell(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
-	tell(2, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6}) // takeReport again, as the answer was lost
-	if room := g.quota.customers.byKey[77].ledger.window.tokens; room != 2 {
-		t.Fatalf("room is %v after 6 of 8 were set aside, told twice", room)
+	left := func() float64 { return g.quota.customers.byKey[77].ledger.window.tokens }
+	report(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
+	report(2, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6}) // again, as the reply was lost
+	if left() != 2 {
+		t.Fatalf("%v units are left after a grant of 6 of 8 that was asked for twice", left())
 	}
-	tell(3, usageRecord{Key: 77})
-	if room := g.quota.customers.byKey[77].ledger.window.tokens; room != 8 {
-		t.Fatalf("room is %v after the grant was handed back", room)
+	report(3, usageRecord{Key: 77})
+	if left() != 8 {
+		t.Fatalf("%v units are left after the grant was returned", left())
 	}
 }
 
-// A young count believes the room that a member hands back, even where its window has just turned.
+// A young ledger adopts the units left that a member reports, as the owner may have restarted.
 func TestNewLedgerTakesRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	b := encodeRecord(1, usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1})
-	g.HandlePeerMessage(104, 1, b)
-	if room := g.quota.customers.byKey[5].currentLedger(104).window.tokens; room > 1 {
-		t.Fatalf("room is %v after a member handed back 1", room)
+	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1}))
+	if left := g.quota.customers.byKey[5].currentLedger(104).window.tokens; left > 1 {
+		t.Fatalf("%v units are left after a member reported 1", left)
+	}
+}
+
+// An owner with 8 of 8 units left, that is asked for one request of 2 units and more behind it.
+func TestOwnerGrantsAllThatWaitOrTheFirst(t *testing.T) {
+	const now = Seconds(100)
+	for _, tc := range []struct {
+		name          string
+		wanted        float64
+		maxConcurrent int
+		want          float64
+	}{
+		{"all fit", 8, 0, 8},
+		{"only the first fits", 9, 0, 2},
+		{"one slot at a time", 8, 1, 2},
+	} {
+		c := &customer{plan: &plan{Plan: Plan{Rate: 2, Burst: 8, MaxConcurrent: tc.maxConcurrent}}, primaryHere: true}
+		c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
+		record := usageRecord{Total: 5, WantedUnits: tc.wanted, FirstWantedUnits: 2}
+		report := memberReport{usageRecord: record, from: 1, incarnation: 1, receivedAt: now}
+		backoff := func(int) Seconds { return 1 }
+		reply := c.answerReport(report, testFormat, backoff)
+		if granted := reply.Total - record.Total; granted != tc.want || reply.Remaining != 8-tc.want || reply.Backoff != 0 {
+			t.Errorf("%s: granted %v units, want %v: %+v", tc.name, granted, tc.want, reply)
+		}
+		if reply = c.answerReport(report, testFormat, backoff); reply.Total-record.Total != tc.want {
+			t.Errorf("%s: granted %v units to the same report again, want %v", tc.name, reply.Total-record.Total, tc.want)
+		}
+		report.from, report.WantedUnits, report.FirstWantedUnits = 2, 7, 7
+		if reply = c.answerReport(report, testFormat, backoff); reply.Total != record.Total || reply.Backoff != 1 {
+			t.Errorf("%s: another member's 7 units are not rejected with a backoff: %+v", tc.name, reply)
+		}
 	}
 }
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 func TestLocalWindowHoldsAPartOfTheQuota(t *testing.T) {
 	p := &plan{Plan: Plan{Rate: 8, Burst: 16}, maxRequestUnits: 3}
@@ -25,3 +28,21 @@
 		}
 	}
 }
+
+// A regression: with all messages lost, every gateway granted the whole quota.
+func TestIsolatedGatewayAdmitsItsFractionAlone(t *testing.T) {
+	g, r, send := asMember(t, ofGateways(4))
+	seen := 0
+	for i := range 2500 {
+		now := 100 + float64(i)*0.02
+		if i%3 == 0 {
+			send(now, fmt.Sprint("q", i), 1)
+		}
+		g.HandleTimer(now, 1)
+		replyToAll(g, r, &seen, now)
+	}
+	// 50 s of 2 units a second shared by 4, and a burst of 8.
+	if forwarded := len(r.ofKind("send", "")); forwarded < 20 || forwarded > 50 {
+		t.Fatalf("%d units forwarded in isolation, a fourth of the quota is 33, the whole 108", forwarded)
+	}
+}
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -11,87 +11,87 @@
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
 	if n := len(r.ofKind("send", "")); n != 2 {
-		t.Fatalf("%d attempts out, want 2", n)
+		t.Fatalf("%d attempts in flight, want 2", n)
 	}
 	g.HandleOutcome(100.1, Outcome{RequestID: "q0", Endpoint: "s1", Status: OK, RequestDone: true, Elapsed: 0.1})
 	if len(r.ofKind("send", "q2")) != 1 {
-		t.Fatal("an ended attempt did not make room for what waited")
+		t.Fatal("an ended attempt did not free its slot for what waited")
 	}
 	g.HandleOutcome(100.2, Outcome{RequestID: "q1", Endpoint: "s1", Status: OK, RequestDone: true, Elapsed: 0.2})
 	sendRequest(g, 100.2, "q3", "read", "open", 1)
 	if len(r.ofKind("send", "q3")) != 1 {
-		t.Fatal("an ended attempt did not make room for what came later")
+		t.Fatal("an ended attempt did not free its slot for what came later")
 	}
 }
 
-// A refusal for want of a slot sent clients away for a second, past the aims of most classes.
+// A regression: a rejection for want of a slot sent clients away for a second, past the objectives of most classes.
 func TestSlotQueueIsBoundedAndEndsWithTheObjective(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
 	for i := range 6 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
-	if sent, refused := len(r.ofKind("send", "")), len(r.ofKind("reject", "")); sent != 2 || refused != 2 {
-		t.Fatalf("with two slots %d sent and %d refused of 6, want 2 and 2: two may wait", sent, refused)
+	if forwarded, rejected := len(r.ofKind("send", "")), len(r.ofKind("reject", "")); forwarded != 2 || rejected != 2 {
+		t.Fatalf("with two slots %d forwarded and %d rejected of 6, want 2 and 2: two may wait", forwarded, rejected)
 	}
-	end := 0.0
+	rejectedAt := 0.0
 	for now := 100.0; now < 102; now += timerInterval {
 		g.HandleTimer(now, 1)
-		if end == 0 && len(r.ofKind("reject", "")) == 4 {
-			end = now
+		if rejectedAt == 0 && len(r.ofKind("reject", "")) == 4 {
+			rejectedAt = now
 		}
 	}
-	if aim := 101.0; end == 0 || end > aim {
-		t.Fatalf("what waited was refused at %.2f, want an answer as soon as its aim at %.0f is lost", end, aim)
+	if objectiveAt := 101.0; rejectedAt == 0 || rejectedAt > objectiveAt {
+		t.Fatalf("what waited was rejected at %.2f, want it before its objective at %.0f", rejectedAt, objectiveAt)
 	}
 }
 
-// A dearer request takes the place of a cheaper one that waits, which is answered at once.
+// A request takes the place of one with a lower priority that waits, which is rejected at once.
 func TestHighestPriorityWaitsForASlot(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
 	for i := range 4 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
-	sendRequest(g, 100, "dear", "pay", "open", 1)
+	sendRequest(g, 100, "high", "pay", "open", 1)
 	if len(r.ofKind("reject", "q3")) != 1 || len(r.ofKind("reject", "")) != 1 {
-		t.Fatalf("want the last cheap one refused, got %v", r.actions)
+		t.Fatalf("want the last one of low priority rejected, got %v", r.actions)
 	}
 	g.HandleOutcome(100.1, Outcome{RequestID: "q0", Endpoint: r.ofKind("send", "q0")[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
-	if len(r.ofKind("send", "dear")) != 1 {
-		t.Fatal("the dearest does not go first")
+	if len(r.ofKind("send", "high")) != 1 {
+		t.Fatal("the one of the highest priority does not go first")
 	}
 }
 
-// Members kept the end of an attempt to themselves until the next batch, while others waited for the slot.
+// A regression: members reported the end of an attempt in the next batch only, while others waited for the slot.
 func TestFreedSlotIsReportedAtOnce(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	c := send(100, "q", 1)
 	from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total++; v.Remaining = 7; v.InFlight = 1 })
 	g.HandlePeerMessage(100.03, from, b)
 	if len(r.ofKind("send", "q")) != 1 || c.quota.othersInFlight != 1 {
-		t.Fatalf("not sent on a grant: %v", r.actions)
+		t.Fatalf("not forwarded on a grant: %v", r.actions)
 	}
 	g.HandleTimer(100.06, 1)
-	told := len(r.ofKind("send_to_peer", ""))
+	reports := len(r.ofKind("send_to_peer", ""))
 	g.quota.reporter.budget.tokens = 1 // too few for a report that can wait
 	g.HandleOutcome(100.07, Outcome{RequestID: "q", Endpoint: r.ofKind("send", "q")[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.04})
 	g.HandleTimer(100.08, 1)
-	if len(r.ofKind("send_to_peer", "")) != told+1 {
-		t.Fatal("the owner does not hear of the free slot")
+	if len(r.ofKind("send_to_peer", "")) != reports+1 {
+		t.Fatal("the free slot is not reported to the owner")
 	}
 }
 
-// A member that is told of no free slot asks again, after a pause, and sends on the grant.
+// A member to which no slot is granted asks again, after a pause, and forwards the request on the grant.
 func TestMemberAsksAgainForASlot(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	send(100, "q", 1)
 	from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Remaining = 7; v.InFlight = 2 })
 	g.HandlePeerMessage(100.03, from, b)
 	if len(r.ofKind("reject", "q")) != 0 {
-		t.Fatal("refused with room in its quota and time for its aim")
+		t.Fatal("rejected with units left and time until its objective")
 	}
-	told := len(r.ofKind("send_to_peer", ""))
+	reports := len(r.ofKind("send_to_peer", ""))
 	now := 100.03
-	for ; len(r.ofKind("send_to_peer", "")) == told && now < 101; now += timerInterval {
+	for ; len(r.ofKind("send_to_peer", "")) == reports && now < 101; now += timerInterval {
 		g.HandleTimer(now, 1)
 	}
 	if now > 100.3 || now < 100.04 {
@@ -100,11 +100,11 @@
 	from, b = ownerReply(t, r, 2, func(v *usageRecord) { v.Total++; v.Remaining = 6; v.InFlight = 1 })
 	g.HandlePeerMessage(now+0.03, from, b)
 	if len(r.ofKind("send", "q")) != 1 {
-		t.Fatalf("not sent on the grant: %v", r.actions)
+		t.Fatalf("not forwarded on the grant: %v", r.actions)
 	}
 }
 
-// Members of a parallel plan sent on news half a second old, in which others had taken the slots.
+// A regression: members forwarded by replies half a second old, after which others had taken the slots.
 func TestStaleSlotReportsAreNotSplit(t *testing.T) {
 	for _, age := range []float64{0.05, 0.3} {
 		g, r, send := asMemberOfParallel(t)
@@ -113,13 +113,43 @@
 		g.HandlePeerMessage(100.03, from, b)
 		first := r.ofKind("send", "first")
 		if len(first) != 1 {
-			t.Fatalf("not sent on a grant: %v", r.actions)
+			t.Fatalf("not forwarded on a grant: %v", r.actions)
 		}
 		g.HandleOutcome(100.04, Outcome{RequestID: "first", Endpoint: first[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.01})
 		g.HandleTimer(100.03+age, 1)
 		send(100.03+age, "next", 1)
-		if sent := len(r.ofKind("send", "next")) == 1; sent != (age < slotFreshness) {
-			t.Errorf("with news %.2f s old: sent is %v", age, sent)
+		if forwarded := len(r.ofKind("send", "next")) == 1; forwarded != (age < slotFreshness) {
+			t.Errorf("with a reply %.2f s old: forwarded is %v", age, forwarded)
 		}
 	}
 }
+
+func TestSlotQueueOrdersByPriorityWithinItsBound(t *testing.T) {
+	p := &plan{Plan: Plan{MaxConcurrent: 2}}
+	c := &customer{plan: p}
+	add := func(q *slotQueue, priority float64) *request {
+		return q.add(&request{plan: p, customer: c, priority: priority})
+	}
+	queue := &slotQueue{}
+	if add(queue, 1) != nil || add(queue, 3) != nil {
+		t.Fatal("a request is displaced within the bound")
+	}
+	if displaced := add(queue, 2); displaced == nil || displaced.priority != 1 {
+		t.Fatalf("displaced %+v, want the lowest priority", displaced)
+	}
+	first := c.slotWaiters[1]
+	if displaced := add(queue, 2); displaced == nil || displaced == first || c.slotWaiters[1] != first {
+		t.Fatalf("displaced %+v, want the last of an equal priority", displaced)
+	}
+	if len(queue.customers) != 1 || c.slotWaiters[0].priority != 3 || c.slotWaiters[1].priority != 2 {
+		t.Fatalf("%d customers wait, want one with priorities 3 and 2", len(queue.customers))
+	}
+	queue.retry(func(c *customer) { c.slotWaiters = c.slotWaiters[:1] })
+	if len(queue.customers) != 1 {
+		t.Fatal("a customer with a waiting request is dropped")
+	}
+	queue.retry(func(c *customer) { c.slotWaiters = nil })
+	if len(queue.customers) != 0 {
+		t.Fatal("a customer without waiting requests is kept")
+	}
+}
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -1,29 +1,27 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
-// Guards round 24: with a hundred gateways a split is under one request and news are old; what is asked
-// beyond the quota passed at each of them, or was refused with room.
+// A regression: with a hundred gateways a split is smaller than one request and the owner's replies are old.
+// What is beyond the quota was admitted at each gateway, or rejected with units left.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
-		g, r, ask := asMember(t, ofGateways(100))
-		ask(100, "q", 2)
+		g, r, send := asMember(t, ofGateways(100))
+		send(100, "q", 2)
 		if len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) != 0 {
 			t.Fatal("a gateway of a hundred decided alone")
 		}
 		from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total += grant; v.Remaining = 1 })
 		g.HandlePeerMessage(100.03, from, b)
-		if sent := len(r.ofKind("send", "q")); sent != int(grant/2) || sent+len(r.ofKind("reject", "q")) != 1 {
+		if forwarded := len(r.ofKind("send", "q")); forwarded != int(grant/2) || forwarded+len(r.ofKind("reject", "q")) != 1 {
 			t.Fatalf("granted %v of 2 units: %v", grant, r.actions)
 		}
 	}
 }
 
 func TestUnansweredReportFallsBackToTheLocalWindow(t *testing.T) {
-	g, r, ask := asMember(t, ofGateways(100))
-	ask(100, "q", 2)
+	g, r, send := asMember(t, ofGateways(100))
+	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	now := 100.0
 	for ; len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) == 0 && now < 101; now += 0.02 {
@@ -32,76 +30,157 @@
 	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxGrantAttempts+1)*(grantTimeout+timerInterval) {
 		t.Fatalf("no local window by %v", now)
 	}
-	if tells := r.ofKind("send_to_peer", ""); len(tells) < maxGrantAttempts || tells[len(tells)-1].to == first {
-		t.Fatalf("a silent owner was never passed over: %v", tells)
+	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxGrantAttempts || sent[len(sent)-1].to == first {
+		t.Fatalf("no report went past the unreachable owner: %v", sent)
 	}
 	if g.reachable(first) {
-		t.Fatal("an owner that left all unanswered counts as alive")
+		t.Fatal("an owner that left all unanswered counts as reachable")
 	}
 }
 
-// Guards balancer_stall: a gateway that stood still took its owners for silent.
+// A regression: a gateway that stood still itself took its owners for unreachable.
 func TestOwnStandstillCountsAgainstNoPeer(t *testing.T) {
-	g, r, ask := asMember(t, ofGateways(100))
-	ask(100, "q", 2)
+	g, r, send := asMember(t, ofGateways(100))
+	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
 	if !g.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
-		t.Fatal("a gap of this gateway counted as silence of another")
+		t.Fatal("a standstill of this gateway counted as silence of another")
 	}
 	from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total += 2 })
 	g.HandlePeerMessage(100.5, from, b)
 	if len(r.ofKind("send", "q")) != 1 {
-		t.Fatal("the verdict that came meanwhile was not used")
+		t.Fatal("the grant that came meanwhile was not used")
 	}
 }
 
 // A request costs two messages at most, however many gateways there are.
 func TestMessageCountFollowsRequestsNotFleetSize(t *testing.T) {
-	g, r, ask := asMember(t, ofGateways(500))
+	g, r, send := asMember(t, ofGateways(500))
 	for now := 100.0; now < 102; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
 	if n := len(r.ofKind("send_to_peer", "")); n != 0 {
 		t.Fatalf("%d messages without a request", n)
 	}
-	ask(102, "q", 2)
+	send(102, "q", 2)
 	if n := len(r.ofKind("send_to_peer", "")); n != 1 {
 		t.Fatalf("%d messages for a request", n)
 	}
 }
 
 func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
-	g, _, ask := asMember(t, nil)
-	c := ask(100, "q", 1)
+	g, _, send := asMember(t, nil)
+	c := send(100, "q", 1)
 	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owner(c) != 0 {
-		t.Fatal("a silent owner still owns")
+		t.Fatal("an unreachable owner still owns")
 	}
 	if g.clock.now = 100 + unreachablePeriod + 0.01; g.owner(c) != 1 {
-		t.Fatal("a silent owner is never tried again")
+		t.Fatal("an unreachable owner is never tried again")
 	}
 }
 
-// Seldom heard peers were taken for silent whenever two answers were lost by chance, and a stand-in that
-// knew nothing of the customer granted for them.
+// A regression: peers that seldom exchange messages were taken for unreachable whenever two replies were lost
+// by chance, and a substitute that knew nothing of the customer granted for them.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
-	g, r, ask := asMember(t, ofGateways(100))
-	c := ask(100, "q", 2)
+	g, r, send := asMember(t, ofGateways(100))
+	c := send(100, "q", 2)
 	owner := r.ofKind("send_to_peer", "")[0].to
 	for now := 100.0; now < 100+3*grantTimeout; now += timerInterval / 2 {
 		g.HandleTimer(now, 1)
-		if tells := r.ofKind("send_to_peer", ""); len(tells) == 3 {
-			if tells[1].to != owner || tells[2].to != owner || g.owner(c) != owner {
-				t.Fatalf("told %v, the owner is %d", tells, owner)
+		if sent := r.ofKind("send_to_peer", ""); len(sent) == 3 {
+			if sent[1].to != owner || sent[2].to != owner || g.owner(c) != owner {
+				t.Fatalf("reports went to %v, the owner is %d", sent, owner)
 			}
 			from, b := ownerReply(t, r, 1, func(v *usageRecord) { v.Total += 2; v.Remaining = 6 })
 			g.HandlePeerMessage(now, from, b)
 			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unanswered != 0 {
-				t.Fatal("the answer to the third report is not taken")
+				t.Fatal("the reply to the third report is not applied")
 			}
 			return
 		}
 	}
-	t.Fatal("the owner is not asked three times")
+	t.Fatal("no three reports went to the owner")
+}
+
+// newTestReporter returns a reporter of gateway 0 whose customers gateway 1 owns, with the messages it sends.
+func newTestReporter(clock *eventClock) (*usageReporter, *[]message) {
+	protocol, sent := newTestProtocol(clock)
+	u := newUsageReporter(testSettings(), clock, protocol, func(*customer) int { return 1 })
+	return &u, sent
+}
+
+func newReportedCustomer(key uint32) *customer {
+	return &customer{key: key, plan: &plan{Plan: Plan{Rate: 2, Burst: 8}}, primaryOwner: 1}
+}
+
+func TestReportsOfABatchShareAMessage(t *testing.T) {
+	clock := &eventClock{now: 100}
+	u, sent := newTestReporter(clock)
+	for key := range uint32(3) {
+		c := newReportedCustomer(key)
+		u.mark(c, false)
+		u.mark(c, false) // is in the batch already
+	}
+	u.sendDue()
+	if len(*sent) != 1 || len((*sent)[0].records) != 3 {
+		t.Fatalf("sent %+v, want one message with three records", *sent)
+	}
+	u.mark(newReportedCustomer(3), false)
+	clock.now += minReportInterval / 2
+	if u.sendDue(); len(*sent) != 1 {
+		t.Fatal("a second batch was sent within the least interval")
+	}
+	clock.now += minReportInterval
+	if u.sendDue(); len(*sent) != 2 || len(u.pending) != 0 {
+		t.Fatalf("%d messages are sent and %d batches pending, want 2 and 0", len(*sent), len(u.pending))
+	}
+}
+
+func TestUrgentReportsDoNotWaitForABatchButKeepToTheBudget(t *testing.T) {
+	clock := &eventClock{now: 100}
+	u, sent := newTestReporter(clock)
+	for key := range uint32(10) {
+		u.ask(newReportedCustomer(key))
+	}
+	if len(*sent) != minBatchTokens {
+		t.Fatalf("%d urgent messages are sent at once, the budget holds %d", len(*sent), minBatchTokens)
+	}
+	clock.now += 1.01 / (u.protocol.messageRate * reportFraction)
+	if u.sendDue(); len(*sent) != minBatchTokens+1 || len((*sent)[minBatchTokens].records) != 8 {
+		t.Fatalf("%d messages are sent, want one more with all that waited", len(*sent))
+	}
+}
+
+func TestReplyIsOverdueSoonerWhileRequestsWait(t *testing.T) {
+	for _, tc := range []struct {
+		waiting []*request
+		timeout Seconds
+	}{
+		{nil, reportTimeout},
+		{[]*request{{}}, grantTimeout},
+	} {
+		clock := &eventClock{now: 100}
+		u, _ := newTestReporter(clock)
+		c := newReportedCustomer(1)
+		c.awaitingOwner = tc.waiting
+		u.mark(c, false)
+		u.sendDue()
+		clock.now = 100 + tc.timeout - 0.01
+		if u.replyOverdue(c) {
+			t.Errorf("with %d requests waiting the reply is overdue before %v s", len(tc.waiting), tc.timeout)
+		}
+		clock.now = 100 + tc.timeout + 0.01
+		overdue := 0
+		u.forEachOverdue(func(c *customer) {
+			overdue++
+			if u.recordOverdue(c) {
+				t.Error("the first report is taken for the last attempt")
+			}
+		})
+		if overdue != 1 || u.protocol.peers[1].unanswered != 1 || len(u.expected) != 0 {
+			t.Errorf("with %d requests waiting %d replies are overdue, want 1", len(tc.waiting), overdue)
+		}
+	}
 }
