--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/netcalls"
 
 	"reedlead/policy"
@@ -20,10 +22,10 @@
 	number        int       // of the request's attempts, from 0
 	kind          attemptKind
 	sentAt        policy.Seconds
-	expiresAt     policy.Seconds // when the reply is not waited for any more
-	writeDeadline policy.Seconds // when the last byte must be written, by the clock, not by the loop's time; +Inf: at any time
-	timer         *timer         // fires at expiresAt
-	conn          *backendConn   // that it holds; nil before and after
+	expiresAt     policy.Seconds   // when the reply is not waited for any more
+	writeDeadline policy.Seconds   // when the last byte must be written, by the clock, not by the loop's time; +Inf: at any time
+	timer         *eventloop.Timer // fires at expiresAt
+	conn          *backendConn     // that it holds; nil before and after
 	done          bool
 }
 
@@ -95,13 +97,13 @@
 func (p *Proxy) newAttempt(r *request, endpointID string, timeout, writeWithin policy.Seconds) *attempt {
 	a := &attempt{
 		request: r, endpoint: p.endpoints.byID[endpointID], number: len(r.attempts), kind: kindOf(r),
-		sentAt: p.now, expiresAt: r.deadline, writeDeadline: math.Inf(1),
+		sentAt: p.loop.Now(), expiresAt: r.deadline, writeDeadline: math.Inf(1),
 	}
 	if timeout != 0 {
-		a.expiresAt = min(a.expiresAt, p.now+timeout)
+		a.expiresAt = min(a.expiresAt, p.loop.Now()+timeout)
 	}
 	if writeWithin != 0 {
-		a.writeDeadline = p.now + writeWithin
+		a.writeDeadline = p.loop.Now() + writeWithin
 	}
 	return a
 }
@@ -117,7 +119,7 @@
 func (p *Proxy) HealthCheck(endpointID string) {
 	a := &attempt{
 		endpoint: p.endpoints.byID[endpointID],
-		sentAt:   p.now, expiresAt: p.now + healthCheckTimeout, writeDeadline: math.Inf(1),
+		sentAt:   p.loop.Now(), expiresAt: p.loop.Now() + healthCheckTimeout, writeDeadline: math.Inf(1),
 	}
 	if a.endpoint == nil {
 		p.warn("health check of an endpoint that is not listed", "endpoint", endpointID)
@@ -129,7 +131,7 @@
 // unsendable tells whether no byte of the attempt may be written any more.
 func (p *Proxy) unsendable(a *attempt) bool {
 	e := a.endpoint
-	return e == nil || e.state != policy.InService || a.request != nil && a.request.over || p.now >= a.expiresAt
+	return e == nil || e.state != policy.InService || a.request != nil && a.request.over || p.loop.Now() >= a.expiresAt
 }
 
 // alreadySettled tells whether something has come that makes an attempt of the request needless or wrong, though the
@@ -153,13 +155,13 @@
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
 	}
-	p.deferred = append(p.deferred, func() { c.abandon(peerClosed, nil) })
+	p.loop.Defer(func() { c.abandon(peerClosed, nil) })
 	return true
 }
 
 // startAttempt writes the attempt to an idle connection, or has it wait for a new one.
 func (p *Proxy) startAttempt(a *attempt) {
-	a.timer = p.after(a.expiresAt-p.now, func() { p.expireAttempt(a) })
+	a.timer = p.loop.After(a.expiresAt-p.loop.Now(), func() { p.expireAttempt(a) })
 	if c := p.endpoints.acquireIdle(a.endpoint); c != nil {
 		c.writeCommand(a)
 		return
@@ -182,14 +184,14 @@
 	case a.conn.abortWrite():
 		status = policy.ConnectFailed
 	}
-	p.finishAttempt(a, attemptResult{status: status}, p.now)
+	p.finishAttempt(a, attemptResult{status: status}, p.loop.Now())
 }
 
 // finishDeferred ends an attempt now, and reports it once the current event of the decision module is over.
 func (p *Proxy) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	p.releaseAttempt(a)
-	p.deferred = append(p.deferred, func() { p.reportOutcome(a, attemptResult{status: status}, p.now) })
+	p.loop.Defer(func() { p.reportOutcome(a, attemptResult{status: status}, p.loop.Now()) })
 }
 
 // finishAttempt ends an attempt and reports it.
@@ -204,7 +206,7 @@
 
 // releaseAttempt gives up what an attempt still holds. A connection that is in use is closed.
 func (p *Proxy) releaseAttempt(a *attempt) {
-	p.stopTimer(a.timer)
+	p.loop.Stop(a.timer)
 	if a.conn != nil {
 		why := attemptGivenUp
 		if a.conn.unusable.Load() {
@@ -224,7 +226,7 @@
 	elapsed := max(at-a.sentAt, 0)
 	p.traceEnded(a, res, at)
 	if a.request == nil {
-		p.decider.HandleHealthCheck(p.now, policy.HealthCheckResult{
+		p.decider.HandleHealthCheck(p.loop.Now(), policy.HealthCheckResult{
 			Endpoint: a.endpoint.ID, Status: res.status, Elapsed: elapsed, Load: res.load,
 		})
 		return
@@ -239,7 +241,7 @@
 	if a.endpoint != nil {
 		endpointID = a.endpoint.ID
 	}
-	p.decider.HandleOutcome(p.now, policy.Outcome{
+	p.decider.HandleOutcome(p.loop.Now(), policy.Outcome{
 		RequestID: r.ID, Endpoint: endpointID, Attempt: a.number, Status: res.status,
 		RequestDone: r.over, Elapsed: elapsed, Load: res.load,
 	})
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -6,6 +6,8 @@
 	"sync/atomic"
 	"syscall"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/netcalls"
 
 	"reedlead/internal/discovery"
@@ -29,10 +31,10 @@
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
 
-	awaitingReply  atomic.Bool // a command was or is being written, and its reply has not come
-	unusable       atomic.Bool // not to be used for another command
-	commandWritten atomic.Bool // the whole command of the attempt
-	writeStartedAt atomicTime  // of that command
+	awaitingReply  atomic.Bool          // a command was or is being written, and its reply has not come
+	unusable       atomic.Bool          // not to be used for another command
+	commandWritten atomic.Bool          // the whole command of the attempt
+	writeStartedAt eventloop.AtomicTime // of that command
 
 	writeMu  sync.Mutex // held while a writer runs
 	writeErr error      // of the writer; guarded by writeMu
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -106,7 +106,7 @@
 
 // find returns the customer of a request, which is added if it is new.
 func (t *customerTable) find(r Request) *customer {
-	hash := hashCustomer(r.Customer)
+	hash := hashName(r.Customer)
 	key := uint32(hash >> 32)
 	c := t.byKey[key]
 	if c == nil {
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -7,7 +7,7 @@
 
 // findTestCustomer returns the customer of a name, nil if the gateway does not know it.
 func findTestCustomer(g *Gateway, name string) *customer {
-	return g.quota.customers.byKey[uint32(hashCustomer(name)>>32)]
+	return g.quota.customers.byKey[uint32(hashName(name)>>32)]
 }
 
 // Memory must stay bounded on long days: what has left, or came once, is evicted once it is idle.
@@ -25,8 +25,8 @@
 	}
 	limit := int((customerExpiry + customerExpiry/2) / 0.1)
 	customers := len(g.quota.customers.byKey)
-	if len(g.endpoints) > limit || len(g.endpointsByHash) > limit || customers > limit {
-		t.Errorf("%d endpoints, %d hashes and %d customers are kept, want %d at most", len(g.endpoints), len(g.endpointsByHash),
+	if len(g.endpoints.byID) > limit || len(g.endpoints.byHash) > limit || customers > limit {
+		t.Errorf("%d endpoints, %d hashes and %d customers are kept, want %d at most", len(g.endpoints.byID), len(g.endpoints.byHash),
 			customers, limit)
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
