--- a/policy/customer.go
+++ b/policy/customer.go
@@ -14,10 +14,10 @@
 	maxRequestUnits float64 // Settings.MaxRequestUnits
 }
 
-// prioritizedUnits returns the units that a request leaves to requests of higher priority while its customer
-// is over its rate.
-func (p *plan) prioritizedUnits(priorityDeficit float64) float64 {
-	return priorityDeficit * cheapReserveFraction * p.Burst
+// unitsForHigherPriority returns the units that a request leaves to requests of higher priority while its
+// customer is over its rate.
+func (p *plan) unitsForHigherPriority(priorityDeficit float64) float64 {
+	return priorityDeficit * lowPriorityReserve * p.Burst
 }
 
 // customer is the state that this gateway keeps of one customer, as its owner or as a member.
@@ -25,24 +25,37 @@
 	key  uint32 // the upper half of hash; names the customer in messages
 	hash uint64 // its point on the ring
 	plan *plan
-	// The gateways that its requests come to. A count of 0 tells that it is known from reports of others alone.
+
+	// firstGateway and gatewayCount are the gateways in a row that its requests come to. A count of 0 tells
+	// that it is known from reports of others alone.
 	firstGateway, gatewayCount int
-	primaryOwner               int     // the first of these gateways on the ring
-	primaryHere                bool    // this gateway is the primary owner
-	usedAt                     Seconds // of the last request or message
-	rejectedAt                 Seconds // of the last rejection
-	totalUnits                 float64 // charged here since the customer is known
-	acknowledgedUnits          float64 // of totalUnits, that the owner has counted
-	inFlight                   int     // attempts of this gateway
-	demand                     demandMeter
-	quota                      quotaView
-	local                      tokenBucket // the local window
-	ceilingSplit, ceilingPool  tokenBucket
-	ledger                     *ledger    // nil: this gateway is a member
-	awaitingOwner              []*request // wait for the owner's grant, in the order of arrival
-	slotWaiters                []*request // wait for a concurrency slot, in the order of priority
-	slotRetryAt                Seconds    // when slotWaiters are looked at next
-	report                     reportState
+	// primaryOwner is the first of these gateways on the ring, and primaryHere tells that it is this one.
+	primaryOwner int
+	primaryHere  bool
+
+	usedAt     Seconds // of the last request or message
+	rejectedAt Seconds // of the last rejection
+
+	// What this gateway charged, is asked for and has in flight.
+	totalUnits        float64 // charged since the customer is known
+	acknowledgedUnits float64 // of totalUnits, that the owner has counted
+	demand            demandMeter
+	inFlight          int
+
+	// The windows.
+	quota        quotaView   // of a member
+	ledger       *ledger     // of the owner; nil at a member
+	local        tokenBucket // while the owner does not reply
+	ceilingSplit tokenBucket
+	ceilingPool  tokenBucket
+
+	// awaitingOwner holds the requests that wait for the owner's grant, in the order of arrival.
+	awaitingOwner []*request
+	report        reportState
+	// slotWaiters holds the requests that wait for a concurrency slot, in the order of priority. They are
+	// not retried before slotRetryAt.
+	slotWaiters []*request
+	slotRetryAt Seconds
 }
 
 // gateways returns how many gateways the customer's requests come to, as a divisor of its quota.
@@ -82,18 +95,25 @@
 type customerTable struct {
 	clock              *eventClock
 	self, gatewayCount int
-	primaryOwner       func(*customer) int
+	owners             ownerFinder
 	startedAt          Seconds
 	byKey              map[uint32]*customer
 	plans              map[string]*plan
 	plansByIndex       []*plan
 }
 
-// newCustomerTable returns a table without customers. primaryOwner finds a customer's owner while all
-// gateways are reachable.
-func newCustomerTable(s Settings, clock *eventClock, primaryOwner func(*customer) int) customerTable {
+// ownerFinder finds the gateway that counts a customer against its whole quota.
+type ownerFinder interface {
+	// owner returns the owner among the gateways that are reachable now.
+	owner(c *customer) int
+	// findPrimaryOwner returns the owner while all gateways are reachable.
+	findPrimaryOwner(c *customer) int
+}
+
+// newCustomerTable returns a table without customers.
+func newCustomerTable(s Settings, clock *eventClock, owners ownerFinder) customerTable {
 	t := customerTable{
-		clock: clock, self: s.Self, gatewayCount: s.GatewayCount, primaryOwner: primaryOwner, startedAt: clock.now,
+		clock: clock, self: s.Self, gatewayCount: s.GatewayCount, owners: owners, startedAt: clock.now,
 		byKey: map[uint32]*customer{}, plans: map[string]*plan{},
 	}
 	for i, p := range s.Plans {
@@ -138,7 +158,7 @@
 	if c.gatewayCount <= 0 || c.gatewayCount > t.gatewayCount {
 		c.firstGateway, c.gatewayCount = 0, t.gatewayCount
 	}
-	c.primaryOwner = t.primaryOwner(c)
+	c.primaryOwner = t.owners.findPrimaryOwner(c)
 	c.primaryHere = c.primaryOwner == t.self
 }
 
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -57,3 +57,28 @@
 		t.Fatal("units that the ledger counted are counted again")
 	}
 }
+
+func TestCustomersAreFoundAgainAndLocatedOnce(t *testing.T) {
+	s := testSettings()
+	s.GatewayCount = 4
+	clock := &eventClock{now: 100}
+	table := newCustomerTable(s, clock, fixedOwner(2))
+	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // in a member's report
+	if !reported.primaryHere || reported.gatewayCount != 0 {
+		t.Fatal("a customer known from reports alone must have this gateway as its owner")
+	}
+	clock.now = 101
+	found := table.find(Request{Customer: "x", Plan: "basic", FirstGateway: 1, GatewayCount: 3})
+	if found != reported || len(table.byKey) != 1 {
+		t.Fatal("the customer of a report is not found by its name")
+	}
+	if found.primaryOwner != 2 || found.primaryHere || found.firstGateway != 1 || found.gatewayCount != 3 || found.usedAt != 101 {
+		t.Fatalf("located as %+v, want gateway 2 of 1 to 3 as its owner", found)
+	}
+	if table.find(Request{Customer: "x", Plan: "basic", FirstGateway: 0, GatewayCount: 4}).gatewayCount != 3 {
+		t.Fatal("a customer moved to other gateways while it is known")
+	}
+	if c := table.find(Request{Customer: "y", Plan: "basic", FirstGateway: 1, GatewayCount: 9}); c.firstGateway != 0 || c.gatewayCount != 4 {
+		t.Fatalf("a customer of more gateways than there are is located at %d of %d, want all", c.firstGateway, c.gatewayCount)
+	}
+}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -56,10 +56,8 @@
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, act.SendToPeer
 	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.quota = quotaController{
-		clock: g.clock, self: s.Self, owner: g.owner, protocol: &g.protocol, retries: &g.retries, requests: g,
-		customers:           newCustomerTable(s, g.clock, g.findPrimaryOwner),
-		reporter:            newUsageReporter(s, g.clock, &g.protocol, g.owner),
-		meanAttemptDuration: func() Seconds { return g.limiter.meanAttemptDuration },
+		clock: g.clock, self: s.Self, owners: g, protocol: &g.protocol, retries: &g.retries, limiter: g.limiter,
+		requests: g, customers: newCustomerTable(s, g.clock, g), reporter: newUsageReporter(s, g.clock, &g.protocol, g),
 	}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.picker = &endpointPicker{
--- /dev/null
+++ b/policy/grants_test.go
@@ -0,0 +1,89 @@
+package policy
+
+import "testing"
+
+// decisions is a requestHandler that records what is decided.
+type decisions struct {
+	dispatched, rejected []string
+	why                  []Reason
+}
+
+func (d *decisions) dispatch(r *request) { d.dispatched = append(d.dispatched, r.ID) }
+
+func (d *decisions) reject(r *request, why Reason) {
+	d.rejected, d.why = append(d.rejected, r.ID), append(d.why, why)
+}
+
+// newTestController returns the quota side of gateway 0, without a ceiling or other parts, for customers that
+// gateway 1 owns.
+func newTestController(clock *eventClock) (*quotaController, *decisions, *[]message) {
+	protocol, sent := newTestProtocol(clock)
+	decided := &decisions{}
+	return &quotaController{
+		clock: clock, owners: fixedOwner(1), protocol: protocol, requests: decided,
+		customers: newCustomerTable(testSettings(), clock, fixedOwner(1)),
+		reporter:  newUsageReporter(testSettings(), clock, protocol, fixedOwner(1)),
+	}, decided, sent
+}
+
+// awaitGrants has requests of 2 units each wait for the owner of their customer.
+func awaitGrants(q *quotaController, ids ...string) *customer {
+	c := q.customers.find(Request{Customer: "x", Plan: "basic", GatewayCount: 2})
+	for _, id := range ids {
+		q.awaitOwner(&request{Request: Request{ID: id, Units: 2}, plan: c.plan, customer: c})
+	}
+	return c
+}
+
+func TestGrantCoversTheRequestsThatWereAskedFor(t *testing.T) {
+	q, decided, sent := newTestController(&eventClock{now: 100})
+	c := awaitGrants(q, "first", "second", "third")
+	if len(*sent) != 1 || (*sent)[0].records[0].WantedUnits != 2 {
+		t.Fatalf("sent %+v, want a report for the first request", *sent)
+	}
+	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Total: 2, Remaining: 6, WantedUnits: 2})
+	if len(decided.dispatched) != 1 || decided.dispatched[0] != "first" || len(decided.rejected) != 0 {
+		t.Fatalf("decided %+v, want the first dispatched alone", decided)
+	}
+	q.reporter.sendDue()
+	if len(*sent) != 2 || (*sent)[1].records[0].WantedUnits != 4 {
+		t.Fatalf("sent %+v, want a report for the two that came later", *sent)
+	}
+	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Total: 4, Remaining: 4, WantedUnits: 4})
+	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
+		t.Fatalf("decided %+v, want the second dispatched and the third rejected on a grant of 2 units", decided)
+	}
+}
+
+func TestBackoffRejectsAllThatWait(t *testing.T) {
+	q, decided, _ := newTestController(&eventClock{now: 100})
+	c := awaitGrants(q, "first", "second")
+	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Remaining: 1, WantedUnits: 2, Backoff: 0.5})
+	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
+		t.Fatalf("decided %+v, want both rejected", decided)
+	}
+	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
+		t.Fatal("the owner would be asked again during its backoff")
+	}
+}
+
+func TestLocalWindowDecidesAfterTheLastReportWithoutAReply(t *testing.T) {
+	clock := &eventClock{now: 100}
+	q, decided, sent := newTestController(clock)
+	c := awaitGrants(q, "q")
+	c.local = tokenBucket{tokens: 2, updatedAt: 100}
+	for range maxGrantAttempts {
+		if len(decided.dispatched) != 0 {
+			t.Fatalf("the local window decided after %d reports, want %d", len(*sent), maxGrantAttempts)
+		}
+		clock.now += grantTimeout + timerInterval
+		q.retransmit()
+		q.reporter.sendDue()
+	}
+	if len(decided.dispatched) != 1 || len(c.awaitingOwner) != 0 || c.totalUnits != 2 {
+		t.Fatalf("decided %+v, want the request dispatched and charged", decided)
+	}
+	if q.protocol.reachable(1) {
+		t.Fatal("an owner without a reply is reachable")
+	}
+}
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -7,6 +7,8 @@
 	inFlightExpiry Seconds = 3.0
 	// youngLedgerAge is the age below which a ledger adopts lower remaining units from reports of members.
 	youngLedgerAge Seconds = 2.0
+	// noGateway is the number of none.
+	noGateway = -1
 )
 
 // ledger is the owner's count of a customer against the whole quota, over all gateways.
@@ -26,7 +28,7 @@
 	reportedAt  Seconds
 }
 
-// inFlight returns the attempts in flight at all members except one. A number below 0 excepts none.
+// inFlight returns the attempts in flight at all members except one, or noGateway.
 func (l *ledger) inFlight(now Seconds, except int) (sum int) {
 	for gateway, m := range l.members {
 		if gateway != except && now-m.reportedAt < inFlightExpiry {
@@ -141,13 +143,13 @@
 // priority.
 func (c *customer) ledgerHasCapacity(l *ledger, units, priorityDeficit float64, now Seconds) bool {
 	p := c.plan
-	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(now, -1) >= p.MaxConcurrent {
+	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(now, noGateway) >= p.MaxConcurrent {
 		return false
 	} else if p.Rate == 0 {
 		return true
 	}
 	if c.demand.at(now)+l.membersDemand(now) > p.Rate {
-		units += p.prioritizedUnits(priorityDeficit)
+		units += p.unitsForHigherPriority(priorityDeficit)
 	}
 	return units <= l.window.tokens
 }
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -23,7 +23,8 @@
 		if c.reserveLocal(tc.burst+0.1, 1000) || !c.reserveLocal(tc.burst, 1000) {
 			t.Errorf("%d gateways: a full window does not hold %v units", tc.gateways, tc.burst)
 		}
-		if c.isLocalWindowFull(1000) || !c.isLocalWindowFull(1000+tc.burst/p.Rate*float64(tc.gateways)) {
+		fillTime := tc.burst / p.Rate * float64(tc.gateways)
+		if c.isLocalWindowFull(1000+0.9*fillTime) || !c.isLocalWindowFull(1000+fillTime) {
 			t.Errorf("%d gateways: the window does not fill by its part of the rate", tc.gateways)
 		}
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -15,15 +15,16 @@
 	customers customerTable
 	reporter  usageReporter
 	slots     slotQueue
-	// owner finds the gateway that owns a customer now.
-	owner    func(*customer) int
-	protocol *peerProtocol
-	retries  *retryPolicy
-	requests requestHandler
-	// meanAttemptDuration returns the mean time until a reply or a timeout.
-	meanAttemptDuration func() Seconds
+	owners    ownerFinder
+	protocol  *peerProtocol
+	retries   *retryPolicy
+	limiter   *concurrencyLimiter
+	requests  requestHandler
 }
 
+// isOwner tells whether this gateway is the customer's owner now.
+func (q *quotaController) isOwner(c *customer) bool { return q.owners.owner(c) == q.self }
+
 // handleTimer does what no event brings: it looks after reports without a reply and requests without a slot,
 // and sends the reports that are due.
 func (q *quotaController) handleTimer() {
@@ -34,7 +35,7 @@
 
 // admit decides on a request: the owner by its ledger, a member by its split of the remaining units.
 func (q *quotaController) admit(r *request) admission {
-	if q.owner(r.customer) == q.self {
+	if q.isOwner(r.customer) {
 		return r.customer.admitAsOwner(r, q.clock.now)
 	}
 	return r.customer.admitAsMember(r, q.clock.now)
@@ -56,7 +57,7 @@
 
 // charge counts units, which are below 0 when they are returned, and has them reported to the owner.
 func (q *quotaController) charge(c *customer, units float64) {
-	if q.owner(c) == q.self {
+	if q.isOwner(c) {
 		c.currentLedger(q.clock.now).charge(units)
 	}
 	c.totalUnits += units
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -6,9 +6,9 @@
 	grantFreshness Seconds = 0.5
 	// slotFreshness is the same for attempts in flight, which change with every request.
 	slotFreshness Seconds = 0.1
-	// cheapReserveFraction is the fraction of the burst that requests of the lowest priority leave to those
+	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority leave to those
 	// of higher priority while their customer is over its rate.
-	cheapReserveFraction = 0.18
+	lowPriorityReserve = 0.18
 )
 
 // quotaView is what a member knows of its customer's quota window: the owner's last reply.
@@ -68,7 +68,7 @@
 	p, demand, othersDemand := r.plan, c.demand.at(now), c.quota.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
-		need += p.prioritizedUnits(r.priorityDeficit)
+		need += p.unitsForHigherPriority(r.priorityDeficit)
 	}
 	stale := !c.quota.known || age > grantFreshness
 	split := remaining * demand / max(demand+othersDemand, 1e-9)
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -66,7 +66,7 @@
 	if next > r.firstWriteBy || next+r.class.meanLatency > r.objectiveAt || !q.retries.allowsAttempt(r) {
 		return false
 	}
-	available := c.availableUnits(q.owner(c) == q.self, q.clock.now)
+	available := c.availableUnits(q.isOwner(c), q.clock.now)
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
@@ -74,8 +74,8 @@
 // in which a slot can be expected to become free.
 func (q *quotaController) queueForSlot(r *request) {
 	c := r.customer
-	if q.owner(c) != q.self {
-		slotInterval := max(q.meanAttemptDuration(), timerInterval) / float64(2*r.plan.MaxConcurrent)
+	if !q.isOwner(c) {
+		slotInterval := max(q.limiter.meanAttemptDuration, timerInterval) / float64(2*r.plan.MaxConcurrent)
 		c.slotRetryAt = max(c.slotRetryAt, q.clock.now+slotInterval)
 	}
 	if displaced := q.slots.add(r); displaced != nil {
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -48,20 +48,19 @@
 	clock    *eventClock
 	self     int
 	protocol *peerProtocol
-	owner    func(*customer) int
+	owners   ownerFinder
 	budget   tokenBucket // reports that may be sent
 	batches  []reportBatch
 	pending  []int       // gateways whose batches are not empty
 	expected []*customer // expect a reply
 }
 
-// newUsageReporter returns a reporter with nothing to report. owner finds the gateway that owns a customer
-// now.
+// newUsageReporter returns a reporter with nothing to report.
 func newUsageReporter(
-	s Settings, clock *eventClock, protocol *peerProtocol, owner func(*customer) int,
+	s Settings, clock *eventClock, protocol *peerProtocol, owners ownerFinder,
 ) usageReporter {
 	return usageReporter{
-		clock: clock, self: s.Self, protocol: protocol, owner: owner,
+		clock: clock, self: s.Self, protocol: protocol, owners: owners,
 		budget:  tokenBucket{tokens: minBatchTokens, updatedAt: clock.now},
 		batches: make([]reportBatch, s.GatewayCount),
 	}
@@ -70,7 +69,7 @@
 // mark has the customer reported to its owner, at once if urgent. At the owner itself there is nothing to
 // report.
 func (u *usageReporter) mark(c *customer, urgent bool) {
-	owner := u.owner(c)
+	owner := u.owners.owner(c)
 	if owner == u.self {
 		c.acknowledgedUnits = c.totalUnits
 		return
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -104,10 +104,16 @@
 	t.Fatal("no three reports went to the owner")
 }
 
+// fixedOwner is an ownerFinder for customers that one gateway owns.
+type fixedOwner int
+
+func (o fixedOwner) owner(*customer) int            { return int(o) }
+func (o fixedOwner) findPrimaryOwner(*customer) int { return int(o) }
+
 // newTestReporter returns a reporter of gateway 0 whose customers gateway 1 owns, with the messages it sends.
 func newTestReporter(clock *eventClock) (*usageReporter, *[]message) {
 	protocol, sent := newTestProtocol(clock)
-	u := newUsageReporter(testSettings(), clock, protocol, func(*customer) int { return 1 })
+	u := newUsageReporter(testSettings(), clock, protocol, fixedOwner(1))
 	return &u, sent
 }
 
