--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -43,7 +43,7 @@
 	switch {
 	case len(r.attempts) == 0:
 		return firstAttempt
-	case r.out > 0:
+	case r.inFlight > 0:
 		return hedge
 	}
 	return retry
@@ -81,7 +81,7 @@
 	}
 	a := p.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
-	r.out++
+	r.inFlight++
 	tooMany := len(r.attempts) > max(1, p.cfg.Settings.MaxAttempts)
 	switch {
 	case tooMany || (p.unsendable(a) || p.alreadySettled(r)) && timeout >= 0:
@@ -131,7 +131,7 @@
 // unsendable tells whether no byte of the attempt may be written any more.
 func (p *Proxy) unsendable(a *attempt) bool {
 	e := a.endpoint
-	return e == nil || e.state != policy.InService || a.request != nil && a.request.over || p.loop.Now() >= a.expiresAt
+	return e == nil || e.state != policy.InService || a.request != nil && a.request.settled || p.loop.Now() >= a.expiresAt
 }
 
 // alreadySettled tells whether something has come that makes an attempt of the request needless or wrong, though the
@@ -208,7 +208,7 @@
 func (p *Proxy) releaseAttempt(a *attempt) {
 	p.loop.Stop(a.timer)
 	if a.conn != nil {
-		why := attemptGivenUp
+		why := attemptAbandoned
 		if a.conn.unusable.Load() {
 			why = notUsable
 		}
@@ -232,17 +232,17 @@
 		return
 	}
 	r := a.request
-	r.out--
+	r.inFlight--
 	if res.status == policy.OK {
-		p.answer(r, res.value, served)
+		p.reply(r, res.value, served)
 	}
-	p.forget(r)
+	p.removeIfDone(r)
 	endpointID := ""
 	if a.endpoint != nil {
 		endpointID = a.endpoint.ID
 	}
 	p.decider.HandleOutcome(p.loop.Now(), policy.Outcome{
 		RequestID: r.ID, Endpoint: endpointID, Attempt: a.number, Status: res.status,
-		RequestDone: r.over, Elapsed: elapsed, Load: res.load,
+		RequestDone: r.settled, Elapsed: elapsed, Load: res.load,
 	})
 }
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -96,7 +96,7 @@
 	if c.commandWritten.Load() {
 		return false
 	}
-	c.close(attemptGivenUp, nil)
+	c.close(attemptAbandoned, nil)
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return !c.commandWritten.Load()
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -139,11 +139,11 @@
 	c.close(why, cause)
 	for _, slot := range slots {
 		r := slot.request
-		if r == nil || r.over {
+		if r == nil || r.settled {
 			continue
 		}
 		p.traceGone(r)
-		p.end(r)
+		p.settle(r)
 		p.decider.HandleClientGone(p.loop.Now(), r.ID)
 	}
 }
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -190,11 +190,11 @@
 			return err
 		}
 		if !p.inputBudget.Reserve(request.Size) {
-			p.loop.Post(at, func() { p.refuseAtOnce(c, request, inputUsedUp) })
+			p.loop.Post(at, func() { p.rejectAtOnce(c, request, inputMemoryExhausted) })
 			return nil
 		}
 		request.CopyArgs()
-		p.loop.Post(at, func() { p.take(c, request, arrivedAt) })
+		p.loop.Post(at, func() { p.admitRequest(c, request, arrivedAt) })
 	case bytes.EqualFold(args[0], []byte(pingCommand)):
 		p.loop.Post(at, func() { p.ping(c) })
 	default:
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -104,7 +104,7 @@
 	switch {
 	case c.closed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.abandon(unreadAnswers, err)
+		c.abandon(unreadReplies, err)
 	case err != nil:
 		c.abandon(writeFailed, err)
 	default:
@@ -119,7 +119,7 @@
 	case lastWritten && !c.lingerDone:
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
-		c.close(lastAnswerWritten, nil)
+		c.close(lastReplyWritten, nil)
 	case c.proxy.drain.started && len(c.pipeline.slots) == 0:
 		c.requestClose(draining)
 	}
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -96,7 +96,7 @@
 		r.proxy.clients.limit = 2
 		r.decider.onRequest = func(q policy.Request) {
 			req := r.proxy.requests[q.ID]
-			r.proxy.answer(req, []byte(strings.Repeat("x", 60_000)), served)
+			r.proxy.reply(req, []byte(strings.Repeat("x", 60_000)), served)
 		}
 	})
 	stuck := r.client()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -64,8 +64,8 @@
 		p.stopAccepting()
 	}
 	for _, r := range p.requests {
-		if !r.over {
-			p.fail(r, processEnds)
+		if !r.settled {
+			p.fail(r, shuttingDown)
 			p.decider.HandleClientGone(p.loop.Now(), r.ID)
 		}
 	}
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -103,7 +103,7 @@
 // retire closes an endpoint's idle connections and, unless it is in service, ends what waits for a dial.
 func (s *endpointSet) retire(e *endpoint) {
 	for len(e.idle) > 0 {
-		e.idle[len(e.idle)-1].close(backendRetired, nil)
+		e.idle[len(e.idle)-1].close(endpointRetired, nil)
 	}
 	if e.state == policy.InService {
 		return
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -54,16 +54,16 @@
 
 // applyList applies a list, or a change of it, to the connection pools and hands it to the decision module.
 func (p *Proxy) applyList(list discovery.List) {
-	p.starts.Sample(p.clock.Now(), p.wallClock())
+	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
 		state, _ := e.State.Policy() // it was validated
 		endpoints = append(endpoints, policy.Endpoint{
 			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
-			Weight: e.Weight, StartedAt: p.starts.EventTime(e.ID, e.StartedMS),
+			Weight: e.Weight, StartedAt: p.startTimes.EventTime(e.ID, e.StartedMS),
 		})
 	}
 	p.endpoints.apply(list)
-	p.starts.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
+	p.startTimes.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
--- a/internal/proxy/order_test.go
+++ b/internal/proxy/order_test.go
@@ -261,7 +261,7 @@
 					t.Error(err)
 				}
 				r.proxy.inputBudget.Reserve(request.Size)
-				r.proxy.take(raw, request, r.proxy.clock.Now())
+				r.proxy.admitRequest(raw, request, r.proxy.clock.Now())
 			})
 			nothing(t, r, conns, "a")
 		})
@@ -273,7 +273,7 @@
 			receive(t, r.decider.requests)
 			left := gone(r, "a")
 			r.whileLoopWaits(func() { c.disconnect(how) }, left, func() {
-				r.proxy.requests["a"].cameAt = r.proxy.clock.Now() // it was only read now
+				r.proxy.requests["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
 				r.proxy.loop.After(-1, func() {})
 				r.proxy.Send("a", "s0", 0, 0)
 			})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -50,13 +50,13 @@
 // for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
 // the sender of the peer link, until it is closed. All of them post what they find to the loop.
 type Proxy struct {
-	cfg    config.Config
-	log    *slog.Logger
-	calls  *netcalls.Calls
-	clock  eventloop.Clock
-	loop   *eventloop.Loop
-	drain  drainState
-	starts discovery.StartTimes
+	cfg        config.Config
+	log        *slog.Logger
+	calls      *netcalls.Calls
+	clock      eventloop.Clock
+	loop       *eventloop.Loop
+	drain      drainState
+	startTimes discovery.StartTimes
 	// wallClock returns Unix time by the wall clock, which may be stepped.
 	wallClock func() policy.Seconds
 
@@ -104,7 +104,7 @@
 		probeDescriptor: probeDescriptor,
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
-	p.starts.Sample(p.loop.Now(), p.wallClock())
+	p.startTimes.Sample(p.loop.Now(), p.wallClock())
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
@@ -162,7 +162,7 @@
 
 // sweep closes connections that were idle for long, follows the wall clock and looks for free descriptors.
 func (p *Proxy) sweep() {
-	p.starts.Sample(p.clock.Now(), p.wallClock())
+	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
 	p.clients.sweep()
 	p.checkDescriptors()
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -6,41 +6,44 @@
 	"time"
 )
 
-// closeReason tells why a connection ended. Its text is what the log holds.
+// closeReason tells why a connection was closed. Its text is what the log holds.
 type closeReason string
 
-// Why a client's connection ended.
+// String returns the text that the log holds.
+func (r closeReason) String() string { return string(r) }
+
+// Why a client's connection was closed.
 const (
 	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
-	idleTimeout        closeReason = "idle_timeout"         // nothing was asked for long
+	idleTimeout        closeReason = "idle_timeout"         // no command came for long
 	evicted            closeReason = "evicted"              // it was idle and made room for others
 	draining           closeReason = "draining"             // this process ends
 	drainDeadline      closeReason = "drain_deadline"       // and its time to do so is over
 	tooManyConnections closeReason = "too_many_connections" // more are open than may be
-	protocolError      closeReason = "protocol_error"       // what it sent can't be read
-	writeFailed        closeReason = "write_failed"         // an answer could not be written
-	unreadAnswers      closeReason = "unread_answers"       // the client leaves too much unread, or for too long
+	protocolError      closeReason = "protocol_error"       // what it sent can't be parsed
+	writeFailed        closeReason = "write_failed"         // a reply could not be written
+	unreadReplies      closeReason = "unread_replies"       // the client leaves too much unread, or for too long
 	memoryBudget       closeReason = "memory_budget"        // no memory is left for what it leaves unread
-	lastAnswerWritten  closeReason = "last_answer_written"  // the answer after which it was to end is written
+	lastReplyWritten   closeReason = "last_reply_written"   // the reply after which it was to be closed is written
 )
 
-// Why a connection to a backend ended, beside peerClosed, idleTimeout and evicted.
+// Why a backend connection was closed, beside peerClosed, idleTimeout and evicted.
 const (
-	backendRetired closeReason = "backend_retired"  // its backend drains, moved, restarted or is gone
-	attemptGivenUp closeReason = "attempt_given_up" // its attempt timed out, was cancelled or is not needed
-	notUsable      closeReason = "not_usable"       // broken, used up, or no longer where its backend stands
+	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or is gone
+	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is not needed
+	notUsable        closeReason = "not_usable"        // broken, used up, or no longer where its endpoint listens
 )
 
-// logClientClosed tells why a client's connection ended. Lines about connections on which nothing was owed may
-// be thinned, those about others never.
+// logClientClosed logs why a client's connection was closed. Lines about connections with a request or a reply open
+// are never thinned out, others may be.
 func (p *Proxy) logClientClosed(c *clientConn, why closeReason, err error) {
-	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", string(why)}
+	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", why.String()}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
-	owed := c.owed()
+	open := c.owed()
 	unwritten := c.reservedOutput + len(c.pipeline.pending)
-	if len(owed) == 0 && unwritten == 0 {
+	if len(open) == 0 && unwritten == 0 {
 		p.log.Debug("client connection closed", attrs...)
 		return
 	}
@@ -48,14 +51,15 @@
 	if why == peerClosed { // its requests are its own to give up
 		level = slog.LevelInfo
 	}
-	attrs = append(attrs, "owed", owed, "unwritten_bytes", unwritten, "open_for", p.loop.Now()-c.openedAt,
-		"last_answer_before", p.loop.Now()-c.lastUsedAt)
+	now := p.loop.Now()
+	attrs = append(attrs, "open_requests", open, "unwritten_bytes", unwritten, "open_for", now-c.openedAt,
+		"last_reply_before", now-c.lastUsedAt)
 	p.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
-// logBackendClosed tells why a connection to a backend ended, with the request whose attempt it carried.
+// logBackendClosed logs why a backend connection was closed, with the request whose attempt it carried.
 func (p *Proxy) logBackendClosed(c *backendConn, why closeReason, err error) {
-	attrs := []any{"backend", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", string(why)}
+	attrs := []any{"endpoint", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", why.String()}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
@@ -64,7 +68,7 @@
 		p.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	attrs = append(attrs, "id", a.request.ID, "try", a.number, "written", c.commandWritten.Load(),
-		"after", time.Duration((p.loop.Now()-a.sentAt)*float64(time.Second)).String())
+	elapsed := time.Duration((p.loop.Now() - a.sentAt) * float64(time.Second))
+	attrs = append(attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String())
 	p.log.Info("backend connection closed", attrs...)
 }
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -52,10 +52,10 @@
 	left.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
-	left.Close()
-	log.line(t, "level=INFO", "client connection closed", "connection=1", "reason=peer_closed", "owed=[a]")
-	b.Close()
-	log.line(t, "level=INFO", "backend connection closed", "backend=s0", "reason=peer_closed", "id=a")
+	_ = left.Close()
+	log.line(t, "level=INFO", "client connection closed", "connection=1", "reason=peer_closed", "open_requests=[a]")
+	_ = b.Close()
+	log.line(t, "level=INFO", "backend connection closed", "endpoint=s0", "reason=peer_closed", "id=a")
 
 	idle := r.client()
 	idle.send("PING")
@@ -68,16 +68,18 @@
 	refused.send(lookCommand("b")...)
 	refused.readLine()
 	log.line(t, "request completed", "id=b", "reply=BUS", "reason=quota_exceeded")
-	refused.Conn.Write([]byte("junk\r\n"))
+	if _, err := refused.Write([]byte("junk\r\n")); err != nil {
+		t.Fatal(err)
+	}
 	refused.readLine()
-	refused.Close()
+	_ = refused.Close()
 	log.line(t, "client connection closed", "connection=3", "reason=protocol_error")
 
 	r.onLoop(func() { r.proxy.drain.timedOut = true })
 	late := r.client()
 	late.send(lookCommand("c")...)
 	late.readLine()
-	log.line(t, "request refused", "id=c", "connection=4", "reason=process_ends")
+	log.line(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
 }
 
 // TestAttemptsTellTheirKind guards the trace's word of why an attempt was made.
@@ -86,11 +88,11 @@
 	if got := kindOf(r); got != firstAttempt {
 		t.Errorf("got %s", got)
 	}
-	r.attempts, r.out = []*attempt{{}}, 1
+	r.attempts, r.inFlight = []*attempt{{}}, 1
 	if got := kindOf(r); got != hedge {
 		t.Errorf("beside another: %s", got)
 	}
-	if r.out = 0; kindOf(r) != retry {
+	if r.inFlight = 0; kindOf(r) != retry {
 		t.Errorf("after another: %s", kindOf(r))
 	}
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -4,29 +4,38 @@
 	"math"
 	"strconv"
 
-	"reedlead/internal/eventloop"
-
 	"reedlead/internal/command"
+	"reedlead/internal/eventloop"
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
 )
 
-// request is one that a client has sent and that is owed one final answer.
+// request is an open request of a client, which gets exactly one final reply. The event loop owns it.
 type request struct {
 	*command.Request
-	client   *clientConn
-	slot     *pipelineSlot
-	cameAt   float64 // when its last byte had come to this machine
-	deadline float64
-	timer    *eventloop.Timer // rings when the module ought to have answered; stopped with the answer
-	attempts []*attempt       // as many as the module may ask for, and one
-	out      int
-	over     bool
+	client    *clientConn
+	slot      *pipelineSlot
+	arrivedAt policy.Seconds // when its last byte had arrived at this machine
+	deadline  policy.Seconds
+	timer     *eventloop.Timer // fires when the decision module ought to have replied; stopped with the reply
+	attempts  []*attempt       // as many as the settings allow, and one
+	inFlight  int              // attempts whose outcome was not reported yet
+	settled   bool             // it has its final reply, or its client has disconnected
 }
 
-// ping tells the front that this ingress can serve. While discovery is down and the list that it was started
-// with names no backend of use, it is ready all the same after a moment: it answers what comes, and has its
+// Why the proxy itself rejects a request, or fails it, beside what the decision module decides.
+const (
+	shuttingDown           policy.Reason = "shutting_down"
+	connectionLimitReached policy.Reason = "connection_limit_reached"
+	tooManyOpenRequests    policy.Reason = "too_many_open_requests"
+	inputMemoryExhausted   policy.Reason = "input_memory_exhausted"
+	noDecision             policy.Reason = "no_decision_in_time"
+	served                 policy.Reason = "" // it is not: the reply is a value
+)
+
+// ping replies to a health check of this gateway. While discovery is down and the list that the gateway was started
+// with names no endpoint in service, it is ready all the same after a moment: it replies to what comes, and has its
 // place when discovery is back.
 func (p *Proxy) ping(c *clientConn) {
 	if !p.endpoints.hasInService() && p.loop.Now() < p.readyAt {
@@ -36,69 +45,83 @@
 	c.replyAtOnce(redcon.AppendString(nil, "PONG"), false)
 }
 
-// take hands a request to the module whose last byte had come at a time; from here on it is owed one final answer.
-func (p *Proxy) take(c *clientConn, q *command.Request, came float64) {
-	taken := false
+// admitRequest opens a request whose last byte had arrived at a time, and hands it to the decision module; or replies
+// at once where a limit of this process forbids that.
+func (p *Proxy) admitRequest(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) {
+	admitted := false
 	defer func() {
-		if !taken {
-			p.inputBudget.Release(q.Size)
+		if !admitted {
+			p.inputBudget.Release(parsed.Size)
 		}
 	}()
+	if p.forbidsRequest(c, parsed) {
+		return
+	}
+	admitted = true
+	p.decide(p.openRequest(c, parsed, arrivedAt))
+}
+
+// forbidsRequest tells whether a request can't be opened, and replies to it then, unless its client can't hear of it.
+func (p *Proxy) forbidsRequest(c *clientConn, parsed *command.Request) bool {
+	maxOpen := p.cfg.Settings.MaxOpenRequests
 	switch {
 	case c.closed, c.sendingShutDown:
-		return
 	case p.drain.timedOut:
-		p.refuseAtOnce(c, q, processEnds)
-		return
+		p.rejectAtOnce(c, parsed, shuttingDown)
 	case c.overLimit && p.clients.makeRoom(c):
-		p.refuseAtOnce(c, q, connectionsUsedUp)
-		return
-	case p.requests[q.ID] != nil:
+		p.rejectAtOnce(c, parsed, connectionLimitReached)
+	case p.requests[parsed.ID] != nil:
 		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
-		return
-	case p.cfg.Settings.MaxOpenRequests > 0 && len(p.requests) >= p.cfg.Settings.MaxOpenRequests:
-		p.refuseAtOnce(c, q, tooManyHeld)
-		return
+	case maxOpen > 0 && len(p.requests) >= maxOpen:
+		p.rejectAtOnce(c, parsed, tooManyOpenRequests)
+	default:
+		return false
 	}
-	taken = true
+	return true
+}
+
+// openRequest registers a request and gives it its place among the replies of its connection.
+func (p *Proxy) openRequest(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
 	c.overLimit, c.hasSpoken = false, true
-	r := &request{Request: q, client: c, slot: &pipelineSlot{}, cameAt: came, deadline: came + q.Wait}
+	r := &request{
+		Request: parsed, client: c, slot: &pipelineSlot{},
+		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Wait,
+	}
 	r.slot.request = r
 	c.pipeline.add(r.slot)
 	c.lastUsedAt = p.loop.Now()
-	p.requests[q.ID] = r
+	p.requests[r.ID] = r
 	p.traceAcceptedRequest(r)
-	// The module answers well before; should it fail to, the client hears all the same.
+	// The decision module replies well before; should it fail to, the client gets a reply all the same.
 	r.timer = p.loop.After(r.deadline+p.cfg.Settings.ReplySlack-p.loop.Now(), func() {
-		p.warn("no answer from the module in time", "id", r.ID)
+		p.warn("no reply from the decision module in time", "id", r.ID)
 		p.fail(r, noDecision)
 		p.decider.HandleClientGone(p.loop.Now(), r.ID)
 	})
-	q.Request.Deadline = r.deadline
-	handed := false
-	defer func() { // a panic in the module must not leave a request that nothing was sent for hanging
-		if !handed && len(r.attempts) == 0 {
+	return r
+}
+
+// decide hands a request to the decision module. A panic there must not leave a request hanging for which nothing
+// was sent.
+func (p *Proxy) decide(r *request) {
+	r.Deadline = r.deadline
+	decided := false
+	defer func() {
+		if !decided && len(r.attempts) == 0 {
 			p.fail(r, noDecision)
 		}
 	}()
-	p.decider.HandleRequest(p.loop.Now(), q.Request)
-	handed = true
+	p.decider.HandleRequest(p.loop.Now(), r.Request.Request)
+	decided = true
 }
 
-// Refuse implements policy.Actions.
-func (p *Proxy) Reject(id string, retryInS float64, why policy.Reason) {
+// Reject implements policy.Actions.
+func (p *Proxy) Reject(id string, retryAfter policy.Seconds, why policy.Reason) {
 	if r := p.requests[id]; r != nil {
-		p.answer(r, p.busy(retryInS), why)
+		p.reply(r, p.busyReply(retryAfter), why)
 	}
 }
 
-func (p *Proxy) busy(retryInS float64) []byte {
-	if retryInS <= 0 || !p.cfg.Settings.RetryAfter {
-		return redcon.AppendError(nil, "BUSY")
-	}
-	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryInS*1000))))
-}
-
 // Fail implements policy.Actions.
 func (p *Proxy) Fail(id string, why policy.Reason) {
 	if r := p.requests[id]; r != nil {
@@ -107,49 +130,47 @@
 }
 
 func (p *Proxy) fail(r *request, why policy.Reason) {
-	p.answer(r, redcon.AppendError(nil, "ERR failed"), why)
+	p.reply(r, redcon.AppendError(nil, "ERR failed"), why)
 }
 
-// Why this side refuses a request, or fails it, beside what the module decides.
-const (
-	processEnds       policy.Reason = "process_ends"
-	connectionsUsedUp policy.Reason = "connections_used_up"
-	tooManyHeld       policy.Reason = "too_many_held"
-	inputUsedUp       policy.Reason = "input_memory_used_up"
-	noDecision        policy.Reason = "no_decision_in_time"
-	served            policy.Reason = ""
-)
+// rejectAtOnce rejects a request that the decision module never hears of.
+func (p *Proxy) rejectAtOnce(c *clientConn, parsed *command.Request, why policy.Reason) {
+	p.warn("request rejected", "id", parsed.ID, "connection", c.number, "reason", string(why))
+	c.replyAtOnce(p.busyReply(p.cfg.Settings.MaxRetryAfter), false)
+}
 
-// refuseAtOnce refuses a request that the module never hears of.
-func (p *Proxy) refuseAtOnce(c *clientConn, q *command.Request, why policy.Reason) {
-	p.warn("request refused", "id", q.ID, "connection", c.number, "reason", string(why))
-	c.replyAtOnce(p.busy(p.cfg.Settings.MaxRetryAfter), false)
+// busyReply is the reply to a rejected request, with the Retry-After in milliseconds if there is one.
+func (p *Proxy) busyReply(retryAfter policy.Seconds) []byte {
+	if retryAfter <= 0 || !p.cfg.Settings.RetryAfter {
+		return redcon.AppendError(nil, "BUSY")
+	}
+	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 }
 
-// answer gives the final answer, the first time that it is called for a request, and why it is no value.
-func (p *Proxy) answer(r *request, answer []byte, why policy.Reason) {
-	if r.over {
+// reply gives a request its final reply, the first time that it is called for it, and why it is not a value.
+func (p *Proxy) reply(r *request, reply []byte, why policy.Reason) {
+	if r.settled {
 		return
 	}
-	r.slot.reply = answer
-	p.traceReply(r, answer, why)
-	p.end(r)
+	r.slot.reply = reply
+	p.traceReply(r, reply, why)
+	p.settle(r)
 	r.client.flush()
 }
 
-// end notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
-func (p *Proxy) end(r *request) {
-	r.over = true
-	p.cutOffUnwritten(r)
+// settle notes that a request gets no reply any more. Attempts that are in flight need neither timer nor command.
+func (p *Proxy) settle(r *request) {
+	r.settled = true
+	p.abortUnwritten(r)
 	p.loop.Stop(r.timer)
 	p.inputBudget.Release(r.Size)
 	r.Args = nil
-	p.forget(r)
+	p.removeIfDone(r)
 }
 
-// cutOffUnwritten ends the attempts of a request that is over whose commands are not wholly written: with its last
-// byte one would begin after the request's end.
-func (p *Proxy) cutOffUnwritten(r *request) {
+// abortUnwritten ends the attempts of a settled request whose commands are not wholly written: with the last byte
+// of one, its execution would begin after the request's end.
+func (p *Proxy) abortUnwritten(r *request) {
 	for _, a := range r.attempts {
 		if a.done || a.conn == nil || a.conn.commandWritten.Load() {
 			continue
@@ -162,8 +183,9 @@
 	}
 }
 
-func (p *Proxy) forget(r *request) {
-	if r.over && r.out == 0 {
+// removeIfDone forgets a settled request once the outcomes of all its attempts were reported.
+func (p *Proxy) removeIfDone(r *request) {
+	if r.settled && r.inFlight == 0 {
 		delete(p.requests, r.ID)
 	}
 }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -151,7 +151,7 @@
 			}
 			c.send(lookCommand("a")...)
 			receive(t, r.decider.requests)
-			r.onLoop(func() { r.proxy.answer(r.proxy.requests["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded) })
+			r.onLoop(func() { r.proxy.reply(r.proxy.requests["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded) })
 			if got := c.readLine(); got != "-BUSY" {
 				t.Errorf("a request got %q", got)
 			}
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -31,7 +31,7 @@
 	}
 	p.log.Debug(
 		traceAccepted, "id", r.ID, "connection", r.client.number,
-		"arrived", r.cameAt, "at", p.clock.Now(), "deadline", r.deadline,
+		"arrived", r.arrivedAt, "at", p.clock.Now(), "deadline", r.deadline,
 	)
 }
 
@@ -47,7 +47,7 @@
 		"class", class.Name, "idempotency", class.Idempotency.String(),
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
 		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
-		"arrived", a.request.cameAt, "write_started", writeStarted, "at", at,
+		"arrived", a.request.arrivedAt, "write_started", writeStarted, "at", at,
 		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", netcalls.ClosedByPeer(a.request.client.rawConn),
 	)
 }
