--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,7 +1,5 @@
 package policy
 
-import "math"
-
 // deadlineMargin is the least timeout of an attempt, and the least time to write it in.
 const deadlineMargin Seconds = 0.004
 
@@ -26,17 +24,16 @@
 
 // sendAttempt sends the request's next attempt to an endpoint. It times out when a reply is no longer useful.
 func (g *Gateway) sendAttempt(r *request, s *endpoint) {
-	s.meanInFlight = s.meanInFlight*math.Exp((s.lastSentAt-g.clock.now)/inFlightTimeConstant) + min(s.latencyFactor*r.class.meanLatency/inFlightTimeConstant, 1)
+	s.observeSend(g.clock.now, r.class.meanLatency)
 	g.startAttempt(r, s)
-	if g.warmUpFraction(s) < 1 {
-		s.slowStartCredit -= g.relativeCost(r)
-	}
+	g.slowStart.spendCredit(s, r.class)
 	timeout := max(r.lastUsefulReplyAt()-g.clock.now, deadlineMargin)
 	g.actions.Send(r.ID, s.ID, timeout, r.writeWithin(g.clock.now))
 }
 
-// writeWithin is the time within which an attempt that is sent now must be written, 0 for at any time. A repeat
-// may have to wait for a connection, and must not be written after the end of its idempotency window.
+// writeWithin is the time within which an attempt that is sent now must be written, 0 for at any time. A
+// repeat may have to wait for a connection, and must not be written after the end of its idempotency
+// window.
 func (r *request) writeWithin(now Seconds) Seconds {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return 0
@@ -46,14 +43,9 @@
 
 // startAttempt counts a new attempt as in flight.
 func (g *Gateway) startAttempt(r *request, s *endpoint) {
-	if g.clock.now-s.lastSentAt > reusableIdleFraction*g.settings.ConnectionIdleTimeout {
-		s.connections = s.inFlight
-	}
-	s.inFlight++
-	s.connections = max(s.connections, s.inFlight)
-	g.inFlight++
+	s.startAttempt(g.clock.now, g.settings.ConnectionIdleTimeout)
+	g.limiter.startAttempt()
 	r.inFlight++
-	g.lastSentAt, s.lastSentAt = g.clock.now, g.clock.now
 	g.adjustInFlight(r, 1)
 	r.attempts = append(r.attempts, attempt{endpoint: s, group: s.dedupGroup(), sentAt: g.clock.now})
 }
@@ -62,23 +54,23 @@
 // attempt is in flight.
 func (g *Gateway) endAttempt(outcome Outcome) (*request, *attempt) {
 	r := g.requests.find(outcome.RequestID)
-	if r == nil || outcome.Attempt < 0 || outcome.Attempt >= len(r.attempts) || r.attempts[outcome.Attempt].done {
+	if r == nil || outcome.Attempt < 0 || outcome.Attempt >= len(r.attempts) {
 		return nil, nil
 	}
 	a := &r.attempts[outcome.Attempt]
-	a.done = true
-	a.endpoint.inFlight--
-	if !outcome.Status.replied() {
-		a.endpoint.connections = max(a.endpoint.connections-1, 0) // what is given up takes its connection with it
+	if a.done {
+		return nil, nil
 	}
-	g.inFlight--
+	a.done = true
+	a.endpoint.endAttempt(outcome.Status.replied())
+	g.limiter.endAttempt()
 	r.inFlight--
 	g.adjustInFlight(r, -1)
 	return r, a
 }
 
-// recordStatus notes what the end of an attempt tells of the request: whether it was written, and whether it may
-// have executed.
+// recordStatus notes what the end of an attempt tells of the request: whether it was written, and whether
+// it may have executed.
 func (r *request) recordStatus(a *attempt, status AttemptStatus) {
 	r.written = r.written || status.written()
 	if status.mayHaveExecuted() {
@@ -94,8 +86,8 @@
 	}
 }
 
-// finishOrRetry ends a request whose attempt was the last one needed, and retries it if no other attempt is in
-// flight.
+// finishOrRetry ends a request whose attempt was the last one needed, and retries it if no other attempt
+// is in flight.
 func (g *Gateway) finishOrRetry(r *request, outcome Outcome) {
 	if r.done || outcome.RequestDone || outcome.Status == OK {
 		g.finishRequest(r)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -27,29 +27,26 @@
 // dispatch sends an admitted request to an endpoint, queues it if none has capacity, or rejects it if no
 // attempt is allowed any more.
 func (g *Gateway) dispatch(r *request) {
-	if len(r.attempts) == 0 {
-		g.admittedWork += r.class.meanLatency / demandTimeConstant
-	}
 	if !g.retries.allowsAttempt(r) {
 		g.reject(r, g.retries.rejectionReason(r))
 		return
 	}
-	if e := g.pickEndpoint(r); e != nil {
+	if e := g.picker.pick(r); e != nil {
 		g.sendAttempt(r, e)
 	} else {
 		g.dispatchQueue.add(r)
 	}
 }
 
-// dispatchQueued sends the queued requests for which an endpoint has capacity now, and rejects those that can't
-// be replied to within their objective any more.
+// dispatchQueued sends the queued requests for which an endpoint has capacity now, and rejects those that
+// can't be replied to within their objective any more.
 func (g *Gateway) dispatchQueued() {
 	g.dispatchQueue.drain(func(r *request) bool {
 		if r.done || g.clock.now+r.class.meanLatency > r.objectiveAt || !g.retries.allowsAttempt(r) {
 			g.reject(r, NoEndpointInTime)
 			return true
 		}
-		e := g.pickEndpoint(r)
+		e := g.picker.pick(r)
 		if e != nil {
 			g.sendAttempt(r, e)
 		}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -11,8 +11,8 @@
 	hedgeObjectiveFraction = 0.4
 )
 
-// watchOpenRequests looks at all requests that have not ended: it gives up those whose owner did not grant them
-// in time, records the silence of endpoints, and hedges or moves attempts that take long.
+// watchOpenRequests looks at all requests that have not ended: it gives up those whose owner did not grant
+// them in time, records the silence of endpoints, and hedges or moves attempts that take long.
 func (g *Gateway) watchOpenRequests() {
 	for _, r := range g.requests.open() {
 		if g.rejectStaleOwnerWait(r) {
@@ -23,7 +23,7 @@
 			g.hedge(r, slow)
 		}
 	}
-	g.updateLoadEstimates()
+	g.slowStart.updateEstimates(g.classes.ordered, g.endpoints.listed)
 }
 
 // rejectStaleOwnerWait rejects a request that has waited for its owner for as long as it could still be sent,
@@ -37,8 +37,8 @@
 	return true
 }
 
-// recordSilence records a failure for each endpoint that has not replied to an attempt for long, and not to any
-// later one of the class either. It does so once an attempt.
+// recordSilence records a failure for each endpoint that has not replied to an attempt for long, and not
+// to any later one of the class either. It does so once an attempt.
 func (g *Gateway) recordSilence(r *request) {
 	patience := max(silentLatencies*r.class.meanLatency, minGossipInterval)
 	for i := range r.attempts {
@@ -48,14 +48,14 @@
 		}
 		if a.endpoint.lastSuccessAt[r.class.index] < a.sentAt {
 			a.silenceRecorded = true
-			g.recordFailure(a.endpoint, r.class, 1)
+			g.outliers.recordFailure(a.endpoint, r.class.index, silenceScore)
 		}
 	}
 }
 
-// attemptToHedge returns the attempt of the request that has taken so long that another endpoint is to be tried,
-// nil if there is none. That is an attempt at an endpoint under suspicion, or, where hedged requests are
-// possible and no request is queued, any attempt that takes several mean latencies.
+// attemptToHedge returns the attempt of the request that has taken so long that another endpoint is to be
+// tried, nil if there is none. That is an attempt at an endpoint under suspicion, or, where hedged
+// requests are possible and no request is queued, any attempt that takes several mean latencies.
 func (g *Gateway) attemptToHedge(r *request) *attempt {
 	if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 		return nil
@@ -65,7 +65,7 @@
 	if last.done || last.cancelled || age < hedgeObjectiveFraction*r.class.LatencyObjective {
 		return nil
 	}
-	if g.outlierScore(last.endpoint, r.class) > suspectScore {
+	if g.outliers.score(last.endpoint, r.class.index) > suspectScore {
 		return last
 	}
 	if !g.settings.Hedging || age < hedgeLatencies*r.class.meanLatency || !g.dispatchQueue.isEmpty() {
@@ -74,14 +74,14 @@
 	return last
 }
 
-// hedge sends a hedged request beside a slow attempt. Where there are none it cancels the slow attempt, so that
-// its outcome leads to a retry. Neither happens if no other endpoint is allowed and has capacity.
+// hedge sends a hedged request beside a slow attempt. Where there are none it cancels the slow attempt, so
+// that its outcome leads to a retry. Neither happens if no other endpoint is allowed and has capacity.
 func (g *Gateway) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
 	r.recordPossibleExecution(slow) // the choice of the endpoint depends on it
 	var other *endpoint
 	if g.retries.allowsAttempt(r) {
-		other = g.pickEndpoint(r)
+		other = g.picker.pick(r)
 	}
 	switch {
 	case other == nil || other == slow.endpoint:
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -86,7 +86,7 @@
 		return
 	}
 	for _, update := range received.updates {
-		g.mergeGossip(update)
+		g.gossip.merge(g.endpoints, update)
 	}
 	reply := g.protocol.newMessage()
 	for _, record := range received.records {
