--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// logged is an ingress whose log at debug level is kept.
+// logged records the log of a proxy at debug level.
 func logged(r *harness) *lockedBuffer {
 	log := &lockedBuffer{}
 	r.proxy.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	return log
 }
 
-// line waits for a line of the log that holds all of some words.
-func (l *lockedBuffer) line(t *testing.T, words ...string) {
+// line waits for a line of the log that contains all of some texts.
+func (l *lockedBuffer) line(t *testing.T, texts ...string) {
 	t.Helper()
 	has := func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for line := range strings.Lines(l.b.String()) {
 			all := true
-			for _, word := range words {
-				all = all && strings.Contains(line, word)
+			for _, text := range texts {
+				all = all && strings.Contains(line, text)
 			}
 			if all {
 				return true
@@ -35,13 +35,14 @@
 		if time.Now().After(end) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			t.Fatalf("no line with %q in\n%s", words, l.b.String())
+			t.Fatalf("no line with %q in\n%s", texts, l.b.String())
 		}
 	}
 }
 
-// TestEveryEndHasAReason guards against connections and requests that end without a word of why, and of what was owed.
-func TestEveryEndHasAReason(t *testing.T) {
+// TestEveryCloseIsLoggedWithItsReason guards against connections that are closed, and requests that are rejected, with no
+// line of why, and of the requests that were open.
+func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenBackend(t)
 	var log *lockedBuffer
 	r := startProxy(t, testConfig(addr), func(r *harness) {
@@ -52,10 +53,10 @@
 	left.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
-	left.Close()
-	log.line(t, "level=INFO", "client connection closed", "connection=1", "reason=peer_closed", "owed=[a]")
-	b.Close()
-	log.line(t, "level=INFO", "backend connection closed", "backend=s0", "reason=peer_closed", "id=a")
+	_ = left.Close()
+	log.line(t, "level=INFO", "client connection closed", "connection=1", "reason=peer_closed", "open_requests=[a]")
+	_ = b.Close()
+	log.line(t, "level=INFO", "backend connection closed", "endpoint=s0", "reason=peer_closed", "id=a")
 
 	idle := r.client()
 	idle.send("PING")
@@ -68,29 +69,31 @@
 	refused.send(lookCommand("b")...)
 	refused.readLine()
 	log.line(t, "request completed", "id=b", "reply=BUS", "reason=quota_exceeded")
-	refused.Conn.Write([]byte("junk\r\n"))
+	if _, err := refused.Write([]byte("junk\r\n")); err != nil {
+		t.Fatal(err)
+	}
 	refused.readLine()
-	refused.Close()
+	_ = refused.Close()
 	log.line(t, "client connection closed", "connection=3", "reason=protocol_error")
 
 	r.onLoop(func() { r.proxy.drain.timedOut = true })
 	late := r.client()
 	late.send(lookCommand("c")...)
 	late.readLine()
-	log.line(t, "request refused", "id=c", "connection=4", "reason=process_ends")
+	log.line(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
 }
 
-// TestAttemptsTellTheirKind guards the trace's word of why an attempt was made.
-func TestAttemptsTellTheirKind(t *testing.T) {
+// TestKindOfNextAttempt guards what the trace says of why an attempt was made.
+func TestKindOfNextAttempt(t *testing.T) {
 	r := &request{}
 	if got := kindOf(r); got != firstAttempt {
 		t.Errorf("got %s", got)
 	}
-	r.attempts, r.out = []*attempt{{}}, 1
+	r.attempts, r.inFlight = []*attempt{{}}, 1
 	if got := kindOf(r); got != hedge {
 		t.Errorf("beside another: %s", got)
 	}
-	if r.out = 0; kindOf(r) != retry {
+	if r.inFlight = 0; kindOf(r) != retry {
 		t.Errorf("after another: %s", kindOf(r))
 	}
 }
