--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -81,7 +81,7 @@
 		c.abandon(memoryBudget, nil)
 		return
 	}
-	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
+	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.openRequestIDs())
 	c.writing, c.pipeline.pending = true, nil
 	c.startWriter(rest)
 }
@@ -104,7 +104,7 @@
 	switch {
 	case c.closed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.abandon(unreadAnswers, err)
+		c.abandon(unreadReplies, err)
 	case err != nil:
 		c.abandon(writeFailed, err)
 	default:
@@ -119,7 +119,7 @@
 	case lastWritten && !c.lingerDone:
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
-		c.close(lastAnswerWritten, nil)
+		c.close(lastReplyWritten, nil)
 	case c.proxy.drain.started && len(c.pipeline.slots) == 0:
 		c.requestClose(draining)
 	}
@@ -131,4 +131,4 @@
 }
 
 // owed are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
-func (c *clientConn) owed() (ids []string) { return c.pipeline.requestIDs() }
+func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -46,7 +46,7 @@
 	s.startAttempt(g.clock.now, g.settings.ConnectionIdleTimeout)
 	g.limiter.startAttempt()
 	r.inFlight++
-	g.adjustInFlight(r, 1)
+	g.quota.adjustInFlight(r, 1)
 	r.attempts = append(r.attempts, attempt{endpoint: s, group: s.dedupGroup(), sentAt: g.clock.now})
 }
 
@@ -65,7 +65,7 @@
 	a.endpoint.endAttempt(outcome.Status.replied())
 	g.limiter.endAttempt()
 	r.inFlight--
-	g.adjustInFlight(r, -1)
+	g.quota.adjustInFlight(r, -1)
 	return r, a
 }
 
@@ -82,7 +82,7 @@
 // its reply brought.
 func (g *Gateway) chargeActualUnits(r *request, outcome Outcome) {
 	if outcome.Status == OK && g.settings.ActualUnitsInReply && r.charged && outcome.ActualUnits > 0 {
-		g.charge(r.customer, outcome.ActualUnits-r.Units)
+		g.quota.charge(r.customer, outcome.ActualUnits-r.Units)
 	}
 }
 
