--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -11,14 +11,13 @@
 
 	"reedlead/internal/discovery"
 
-	"reedlead/internal/resp"
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
 )
 
-// Guards against a changed command or value: all goes through byte for byte but d, which tells what
-// is left of the time.
+// TestRequestAndValuePassUnchanged guards against a changed command or value: all passes byte for byte but the field d,
+// which tells the remaining time.
 func TestRequestAndValuePassUnchanged(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(300))
@@ -28,47 +27,48 @@
 	b := receive(t, conns)
 	want := []string{"CALL.POST", testCustomer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=N,units=2,spread=2,first=1,x=y", body}
 	got := b.readCommand()
-	var left int
+	var remainingMS int
 	if len(got) == 5 {
 		before, rest, _ := strings.Cut(got[3], ",d=")
 		value, after, _ := strings.Cut(rest, ",")
-		left, _ = strconv.Atoi(value)
+		remainingMS, _ = strconv.Atoi(value) // 0 is out of range
 		got[3] = before + ",d=N," + after
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("backend got %q, want %q", got, want)
+		t.Fatalf("the endpoint got %q, want %q", got, want)
 	}
-	if left < 1 || left > 300000 { // the attempt's time-out, less what the dial took
-		t.Errorf("d is %d", left)
+	if remainingMS < 1 || remainingMS > 300000 { // the attempt's timeout, less what the dial took
+		t.Errorf("d is %d", remainingMS)
 	}
 	q := receive(t, r.decider.requests)
 	if q.Class != "hold" || q.Plan != "basic" || q.Customer != testCustomer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
-		t.Errorf("the module got %+v", q)
+		t.Errorf("the decision module got %+v", q)
 	}
 	reply := "*3\r\n$7\r\n\r\n$1\r\n!\r\n$-1\r\n"
-	b.Write(redcon.AppendBulkString([]byte(reply), "cpu_share=0.25,served_ps=140,svc_ms=14.5,new=1"))
-	if head := c.readLine(); head != "$7" {
-		t.Fatalf("client got %q", head)
+	b.write(string(redcon.AppendBulkString([]byte(reply), "cpu_share=0.25,served_ps=140,svc_ms=14.5,new=1")))
+	if length := c.readLine(); length != "$7" {
+		t.Fatalf("the client got %q", length)
 	}
 	value := make([]byte, 9)
-	if io.ReadFull(c.reader, value); string(value) != "\r\n$1\r\n!\r\n" {
-		t.Errorf("client got %q", value)
+	if _, err := io.ReadFull(c.reader, value); err != nil || string(value) != "\r\n$1\r\n!\r\n" {
+		t.Errorf("the client got %q, %v", value, err)
 	}
 	o := receive(t, r.decider.outcomes)
 	if o.Status != policy.OK || !o.RequestDone || o.Load == nil || o.Load.Utilization != 0.25 || o.Load.ServiceTimeMS != 14.5 || o.Load.Queued != -1 {
-		t.Errorf("the module got %+v", o)
+		t.Errorf("the decision module got %+v", o)
 	}
 }
 
-// Guards the table of outcomes: what may have run must never be told as not run, nor the reverse.
-func TestOutcomes(t *testing.T) {
-	closed, conns := listenBackend(t)
+// TestAttemptOutcomes guards the table of outcomes: what may have been executed must never be reported as not
+// executed, nor the reverse.
+func TestAttemptOutcomes(t *testing.T) {
+	addr, conns := listenBackend(t)
 	for name, tc := range map[string]struct {
 		reply string // "" closes after the command
 		want  policy.AttemptStatus
 		load  bool
 	}{
-		"value":            {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", policy.OK, false},
+		"value":            {valueReply, policy.OK, false},
 		"error":            {"-ERR failed\r\n", policy.Error, false},
 		"error and load":   {"-ERR failed cpu_share=0.5\r\n", policy.Error, true},
 		"busy and load":    {"-BUSY cpu_share=0.5\r\n", policy.Rejected, true},
@@ -84,29 +84,29 @@
 		"value and more":   {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$1\r\nw\r\n", policy.OK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, testConfig(closed), sendEachRequest(0))
+			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			c := r.client()
 			c.send(lookCommand("a")...)
 			b := receive(t, conns)
 			b.readCommand()
-			if io.WriteString(b, tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
-				b.Close()
+			if b.write(tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
+				b.hangUp()
 			}
 			o := receive(t, r.decider.outcomes)
 			if o.Status != tc.want || o.RequestDone != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
 				t.Errorf("got %+v, want status %v", o, tc.want)
 			}
 			if tc.want == policy.OK {
-				if c.readLine() != "$1" || c.readLine() != "v" {
-					t.Error("the client did not get the value")
-				}
+				c.wantValue("the client's reply")
 			}
 		})
 	}
 	t.Run("refused", func(t *testing.T) {
-		l, _ := net.Listen("tcp", "127.0.0.1:0")
-		l.Close()
-		r := startProxy(t, testConfig(l.Addr().String()), sendEachRequest(0))
+		listener := listenLoopback(t, net.ListenConfig{})
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+		r := startProxy(t, testConfig(listener.Addr().String()), sendEachRequest(0))
 		r.client().send(lookCommand("a")...)
 		if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
 			t.Errorf("got %+v", o)
@@ -114,17 +114,12 @@
 	})
 }
 
-// Guards against a connection that is used again after its attempt was given up: the late reply
-// would answer another request.
+// TestGivenUpAttemptClosesItsConnection guards against a connection that is used again after its attempt was given up:
+// the late reply would be taken for that of another request.
 func TestGivenUpAttemptClosesItsConnection(t *testing.T) {
-	addr, conns := listenBackend(t)
 	for _, how := range []string{"timeout", "cancel"} {
 		t.Run(how, func(t *testing.T) {
-			r := startProxy(t, testConfig(addr), sendEachRequest(0))
-			c := r.client()
-			c.send(lookCommand("a")...)
-			b := receive(t, conns)
-			b.readCommand()
+			r, c, b, _ := startWithAttempt(t)
 			want := policy.Timeout
 			if how == "cancel" {
 				want = policy.Cancelled
@@ -139,9 +134,7 @@
 				t.Error("more was sent on a connection that was given up")
 			}
 			r.onLoop(func() { r.proxy.Reject("a", 0.25, policy.QuotaExceeded) })
-			if got := c.readLine(); got != "-BUSY 250" {
-				t.Errorf("client got %q", got)
-			}
+			c.wantLines("-BUSY 250")
 			if len(r.decider.outcomes) != 0 {
 				t.Error("one attempt was reported twice")
 			}
@@ -149,13 +142,13 @@
 	}
 }
 
-// Guards against a send after the news of a drain: what waits for a dial is looked at again before
-// its first byte.
-func TestSendWaitingForADialIsCheckedAgain(t *testing.T) {
+// TestAttemptWaitingForADialIsCheckedAgain guards against an attempt that is written to an endpoint which is draining by
+// then: what waits for a dial is looked at again before its first byte.
+func TestAttemptWaitingForADialIsCheckedAgain(t *testing.T) {
 	addr, conns := listenBackend(t)
 	for name, change := range map[string]func(*harness){
 		"draining": func(r *harness) {
-			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}})
+			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: discovery.StateTerminating}}})
 		},
 		"gone": func(r *harness) { r.proxy.applyList(discovery.List{Full: true}) },
 		"over": func(r *harness) { r.proxy.Reject("a", 0, policy.QuotaExceeded) },
@@ -178,65 +171,22 @@
 			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
 				t.Errorf("got %+v", o)
 			}
-			b := receive(t, conns)
-			r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
-			if got := b.readCommand(); got != nil {
-				t.Errorf("the backend got %q", got)
-			}
+			r.wantNoCommand(receive(t, conns))
 		})
 	}
 }
 
-// Guards the probe's own path: its report reaches the module, and its connection serves on.
-func TestProbe(t *testing.T) {
+// TestHealthCheck guards the path of a health check: its load report reaches the decision module.
+func TestHealthCheck(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startProxy(t, testConfig(addr), nil)
 	r.onLoop(func() { r.proxy.HealthCheck("s0") })
 	b := receive(t, conns)
 	if got := b.readCommand(); fmt.Sprint(got) != "[INFO load]" {
-		t.Fatalf("the backend got %q", got)
+		t.Fatalf("the endpoint got %q", got)
 	}
-	io.WriteString(b, "$13\r\ncpu_share=0.5\r\n")
+	b.write("$13\r\ncpu_share=0.5\r\n")
 	if p := receive(t, r.decider.healthChecks); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
 		t.Errorf("got %+v", p)
 	}
 }
-
-// Guards the edge between the two ways in which a broken connection may end an attempt: a command of
-// which the socket took only a part has not run, and one that is written in the end is served.
-func TestCommandThatTheSocketTakesInParts(t *testing.T) {
-	l, r := startWithSmallSockets(t, nil)
-	body := strings.Repeat("x", resp.MaxValue)
-	post := func(id string) *testConn {
-		c := r.client()
-		c.send("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body)
-		receive(t, r.decider.requests)
-		return c
-	}
-	post("a")
-	b, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.untilPartIsWritten("a")
-	b.Close()
-	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
-		t.Errorf("a command that was cut off: %+v", o)
-	}
-	c := post("b")
-	b, err = l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	w := newTestConn(t, b)
-	if args := w.readCommand(); len(args) != 5 || args[4] != body {
-		t.Error("the command did not come whole")
-	}
-	io.WriteString(w, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	if c.readLine() != "$1" || c.readLine() != "v" {
-		t.Error("not served")
-	}
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Errorf("got %+v", o)
-	}
-}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"io"
 	"strings"
 	"testing"
 	"time"
@@ -11,14 +10,14 @@
 	"reedlead/policy"
 )
 
-// base tells what an ingress with nothing to do holds: timers and budget.
-func (r *harness) idleUsage() (timers int, left int64) {
-	r.onLoop(func() { timers, left = len(r.proxy.timers), r.proxy.inputBudget.Available() })
-	return timers, left
+// idleUsage tells what a proxy holds: its timers, and what is available of its input budget.
+func (r *harness) idleUsage() (timers int, available int64) {
+	r.onLoop(func() { timers, available = len(r.proxy.timers), r.proxy.inputBudget.Available() })
+	return timers, available
 }
 
-// Guards against connections that stay open for nothing: silence and half a command get an error and
-// the end, also behind a request that is still open, which is answered all the same.
+// TestSilenceAndHalfACommandEnd guards against connections that stay open for nothing: silence and half a command get
+// an error and the end, also behind a request that is still open, which has its reply all the same.
 func TestSilenceAndHalfACommandEnd(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, half string }{
@@ -26,52 +25,48 @@
 		"behind another": {encodeCommand("PING"), "*1\r\n$4\r\nPI"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			most := time.Millisecond
+			timeout := time.Millisecond
 			if tc.before != "" {
-				most = time.Hour // until that is answered, however busy this machine is
+				timeout = time.Hour // until that has its reply, however busy this machine is
 			}
-			r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.commandTimeout = most })
+			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.commandTimeout = timeout })
 			c := r.client()
 			if tc.before != "" {
-				if io.WriteString(c, tc.before); c.readLine() != "+PONG" {
+				if c.write(tc.before); c.readLine() != "+PONG" {
 					t.Fatal("not served")
 				}
 				r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
 			}
-			io.WriteString(c, tc.half)
-			if got := c.readLine(); got != want || c.readLine() != "" {
-				t.Errorf("got %q, want %q and the end", got, want)
-			}
-			c.Close()
-			r.eventually("it is gone", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
+			c.write(tc.half)
+			c.wantLines(want, "")
+			c.hangUp()
+			r.eventually("the connection is closed", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
-		r := startProxy(t, testConfig("127.0.0.1:1"), nil)
+		r := startProxy(t, testConfig(unreachableAgent), nil)
 		c := r.client()
-		io.WriteString(c, encodeCommand(lookCommand("a")...))
+		c.write(encodeCommand(lookCommand("a")...))
 		receive(t, r.decider.requests)
 		r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
-		io.WriteString(c, "*1")
+		c.write("*1")
 		r.eventually("the error waits", func() bool {
 			q := r.proxy.requests["a"]
 			return q != nil && len(q.client.pipeline.slots) == 2
 		})
 		r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
-		if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || b != want || c.readLine() != "" {
-			t.Errorf("got %q, then %q", a, b)
-		}
+		c.wantLines("-ERR failed", want, "")
 	})
 }
 
-// Guards against a request that is lost with the junk behind it: however much of that comes, the
-// connection stays until what it asked for before is answered.
+// TestJunkBehindARequest guards against a request that is lost with the junk behind it: however much of that comes, the
+// connection stays until the commands before it have their replies.
 func TestJunkBehindARequest(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig(unreachableAgent), nil)
 	c := r.client()
-	io.WriteString(c, encodeCommand(lookCommand("a")...)+"*1\r\n$60000000\r\n")
+	c.write(encodeCommand(lookCommand("a")...) + "*1\r\n$60000000\r\n")
 	receive(t, r.decider.requests)
-	io.WriteString(c, strings.Repeat("x", maxLingerBytes))
+	c.write(strings.Repeat("x", maxLingerBytes))
 	r.eventually("enough is read", func() bool {
 		q := r.proxy.requests["a"]
 		return q != nil && q.client.lingerDone
@@ -81,18 +76,19 @@
 		t.Errorf("got %q, then %q", a, b)
 	}
 	if len(r.decider.gone) != 0 {
-		t.Error("the module was told that the client had left")
+		t.Error("the decision module heard that the client was gone")
 	}
 }
 
-// Guards the loop against a client that sends bad commands for as long as it is answered.
+// TestBadCommandsAreCounted guards the event loop against a client that sends bad commands for as long as it gets
+// replies.
 func TestBadCommandsAreCounted(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig(unreachableAgent), nil)
 	c := r.client()
-	io.WriteString(c, strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
+	c.write(strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
 		if got := c.readLine(); got != `-ERR unknown command "NOVEL"` {
-			t.Fatalf("answer %d is %q", i, got)
+			t.Fatalf("reply %d is %q", i, got)
 		}
 	}
 	if got := c.readLine(); got != "" {
@@ -100,9 +96,9 @@
 	}
 }
 
-// Guards against usual clients that make room for those that have said nothing.
+// TestNeverSpokenMakeRoomFirst guards against usual clients that make room for those that have sent nothing.
 func TestNeverSpokenMakeRoomFirst(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit = 2 })
+	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit = 2 })
 	usual := r.client()
 	if usual.send("PING"); usual.readLine() != "+PONG" {
 		t.Fatal("not served")
@@ -118,9 +114,9 @@
 	}
 }
 
-// Guards against clients that ask once and keep their connection for good.
+// TestIdleConnectionsEnd guards against clients that send one request and keep their connection for good.
 func TestIdleConnectionsEnd(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
+	r := startProxy(t, testConfig(unreachableAgent), nil)
 	busy, idle := r.client(), r.client()
 	busy.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
@@ -136,40 +132,40 @@
 	}
 }
 
-// Guards against memory that an answered request holds until its deadline, an hour away if its client
-// says so: timers, the command's bytes and what the budget lent for them.
-func TestAnAnsweredRequestHoldsNothing(t *testing.T) {
+// TestACompletedRequestHoldsNothing guards against memory that a request with its final reply holds until its deadline,
+// an hour away if its client says so: timers, the bytes of the command and what was reserved of the budget for them.
+func TestACompletedRequestHoldsNothing(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	timers, left := r.idleUsage()
+	timers, available := r.idleUsage()
 	c := r.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
-	req := (*request)(nil)
-	r.onLoop(func() { req = r.proxy.requests["a"] })
-	if busy, less := r.idleUsage(); busy != timers+2 || less >= left {
-		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", busy, less, timers, left)
+	var completed *request
+	r.onLoop(func() { completed = r.proxy.requests["a"] })
+	if openTimers, less := r.idleUsage(); openTimers != timers+2 || less >= available {
+		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", openTimers, less, timers, available)
 	}
-	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	b.write(valueReply)
 	receive(t, r.decider.outcomes)
-	if again, now := r.idleUsage(); again != timers || now != left || req.Args != nil {
-		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.Args)
+	if again, now := r.idleUsage(); again != timers || now != available || completed.Args != nil {
+		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, available, completed.Args)
 	}
 }
 
-// Guards the memory: what is unfinished or waits has one bound for all connections together.
+// TestInputHasOneBudget guards the memory: what is unfinished or waits has one bound for all connections together.
 func TestInputHasOneBudget(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
+	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
 	big := func(id string) string {
-		return encodeCommand("CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
+		return encodeCommand(postCommand(id, strings.Repeat("x", 10_000))...)
 	}
 	c := r.client()
-	io.WriteString(c, big("a")+big("b")+big("c"))
+	c.write(big("a") + big("b") + big("c"))
 	receive(t, r.decider.requests)
-	r.eventually("no more is taken", func() bool { return r.proxy.inputBudget.Available() < 20_000 })
+	r.eventually("no more is read", func() bool { return r.proxy.inputBudget.Available() < 20_000 })
 	d := r.client()
-	io.WriteString(d, "*5\r\n$60000\r\n"+strings.Repeat("x", 59_000))
+	d.write("*5\r\n$60000\r\n" + strings.Repeat("x", 59_000))
 	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
 		t.Errorf("half a command beyond the budget got %q", got)
 	}
@@ -178,19 +174,20 @@
 	}
 	for i := range 3 {
 		if got := c.readLine(); got != "-ERR failed" && got != "-BUSY 1000" {
-			t.Errorf("answer %d is %q", i, got)
+			t.Errorf("reply %d is %q", i, got)
 		}
 	}
-	c.Close()
+	c.hangUp()
 	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.Available() == 30_000 })
 }
 
-// Guards against answers out of order or given twice: a connection's answers come in the order of
-// its commands whatever the order of the decisions, and the first one for a request stands.
-func TestPipelinedAnswersComeOnceAndInOrder(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
+// TestPipelinedRepliesComeOnceAndInOrder guards against replies out of order or given twice: a connection's replies
+// come in the order of its commands whatever the order of the decisions, and the first one for a request stands.
+func TestPipelinedRepliesComeOnceAndInOrder(t *testing.T) {
+	r := startProxy(t, testConfig(unreachableAgent), nil)
 	c := r.client()
-	io.WriteString(c, encodeCommand(lookCommand("a")...)+encodeCommand(lookCommand("b")...)+encodeCommand("PING")+encodeCommand("SELECT", "0"))
+	c.write(encodeCommand(lookCommand("a")...) + encodeCommand(lookCommand("b")...) +
+		encodeCommand("PING") + encodeCommand("SELECT", "0"))
 	receive(t, r.decider.requests)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
@@ -202,34 +199,16 @@
 	c.send("PING")
 	for i, want := range []string{"-ERR failed", "-BUSY 1000", "+PONG", "-ERR unknown command \"SELECT\"", "+PONG"} {
 		if got := c.readLine(); got != want {
-			t.Errorf("answer %d is %q, want %q", i, got, want)
+			t.Errorf("reply %d is %q, want %q", i, got, want)
 		}
 	}
 }
 
-// Guards against a module that goes on working for a client that has left.
-func TestHangUpReachesTheModule(t *testing.T) {
-	addr, conns := listenBackend(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c := r.client()
-	c.send(lookCommand("a")...)
-	b := receive(t, conns)
-	b.readCommand()
-	c.Close()
-	if id := receive(t, r.decider.gone); id != "a" {
-		t.Errorf("gone: %q", id)
-	}
-	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK || !o.RequestDone {
-		t.Errorf("got %+v", o)
-	}
-}
-
-// Guards against a crash or a hang on what can't be read.
+// TestBadInput guards against a crash or a hang on what can't be read.
 func TestBadInput(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
-	r := startProxy(t, testConfig("127.0.0.1:1"), nil)
-	for want, p := range map[string]string{
+	r := startProxy(t, testConfig(unreachableAgent), nil)
+	for want, input := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
 		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
 		"-ERR Protocol error: invalid number":         "*-1\r\n",
@@ -257,29 +236,29 @@
 		"-ERR field k is missing":                     encodeCommand("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
 		c := r.client()
-		io.WriteString(c, p)
+		c.write(input)
 		if got := c.readLine(); !strings.HasPrefix(got, want) {
-			t.Errorf("%q: got %q, want %q", p[:min(len(p), 60)], got, want)
+			t.Errorf("%q: got %q, want %q", input[:min(len(input), 60)], got, want)
 			continue
 		}
 		if strings.Contains(want, "Protocol") {
 			if got := c.readLine(); got != "" {
-				t.Errorf("%q: %q behind the error", p, got)
+				t.Errorf("%q: %q behind the error", input, got)
 			}
 			continue
 		}
 		if c.send("PING"); c.readLine() != "+PONG" {
-			t.Errorf("%q: the connection is of no use afterwards", p)
+			t.Errorf("%q: the connection is of no use afterwards", input)
 		}
 	}
 	if len(r.decider.requests) != 0 {
-		t.Error("the module was asked about what could not be read")
+		t.Error("the decision module was asked about what could not be read")
 	}
 }
 
-// Guards against running out of descriptors: the connection that idles longest makes room.
+// TestIdleClientsMakeRoom guards against running out of descriptors: the connection that is idle longest makes room.
 func TestIdleClientsMakeRoom(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit = 2 })
+	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit = 2 })
 	var conns []*testConn
 	for range 3 {
 		c := r.client()
@@ -289,32 +268,33 @@
 		conns = append(conns, c)
 	}
 	if conns[0].readLine() != "" {
-		t.Error("the connection that idled longest is open")
+		t.Error("the connection that was idle longest is open")
 	}
 	if conns[2].send("PING"); conns[2].readLine() != "+PONG" {
 		t.Error("the newest connection was closed")
 	}
 }
 
-// Guards against requests lost to the bound on descriptors: a connection beyond it was closed, and with
-// it the request that had come along. It is refused in words, and served once another one idles.
-func TestSurplusClientsAreRefusedInWords(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) { r.proxy.clients.limit, r.proxy.clients.overLimitAllowance = 1, 1 })
+// TestClientsBeyondTheLimitAreRejectedWithAReply guards against requests lost to the limit on connections: a connection
+// beyond it was closed, and with it the request that had come along. It gets a reply, and is served once another one is
+// idle.
+func TestClientsBeyondTheLimitAreRejectedWithAReply(t *testing.T) {
+	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit, r.proxy.clients.overLimitAllowance = 1, 1 })
 	busy := r.client()
 	busy.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
-	surplus := r.client()
-	surplus.send(lookCommand("b")...)
-	if got := surplus.readLine(); got != "-BUSY 1000" {
-		t.Errorf("beyond the bound: %q", got)
+	extra := r.client()
+	extra.send(lookCommand("b")...)
+	if got := extra.readLine(); got != "-BUSY 1000" {
+		t.Errorf("beyond the limit: %q", got)
 	}
-	next := r.client() // an idle one of the surplus makes room for it
+	next := r.client() // an idle one beyond the limit makes room for it
 	next.send(lookCommand("b")...)
-	if got := next.readLine(); got != "-BUSY 1000" || surplus.readLine() != "" {
-		t.Errorf("beyond the bound, once more: %q", got)
+	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
+		t.Errorf("beyond the limit, once more: %q", got)
 	}
 	if len(r.decider.requests) != 0 {
-		t.Error("the module was asked about a request that was refused for it")
+		t.Error("the decision module was asked about a request that was rejected for it")
 	}
 	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
 	next.send(lookCommand("c")...)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -24,17 +25,20 @@
 	"github.com/tidwall/redcon"
 )
 
-// patience bounds how long a test waits for what must come. It decides nothing but when to give up.
+// patience is how long a test waits for what must come. It decides nothing but when to give up.
 const patience = 20 * time.Second
 
-// module stands in for the decision module: a test says what it does on a request, and sees what
-// it is told.
+// eventsKept is how many events of a kind a fakeDecider, or a listener, keeps for the test.
+const eventsKept = 64
+
+// fakeDecider stands in for the decision module: a test says what it does on a request or an outcome, and receives
+// the events that come to it.
 type fakeDecider struct {
 	onRequest    func(policy.Request)
 	onOutcome    func(policy.Outcome)
 	requests     chan policy.Request
 	outcomes     chan policy.Outcome
-	gone         chan string
+	gone         chan string // ids of requests
 	lists        chan []policy.Endpoint
 	messages     chan peerMessage
 	healthChecks chan policy.HealthCheckResult
@@ -47,63 +51,68 @@
 
 func newFakeDecider() *fakeDecider {
 	return &fakeDecider{
-		requests: make(chan policy.Request, 64), outcomes: make(chan policy.Outcome, 64),
-		gone: make(chan string, 64), lists: make(chan []policy.Endpoint, 64), messages: make(chan peerMessage, 64),
-		healthChecks: make(chan policy.HealthCheckResult, 64),
+		requests: make(chan policy.Request, eventsKept), outcomes: make(chan policy.Outcome, eventsKept),
+		gone: make(chan string, eventsKept), lists: make(chan []policy.Endpoint, eventsKept),
+		messages: make(chan peerMessage, eventsKept), healthChecks: make(chan policy.HealthCheckResult, eventsKept),
 	}
 }
 
-func (m *fakeDecider) HandleRequest(_ float64, q policy.Request) {
-	m.requests <- q
-	if m.onRequest != nil {
-		m.onRequest(q)
+func (d *fakeDecider) HandleRequest(_ policy.Seconds, request policy.Request) {
+	d.requests <- request
+	if d.onRequest != nil {
+		d.onRequest(request)
 	}
 }
 
-func (m *fakeDecider) HandleOutcome(_ float64, o policy.Outcome) {
-	m.outcomes <- o
-	if m.onOutcome != nil {
-		m.onOutcome(o)
+func (d *fakeDecider) HandleOutcome(_ policy.Seconds, outcome policy.Outcome) {
+	d.outcomes <- outcome
+	if d.onOutcome != nil {
+		d.onOutcome(outcome)
 	}
 }
 
-func (m *fakeDecider) HandleClientGone(_ float64, id string) { m.gone <- id }
+func (d *fakeDecider) HandleClientGone(_ policy.Seconds, id string) { d.gone <- id }
 
-func (m *fakeDecider) HandleEndpoints(_ float64, list []policy.Endpoint, whole bool) { m.lists <- list }
+func (d *fakeDecider) HandleEndpoints(_ policy.Seconds, list []policy.Endpoint, _ bool) {
+	d.lists <- list
+}
 
-func (m *fakeDecider) HandleTimer(float64, uint64) {}
+func (d *fakeDecider) HandleTimer(policy.Seconds, uint64) {}
 
-func (m *fakeDecider) HandlePeerMessage(_ float64, from int, data []byte) {
-	m.messages <- peerMessage{from, string(data)}
+func (d *fakeDecider) HandlePeerMessage(_ policy.Seconds, from int, data []byte) {
+	d.messages <- peerMessage{from, string(data)}
 }
 
-func (m *fakeDecider) HandleHealthCheck(_ float64, p policy.HealthCheckResult) { m.healthChecks <- p }
+func (d *fakeDecider) HandleHealthCheck(_ policy.Seconds, result policy.HealthCheckResult) {
+	d.healthChecks <- result
+}
 
+// receive waits for the next element of a channel, or for it to be closed.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
-	case v := <-c:
-		return v
+	case element := <-c:
+		return element
 	case <-time.After(patience):
 		t.Fatal("nothing came")
 		panic("unreachable")
 	}
 }
 
-// rig is an ingress on loopback sockets with a stand-in module.
+// harness is a proxy on loopback sockets with a fake decision module.
 type harness struct {
 	t         *testing.T
 	proxy     *Proxy
 	decider   *fakeDecider
-	ended     chan struct{}
+	ended     chan struct{} // closed when the proxy has ended
 	terminate context.CancelFunc
-
-	reread chan config.Config
+	reread    chan config.Config
 }
 
-// unreachableAgent is an address that refuses.
+// unreachableAgent is an address that refuses connections.
 const unreachableAgent = "127.0.0.1:1"
 
+// testConfig is a configuration with an endpoint s0, s1, ... at each address.
 func testConfig(backends ...string) config.Config {
 	c := config.Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024,
@@ -119,12 +128,13 @@
 		}},
 	}
 	for i, addr := range backends {
-		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
+		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: discovery.StateInService})
 	}
 	c.Known.Full = true
 	return c
 }
 
+// startProxy starts a proxy, which change may have altered, and ends it with the test.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
@@ -132,12 +142,15 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan config.Config)}
-	p.endpoints.duplicateWindow = 0 // the tests' answers are alike
+	r := &harness{
+		t: t, proxy: p, decider: newFakeDecider(),
+		ended: make(chan struct{}), terminate: cancel, reread: make(chan config.Config),
+	}
+	p.endpoints.duplicateWindow = 0 // the replies of the tests are alike
 	p.endpoints.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
 	quiet := make(chan struct{})
-	if cfg.Discovery == unreachableAgent { // asked once, so that no event comes of it later
+	if cfg.Discovery == unreachableAgent { // it is polled once, so that no event comes of it later
 		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
@@ -165,7 +178,7 @@
 	return r
 }
 
-// do runs f on the loop and waits for it.
+// onLoop runs f on the event loop and waits for it.
 func (r *harness) onLoop(f func()) {
 	done := make(chan struct{})
 	r.proxy.post(0, func() { defer close(done); f() })
@@ -175,7 +188,7 @@
 	}
 }
 
-// until waits for something that the loop comes to by itself.
+// eventually waits for what comes to hold on the event loop without the test's doing.
 func (r *harness) eventually(what string, holds func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -187,19 +200,148 @@
 	r.t.Fatal("never came to: " + what)
 }
 
-// wire is one end of a connection.
+// whileLoopWaits has the event loop wait while meanwhile runs, and then until holds. What comes meanwhile is not
+// handled before then has run on the event loop.
+func (r *harness) whileLoopWaits(meanwhile func(), holds func() bool, then func()) {
+	r.t.Helper()
+	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	held := false
+	r.proxy.post(0, func() {
+		defer close(done)
+		close(waiting)
+		<-resume
+		held = waitFor(holds)
+		then()
+	})
+	receive(r.t, waiting)
+	meanwhile()
+	close(resume)
+	<-done // nothing else is posted before
+	if !held {
+		r.t.Fatal("what was to come while the event loop waited has not come")
+	}
+}
+
+// queued tells whether n events wait in the queue; on the event loop.
+func (r *harness) queued(n int) func() bool { return func() bool { return len(r.proxy.events) >= n } }
+
+// waitFor waits until something holds, and tells whether it came to.
+func waitFor(holds func() bool) bool {
+	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			return false
+		}
+	}
+	return true
+}
+
+// testConn is the test's end of a connection.
 type testConn struct {
-	t *testing.T
 	net.Conn
+	t      *testing.T
 	reader *bufio.Reader
 }
 
-func newTestConn(t *testing.T, c net.Conn) *testConn {
-	c.SetDeadline(time.Now().Add(patience))
-	t.Cleanup(func() { c.Close() })
-	return &testConn{t, c, bufio.NewReader(c)}
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
+	_ = conn.SetDeadline(time.Now().Add(patience)) // on a closed connection it fails, as reads do
+	t.Cleanup(func() { _ = conn.Close() })         // the test may have closed it
+	return &testConn{conn, t, bufio.NewReader(conn)}
+}
+
+// write sends bytes as they are.
+func (c *testConn) write(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.Conn, text); err != nil {
+		c.t.Errorf("write: %v", err)
+	}
+}
+
+// send sends a command.
+func (c *testConn) send(args ...string) {
+	c.t.Helper()
+	c.write(encodeCommand(args...))
+}
+
+// hangUp closes the connection.
+func (c *testConn) hangUp() {
+	c.t.Helper()
+	if err := c.Close(); err != nil {
+		c.t.Errorf("close: %v", err)
+	}
+}
+
+// closeWrite ends the sending side of the connection.
+func (c *testConn) closeWrite() {
+	c.t.Helper()
+	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		c.t.Errorf("close of the sending side: %v", err)
+	}
+}
+
+// ending is how a client disconnects.
+type ending string
+
+const (
+	endingClose ending = "closed"
+	endingReset ending = "reset"
+)
+
+// disconnect ends the connection.
+func (c *testConn) disconnect(how ending) {
+	c.t.Helper()
+	if how == endingReset {
+		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+			c.t.Error(err)
+		}
+	}
+	c.hangUp()
+}
+
+// readLine reads one line without its end, or what came before the end of the connection, which may be "".
+func (c *testConn) readLine() string {
+	line, _ := c.reader.ReadString('\n') // what came before an error counts
+	return strings.TrimRight(line, "\r\n")
 }
 
+// readCommand reads a whole command and returns its arguments, nil at the end of the connection.
+func (c *testConn) readCommand() (args []string) {
+	n, err := strconv.Atoi(strings.TrimPrefix(c.readLine(), "*"))
+	if err != nil {
+		return nil
+	}
+	for range n {
+		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // at the end of the connection the read fails
+		arg := make([]byte, size+len("\r\n"))
+		if _, err := io.ReadFull(c.reader, arg); err != nil {
+			return nil
+		}
+		args = append(args, string(arg[:size]))
+	}
+	return args
+}
+
+// wantLines holds that the next lines are those given; "" is the end of the connection.
+func (c *testConn) wantLines(want ...string) {
+	c.t.Helper()
+	for i, line := range want {
+		if got := c.readLine(); got != line {
+			c.t.Errorf("line %d is %q, want %q", i, got, line)
+		}
+	}
+}
+
+// wantValue holds that the next reply is the value of valueReply.
+func (c *testConn) wantValue(what string) {
+	c.t.Helper()
+	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
+		c.t.Errorf("%s: got %q, %q", what, length, value)
+	}
+}
+
+// valueReply is an endpoint's reply with a value and no load report.
+const valueReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+
+// client connects a client to the proxy.
 func (r *harness) client() *testConn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.proxy.listener.Addr().String())
@@ -209,7 +351,7 @@
 	return newTestConn(r.t, c)
 }
 
-// addIdleConn puts a connection without a reader into the pool of an endpoint; on the loop.
+// addIdleConn puts a connection without a reader into the pool of an endpoint; on the event loop.
 func (r *harness) addIdleConn(endpointID string, conn net.Conn) *backendConn {
 	r.t.Helper()
 	e := r.proxy.endpoints.byID[endpointID]
@@ -225,77 +367,71 @@
 	return c
 }
 
-// dialTo connects to an address.
+// mustDial connects to an address.
 func mustDial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// rawOf is the descriptor of a connection.
-func rawConnOf(t *testing.T, c net.Conn) syscall.RawConn {
+// rawConnOf is the raw connection of a TCP connection.
+func rawConnOf(t *testing.T, conn net.Conn) syscall.RawConn {
 	t.Helper()
-	raw, err := c.(*net.TCPConn).SyscallConn()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-func (w *testConn) send(args ...string) { io.WriteString(w, encodeCommand(args...)) }
-
+// encodeCommand is a command as clients send it.
 func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
-	for _, a := range args {
-		b = redcon.AppendBulkString(b, a)
+	for _, arg := range args {
+		b = redcon.AppendBulkString(b, arg)
 	}
 	return string(b)
 }
 
-// line reads one line, or "" at the end of the connection.
-func (w *testConn) readLine() string {
-	s, _ := w.reader.ReadString('\n')
-	return strings.TrimRight(s, "\r\n")
-}
-
-// command reads a whole command and returns its arguments, nil at the end of the connection.
-func (w *testConn) readCommand() (args []string) {
-	n, err := strconv.Atoi(strings.TrimPrefix(w.readLine(), "*"))
+// listenLoopback listens until the test ends.
+func listenLoopback(t *testing.T, config net.ListenConfig) net.Listener {
+	t.Helper()
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil
-	}
-	for range n {
-		size, _ := strconv.Atoi(strings.TrimPrefix(w.readLine(), "$"))
-		b := make([]byte, size+2)
-		if _, err := io.ReadFull(w.reader, b); err != nil {
-			return nil
-		}
-		args = append(args, string(b[:size]))
+		t.Fatal(err)
 	}
-	return args
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
 }
 
-// listen takes connections of a backend.
+// listenBackend accepts the connections of an endpoint.
 func listenBackend(t *testing.T) (addr string, conns chan *testConn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	conns = make(chan *testConn, 64)
+	t.Helper()
+	listener := listenLoopback(t, net.ListenConfig{})
+	conns = make(chan *testConn, eventsKept)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			conns <- newTestConn(t, c)
+			conns <- newTestConn(t, conn)
 		}
 	}()
-	return l.Addr().String(), conns
+	return listener.Addr().String(), conns
+}
+
+// acceptOne accepts the next connection of a listener.
+func acceptOne(t *testing.T, listener net.Listener) *testConn {
+	t.Helper()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return newTestConn(t, conn)
 }
 
 const testCustomer = "00000000b4d65521"
@@ -304,32 +440,68 @@
 	return []string{"CALL.GET", testCustomer, id, "c=look,t=basic,d=600000,units=2,spread=2,first=1"}
 }
 
-// sendTo has the module send each request to s0.
-func sendEachRequest(timeoutS float64) func(*harness) {
+// postCommand is a request of a class that is not idempotent.
+func postCommand(id, body string) []string {
+	return []string{"CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body}
+}
+
+// sendEachRequest has the decision module send each request to s0.
+func sendEachRequest(timeout policy.Seconds) func(*harness) {
 	return func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", timeoutS, 0) }
+		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", timeout, 0) }
 	}
 }
 
-// smallSockets is a backend, and an ingress that sends to it, whose sockets hold a part of a large command.
-func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
-	small := func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
-	}
-	l, err := (&net.ListenConfig{Control: small}).Listen(context.Background(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// rejectEachRequest has the decision module reject each request, so that the reply tells that it was asked.
+func rejectEachRequest(r *harness) {
+	r.decider.onRequest = func(q policy.Request) { r.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
+}
+
+// holdDials has dials wait until free is closed.
+func (r *harness) holdDials(free <-chan struct{}) {
+	dial := r.proxy.endpoints.dial
+	r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+		<-free
+		return dial(addr)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l, startProxy(t, testConfig(l.Addr().String()), func(r *harness) {
+}
+
+// startWithAttempt starts a proxy with one endpoint to which a client's request a was sent. It returns the client's
+// connection and that of the endpoint, on which the command was read, and further connections of the endpoint.
+func startWithAttempt(t *testing.T) (r *harness, c, b *testConn, conns chan *testConn) {
+	t.Helper()
+	addr, conns := listenBackend(t)
+	r = startProxy(t, testConfig(addr), sendEachRequest(0))
+	c = r.client()
+	c.send(lookCommand("a")...)
+	b = receive(t, conns)
+	b.readCommand()
+	return r, c, b, conns
+}
+
+// smallBuffer is a size of socket buffers in bytes that holds only a part of a large command.
+const smallBuffer = 4096
+
+// startWithSmallSockets starts a proxy and the listener of its one endpoint, whose sockets hold only a part of a large
+// command.
+func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
+	t.Helper()
+	listener := listenLoopback(t, net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		var failed error
+		err := raw.Control(func(fd uintptr) {
+			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBuffer)
+		})
+		return errors.Join(err, failed)
+	}})
+	return listener, startProxy(t, testConfig(listener.Addr().String()), func(r *harness) {
 		sendEachRequest(0)(r)
 		dial := r.proxy.endpoints.dial
 		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
-			c, err := dial(addr)
+			conn, err := dial(addr)
 			if err == nil {
-				err = c.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(4096)
+				err = conn.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(smallBuffer)
 			}
-			return c, err
+			return conn, err
 		}
 		if change != nil {
 			change(r)
@@ -337,24 +509,42 @@
 	})
 }
 
-// wantNotSent holds that the next attempt to end was not sent, and that its backend got nothing: its connection is
-// closed with the pool.
+// closePool closes the idle connections of all endpoints.
+func (r *harness) closePool() {
+	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) })
+}
+
+// wantNoCommand holds that nothing was sent on a connection of an endpoint, which is closed with the pool.
+func (r *harness) wantNoCommand(b *testConn) {
+	r.t.Helper()
+	r.closePool()
+	if got := b.readCommand(); got != nil {
+		r.t.Errorf("the endpoint got %q", got)
+	}
+}
+
+// wantNotSent holds that the next attempt to end was not sent, and that nothing was sent on a connection of its
+// endpoint.
 func (r *harness) wantNotSent(b *testConn) {
 	r.t.Helper()
 	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent {
 		r.t.Errorf("got %+v", o)
 	}
-	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) })
-	if got := b.readCommand(); got != nil {
-		r.t.Errorf("the backend got %q", got)
-	}
+	r.wantNoCommand(b)
 }
 
-// untilPartIsWritten waits until the socket has taken a part of the command of a request's first attempt.
-func (r *harness) untilPartIsWritten(id string) {
+// awaitPartialWrite waits until the socket has taken a part of the command of a request's first attempt.
+func (r *harness) awaitPartialWrite(id string) {
 	r.t.Helper()
 	r.eventually("a part is written", func() bool {
 		a := r.proxy.requests[id].attempts[0]
 		return a.conn != nil && !a.conn.commandWritten.Load()
 	})
 }
+
+// onlyClient is the connection of the only client, nil if there is none; on the event loop.
+func (r *harness) onlyClient() (c *clientConn) {
+	for c = range r.proxy.clients.conns {
+	}
+	return c
+}
