--- /dev/null
+++ b/internal/proxy/test_conn_test.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// testConn is the test's end of a connection.
+type testConn struct {
+	net.Conn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
+	_ = conn.SetDeadline(time.Now().Add(patience)) // on a closed connection it fails, as reads do
+	t.Cleanup(func() { _ = conn.Close() })         // the test may have closed it
+	return &testConn{conn, t, bufio.NewReader(conn)}
+}
+
+// write sends bytes as they are.
+func (c *testConn) write(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.Conn, text); err != nil {
+		c.t.Errorf("write: %v", err)
+	}
+}
+
+// send sends a command.
+func (c *testConn) send(args ...string) {
+	c.t.Helper()
+	c.write(encodeCommand(args...))
+}
+
+// hangUp closes the connection.
+func (c *testConn) hangUp() {
+	c.t.Helper()
+	if err := c.Close(); err != nil {
+		c.t.Errorf("close: %v", err)
+	}
+}
+
+// closeWrite ends the sending side of the connection.
+func (c *testConn) closeWrite() {
+	c.t.Helper()
+	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		c.t.Errorf("close of the sending side: %v", err)
+	}
+}
+
+// ending is how a client disconnects.
+type ending string
+
+const (
+	endingClose ending = "closed"
+	endingReset ending = "reset"
+)
+
+// disconnect ends the connection.
+func (c *testConn) disconnect(how ending) {
+	c.t.Helper()
+	if how == endingReset {
+		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+			c.t.Error(err)
+		}
+	}
+	c.hangUp()
+}
+
+// readLine reads one line without its end, or what came before the end of the connection, which may be "".
+func (c *testConn) readLine() string {
+	line, _ := c.reader.ReadString('\n') // what came before an error counts
+	return strings.TrimRight(line, "\r\n")
+}
+
+// readCommand reads a whole command and returns its arguments, nil at the end of the connection.
+func (c *testConn) readCommand() (args []string) {
+	n, err := strconv.Atoi(strings.TrimPrefix(c.readLine(), "*"))
+	if err != nil {
+		return nil
+	}
+	for range n {
+		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // at the end of the connection the read fails
+		arg := make([]byte, size+len("\r\n"))
+		if _, err := io.ReadFull(c.reader, arg); err != nil {
+			return nil
+		}
+		args = append(args, string(arg[:size]))
+	}
+	return args
+}
+
+// wantLines holds that the next lines are those given; "" is the end of the connection.
+func (c *testConn) wantLines(want ...string) {
+	c.t.Helper()
+	for i, line := range want {
+		if got := c.readLine(); got != line {
+			c.t.Errorf("line %d is %q, want %q", i, got, line)
+		}
+	}
+}
+
+// wantValue holds that the next reply is the value of valueReply.
+func (c *testConn) wantValue(what string) {
+	c.t.Helper()
+	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
+		c.t.Errorf("%s: got %q, %q", what, length, value)
+	}
+}
+
+// valueReply is an endpoint's reply with a value and no load report.
+const valueReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+
+// mustDial connects to an address.
+func mustDial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// rawConnOf is the raw connection of a TCP connection.
+func rawConnOf(t *testing.T, conn net.Conn) syscall.RawConn {
+	t.Helper()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// encodeCommand is a command as clients send it.
+func encodeCommand(args ...string) string {
+	b := redcon.AppendArray(nil, len(args))
+	for _, arg := range args {
+		b = redcon.AppendBulkString(b, arg)
+	}
+	return string(b)
+}
+
+// listenLoopback listens until the test ends.
+func listenLoopback(t *testing.T, config net.ListenConfig) net.Listener {
+	t.Helper()
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// listenBackend accepts the connections of an endpoint.
+func listenBackend(t *testing.T) (addr string, conns chan *testConn) {
+	t.Helper()
+	listener := listenLoopback(t, net.ListenConfig{})
+	conns = make(chan *testConn, eventsKept)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			conns <- newTestConn(t, conn)
+		}
+	}()
+	return listener.Addr().String(), conns
+}
+
+// acceptOne accepts the next connection of a listener.
+func acceptOne(t *testing.T, listener net.Listener) *testConn {
+	t.Helper()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return newTestConn(t, conn)
+}
--- /dev/null
+++ b/internal/reply/history_test.go
@@ -0,0 +1,44 @@
+package reply
+
+import (
+	"testing"
+
+	"reedlead/policy"
+)
+
+// TestHistoryKnowsDuplicates guards against a duplicate that is taken for a reply, and against a good reply that is
+// taken for a duplicate.
+func TestHistoryKnowsDuplicates(t *testing.T) {
+	for name, tc := range map[string]struct {
+		text   string
+		status policy.AttemptStatus
+		since  policy.Seconds
+		want   bool
+	}{
+		"the same bytes":              {"value", policy.OK, 9, true},
+		"the same bytes, long before": {"value", policy.OK, 10, false},
+		"other bytes":                 {"other", policy.OK, 9, false},
+		"another rejection":           {"-BUSY 2", policy.Rejected, 9, true},
+		"another error":               {"-ERR 2", policy.Error, 9, false},
+	} {
+		var h History
+		h.Add([]byte("value"), policy.OK, 10)
+		h.Add([]byte("-BUSY 1"), policy.Rejected, 11)
+		h.Add([]byte("-ERR 1"), policy.Error, 12)
+		if got := h.IsDuplicate([]byte(tc.text), tc.status, tc.since); got != tc.want {
+			t.Errorf("%s: %t", name, got)
+		}
+	}
+}
+
+// TestHistoryIsBounded guards the memory of a connection on which many replies come.
+func TestHistoryIsBounded(t *testing.T) {
+	var h History
+	h.Add([]byte("oldest"), policy.OK, 1)
+	for range maxPastReplies {
+		h.Add([]byte("later"), policy.OK, 2)
+	}
+	if len(h.replies) != maxPastReplies || h.IsDuplicate([]byte("oldest"), policy.OK, 0) {
+		t.Errorf("%d replies are kept", len(h.replies))
+	}
+}
