--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -2,28 +2,9 @@
 
 import (
 	"testing"
-)
 
-// TestLoopLagRemembersAStall guards against requests that arrived during a stall of the process and count as new: a
-// stall is known while it lasts, and for a moment after the event loop has noticed it.
-func TestLoopLagRemembersAStall(t *testing.T) {
-	var lag loopLag
-	lag.nextTimerDue.store(10)
-	if got := lag.onScheduleUntil(10 + lateS/2); got != 10+lateS/2 {
-		t.Errorf("on time: %v", got)
-	}
-	if got := lag.onScheduleUntil(10.6); got != 10 {
-		t.Errorf("before the loop ran: %v", got)
-	}
-	lag.recordStall(10, 10.6)
-	lag.nextTimerDue.store(10.62)
-	if got := lag.onScheduleUntil(10.61); got != 10 {
-		t.Errorf("right after: %v", got)
-	}
-	if got := lag.onScheduleUntil(10.6 + stallMemory + lateS/4); got <= 10.6 {
-		t.Errorf("later: %v", got)
-	}
-}
+	"reedlead/internal/eventloop"
+)
 
 // TestArrivalEstimates guards the bounds on when the bytes of a read arrived.
 func TestArrivalEstimates(t *testing.T) {
@@ -42,8 +23,8 @@
 		"after a stall, new":               {emptyAt: 2.55, dueAt: 2, began: 2.55, ended: 2.6, first: 2.55},
 		"with more behind it":              {emptyAt: 1, began: 1.5, ended: 1.5, filled: true, first: 1},
 	} {
-		var lag loopLag
-		lag.nextTimerDue.store(tc.dueAt)
+		var lag eventloop.Lag
+		lag.SetNextTimerDue(tc.dueAt)
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
 		got := tracker.estimate(raw, &lag, tc.began, tc.ended, tc.filled)
 		if got.first > tc.first || got.first < tc.first-1 || got.last < got.first || got.last > tc.ended {
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -18,7 +18,7 @@
 // last of those that have rested, else the one that has rested longest. A connection that has unsolicited bytes, or
 // that has ended, must not get a command, also if its reader has not noticed yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
-	now := s.proxy.now
+	now := s.proxy.loop.Now()
 	for len(e.idle) > 0 {
 		i := len(e.idle) - 1
 		for i > 0 && now-e.idle[i].idleSince < connectionRest {
@@ -67,7 +67,7 @@
 		c.close(notUsable, nil)
 		return
 	}
-	c.idleSince = c.proxy.now
+	c.idleSince = c.proxy.loop.Now()
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
@@ -93,17 +93,17 @@
 	if err == nil {
 		c, err = s.newConn(e, dialedAs, conn)
 	}
-	p.post(p.clock.now(), func() { s.dialed(e, c, err) })
+	p.loop.Post(p.clock.Now(), func() { s.dialed(e, c, err) })
 }
 
 // dialWithRetry dials an address, again for a while where that fails for something on this side.
 func (s *endpointSet) dialWithRetry(addr string) (net.Conn, error) {
 	p := s.proxy
-	startedAt := p.clock.now()
+	startedAt := p.clock.Now()
 	conn, err := s.dial(addr)
-	for first := true; netcalls.IsLocalFault(err) && p.clock.now()-startedAt < s.localFaultRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && p.clock.Now()-startedAt < s.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
-			p.post(p.clock.now(), func() { p.freeDescriptorsAfter(failed) })
+			p.loop.Post(p.clock.Now(), func() { p.freeDescriptorsAfter(failed) })
 		}
 		p.calls.Sleep(netcalls.RetryInterval)
 		conn, err = s.dial(addr)
@@ -137,7 +137,7 @@
 			s.assign(idle)
 			continue
 		}
-		s.proxy.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.proxy.now)
+		s.proxy.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.proxy.loop.Now())
 	}
 }
 
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -34,7 +34,10 @@
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
-	r.onLoop(func() { r.proxy.now += r.proxy.endpoints.idleTimeout + 1; r.proxy.endpoints.sweep() })
+	r.onLoop(func() {
+		r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + r.proxy.endpoints.idleTimeout + 1)
+		r.proxy.endpoints.sweep()
+	})
 	if b.readCommand() != nil {
 		t.Error("a connection that was idle for long was used")
 	}
@@ -135,7 +138,7 @@
 	b.write(valueReply)
 	c.wantValue("the first")
 	receive(t, r.decider.outcomes)
-	waitForClock(r.proxy, r.proxy.clock.now()+0.002)
+	waitForClock(r.proxy, r.proxy.clock.Now()+0.002)
 	c.send(lookCommand("b")...)
 	b.readCommand()
 	b.write(valueReply)
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -49,8 +49,8 @@
 		cause = c.writeErr
 	}
 	c.writeMu.Unlock()
-	at := p.clock.now()
-	p.post(at, func() { c.readerEnded(cause, at) })
+	at := p.clock.Now()
+	p.loop.Post(at, func() { c.readerEnded(cause, at) })
 }
 
 // readOnce reads what has come, waiting for it, and handles a reply that is whole. It tells whether to go on, and the
@@ -59,13 +59,13 @@
 	c, p := r.conn, r.proxy
 	space := r.buffer.Space()
 	if space == nil {
-		r.rejectReply(p.clock.now(), nil, readbuf.ErrExhausted)
+		r.rejectReply(p.clock.Now(), nil, readbuf.ErrExhausted)
 		return false, nil
 	}
 	n, err := c.conn.Read(space)
-	at := p.clock.now()
+	at := p.clock.Now()
 	if n > 0 && !c.awaitingReply.Load() {
-		p.post(at, func() { p.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
+		p.loop.Post(at, func() { p.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
 		return false, err // what follows can't be told apart
 	}
 	r.buffer.Grow(n)
@@ -95,7 +95,7 @@
 		return false
 	}
 	// A duplicate whose bytes were on their way when the command was written is known by this.
-	since := c.writeStartedAt.load() - r.proxy.endpoints.duplicateWindow
+	since := c.writeStartedAt.Load() - r.proxy.endpoints.duplicateWindow
 	if r.history.IsDuplicate(content[:size], received.Status, since) {
 		r.rejectReply(at, content, errDuplicateReply)
 		return false
@@ -107,7 +107,7 @@
 		c.unusable.Store(true)
 	}
 	c.awaitingReply.Store(false)
-	r.proxy.post(at, func() { c.replyReceived(received, at) })
+	r.proxy.loop.Post(at, func() { c.replyReceived(received, at) })
 	return !hasMore
 }
 
@@ -116,7 +116,7 @@
 	c, p := r.conn, r.proxy
 	c.unusable.Store(true)
 	start := string(got[:min(len(got), maxLoggedBytes)])
-	p.post(at, func() {
+	p.loop.Post(at, func() {
 		p.warn("malformed reply", "endpoint", c.endpoint.ID, "error", err, "bytes", start)
 		c.endAttempt(malformedReply(err), at)
 	})
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -28,7 +28,7 @@
 // behind the clock; a dial, and an endpoint that reads slowly, take time as well. Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
 	p := c.proxy
-	startedAt := p.clock.now()
+	startedAt := p.clock.Now()
 	if startedAt >= min(a.writeDeadline, a.expiresAt) {
 		c.release()
 		p.finishDeferred(a, policy.NotSent)
@@ -41,7 +41,7 @@
 	a.conn, c.attempt = c, a
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
-	c.writeStartedAt.store(startedAt)
+	c.writeStartedAt.Store(startedAt)
 	n, err := p.calls.WriteNow(c.rawConn, command)
 	switch {
 	case err != nil:
@@ -49,10 +49,10 @@
 		p.finishDeferred(a, policy.ConnectFailed)
 	case n == len(command):
 		c.commandWritten.Store(true)
-		p.traceSent(a, c.dialedAs, startedAt, p.clock.now())
+		p.traceSent(a, c.dialedAs, startedAt, p.clock.Now())
 	default:
 		deadline := min(a.writeDeadline, a.expiresAt, startedAt+reserve+p.endpoints.writeSlack)
-		c.startWriter(a, bytes.Clone(command[n:]), startedAt, p.clock.at(deadline))
+		c.startWriter(a, bytes.Clone(command[n:]), startedAt, p.clock.Time(deadline))
 	}
 }
 
@@ -85,7 +85,7 @@
 		}
 		_ = c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, the connection may be used again
 		c.commandWritten.Store(true)
-		p.traceSent(a, c.dialedAs, startedAt, p.clock.now())
+		p.traceSent(a, c.dialedAs, startedAt, p.clock.Now())
 	}()
 }
 
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -34,8 +34,8 @@
 	receive(t, r.decider.requests)
 	remaining := 0.0
 	r.onLoop(func() {
-		waitForClock(r.proxy, r.proxy.now+0.05)
-		remaining = r.proxy.requests["a"].deadline - r.proxy.clock.now()
+		waitForClock(r.proxy, r.proxy.loop.Now()+0.05)
+		remaining = r.proxy.requests["a"].deadline - r.proxy.clock.Now()
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	if args := b.readCommand(); len(args) != 4 {
@@ -51,8 +51,8 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
-		r.proxy.requests["a"].deadline = r.proxy.now + 0.01
-		waitForClock(r.proxy, r.proxy.now+0.02)
+		r.proxy.requests["a"].deadline = r.proxy.loop.Now() + 0.01
+		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	r.wantNotSent(b)
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/eventloop"
+
 	"reedlead/internal/command"
 	"reedlead/internal/discovery"
 	"reedlead/internal/netcalls"
@@ -73,7 +75,7 @@
 			t.Error(err)
 		}
 		r.proxy.inputBudget.Reserve(request.Size)
-		r.proxy.take(conn, request, r.proxy.clock.now())
+		r.proxy.take(conn, request, r.proxy.clock.Now())
 	})
 	r.wantNothingSent(conns)
 }
@@ -85,8 +87,8 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
-		r.proxy.requests["a"].cameAt = r.proxy.clock.now() // it was only read now
-		r.proxy.after(-1, func() {})
+		r.proxy.requests["a"].cameAt = r.proxy.clock.Now() // it was only read now
+		r.proxy.loop.After(-1, func() {})
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	r.wantNothingSent(conns)
@@ -113,7 +115,7 @@
 	r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(r.proxy, r.proxy.clock.now()+2*lateS) // the command has waited for longer than the lag that counts
+		waitForClock(r.proxy, r.proxy.clock.Now()+2*eventloop.LagTolerance) // the command has waited for longer than the lag that counts
 	})
 	r.wantNothingSent(conns)
 }
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -12,7 +12,7 @@
 
 // idleUsage tells what a proxy holds: its timers, and what is available of its input budget.
 func (r *harness) idleUsage() (timers int, available int64) {
-	r.onLoop(func() { timers, available = len(r.proxy.timers), r.proxy.inputBudget.Available() })
+	r.onLoop(func() { timers, available = r.proxy.loop.PendingTimers(), r.proxy.inputBudget.Available() })
 	return timers, available
 }
 
@@ -122,7 +122,7 @@
 	receive(t, r.decider.requests)
 	idle.send("PING")
 	idle.readLine()
-	r.onLoop(func() { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() })
+	r.onLoop(func() { r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1); r.proxy.clients.sweep() })
 	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -17,14 +17,14 @@
 	waiting, arrived := make(chan struct{}), make(chan struct{})
 	r.onLoop(func() {
 		a := r.proxy.requests["a"].attempts[0]
-		r.proxy.after(0, func() { // the first late timer; the next one is due as well
+		r.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
 			close(waiting)
 			<-arrived
 			for !r.queued(1)() {
 				time.Sleep(time.Millisecond)
 			}
 		})
-		r.proxy.after(0, func() { r.proxy.expireAttempt(a) })
+		r.proxy.loop.After(0, func() { r.proxy.expireAttempt(a) })
 	})
 	receive(t, waiting)
 	b.write(valueReply)
@@ -46,15 +46,15 @@
 	r.eventually("the reader waits", a.conn.unusable.Load)
 	r.onLoop(func() {
 		turns := 0
-		r.proxy.turn = func() {
+		r.proxy.loop.YieldToReaders = func() {
 			if turns++; turns == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); turns == 2 && len(r.proxy.events) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); turns == 2 && r.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		r.proxy.after(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
+		r.proxy.loop.After(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
 	})
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want the end that the reader posts", o)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -166,7 +166,7 @@
 		r.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests = map[string]*request{}
-			p.leaving, p.accepted = true, true
+			p.drain.started, p.drain.acceptorEnded = true, true
 		})
 		<-r.ended
 	})
@@ -176,7 +176,7 @@
 // onLoop runs f on the event loop and waits for it.
 func (r *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	r.proxy.post(0, func() { defer close(done); f() })
+	r.proxy.loop.Post(0, func() { defer close(done); f() })
 	select {
 	case <-done:
 	case <-r.ended:
@@ -201,7 +201,7 @@
 	r.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	held := false
-	r.proxy.post(0, func() {
+	r.proxy.loop.Post(0, func() {
 		defer close(done)
 		close(waiting)
 		<-resume
@@ -218,7 +218,9 @@
 }
 
 // queued tells whether n events wait in the queue; on the event loop.
-func (r *harness) queued(n int) func() bool { return func() bool { return len(r.proxy.events) >= n } }
+func (r *harness) queued(n int) func() bool {
+	return func() bool { return r.proxy.loop.QueuedEvents() >= n }
+}
 
 // waitFor waits until something holds, and tells whether it came to.
 func waitFor(holds func() bool) bool {
@@ -245,7 +247,7 @@
 	r.t.Helper()
 	e := r.proxy.endpoints.byID[endpointID]
 	c := &backendConn{
-		proxy: r.proxy, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.now,
+		proxy: r.proxy, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.loop.Now(),
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -13,8 +13,11 @@
 // commands: the command has been read, and waits in the event queue while the event loop takes the connection for idle.
 func TestACommandThatWasReadOutlastsTheClose(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
-		"shutdown": func(r *harness) { r.proxy.leave() },
-		"idle":     func(r *harness) { r.proxy.now += clientIdleTimeout + 1; r.proxy.clients.sweep() },
+		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
+		"idle": func(r *harness) {
+			r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1)
+			r.proxy.clients.sweep()
+		},
 		"evicted": func(r *harness) {
 			r.proxy.clients.limit = 1
 			r.proxy.clients.makeRoom(nil)
@@ -42,7 +45,7 @@
 		c := r.client()
 		c.send(lookCommand("a")...)
 		receive(t, r.decider.requests)
-		r.onLoop(r.proxy.leave)
+		r.onLoop(r.proxy.stopAccepting)
 		rejectEachRequest(r)
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
 		c.wantLines("-ERR failed", "-BUSY 500", "")
@@ -53,8 +56,8 @@
 		c.send(lookCommand("a")...)
 		receive(t, r.decider.requests)
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() {
-			r.proxy.leave()
-			r.proxy.stop()
+			r.proxy.stopAccepting()
+			r.proxy.endDrain()
 		})
 		c.wantLines("-ERR failed", "-BUSY 1000", "")
 		receive(t, r.ended)
@@ -75,7 +78,7 @@
 	all := encodeCommand(lookCommand("a")...)
 	c.write(all[:20])
 	r.eventually("half of it is read", func() bool { return netcalls.NoDataPending(r.onlyClient().rawConn) })
-	r.onLoop(r.proxy.leave)
+	r.onLoop(r.proxy.stopAccepting)
 	r.eventually("the reader goes on", func() bool { return r.onlyClient() == nil || !r.onlyClient().closeRequested })
 	c.write(all[20:])
 	c.wantLines("-BUSY 500", "")
@@ -87,7 +90,7 @@
 	t.Run("accepted", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 		var c *testConn
-		r.whileLoopWaits(func() { c = r.client(); c.send(lookCommand("a")...) }, r.queued(2), r.proxy.leave)
+		r.whileLoopWaits(func() { c = r.client(); c.send(lookCommand("a")...) }, r.queued(2), r.proxy.stopAccepting)
 		c.wantLines("-BUSY 500", "")
 	})
 	t.Run("in the backlog", func(t *testing.T) {
@@ -101,7 +104,7 @@
 		}
 		second := r.client()
 		second.send(lookCommand("a")...)
-		r.onLoop(r.proxy.leave)
+		r.onLoop(r.proxy.stopAccepting)
 		if first.readLine() != "" {
 			t.Error("the idle connection is open")
 		}
@@ -121,7 +124,7 @@
 		kill := time.Duration(min(deadlineS, 3)*float64(time.Second)) + 700*time.Millisecond
 		r := startProxy(t, cfg, nil)
 		r.onLoop(func() {
-			if d := r.proxy.drainFor; d >= kill || d < kill-200*time.Millisecond || d <= r.proxy.acceptFor {
+			if d := r.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= r.proxy.drain.acceptGrace {
 				t.Errorf("deadline of %g s: all ends after %v, SIGKILL comes after %v", deadlineS, d, kill)
 			}
 		})
@@ -132,7 +135,7 @@
 // the moment at which it is closed between commands: the sending side alone ends, until the client has closed too.
 func TestACloseDestroysNoReply(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
-		"shutdown": func(r *harness) { r.proxy.leave() },
+		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
 		"evicted":  func(r *harness) { r.proxy.clients.limit = 1; r.proxy.clients.makeRoom(nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -172,7 +175,7 @@
 		addr, conns := listenBackend(t)
 		r := startProxy(t, testConfig(addr), func(r *harness) {
 			sendEachRequest(0)(r)
-			r.proxy.acceptFor, r.proxy.drainFor = time.Hour, time.Hour // until the test says so
+			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
 		})
 		idle, busy := r.client(), r.client()
 		idle.send("PING")
@@ -185,7 +188,7 @@
 		if late.send("PING"); late.readLine() != "+PONG" {
 			t.Fatal("a connection after the signal was not served")
 		}
-		r.onLoop(r.proxy.leave)
+		r.onLoop(r.proxy.stopAccepting)
 		if idle.readLine() != "" || late.readLine() != "" {
 			t.Error("connections between requests were not closed")
 		}
@@ -196,7 +199,7 @@
 	})
 	t.Run("with nothing open", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-			r.proxy.acceptFor, r.proxy.drainFor = time.Millisecond, time.Hour
+			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Millisecond, time.Hour
 		})
 		r.terminate()
 		receive(t, r.ended) // by itself, once the time for late connections is over
@@ -206,7 +209,7 @@
 		c := r.client()
 		c.send(lookCommand("mute")...)
 		receive(t, r.decider.requests)
-		r.onLoop(func() { r.proxy.leave(); r.proxy.stop() })
+		r.onLoop(func() { r.proxy.stopAccepting(); r.proxy.endDrain() })
 		c.wantLines("-ERR failed", "")
 		receive(t, r.ended)
 	})
