--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -75,7 +75,7 @@
 			t.Error(err)
 		}
 		r.proxy.inputBudget.Reserve(request.Size)
-		r.proxy.take(conn, request, r.proxy.clock.Now())
+		r.proxy.admitRequest(conn, request, r.proxy.clock.Now())
 	})
 	r.wantNothingSent(conns)
 }
@@ -87,7 +87,7 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
-		r.proxy.requests["a"].cameAt = r.proxy.clock.Now() // it was only read now
+		r.proxy.requests["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
 		r.proxy.loop.After(-1, func() {})
 		r.proxy.Send("a", "s0", 0, 0)
 	})
