--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -4,7 +4,6 @@
 	"syscall"
 
 	"reedlead/internal/eventloop"
-
 	"reedlead/policy"
 
 	"golang.org/x/sys/unix"
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -5,9 +5,7 @@
 	"slices"
 
 	"reedlead/internal/eventloop"
-
 	"reedlead/internal/netcalls"
-
 	"reedlead/policy"
 )
 
@@ -134,6 +132,11 @@
 	return e == nil || e.state != policy.InService || a.request != nil && a.request.settled || p.loop.Now() >= a.expiresAt
 }
 
+// sendable tells whether an attempt that has waited may still be written.
+func (p *Proxy) sendable(a *attempt) bool {
+	return !p.unsendable(a) && (a.request == nil || !p.alreadySettled(a.request))
+}
+
 // alreadySettled tells whether something has come that makes an attempt of the request needless or wrong, though the
 // event loop has not handled it: a reply is in the socket of an earlier attempt, or the client has disconnected. A
 // request that was only just read is no exception: it may have been in its socket for long.
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -10,7 +10,6 @@
 	"testing"
 
 	"reedlead/internal/discovery"
-
 	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -6,11 +6,9 @@
 	"sync/atomic"
 	"syscall"
 
+	"reedlead/internal/discovery"
 	"reedlead/internal/eventloop"
-
 	"reedlead/internal/netcalls"
-
-	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
 
@@ -25,7 +23,8 @@
 // Whether commandWritten is set decides what the end of a connection means to its attempt. Who asks that while a writer
 // may be running closes the connection first, and locks writeMu to await the writer.
 type backendConn struct {
-	proxy    *Proxy
+	services *services
+	set      *endpointSet // that its endpoint is in
 	endpoint *endpoint
 	dialedAs discovery.Endpoint // as the entry of the list was at the dial
 	conn     netcalls.Conn
@@ -50,10 +49,10 @@
 		return
 	}
 	c.closed = true
-	c.proxy.logBackendClosed(c, why, cause)
+	c.logClosed(why, cause)
 	c.unusable.Store(true)
 	_ = c.conn.Close() // whatever was written on it, no more will be
-	c.proxy.endpoints.openConns--
+	c.set.openConns--
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(idle *backendConn) bool { return idle == c })
 }
 
@@ -68,5 +67,5 @@
 	if !c.commandWritten.Load() {
 		status = policy.ConnectFailed
 	}
-	c.proxy.finishAttempt(a, attemptResult{status: status}, at)
+	c.set.attempts.finishAttempt(a, attemptResult{status: status}, at)
 }
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -4,9 +4,8 @@
 	"net"
 	"slices"
 
-	"reedlead/internal/netcalls"
-
 	"reedlead/internal/discovery"
+	"reedlead/internal/netcalls"
 	"reedlead/policy"
 )
 
@@ -18,7 +17,7 @@
 // last of those that have rested, else the one that has rested longest. A connection that has unsolicited bytes, or
 // that has ended, must not get a command, also if its reader has not noticed yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
-	now := s.proxy.loop.Now()
+	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
 		i := len(e.idle) - 1
 		for i > 0 && now-e.idle[i].idleSince < connectionRest {
@@ -49,8 +48,8 @@
 	for len(e.waiting) > 0 {
 		a := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if s.proxy.unsendable(a) || a.request != nil && s.proxy.alreadySettled(a.request) {
-			s.proxy.finishDeferred(a, policy.NotSent)
+		if !s.attempts.sendable(a) {
+			s.attempts.finishDeferred(a, policy.NotSent)
 			continue
 		}
 		c.writeCommand(a)
@@ -67,7 +66,7 @@
 		c.close(notUsable, nil)
 		return
 	}
-	c.idleSince = c.proxy.loop.Now()
+	c.idleSince = c.services.loop.Now()
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
@@ -87,25 +86,25 @@
 // dialEndpoint makes one connection, and hands it or the failure to the event loop. Its goroutine, which awaitDial
 // starts, ends with the timeout of the dial at the latest.
 func (s *endpointSet) dialEndpoint(e *endpoint, dialedAs discovery.Endpoint) {
-	p := s.proxy
+	shared := s.services
 	conn, err := s.dialWithRetry(dialedAs.Addr)
 	var c *backendConn
 	if err == nil {
 		c, err = s.newConn(e, dialedAs, conn)
 	}
-	p.loop.Post(p.clock.Now(), func() { s.dialed(e, c, err) })
+	shared.loop.Post(shared.clock.Now(), func() { s.dialed(e, c, err) })
 }
 
 // dialWithRetry dials an address, again for a while where that fails for something on this side.
 func (s *endpointSet) dialWithRetry(addr string) (net.Conn, error) {
-	p := s.proxy
-	startedAt := p.clock.Now()
+	shared := s.services
+	startedAt := shared.clock.Now()
 	conn, err := s.dial(addr)
-	for first := true; netcalls.IsLocalFault(err) && p.clock.Now()-startedAt < s.localFaultRetry.Seconds(); first = false {
+	for first := true; netcalls.IsLocalFault(err) && shared.clock.Now()-startedAt < s.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
-			p.loop.Post(p.clock.Now(), func() { p.freeDescriptorsAfter(failed) })
+			shared.loop.Post(shared.clock.Now(), func() { s.attempts.freeDescriptorsAfter(failed) })
 		}
-		p.calls.Sleep(netcalls.RetryInterval)
+		shared.calls.Sleep(netcalls.RetryInterval)
 		conn, err = s.dial(addr)
 	}
 	return conn, err
@@ -113,8 +112,11 @@
 
 // newConn makes a backend connection of what was dialed.
 func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn net.Conn) (*backendConn, error) {
-	p := s.proxy
-	c := &backendConn{proxy: p, endpoint: e, dialedAs: dialedAs, conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: p.calls.Sleep}}
+	shared := s.services
+	c := &backendConn{
+		services: shared, set: s, endpoint: e, dialedAs: dialedAs,
+		conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: shared.calls.Sleep},
+	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
 		_ = conn.Close() // nobody knows it yet
@@ -137,15 +139,15 @@
 			s.assign(idle)
 			continue
 		}
-		s.proxy.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.proxy.loop.Now())
+		s.attempts.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.services.loop.Now())
 	}
 }
 
 // dialFailed returns how an attempt that waited for the dial ends.
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
-	s.proxy.warn("dial failed", "endpoint", e.ID, "error", err)
-	s.proxy.freeDescriptorsAfter(err)
+	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
+	s.attempts.freeDescriptorsAfter(err)
 	if netcalls.IsLocalFault(err) { // it tells nothing of the endpoint
 		return policy.NotSent
 	}
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -27,16 +27,16 @@
 // backendReader reads the replies on one connection, and notices its end, also while it is idle. Its goroutine, which
 // the event loop starts, owns it and ends with the connection, or behind what is no reply.
 type backendReader struct {
-	conn    *backendConn
-	proxy   *Proxy
-	buffer  readbuf.Buffer
-	history reply.History
+	conn     *backendConn
+	services *services
+	buffer   readbuf.Buffer
+	history  reply.History
 }
 
 // read runs the reader of the connection.
 func (c *backendConn) read() {
-	p := c.proxy
-	r := &backendReader{conn: c, proxy: p, buffer: readbuf.NewBuffer(p.inputBudget)}
+	shared := c.services
+	r := &backendReader{conn: c, services: shared, buffer: readbuf.NewBuffer(shared.inputBudget)}
 	defer r.buffer.Free()
 	goOn, cause := true, error(nil)
 	for goOn {
@@ -49,23 +49,23 @@
 		cause = c.writeErr
 	}
 	c.writeMu.Unlock()
-	at := p.clock.Now()
-	p.loop.Post(at, func() { c.readerEnded(cause, at) })
+	at := shared.clock.Now()
+	shared.loop.Post(at, func() { c.readerEnded(cause, at) })
 }
 
 // readOnce reads what has come, waiting for it, and handles a reply that is whole. It tells whether to go on, and the
 // error of the read.
 func (r *backendReader) readOnce() (goOn bool, err error) {
-	c, p := r.conn, r.proxy
+	c, shared := r.conn, r.services
 	space := r.buffer.Space()
 	if space == nil {
-		r.rejectReply(p.clock.Now(), nil, readbuf.ErrExhausted)
+		r.rejectReply(shared.clock.Now(), nil, readbuf.ErrExhausted)
 		return false, nil
 	}
 	n, err := c.conn.Read(space)
-	at := p.clock.Now()
+	at := shared.clock.Now()
 	if n > 0 && !c.awaitingReply.Load() {
-		p.loop.Post(at, func() { p.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
+		shared.loop.Post(at, func() { shared.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
 		return false, err // what follows can't be told apart
 	}
 	r.buffer.Grow(n)
@@ -95,7 +95,7 @@
 		return false
 	}
 	// A duplicate whose bytes were on their way when the command was written is known by this.
-	since := c.writeStartedAt.Load() - r.proxy.endpoints.duplicateWindow
+	since := c.writeStartedAt.Load() - c.set.duplicateWindow
 	if r.history.IsDuplicate(content[:size], received.Status, since) {
 		r.rejectReply(at, content, errDuplicateReply)
 		return false
@@ -107,17 +107,17 @@
 		c.unusable.Store(true)
 	}
 	c.awaitingReply.Store(false)
-	r.proxy.loop.Post(at, func() { c.replyReceived(received, at) })
+	r.services.loop.Post(at, func() { c.replyReceived(received, at) })
 	return !hasMore
 }
 
 // rejectReply ends the connection's attempt for what came in place of a reply.
 func (r *backendReader) rejectReply(at policy.Seconds, got []byte, err error) {
-	c, p := r.conn, r.proxy
+	c, shared := r.conn, r.services
 	c.unusable.Store(true)
 	start := string(got[:min(len(got), maxLoggedBytes)])
-	p.loop.Post(at, func() {
-		p.warn("malformed reply", "endpoint", c.endpoint.ID, "error", err, "bytes", start)
+	shared.loop.Post(at, func() {
+		shared.warn("malformed reply", "endpoint", c.endpoint.ID, "error", err, "bytes", start)
 		c.endAttempt(malformedReply(err), at)
 	})
 }
@@ -130,7 +130,7 @@
 	res := attemptResult{status: received.Status, value: received.Value, load: received.Load}
 	if isHealthCheck := c.attempt.request == nil; received.Status == policy.OK && received.HealthCheck != isHealthCheck {
 		c.unusable.Store(true)
-		c.proxy.warn("malformed reply", "endpoint", c.endpoint.ID, "error", errOtherReply)
+		c.services.warn("malformed reply", "endpoint", c.endpoint.ID, "error", errOtherReply)
 		res = malformedReply(errOtherReply)
 	}
 	c.endAttempt(res, at)
@@ -147,5 +147,5 @@
 		a.conn = nil
 		c.release()
 	}
-	c.proxy.finishAttempt(a, res, at)
+	c.set.attempts.finishAttempt(a, res, at)
 }
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -27,32 +27,32 @@
 // byte goes out in the attempt's time or never: the loop's time is that of the event that it handles, and may be well
 // behind the clock; a dial, and an endpoint that reads slowly, take time as well. Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
-	p := c.proxy
-	startedAt := p.clock.Now()
+	shared := c.services
+	startedAt := shared.clock.Now()
 	if startedAt >= min(a.writeDeadline, a.expiresAt) {
 		c.release()
-		p.finishDeferred(a, policy.NotSent)
+		c.set.attempts.finishDeferred(a, policy.NotSent)
 		return
 	}
-	command, reserve := a.appendCommand(p.commandBuffer[:0], startedAt)
-	if p.commandBuffer = command; cap(command) > maxKeptCommand {
-		p.commandBuffer = nil
+	command, reserve := a.appendCommand(c.set.commandBuffer[:0], startedAt)
+	if c.set.commandBuffer = command; cap(command) > maxKeptCommand {
+		c.set.commandBuffer = nil
 	}
 	a.conn, c.attempt = c, a
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
 	c.writeStartedAt.Store(startedAt)
-	n, err := p.calls.WriteNow(c.rawConn, command)
+	n, err := shared.calls.WriteNow(c.rawConn, command)
 	switch {
 	case err != nil:
 		c.close(writeFailed, err)
-		p.finishDeferred(a, policy.ConnectFailed)
+		c.set.attempts.finishDeferred(a, policy.ConnectFailed)
 	case n == len(command):
 		c.commandWritten.Store(true)
-		p.traceSent(a, c.dialedAs, startedAt, p.clock.Now())
+		c.set.attempts.traceSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	default:
-		deadline := min(a.writeDeadline, a.expiresAt, startedAt+reserve+p.endpoints.writeSlack)
-		c.startWriter(a, bytes.Clone(command[n:]), startedAt, p.clock.Time(deadline))
+		deadline := min(a.writeDeadline, a.expiresAt, startedAt+reserve+c.set.writeSlack)
+		c.startWriter(a, bytes.Clone(command[n:]), startedAt, shared.clock.Time(deadline))
 	}
 }
 
@@ -71,13 +71,13 @@
 
 // startWriter starts the writer goroutine with what the socket has not taken of a command.
 func (c *backendConn) startWriter(a *attempt, rest []byte, startedAt policy.Seconds, deadline time.Time) {
-	p := c.proxy
+	shared := c.services
 	c.writeMu.Lock()                      // its own reader alone takes it besides, for a moment at its end
 	_ = c.conn.SetWriteDeadline(deadline) // where it fails, so does the write
 	go func() {
 		defer c.writeMu.Unlock()
 		_, err := c.conn.Write(rest)
-		p.endpoints.afterWrite(c)
+		c.set.afterWrite(c)
 		if err != nil {
 			c.writeErr = err
 			_ = c.conn.Close() // its reader reports the end
@@ -85,7 +85,7 @@
 		}
 		_ = c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, the connection may be used again
 		c.commandWritten.Store(true)
-		p.traceSent(a, c.dialedAs, startedAt, p.clock.Now())
+		c.set.attempts.traceSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	}()
 }
 
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -6,9 +6,7 @@
 	"time"
 
 	"reedlead/internal/eventloop"
-
 	"reedlead/internal/netcalls"
-
 	"reedlead/policy"
 )
 
@@ -33,13 +31,14 @@
 // The event loop closes a connection between commands only when its reader has paused: requestClose asks for that by a
 // read deadline that has passed, the reader posts readerPaused and waits for resume or done.
 type clientConn struct {
-	proxy   *Proxy
-	number  uint64 // in the order of acceptance
-	conn    netcalls.Conn
-	rawConn syscall.RawConn
-	permits chan struct{} // one element for each open command: the reader puts it in, the event loop takes it out
-	done    chan struct{} // closed with the connection
-	resume  chan struct{} // ends a pause of the reader
+	services *services
+	set      *clientSet // that it is in
+	number   uint64     // in the order of acceptance
+	conn     netcalls.Conn
+	rawConn  syscall.RawConn
+	permits  chan struct{} // one element for each open command: the reader puts it in, the event loop takes it out
+	done     chan struct{} // closed with the connection
+	resume   chan struct{} // ends a pause of the reader
 
 	pauseRequested  atomic.Bool          // the reader is to pause between commands
 	discardInput    atomic.Bool          // the reader is to discard what still comes
@@ -86,7 +85,7 @@
 		c.close(why, nil)
 	default:
 		c.closeRequested, c.usedSinceRequest, c.closeReason = true, false, why
-		c.proxy.clients.closing++
+		c.set.closing++
 		c.pauseRequested.Store(true)
 		_ = c.conn.SetReadDeadline(pastDeadline) // it fails on a connection that has ended, which the reader reports
 	}
@@ -97,16 +96,16 @@
 	if c.closed {
 		return
 	}
-	unused := c.proxy.drain.started || !c.usedSinceRequest
+	unused := c.set.requests.isDraining() || !c.usedSinceRequest
 	if unused && c.idle() && c.reader.buffer.Len() == 0 && netcalls.NoDataPending(c.rawConn) {
 		c.closeGracefully()
 		return
 	}
 	c.closeRequested = false
-	c.proxy.clients.closing--
+	c.set.closing--
 	c.pauseRequested.Store(false)
 	c.resume <- struct{}{}
-	c.proxy.clients.enforceLimit() // another one has to be closed in its place
+	c.set.enforceLimit() // another one has to be closed in its place
 }
 
 // closeGracefully ends a connection on which nothing is owed. Bytes may come at this very moment: a close over them
@@ -114,7 +113,7 @@
 // lately only the sending side is shut down, and what still comes is discarded until the client closes too; it repeats
 // on another connection what it had sent meanwhile.
 func (c *clientConn) closeGracefully() {
-	if c.proxy.loop.Now()-c.lastUsedAt > replyInFlight {
+	if c.services.loop.Now()-c.lastUsedAt > replyInFlight {
 		c.close(c.closeReason, nil)
 		return
 	}
@@ -135,16 +134,12 @@
 	if c.closed {
 		return
 	}
-	p, slots := c.proxy, c.pipeline.slots
+	slots := c.pipeline.slots
 	c.close(why, cause)
 	for _, slot := range slots {
-		r := slot.request
-		if r == nil || r.settled {
-			continue
+		if slot.request != nil {
+			c.set.requests.abandonRequest(slot.request)
 		}
-		p.traceGone(r)
-		p.settle(r)
-		p.decider.HandleClientGone(p.loop.Now(), r.ID)
 	}
 }
 
@@ -153,17 +148,16 @@
 	if c.closed {
 		return
 	}
-	p := c.proxy
 	c.closed = true
-	p.logClientClosed(c, why, cause)
-	p.inputBudget.Release(c.reservedOutput)
+	c.logClosed(why, cause)
+	c.services.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	c.pipeline.drop()
 	if c.closeRequested {
-		p.clients.closing--
+		c.set.closing--
 	}
 	close(c.done)
 	_ = c.conn.Close() // nothing more is owed on it
-	delete(p.clients.conns, c)
-	<-p.clients.places
+	delete(c.set.conns, c)
+	<-c.set.places
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -7,10 +7,9 @@
 	"testing"
 	"time"
 
-	"reedlead/internal/eventloop"
-
 	"reedlead/internal/command"
 	"reedlead/internal/discovery"
+	"reedlead/internal/eventloop"
 	"reedlead/internal/netcalls"
 	"reedlead/policy"
 )
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -7,10 +7,10 @@
 	"syscall"
 	"time"
 
-	"reedlead/internal/netcalls"
-
 	"reedlead/internal/command"
+	"reedlead/internal/netcalls"
 	"reedlead/internal/readbuf"
+	"reedlead/policy"
 )
 
 const (
@@ -25,26 +25,43 @@
 // owns it. When the event loop gives the listener a deadline, it accepts what has come before that, closes the
 // listener, tells the event loop and ends. It also ends with the event loop.
 type clientListener struct {
-	proxy      *Proxy
+	services   *services
+	clients    *clientSet // it uses places alone; the rest belongs to the event loop
 	listener   *net.TCPListener
 	parser     *command.Parser
 	accepted   uint64 // connections so far
 	quietWaits int    // periods after the deadline in which no connection came
+
+	// The event loop calls onError with an error of accept, and onEnd when the listener is closed.
+	onError func(error)
+	onEnd   func()
 }
 
-// acceptClients runs the listener until it ends.
+// acceptClients runs the listener of clients until it ends.
 func (p *Proxy) acceptClients(listener *net.TCPListener) {
 	l := &clientListener{
-		proxy: p, listener: listener, parser: command.NewParser(p.cfg.Settings.Settings),
+		services: &p.services, clients: &p.clients, listener: listener,
+		parser: command.NewParser(p.cfg.Settings.Settings),
+		onError: func(err error) {
+			p.warn("accept failed", "error", err)
+			p.freeDescriptorsAfter(err)
+		},
+		onEnd: func() { p.drain.acceptorEnded = true },
 	}
+	l.run()
+}
+
+// run accepts connections until the listener ends.
+func (l *clientListener) run() {
+	loop, clock := l.services.loop, l.services.clock
 	defer func() {
-		_ = listener.Close() // a second close of it fails, and changes nothing
-		p.loop.Post(p.clock.Now(), func() { p.drain.acceptorEnded = true })
+		_ = l.listener.Close() // a second close of it fails, and changes nothing
+		loop.Post(clock.Now(), l.onEnd)
 	}()
 	for {
 		select {
-		case p.clients.places <- struct{}{}:
-		case <-p.loop.Ended():
+		case l.clients.places <- struct{}{}:
+		case <-loop.Ended():
 			return
 		}
 		if !l.acceptOne() {
@@ -55,9 +72,9 @@
 
 // acceptOne accepts one connection, for which the place is taken, or gives the place back. It tells whether to go on.
 func (l *clientListener) acceptOne() (goOn bool) {
-	p := l.proxy
+	shared := l.services
 	startedAt := time.Now()
-	conn, err := p.calls.Accept(l.listener)
+	conn, err := shared.calls.Accept(l.listener)
 	switch {
 	case errors.Is(err, net.ErrClosed):
 		return false
@@ -70,19 +87,16 @@
 			_ = conn.Close() // nobody knows it yet
 		}
 	}
-	at := p.clock.Now()
+	at := shared.clock.Now()
 	if err != nil {
-		<-p.clients.places
-		p.loop.Post(at, func() {
-			p.warn("accept failed", "error", err)
-			p.freeDescriptorsAfter(err)
-		})
-		p.calls.Sleep(netcalls.RetryInterval) // without descriptors, other connections must end first
+		<-l.clients.places
+		shared.loop.Post(at, func() { l.onError(err) })
+		shared.calls.Sleep(netcalls.RetryInterval) // without descriptors, other connections must end first
 		return true
 	}
 	l.accepted++
 	c := l.newConn(conn, rawConn, at)
-	p.loop.Post(at, func() { p.clients.add(c) })
+	shared.loop.Post(at, func() { l.clients.add(c) })
 	go c.reader.run()
 	return true
 }
@@ -96,21 +110,22 @@
 	if l.quietWaits >= quietWaitsToClose {
 		return false
 	}
-	<-l.proxy.clients.places
+	<-l.clients.places
 	_ = l.listener.SetDeadline(time.Now().Add(listenerQuietPeriod)) // it fails on a closed listener, as accept will
 	return true
 }
 
 // newConn makes the connection that was accepted at a time.
-func (l *clientListener) newConn(conn netcalls.Conn, rawConn syscall.RawConn, at float64) *clientConn {
-	p := l.proxy
+func (l *clientListener) newConn(conn netcalls.Conn, rawConn syscall.RawConn, at policy.Seconds) *clientConn {
+	shared := l.services
 	c := &clientConn{
-		proxy: p, number: l.accepted, conn: netcalls.RetryingConn{Conn: conn, Sleep: p.calls.Sleep}, rawConn: rawConn,
+		services: shared, set: l.clients, number: l.accepted,
+		conn: netcalls.RetryingConn{Conn: conn, Sleep: shared.calls.Sleep}, rawConn: rawConn,
 		permits: make(chan struct{}, maxPipelined), done: make(chan struct{}), resume: make(chan struct{}, 1),
 	}
 	c.reader = clientReader{
-		client: c, proxy: p, parser: l.parser, buffer: readbuf.NewBuffer(p.inputBudget),
-		arrivals: arrivalTracker{lastEmptyAt: p.loop.Lag().OnScheduleUntil(at)},
+		client: c, services: shared, parser: l.parser, buffer: readbuf.NewBuffer(shared.inputBudget),
+		arrivals: arrivalTracker{lastEmptyAt: shared.loop.Lag().OnScheduleUntil(at)},
 	}
 	return c
 }
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -48,22 +48,22 @@
 // readAhead reads what has come without waiting, as far as there is room for it. If the connection has ended, it tells
 // the event loop and returns true.
 func (r *clientReader) readAhead() (ended bool) {
-	p, c := r.proxy, r.client
-	for r.buffer.Len() < maxReadAhead && p.inputBudget.AllowsReadAhead() {
+	shared, c := r.services, r.client
+	for r.buffer.Len() < maxReadAhead && shared.inputBudget.AllowsReadAhead() {
 		space := r.buffer.Space()
 		if space == nil {
 			return false
 		}
-		at := p.clock.Now()
+		at := shared.clock.Now()
 		n, err := netcalls.ReceiveNow(c.rawConn, space)
 		if netcalls.IsShortage(err) {
 			return false
 		}
 		if err != nil {
-			p.loop.Post(at, func() { c.abandon(peerClosed, err) })
+			shared.loop.Post(at, func() { c.abandon(peerClosed, err) })
 			return true
 		}
-		arrived := r.arrivals.estimate(c.rawConn, p.loop.Lag(), at, at, n == len(space))
+		arrived := r.arrivals.estimate(c.rawConn, shared.loop.Lag(), at, at, n == len(space))
 		r.buffer.Grow(n)
 		r.arrivals.record(r.buffer.Len(), arrived)
 		if n < len(space) {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -11,6 +11,7 @@
 	"reedlead/internal/command"
 	"reedlead/internal/readbuf"
 	"reedlead/internal/resp"
+	"reedlead/policy"
 
 	"github.com/tidwall/redcon"
 )
@@ -44,9 +45,9 @@
 // A read deadline is set while a command is unfinished, and until the first one has come. The event loop sets one that
 // has passed to have the reader pause.
 type clientReader struct {
-	client *clientConn
-	proxy  *Proxy
-	parser *command.Parser
+	client   *clientConn
+	services *services
+	parser   *command.Parser
 
 	buffer      readbuf.Buffer
 	arrivals    arrivalTracker
@@ -59,7 +60,7 @@
 func (r *clientReader) run() {
 	defer r.buffer.Free()
 	r.timed = true
-	r.setDeadline(time.Now().Add(r.proxy.clients.commandTimeout))
+	r.setDeadline(time.Now().Add(r.client.set.commandTimeout))
 	for r.readOnce() {
 	}
 }
@@ -77,16 +78,16 @@
 func (r *clientReader) readOnce() (goOn bool) {
 	space := r.buffer.Space()
 	if space == nil {
-		r.rejectInput(r.proxy.clock.Now(), readbuf.ErrExhausted)
+		r.rejectInput(r.services.clock.Now(), readbuf.ErrExhausted)
 		return false
 	}
-	startedAt := r.proxy.clock.Now()
+	startedAt := r.services.clock.Now()
 	n, err := r.client.conn.Read(space)
-	at := r.proxy.clock.Now()
+	at := r.services.clock.Now()
 	var arrived arrival
 	if n > 0 {
 		r.client.hasReceived.Store(true)
-		arrived = r.arrivals.estimate(r.client.rawConn, r.proxy.loop.Lag(), startedAt, at, n == len(space))
+		arrived = r.arrivals.estimate(r.client.rawConn, r.services.loop.Lag(), startedAt, at, n == len(space))
 	}
 	r.buffer.Grow(n)
 	used, ok := r.handleCommands(at, arrived)
@@ -107,7 +108,7 @@
 	switch {
 	case unfinished && (used > 0 || !r.timed):
 		r.timed = true
-		r.setDeadline(time.Now().Add(r.proxy.clients.commandTimeout))
+		r.setDeadline(time.Now().Add(r.client.set.commandTimeout))
 	case !unfinished && r.timed:
 		r.timed = false
 		r.setDeadline(time.Time{})
@@ -115,7 +116,7 @@
 }
 
 // handleError handles an error of a read. It tells whether to go on.
-func (r *clientReader) handleError(at float64, err error) (goOn bool) {
+func (r *clientReader) handleError(at policy.Seconds, err error) (goOn bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case timedOut && r.client.pauseRequested.Load():
@@ -127,14 +128,14 @@
 		r.rejectInput(at, errNoCommand)
 		return false
 	}
-	r.proxy.loop.Post(at, func() { r.client.abandon(peerClosed, err) })
+	r.services.loop.Post(at, func() { r.client.abandon(peerClosed, err) })
 	return false
 }
 
 // pause lets the event loop decide between commands whether the connection is closed. It tells whether to go on.
-func (r *clientReader) pause(at float64) (goOn bool) {
+func (r *clientReader) pause(at policy.Seconds) (goOn bool) {
 	c := r.client
-	r.proxy.loop.Post(at, c.readerPaused)
+	r.services.loop.Post(at, c.readerPaused)
 	select {
 	case <-c.resume:
 	case <-c.done:
@@ -145,13 +146,13 @@
 		return true
 	}
 	r.drainInput(shutdownTimeout)
-	r.proxy.loop.Post(r.proxy.clock.Now(), func() { c.close(c.closeReason, nil) })
+	r.services.loop.Post(r.services.clock.Now(), func() { c.close(c.closeReason, nil) })
 	return false
 }
 
 // handleCommands posts the whole commands that are in the buffer and returns their length, and false when the
 // connection has ended or is about to.
-func (r *clientReader) handleCommands(at float64, arrived arrival) (used int, ok bool) {
+func (r *clientReader) handleCommands(at policy.Seconds, arrived arrival) (used int, ok bool) {
 	var space [typicalArguments][]byte
 	r.arrivals.record(r.buffer.Len(), arrived)
 	defer func() { r.arrivals.discard(used) }()
@@ -179,8 +180,9 @@
 
 // handleCommand posts one whole command, which was read at the time at and had arrived at arrivedAt, or returns what
 // is wrong with it, worded for the client.
-func (r *clientReader) handleCommand(at, arrivedAt float64, args [][]byte) error {
-	p, c := r.proxy, r.client
+func (r *clientReader) handleCommand(at, arrivedAt policy.Seconds, args [][]byte) error {
+	shared, c := r.services, r.client
+	requests := c.set.requests
 	switch {
 	case len(args) == 0:
 		return errEmptyCommand
@@ -189,14 +191,14 @@
 		if err != nil {
 			return err
 		}
-		if !p.inputBudget.Reserve(request.Size) {
-			p.loop.Post(at, func() { p.rejectAtOnce(c, request, inputMemoryExhausted) })
+		if !shared.inputBudget.Reserve(request.Size) {
+			shared.loop.Post(at, func() { requests.rejectAtOnce(c, request, inputMemoryExhausted) })
 			return nil
 		}
 		request.CopyArgs()
-		p.loop.Post(at, func() { p.admitRequest(c, request, arrivedAt) })
+		shared.loop.Post(at, func() { requests.admitRequest(c, request, arrivedAt) })
 	case bytes.EqualFold(args[0], []byte(pingCommand)):
-		p.loop.Post(at, func() { p.ping(c) })
+		shared.loop.Post(at, func() { requests.ping(c) })
 	default:
 		return fmt.Errorf("unknown command %.*q", maxQuotedBytes, args[0])
 	}
@@ -204,14 +206,14 @@
 }
 
 // replyError replies to a bad command. It tells whether the connection goes on.
-func (r *clientReader) replyError(at float64, err error) (goOn bool) {
+func (r *clientReader) replyError(at policy.Seconds, err error) (goOn bool) {
 	if r.badCommands++; r.badCommands == maxBadCommands {
 		<-r.client.permits // the last reply has none
 		r.rejectInput(at, err)
 		return false
 	}
 	reply := errorReply(err)
-	r.proxy.loop.Post(at, func() { r.client.replyAtOnce(reply, false) })
+	r.services.loop.Post(at, func() { r.client.replyAtOnce(reply, false) })
 	return true
 }
 
@@ -220,11 +222,11 @@
 
 // rejectInput replies to input that can't be handled and ends the connection. What still comes is read for a while: a
 // close over unread bytes would reset the connection, and might destroy the reply.
-func (r *clientReader) rejectInput(at float64, err error) {
+func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
-	r.proxy.loop.Post(at, func() { c.replyAtOnce(reply, true) })
+	r.services.loop.Post(at, func() { c.replyAtOnce(reply, true) })
 	closedByClient := r.drainInput(lingerTimeout)
-	r.proxy.loop.Post(r.proxy.clock.Now(), func() {
+	r.services.loop.Post(r.services.clock.Now(), func() {
 		c.lingerDone = true
 		if closedByClient || c.idle() {
 			c.abandon(protocolError, err)
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"reedlead/internal/command"
 	"reedlead/internal/netcalls"
-
 	"reedlead/policy"
 )
 
@@ -39,9 +39,24 @@
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
 
+// requestHandler is what client connections hand requests to: the proxy. Its methods are called on the event loop.
+type requestHandler interface {
+	// admitRequest handles a request whose last byte had arrived at a time.
+	admitRequest(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds)
+	// rejectAtOnce rejects a request for which there is no room.
+	rejectAtOnce(c *clientConn, parsed *command.Request, why policy.Reason)
+	// ping replies whether this gateway can serve requests.
+	ping(c *clientConn)
+	// abandonRequest ends a request whose client has disconnected.
+	abandonRequest(r *request)
+	// isDraining tells whether connections close between requests.
+	isDraining() bool
+}
+
 // clientSet holds the connections of clients and bounds their number. The event loop owns it, but for places.
 type clientSet struct {
-	proxy              *Proxy
+	services           *services
+	requests           requestHandler
 	conns              map[*clientConn]struct{}
 	limit              int // of open connections; lower than configured while descriptors are short
 	configuredLimit    int
@@ -56,9 +71,9 @@
 }
 
 // init sets the limits for a process that gets so many descriptors.
-func (s *clientSet) init(p *Proxy, descriptors int) {
+func (s *clientSet) init(shared *services, requests requestHandler, descriptors int) {
 	usable := usableDescriptors(descriptors)
-	s.proxy = p
+	s.services, s.requests = shared, requests
 	s.conns = map[*clientConn]struct{}{}
 	s.limit = max(minClients, int(float64(usable)*clientShare))
 	s.configuredLimit = s.limit
@@ -76,26 +91,26 @@
 
 // add takes in a connection that the listener has accepted.
 func (s *clientSet) add(c *clientConn) {
-	p := s.proxy
 	c.overLimit = s.makeRoom(c)
 	if c.overLimit && s.staying() >= s.limit+s.overLimitAllowance {
-		p.warn("client rejected: too many connections", "open", s.open())
+		s.services.warn("client rejected: too many connections", "open", s.open())
 		c.close(tooManyConnections, nil)
 		return
 	}
-	c.openedAt, c.lastUsedAt = p.loop.Now(), p.loop.Now()
+	now := s.services.loop.Now()
+	c.openedAt, c.lastUsedAt = now, now
 	s.conns[c] = struct{}{}
-	if p.drain.started { // it came before the listener closed, and so does its command
-		p.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
+	if s.requests.isDraining() { // it came before the listener closed, and so does its command
+		s.services.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
 	}
 }
 
 // sweep closes the connections that were idle for too long, so that clients that keep a connection open hold no
 // memory. A client that has never spoken is left to its reader, which owes it an error.
 func (s *clientSet) sweep() {
-	p := s.proxy
+	now := s.services.loop.Now()
 	for c := range s.conns {
-		if c.hasSpoken && c.idle() && p.loop.Now()-c.lastUsedAt > clientIdleTimeout {
+		if c.hasSpoken && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
 		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
@@ -149,7 +164,7 @@
 			continue
 		}
 		others++
-		if !c.idle() && !c.stalled(s.proxy.loop.Now()) {
+		if !c.idle() && !c.stalled(s.services.loop.Now()) {
 			continue
 		}
 		rank := c.evictionRank()
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -28,7 +28,7 @@
 	if replies == 0 {
 		return
 	}
-	c.lastUsedAt, c.usedSinceRequest = c.proxy.loop.Now(), true
+	c.lastUsedAt, c.usedSinceRequest = c.services.loop.Now(), true
 	if !c.writing {
 		c.writePending()
 	} else if !c.reserveOutput(size) {
@@ -38,7 +38,7 @@
 
 // reserveOutput reserves n bytes of the budget for what the client has not read.
 func (c *clientConn) reserveOutput(n int) bool {
-	if !c.proxy.inputBudget.Reserve(n) {
+	if !c.services.inputBudget.Reserve(n) {
 		return false
 	}
 	c.reservedOutput += n
@@ -59,11 +59,11 @@
 // writePending writes what is pending: at once what the socket takes, and the rest on a writer goroutine. Event loop
 // only.
 func (c *clientConn) writePending() {
-	p := c.proxy
-	p.inputBudget.Release(c.reservedOutput)
+	shared := c.services
+	shared.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	pending := c.pipeline.pending
-	n, err := p.calls.WriteNow(c.rawConn, pending)
+	n, err := shared.calls.WriteNow(c.rawConn, pending)
 	if err != nil {
 		c.abandon(writeFailed, err)
 		return
@@ -81,20 +81,20 @@
 		c.abandon(memoryBudget, nil)
 		return
 	}
-	p.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
+	shared.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
 	c.writing, c.pipeline.pending = true, nil
 	c.startWriter(rest)
 }
 
 // startWriter starts the writer goroutine with what the socket has no room for.
 func (c *clientConn) startWriter(rest []byte) {
-	p := c.proxy
-	progressed := func() { c.writeProgressAt.Store(p.clock.Now()) }
+	shared := c.services
+	progressed := func() { c.writeProgressAt.Store(shared.clock.Now()) }
 	progressed()
-	stall := p.clients.stallTimeout
+	stall := c.set.stallTimeout
 	go func() {
-		err := p.calls.WriteAll(c.conn, c.rawConn, rest, stall, progressed)
-		p.loop.Post(p.clock.Now(), func() { c.writeFinished(len(rest), err) })
+		err := shared.calls.WriteAll(c.conn, c.rawConn, rest, stall, progressed)
+		shared.loop.Post(shared.clock.Now(), func() { c.writeFinished(len(rest), err) })
 	}()
 }
 
@@ -120,7 +120,7 @@
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
 		c.close(lastReplyWritten, nil)
-	case c.proxy.drain.started && len(c.pipeline.slots) == 0:
+	case c.set.requests.isDraining() && len(c.pipeline.slots) == 0:
 		c.requestClose(draining)
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -36,6 +36,9 @@
 	return drainState{acceptGrace: acceptGrace, timeout: killAfter - drainMargin}
 }
 
+// isDraining tells whether connections close between requests.
+func (p *Proxy) isDraining() bool { return p.drain.started }
+
 // startDrain is called on the signal to end.
 func (p *Proxy) startDrain() {
 	p.log.Info("draining")
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"reedlead/internal/config"
-
 	"reedlead/internal/discovery"
 	"reedlead/policy"
 )
@@ -31,15 +30,33 @@
 	dials   int            // under way
 }
 
+// attemptHandler is what backend connections hand attempts back to: the proxy. Its methods are called on the event
+// loop, but for traceSent.
+type attemptHandler interface {
+	// sendable tells whether an attempt that has waited may still be written.
+	sendable(a *attempt) bool
+	// finishAttempt ends and reports an attempt, as of a time.
+	finishAttempt(a *attempt, res attemptResult, at policy.Seconds)
+	// finishDeferred ends an attempt, and reports it once the current event of the decision module is over.
+	finishDeferred(a *attempt, status policy.AttemptStatus)
+	// freeDescriptorsAfter makes room if a call failed for want of descriptors.
+	freeDescriptorsAfter(err error) bool
+	// traceSent logs that an attempt was written.
+	traceSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds)
+}
+
 // endpointSet holds the endpoints of the list, and bounds the connections to them. The event loop owns it, but for
 // dial, localFaultRetry, duplicateWindow and afterWrite, which never change while it runs.
 type endpointSet struct {
-	proxy       *Proxy
+	services    *services
+	attempts    attemptHandler
 	byID        map[string]*endpoint
 	openConns   int // with those that are being dialed
 	limit       int // of them
 	idleTimeout policy.Seconds
 	writeSlack  policy.Seconds
+	// commandBuffer is kept for the next command that is written.
+	commandBuffer []byte
 
 	dial            func(addr string) (net.Conn, error)
 	localFaultRetry time.Duration
@@ -48,9 +65,9 @@
 }
 
 // init sets the limits by the configuration.
-func (s *endpointSet) init(p *Proxy, cfg config.Config) {
-	dial, dialTimeout := p.calls.Dial, cfg.Settings.DialTimeout
-	s.proxy = p
+func (s *endpointSet) init(shared *services, attempts attemptHandler, cfg config.Config) {
+	dial, dialTimeout := shared.calls.Dial, cfg.Settings.DialTimeout
+	s.services, s.attempts = shared, attempts
 	s.byID = map[string]*endpoint{}
 	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.Sockets))*backendShare))
 	s.idleTimeout = cfg.Settings.ConnectionIdleTimeout * idleTimeoutShare
@@ -109,14 +126,14 @@
 		return
 	}
 	for len(e.waiting) > 0 {
-		s.proxy.finishDeferred(e.waiting[0], policy.NotSent)
+		s.attempts.finishDeferred(e.waiting[0], policy.NotSent)
 	}
 }
 
 // sweep closes the connections that were idle for too long.
 func (s *endpointSet) sweep() {
 	for _, e := range s.byID {
-		for len(e.idle) > 0 && s.proxy.loop.Now()-e.idle[0].idleSince > s.idleTimeout {
+		for len(e.idle) > 0 && s.services.loop.Now()-e.idle[0].idleSince > s.idleTimeout {
 			e.idle[0].close(idleTimeout, nil)
 		}
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -12,10 +12,8 @@
 	"time"
 
 	"reedlead/internal/config"
-	"reedlead/internal/netcalls"
-
 	"reedlead/internal/discovery"
-
+	"reedlead/internal/netcalls"
 	"reedlead/internal/settings"
 	"reedlead/policy"
 )
@@ -247,7 +245,7 @@
 	r.t.Helper()
 	e := r.proxy.endpoints.byID[endpointID]
 	c := &backendConn{
-		proxy: r.proxy, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.loop.Now(),
+		services: &r.proxy.services, set: &r.proxy.endpoints, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.loop.Now(),
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -10,13 +10,11 @@
 	"net"
 	"time"
 
-	"reedlead/internal/eventloop"
-
 	"reedlead/internal/config"
+	"reedlead/internal/discovery"
+	"reedlead/internal/eventloop"
 	"reedlead/internal/netcalls"
 	"reedlead/internal/peerlink"
-
-	"reedlead/internal/discovery"
 	"reedlead/internal/readbuf"
 	"reedlead/policy"
 )
@@ -50,11 +48,9 @@
 // for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
 // the sender of the peer link, until it is closed. All of them post what they find to the loop.
 type Proxy struct {
+	services
+
 	cfg        config.Config
-	log        *slog.Logger
-	calls      *netcalls.Calls
-	clock      eventloop.Clock
-	loop       *eventloop.Loop
 	drain      drainState
 	startTimes discovery.StartTimes
 	// wallClock returns Unix time by the wall clock, which may be stepped.
@@ -67,10 +63,6 @@
 	endpoints endpointSet
 	peers     *peerlink.Link    // nil without peer messages
 	discovery discovery.Options // but for what followDiscovery adds
-	warnings  warningLimiter
-	// inputBudget bounds what clients and endpoints have sent and nobody has used up yet. All goroutines share it.
-	inputBudget   *readbuf.Budget
-	commandBuffer []byte // of the command that is being written
 	// probeDescriptor fails if no file descriptor is to be had.
 	probeDescriptor func() error
 	// readyAt is when the gateway is ready without an endpoint in service.
@@ -96,7 +88,8 @@
 // open makes a proxy and its sockets; nothing is read from them yet.
 func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
-		cfg: cfg, log: log, calls: calls, clock: eventloop.NewClock(),
+		services:        services{log: log, calls: calls, clock: eventloop.NewClock()},
+		cfg:             cfg,
 		wallClock:       func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
 		drain:           newDrainState(cfg.Settings.Classes),
 		requests:        map[string]*request{},
@@ -108,8 +101,8 @@
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.clients.init(p, cfg.Sockets)
-	p.endpoints.init(p, cfg)
+	p.clients.init(&p.services, p, cfg.Sockets)
+	p.endpoints.init(&p.services, p, cfg)
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -34,9 +34,9 @@
 	notUsable        closeReason = "not_usable"        // broken, used up, or no longer where its endpoint listens
 )
 
-// logClientClosed logs why a client's connection was closed. Lines about connections with a request or a reply open
+// logClosed logs why a client's connection was closed. Lines about connections with a request or a reply open
 // are never thinned out, others may be.
-func (p *Proxy) logClientClosed(c *clientConn, why closeReason, err error) {
+func (c *clientConn) logClosed(why closeReason, err error) {
 	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", why.String()}
 	if err != nil {
 		attrs = append(attrs, "error", err)
@@ -44,31 +44,31 @@
 	open := c.owed()
 	unwritten := c.reservedOutput + len(c.pipeline.pending)
 	if len(open) == 0 && unwritten == 0 {
-		p.log.Debug("client connection closed", attrs...)
+		c.services.log.Debug("client connection closed", attrs...)
 		return
 	}
 	level := slog.LevelWarn
 	if why == peerClosed { // its requests are its own to give up
 		level = slog.LevelInfo
 	}
-	now := p.loop.Now()
+	now := c.services.loop.Now()
 	attrs = append(attrs, "open_requests", open, "unwritten_bytes", unwritten, "open_for", now-c.openedAt,
 		"last_reply_before", now-c.lastUsedAt)
-	p.log.Log(context.Background(), level, "client connection closed", attrs...)
+	c.services.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
-// logBackendClosed logs why a backend connection was closed, with the request whose attempt it carried.
-func (p *Proxy) logBackendClosed(c *backendConn, why closeReason, err error) {
+// logClosed logs why a backend connection was closed, with the request whose attempt it carried.
+func (c *backendConn) logClosed(why closeReason, err error) {
 	attrs := []any{"endpoint", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", why.String()}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	a := c.attempt
 	if a == nil || a.request == nil {
-		p.log.Debug("backend connection closed", attrs...)
+		c.services.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	elapsed := time.Duration((p.loop.Now() - a.sentAt) * float64(time.Second))
+	elapsed := time.Duration((c.services.loop.Now() - a.sentAt) * float64(time.Second))
 	attrs = append(attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String())
-	p.log.Info("backend connection closed", attrs...)
+	c.services.log.Info("backend connection closed", attrs...)
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -168,6 +168,16 @@
 	p.removeIfDone(r)
 }
 
+// abandonRequest settles a request whose client has disconnected, and tells the decision module.
+func (p *Proxy) abandonRequest(r *request) {
+	if r.settled {
+		return
+	}
+	p.traceGone(r)
+	p.settle(r)
+	p.decider.HandleClientGone(p.loop.Now(), r.ID)
+}
+
 // abortUnwritten ends the attempts of a settled request whose commands are not wholly written: with the last byte
 // of one, its execution would begin after the request's end.
 func (p *Proxy) abortUnwritten(r *request) {
--- a/internal/proxy/warnings.go
+++ b/internal/proxy/warnings.go
@@ -11,16 +11,16 @@
 }
 
 // warn logs a fault of somebody else, unless there were many within this second. Loop only.
-func (p *Proxy) warn(message string, args ...any) {
-	if second := int64(p.loop.Now()); second != p.warnings.second {
-		p.warnings = warningLimiter{second: second}
+func (s *services) warn(message string, args ...any) {
+	if second := int64(s.loop.Now()); second != s.warnings.second {
+		s.warnings = warningLimiter{second: second}
 	}
-	if p.warnings.count++; p.warnings.count <= maxWarningsPerSecond {
-		p.log.Warn(message, args...)
+	if s.warnings.count++; s.warnings.count <= maxWarningsPerSecond {
+		s.log.Warn(message, args...)
 	}
 }
 
 // logPanic logs a panic that has ended an event.
-func (p *Proxy) logPanic(cause any, stack []byte) {
-	p.warn("event failed", "panic", fmt.Sprint(cause), "stack", string(stack))
+func (s *services) logPanic(cause any, stack []byte) {
+	s.warn("event failed", "panic", fmt.Sprint(cause), "stack", string(stack))
 }
