--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -47,7 +47,7 @@
 	if sent, _ := send("first", "x", 0.8); sent != 1 {
 		t.Fatal("a first attempt with little time was rejected, of a customer that never was")
 	}
-	g.customers.find(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
+	g.quota.customers.find(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
 	if sent, rejected := send("late", "x", 0.8); sent != 0 || rejected != 1 {
 		t.Fatal("a retry past its objective was forwarded")
 	}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -19,9 +19,7 @@
 	clock    *eventClock
 
 	protocol    peerProtocol
-	reporter    usageReporter
-	customers   customerTable
-	slotQueue   slotQueue
+	quota       quotaController
 	nextSweepAt Seconds // when what expired is evicted next
 
 	limiter       *concurrencyLimiter
@@ -51,14 +49,16 @@
 	g.slowStart = newSlowStart(s, g.clock)
 	g.healthChecks = newHealthChecker(s, g.clock, g.slowStart)
 	g.endpoints = newEndpointTable(len(s.Classes), g.slowStart.initialCredit)
-	g.customers = newCustomerTable(s, g.clock, g.findPrimaryOwner)
 	g.requests = newRequestTable()
 	g.retries = newRetryPolicy(s, g.clock)
 	g.gossip = &gossipBuffer{}
 	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()))
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, act.SendToPeer
-	g.reporter = newUsageReporter(s, g.clock, &g.protocol, g.owner)
 	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
+	g.quota = quotaController{
+		clock: g.clock, self: s.Self, owners: g, protocol: &g.protocol, retries: &g.retries, limiter: g.limiter,
+		requests: g, customers: newCustomerTable(s, g.clock, g), reporter: newUsageReporter(s, g.clock, &g.protocol, g),
+	}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.picker = &endpointPicker{
 		clock: g.clock, random: g.rng,
@@ -119,7 +119,7 @@
 	g.chargeActualUnits(r, outcome)
 	g.finishOrRetry(r, outcome)
 	g.dispatchQueued()
-	g.retryQueued()
+	g.quota.retryQueued()
 }
 
 // Timer takes a timer: all work that no event brings.
@@ -132,12 +132,25 @@
 	g.dispatchQueued()
 	g.watchOpenRequests()
 	g.sendHealthCheck()
-	g.retransmit()
-	g.retryQueued()
-	g.reporter.sendDue()
+	g.quota.handleTimer()
 	if now > g.nextSweepAt {
 		g.nextSweepAt = now + customerExpiry/4
-		g.customers.evictIdle()
+		g.quota.customers.evictIdle()
 		g.endpoints.evictRemoved()
 	}
 }
+
+// HandlePeerMessage handles a message of another gateway.
+func (g *Gateway) HandlePeerMessage(now Seconds, from int, data []byte) {
+	g.clock.advance(now)
+	received, ok := g.protocol.receive(from, data)
+	if !ok {
+		return
+	}
+	for _, update := range received.updates {
+		g.gossip.merge(g.endpoints, update)
+	}
+	g.quota.handleRecords(from, received)
+	g.quota.retryQueued()
+	g.quota.reporter.sendDue()
+}
