--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -73,7 +73,7 @@
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "only the address of discovery") {
 		t.Errorf("logged %q", got)
 	}
-	if cfg := <-to; cfg.Discovery != "127.0.0.1:2" || len(to) > 0 {
+	if cfg := <-to; cfg.DiscoveryAddress != "127.0.0.1:2" || len(to) > 0 {
 		t.Errorf("applied %+v and %d more", cfg, len(to))
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,26 +16,26 @@
 
 // Config is the configuration of a gateway.
 type Config struct {
-	Name      string
-	Listen    string // IP address and port for clients
-	Discovery string // IP address and port of the discovery agent
-	Seed      uint64
-	MemoryMB  int // memory limit of the process in MiB; 0: not given
-	Sockets   int // file descriptors that the process may hold
-
-	// PeerListen is where datagrams of other gateways come; not valid without peer messages.
-	PeerListen netip.AddrPort
-	// Peers are the addresses of all gateways by their number.
-	Peers []netip.AddrPort
-	// PeersAll reaches all of them; not valid if there is no such address.
-	PeersAll netip.AddrPort
-
-	// Known is the endpoint list that counts until discovery answers.
-	Known    discovery.List
-	Settings settings.Settings
+	Name             string
+	ListenAddress    string // IP address and port for clients
+	DiscoveryAddress string // IP address and port of the discovery agent
+	Seed             uint64
+	MemoryMB         int // memory limit of the process in MiB; 0: not given
+	MaxDescriptors   int // file descriptors that the process may hold
+
+	// PeerListenAddress is where datagrams of other gateways come; not valid without peer messages.
+	PeerListenAddress netip.AddrPort
+	// PeerAddresses are those of all gateways by their number.
+	PeerAddresses []netip.AddrPort
+	// BroadcastAddress reaches all of them; not valid if there is no such address.
+	BroadcastAddress netip.AddrPort
+
+	// InitialEndpoints is the endpoint list that counts until discovery answers.
+	InitialEndpoints discovery.List
+	Settings         settings.Settings
 }
 
-const defaultSockets = 1024
+const defaultMaxDescriptors = 1024
 
 // The causes of a FieldError, beside those of the parsers that are used.
 var (
@@ -61,7 +61,7 @@
 // Differs tells whether more differs than what a running gateway takes over from a configuration that is
 // read again, or than what is new with each start.
 func (c Config) Differs(from Config) bool {
-	c.Discovery, c.Known, c.Seed = from.Discovery, from.Known, from.Seed
+	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = from.DiscoveryAddress, from.InitialEndpoints, from.Seed
 	return !reflect.DeepEqual(c, from)
 }
 
@@ -101,13 +101,13 @@
 		return Config{}, err
 	}
 	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, Known: f.Known,
+		Name: f.Name, ListenAddress: f.Listen, DiscoveryAddress: f.Discovery, MemoryMB: f.Limits.MemoryMB,
+		MaxDescriptors: f.Limits.Sockets, InitialEndpoints: f.Known,
 	}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
+	if c.MaxDescriptors <= 0 {
+		c.MaxDescriptors = defaultMaxDescriptors
 	}
-	c.Known.Full = true
+	c.InitialEndpoints.Full = true
 	for _, step := range []func(*Config) error{f.checkAddresses, f.parseSeed, f.parseSettings, f.checkKnown, f.parsePeers} {
 		if err := step(&c); err != nil {
 			return c, err
@@ -147,7 +147,7 @@
 }
 
 func (f *file) checkKnown(c *Config) error {
-	if err := c.Known.Validate(); err != nil {
+	if err := c.InitialEndpoints.Validate(); err != nil {
 		return &FieldError{"known", err}
 	}
 	return nil
@@ -158,7 +158,7 @@
 	if !c.Settings.PeerMessages {
 		return nil
 	}
-	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
+	if c.PeerListenAddress, err = netip.ParseAddrPort(f.PeerListen); err != nil {
 		return &FieldError{"peer_listen", err}
 	}
 	if len(f.Peers) != c.Settings.GatewayCount {
@@ -169,12 +169,12 @@
 		if err != nil {
 			return &FieldError{"peers", fmt.Errorf("number %d: %w", number, err)}
 		}
-		c.Peers = append(c.Peers, address)
+		c.PeerAddresses = append(c.PeerAddresses, address)
 	}
 	if f.PeersAll == "" {
 		return nil
 	}
-	if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+	if c.BroadcastAddress, err = netip.ParseAddrPort(f.PeersAll); err != nil {
 		return &FieldError{"peers_all", err}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || len(c.Peers) != 2 || c.Sockets != 1024 || !c.Known.Full || c.Known.Version != 41 {
+	if c.Seed != 0x8c1f30d27a5be964 || len(c.PeerAddresses) != 2 || c.MaxDescriptors != 1024 || !c.InitialEndpoints.Full || c.InitialEndpoints.Version != 41 {
 		t.Errorf("got %+v", c)
 	}
 	for _, tc := range []struct{ old, new, field, want string }{
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -42,8 +42,8 @@
 				return []string{""}
 			})
 			cfg := testConfig()
-			cfg.Discovery = a.Address()
-			cfg.Known = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
+			cfg.DiscoveryAddress = a.Address()
+			cfg.InitialEndpoints = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
 			r := startProxy(t, cfg, nil)
 			for _, want := range []string{"[old in_service]", "[x in_service y in_service]", "[x draining]", "[z in_service]"} {
 				if got := fmt.Sprint(r.nextEndpoints()); got != want {
@@ -75,15 +75,15 @@
 		return []string{discoverytest.ListJSON(3, false, "v", "in_service"), ""}
 	})
 	cfg := testConfig()
-	cfg.Discovery = from.Address()
+	cfg.DiscoveryAddress = from.Address()
 	r := startProxy(t, cfg, nil)
 	r.nextEndpoints()
 	if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service]" {
 		t.Fatalf("the first address listed %s", got)
 	}
-	cfg.Discovery = to.Address()
-	cfg.Known = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
-	r.reread <- cfg
+	cfg.DiscoveryAddress = to.Address()
+	cfg.InitialEndpoints = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
+	r.reloads <- cfg
 	for _, want := range []string{"[y in_service]", "[v in_service]"} {
 		if got := fmt.Sprint(r.nextEndpoints()); got != want {
 			t.Errorf("the decision module got %s, want %s", got, want)
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -69,7 +69,7 @@
 	dial, dialTimeout := shared.calls.Dial, cfg.Settings.DialTimeout
 	s.services, s.attempts = shared, attempts
 	s.byID = map[string]*endpoint{}
-	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.Sockets))*backendShare))
+	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.MaxDescriptors))*backendShare))
 	s.idleTimeout = cfg.Settings.ConnectionIdleTimeout * idleTimeoutShare
 	s.writeSlack = writeSlack
 	s.dial = func(addr string) (net.Conn, error) { return dial(addr, dialTimeout) }
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -18,7 +18,7 @@
 	}
 	addresses := make(chan string)
 	go p.forwardAddresses(ctx, reloads, addresses)
-	discovery.New(p.cfg.Discovery, p.cfg.Known.Version, options).Run(ctx, addresses)
+	discovery.New(p.cfg.DiscoveryAddress, p.cfg.InitialEndpoints.Version, options).Run(ctx, addresses)
 }
 
 // forwardAddresses hands the discovery client the address of each new configuration. It ends with ctx.
@@ -26,9 +26,9 @@
 	for {
 		select {
 		case cfg := <-reloads:
-			p.log.Info("configuration reloaded", "discovery", cfg.Discovery)
+			p.log.Info("configuration reloaded", "discovery", cfg.DiscoveryAddress)
 			select {
-			case addresses <- cfg.Discovery:
+			case addresses <- cfg.DiscoveryAddress:
 			case <-ctx.Done():
 				return
 			}
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -55,7 +55,7 @@
 // growthConfig is the configuration of one gateway; all endpoints are the one that listens at an address.
 func growthConfig(size growthSize, address string) config.Config {
 	c := config.Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024, MemoryMB: 192, Seed: 1,
+		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024, MemoryMB: 192, Seed: 1,
 		Settings: settings.Settings{DialTimeout: time.Second, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
 			MaxRequestUnits: 6, MaxAttempts: 4, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true, PeerMessages: true, PeerMessageRate: 40,
@@ -65,15 +65,15 @@
 		}},
 	}
 	for i := range size.endpoints {
-		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{
+		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i), Addr: address, Zone: string(rune('a' + i%3)),
 			Cell: i % 12, State: discovery.StateInService,
 		})
 	}
-	c.Known.Full = true
-	c.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
+	c.InitialEndpoints.Full = true
+	c.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
 	for i := range size.gateways {
-		c.Peers = append(c.Peers, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 8, byte(i >> 8), byte(i)}), discardPort))
+		c.PeerAddresses = append(c.PeerAddresses, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 8, byte(i >> 8), byte(i)}), discardPort))
 	}
 	return c
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -99,7 +99,7 @@
 	decider   *fakeDecider
 	ended     chan struct{} // closed when the proxy has ended
 	terminate context.CancelFunc
-	reread    chan config.Config
+	reloads   chan config.Config
 }
 
 // unreachableAgent is an address that refuses connections.
@@ -108,7 +108,7 @@
 // testConfig is a configuration with an endpoint s0, s1, ... at each address.
 func testConfig(backends ...string) config.Config {
 	c := config.Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024,
+		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024,
 		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
 			MaxAttempts: 5, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true,
@@ -121,9 +121,9 @@
 		}},
 	}
 	for i, addr := range backends {
-		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: discovery.StateInService})
+		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: discovery.StateInService})
 	}
-	c.Known.Full = true
+	c.InitialEndpoints.Full = true
 	return c
 }
 
@@ -137,13 +137,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &harness{
 		t: t, proxy: p, decider: newFakeDecider(),
-		ended: make(chan struct{}), terminate: cancel, reread: make(chan config.Config),
+		ended: make(chan struct{}), terminate: cancel, reloads: make(chan config.Config),
 	}
 	p.endpoints.duplicateWindow = 0 // the replies of the tests are alike
 	p.endpoints.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
 	quiet := make(chan struct{})
-	if cfg.Discovery == unreachableAgent { // it is polled once, so that no event comes of it later
+	if cfg.DiscoveryAddress == unreachableAgent { // it is polled once, so that no event comes of it later
 		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(quiet)
 			return nil
@@ -156,7 +156,7 @@
 	}
 	go func() {
 		defer close(r.ended)
-		p.serve(ctx, r.reread, r.decider)
+		p.serve(ctx, r.reloads, r.decider)
 	}()
 	receive(t, quiet)
 	t.Cleanup(func() {
--- a/internal/proxy/peer_messages.go
+++ b/internal/proxy/peer_messages.go
@@ -11,14 +11,14 @@
 
 // openPeerLink makes the socket for the other gateways.
 func (p *Proxy) openPeerLink(ctx context.Context) (*peerlink.Link, error) {
-	address := net.UDPAddrFromAddrPort(p.cfg.PeerListen)
+	address := net.UDPAddrFromAddrPort(p.cfg.PeerListenAddress)
 	conn, err := netcalls.RetryAtStart(ctx, p.calls.Sleep, func() (*net.UDPConn, error) {
 		return p.calls.ListenPacket(address)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return peerlink.New(conn, p.calls, p.cfg.Peers, p.cfg.PeersAll), nil
+	return peerlink.New(conn, p.calls, p.cfg.PeerAddresses, p.cfg.BroadcastAddress), nil
 }
 
 // receivePeerMessages hands what the other gateways send to the loop. It ends when the link is closed.
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -28,9 +28,9 @@
 	friend, stranger, all := udp(), udp(), udp()
 	cfg := testConfig()
 	cfg.Settings.PeerMessages = true
-	cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
-	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
-	cfg.PeersAll = addr(all)
+	cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
+	cfg.PeerAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
+	cfg.BroadcastAddress = addr(all)
 	r := startProxy(t, cfg, nil)
 	here := r.proxy.peers.LocalAddr()
 	send := func(from *net.UDPConn, data []byte) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -70,8 +70,8 @@
 }
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that
-// comes on reread, which may be nil, the address of discovery is taken over.
-func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
+// comes on reloads, which may be nil, the address of discovery is taken over.
+func Run(ctx context.Context, cfg config.Config, reloads <-chan config.Config, log *slog.Logger) error {
 	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 		p.close()
 		return fmt.Errorf("settings: %w", err)
 	}
-	p.serve(ctx, reread, gateway)
+	p.serve(ctx, reloads, gateway)
 	return nil
 }
 
@@ -101,7 +101,7 @@
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.clients.init(&p.services, p, cfg.Sockets)
+	p.clients.init(&p.services, p, cfg.MaxDescriptors)
 	p.endpoints.init(&p.services, p, cfg)
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 
 // openSockets makes the listener and, with peer messages, the link to the other gateways.
 func (p *Proxy) openSockets(ctx context.Context) error {
-	address, err := net.ResolveTCPAddr("tcp", p.cfg.Listen)
+	address, err := net.ResolveTCPAddr("tcp", p.cfg.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -138,13 +138,13 @@
 }
 
 // serve starts the goroutines and runs the event loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, decider decider) {
+func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, decider decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.decider = decider
-	p.applyList(p.cfg.Known)
-	go p.followDiscovery(background, reread)
+	p.applyList(p.cfg.InitialEndpoints)
+	go p.followDiscovery(background, reloads)
 	go p.acceptClients(p.listener)
 	if p.peers != nil {
 		go p.receivePeerMessages()
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -25,11 +25,11 @@
 // replies.
 func largeFleetConfig(self int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
-	c.MemoryMB, c.Sockets = 192, 1024
+	c.MemoryMB, c.MaxDescriptors = 192, 1024
 	c.Settings.GatewayCount, c.Settings.Self, c.Settings.PeerMessages = minSupported, self, true
-	c.Peers, c.PeerListen = peers, peers[self]
+	c.PeerAddresses, c.PeerListenAddress = peers, peers[self]
 	for i := range minSupported {
-		c.Known.Endpoints = append(c.Known.Endpoints, discovery.Endpoint{
+		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i), Zone: "z",
 			Addr: fmt.Sprintf("127.9.%d.%d:6379", i>>8, i&255), State: discovery.StateInService,
 		})
@@ -61,7 +61,7 @@
 	peers := largeFleetPeers(t)
 	address, polls := discoverytest.NewManualAgent(t)
 	cfg := largeFleetConfig(0, peers)
-	cfg.Discovery = address
+	cfg.DiscoveryAddress = address
 	first := startProxy(t, cfg, nil)
 	last := startProxy(t, largeFleetConfig(minSupported-1, peers), nil)
 	if n := len(receive(t, first.decider.lists)); n != minSupported {
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, polls := discoverytest.NewManualAgent(t) // silent
 			cfg := testConfig()
-			cfg.Discovery, cfg.Known.Endpoints = address, servers
+			cfg.DiscoveryAddress, cfg.InitialEndpoints.Endpoints = address, servers
 			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.loop.Now() + 3600 })
 			receive(t, polls)
 			c := r.client()
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -152,7 +152,7 @@
 			}
 			cfg := testConfig()
 			cfg.Settings.PeerMessages = true
-			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
+			cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
 			p, err := open(t.Context(), cfg, slog.New(slog.DiscardHandler), calls)
 			if err != nil {
 				t.Fatal(err)
@@ -358,9 +358,9 @@
 			t.Cleanup(func() { _ = peer.Close() })
 			cfg := testConfig(unreachableAgent)
 			cfg.Settings.PeerMessages = true
-			cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
+			cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
 			at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
-			cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
+			cfg.PeerAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
 			var sleeps atomic.Int32
 			r := startProxy(t, cfg, func(r *harness) {
 				failDatagrams(r, number)
@@ -415,7 +415,7 @@
 		t.Run(number.Error(), func(t *testing.T) {
 			agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{discoverytest.ListJSON(7, true, "s1", "in_service")} })
 			cfg := testConfig()
-			cfg.Discovery = agent.Address()
+			cfg.DiscoveryAddress = agent.Address()
 			fault := failing(4, number, "connect")
 			r := startProxy(t, cfg, func(r *harness) {
 				r.proxy.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
