--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -42,8 +42,8 @@
 	return err
 }
 
-// FuzzParse guards what reaches module and endpoints: what passes is in range, and goes on as a command
-// that reads the same but for the time.
+// FuzzParse guards what reaches the decision module and endpoints: what passes is in range, and is forwarded as a
+// command that reads the same but for the remaining time.
 func FuzzParse(f *testing.F) {
 	f.Add(Get, testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=2,first=1", "")
 	f.Add(Post, testCustomer, "a", "c=hold,t=basic,k=5c0f,d=1,units=2,spread=2,first=1,x=y", "body")
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -81,7 +81,7 @@
 		c.abandon(memoryBudget, nil)
 		return
 	}
-	shared.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "owed", c.owed())
+	shared.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "open_requests", c.owed())
 	c.writing, c.pipeline.pending = true, nil
 	c.startWriter(rest)
 }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -10,11 +10,11 @@
 // idle connections make room, so that discovery, new connections and files never have to wait for one.
 
 const (
-	// evictShare is the part of the client connections that is closed when there is no descriptor left, as a divisor.
-	evictShare = 8
-	// limitRecoveryShare is the part of the limit on client connections that is given back by each check that finds
-	// a descriptor, as a divisor.
-	limitRecoveryShare = 32
+	// evictionDivisor: one in so many client connections is closed when there is no descriptor left.
+	evictionDivisor = 8
+	// limitRecoveryDivisor: each check that finds a descriptor gives back one in so many of the limit on client
+	// connections.
+	limitRecoveryDivisor = 32
 )
 
 // probeDescriptor fails if no descriptor is to be had.
@@ -31,7 +31,7 @@
 func (p *Proxy) checkDescriptors() {
 	s := &p.clients
 	if !p.freeDescriptorsAfter(p.probeDescriptor()) && s.limit < s.configuredLimit {
-		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryShare))
+		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryDivisor))
 	}
 }
 
@@ -42,7 +42,7 @@
 		return false
 	}
 	s := &p.clients
-	evictions := max(1, s.staying()/evictShare)
+	evictions := max(1, s.staying()/evictionDivisor)
 	p.warn("no descriptor left", "clients", s.open(), "backend_connections", p.endpoints.openConns)
 	for range max(1, evictions/2) {
 		if !p.endpoints.evictIdle() {
