--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"io"
 	"log/slog"
 	"regexp"
 	"sync"
@@ -41,7 +40,7 @@
 		c.send(lookCommand("a")...)
 		b := receive(t, conns)
 		b.readCommand()
-		io.WriteString(b, valueReply)
+		b.write(valueReply)
 		c.wantValue("it")
 		receive(t, r.decider.outcomes)
 		log.mu.Lock()
