--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -194,6 +194,7 @@
 
 // connection sends batches of requests, and reads the replies or disconnects.
 func (c *faultClient) connection(t *testing.T) {
+	dialled := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
 		t.Error(err)
@@ -228,7 +229,7 @@
 			}
 			closeQuietly(conn)
 		}
-		link := c.proxy.Link(conn.LocalAddr())
+		link := c.proxy.WaitLink(conn.LocalAddr(), dialled)
 		ended := false
 		for i := range batch {
 			q := &batch[i]
@@ -264,9 +265,6 @@
 // judge checks a batch against the rules.
 func (c *faultClient) judge(link *faultproxy.Link, batch []faultRequest, left bool) {
 	w := c.run
-	if link == nil { // the proxy never came to it
-		return
-	}
 	if left { // what is out may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -81,9 +81,10 @@
 
 // Link is one proxied connection. To leads to the server, From back.
 type Link struct {
-	To, From Direction
-	mu       sync.Mutex
-	broken   bool
+	To, From   Direction
+	acceptedAt time.Time
+	mu         sync.Mutex
+	broken     bool
 }
 
 // Broken tells whether the proxy itself has ended the connection, or a direction of it.
@@ -107,12 +108,23 @@
 	schedule Schedule
 	mu       sync.Mutex
 	rng      *rand.Rand
-	links    map[string]*Link    // by the address of the end that connected
+	accepted *sync.Cond          // of mu; signalled for each new link
+	links    map[string]*Link    // the newest by the address of the end that connected
 	near     map[string]net.Addr // that address, by the one from which the server is connected to
 }
 
 // New starts a proxy for a server.
 func New(server string, schedule Schedule, seed uint64) (*Proxy, error) {
+	p, err := newProxy(server, schedule, seed)
+	if err != nil {
+		return nil, err
+	}
+	go p.accept()
+	return p, nil
+}
+
+// newProxy makes a proxy that listens, and accepts nothing yet.
+func newProxy(server string, schedule Schedule, seed uint64) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -121,7 +133,7 @@
 		listener: l, server: server, schedule: schedule, rng: rand.New(rand.NewPCG(seed, 1)),
 		links: map[string]*Link{}, near: map[string]net.Addr{},
 	}
-	go p.accept()
+	p.accepted = sync.NewCond(&p.mu)
 	return p, nil
 }
 
@@ -141,6 +153,19 @@
 	return p.links[from.String()]
 }
 
+// WaitLink returns the link of a connection that was made from an address after a time, and waits until the proxy has
+// accepted it. An earlier connection may have had the same address.
+func (p *Proxy) WaitLink(from net.Addr, dialled time.Time) *Link {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for {
+		if link := p.links[from.String()]; link != nil && !link.acceptedAt.Before(dialled) {
+			return link
+		}
+		p.accepted.Wait()
+	}
+}
+
 // From returns the address that a connection was made from, by the one at which it reaches the server.
 func (p *Proxy) From(atServer net.Addr) net.Addr {
 	p.mu.Lock()
@@ -156,8 +181,9 @@
 		}
 		p.mu.Lock()
 		rng := rand.New(rand.NewPCG(p.rng.Uint64(), 2))
-		link := &Link{}
+		link := &Link{acceptedAt: time.Now()}
 		p.links[conn.RemoteAddr().String()] = link
+		p.accepted.Broadcast()
 		p.mu.Unlock()
 		go p.serve(conn.(*net.TCPConn), link, rng)
 	}
