--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -29,7 +29,7 @@
 	endpoints     *endpointTable
 	slowStart     *slowStart
 	picker        *endpointPicker
-	ring          ownerRing
+	owners        *ownerDirectory
 	classes       classTable
 	requests      requestTable
 	dispatchQueue dispatchQueue
@@ -55,9 +55,10 @@
 	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()))
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, act.SendToPeer
 	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
+	g.owners = newOwnerDirectory(s, g.protocol.reachable)
 	g.quota = quotaController{
-		clock: g.clock, self: s.Self, owners: g, protocol: &g.protocol, retries: &g.retries, limiter: g.limiter,
-		requests: g, customers: newCustomerTable(s, g.clock, g), reporter: newUsageReporter(s, g.clock, &g.protocol, g),
+		clock: g.clock, self: s.Self, owners: g.owners, protocol: &g.protocol, retries: &g.retries, limiter: g.limiter,
+		requests: g, customers: newCustomerTable(s, g.clock, g.owners), reporter: newUsageReporter(s, g.clock, &g.protocol, g.owners),
 	}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.picker = &endpointPicker{
@@ -66,7 +67,6 @@
 		gatewayCount: s.GatewayCount, zone: s.Zone,
 		crossZoneCost: s.CrossZoneCost, handshakeCost: s.HandshakeCost, idleTimeout: s.ConnectionIdleTimeout,
 	}
-	g.ring = newOwnerRing(s.GatewayCount)
 	g.actions.SetTimer(1, timerInterval)
 	return g, nil
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -158,7 +158,7 @@
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprint("k", i)
-		if g.findPrimaryOwner(&customer{hash: hashName(name), gatewayCount: g.settings.GatewayCount}) != g.settings.Self {
+		if g.owners.findPrimaryOwner(&customer{hash: hashName(name), gatewayCount: g.settings.GatewayCount}) != g.settings.Self {
 			break
 		}
 	}
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -15,7 +15,7 @@
 		var request Request
 		for i := range 100 { // of a customer that g[0] owns, and that comes to g[1] alone
 			request = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
-			if g[1].owner(g[1].quota.customers.find(request)) == 0 {
+			if g[1].owners.owner(g[1].quota.customers.find(request)) == 0 {
 				break
 			}
 		}
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -1,38 +1,56 @@
 package policy
 
-// The owner of a customer: the one gateway that counts the customer's window against the whole quota.
+// ownerDirectory tells which gateway owns a customer: the one that counts the customer's window against the
+// whole quota. All gateways of a fleet agree on it as long as they can reach the same peers.
+type ownerDirectory struct {
+	self, gatewayCount int
+	peerMessages       bool // without these each gateway owns all its customers
+	ring               ownerRing
+	reachable          func(gateway int) bool // tells whether a gateway is this one or a peer that replies
+}
 
-// receives tells whether the customer's requests come to a gateway, of gatewayCount in the fleet.
-func (c *customer) receives(gateway, gatewayCount int) bool {
-	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
-	return distance < c.gatewayCount
+func newOwnerDirectory(settings Settings, reachable func(gateway int) bool) *ownerDirectory {
+	return &ownerDirectory{
+		self:         settings.Self,
+		gatewayCount: settings.GatewayCount,
+		peerMessages: settings.PeerMessages,
+		ring:         newOwnerRing(settings.GatewayCount),
+		reachable:    reachable,
+	}
+}
+
+// owner returns the gateway that counts the customer now: its primary owner, or the next one on the ring if
+// that is unreachable.
+func (d *ownerDirectory) owner(c *customer) int {
+	switch {
+	case !d.peerMessages || c.gatewayCount == 1:
+		return d.self
+	case c.gatewayCount == 0 || d.reachable(c.primaryOwner):
+		return c.primaryOwner
+	}
+	return d.successor(c, d.reachable)
 }
 
-// findPrimaryOwner returns the customer's owner as long as all gateways are reachable.
-func (g *Gateway) findPrimaryOwner(c *customer) int {
-	return g.ringSuccessor(c, func(int) bool { return true })
+// findPrimaryOwner returns the customer's owner while all gateways are reachable.
+func (d *ownerDirectory) findPrimaryOwner(c *customer) int {
+	return d.successor(c, func(int) bool { return true })
 }
 
-// ringSuccessor returns the first accepted gateway on the ring of those that receive the customer's requests,
-// or this one if there is none.
-func (g *Gateway) ringSuccessor(c *customer, accept func(gateway int) bool) int {
-	owner, found := g.ring.successor(c.hash, func(gateway int) bool {
-		return c.receives(gateway, g.settings.GatewayCount) && accept(gateway)
+// successor returns the first accepted gateway on the ring of those that receive the customer's requests, or
+// this one if there is none.
+func (d *ownerDirectory) successor(c *customer, accept func(gateway int) bool) int {
+	owner, found := d.ring.successor(c.hash, func(gateway int) bool {
+		return c.receives(gateway, d.gatewayCount) && accept(gateway)
 	})
 	if !found {
-		return g.settings.Self
+		return d.self
 	}
 	return owner
 }
 
-// owner returns the gateway that counts the customer now: its primary owner, or the next one on the ring if
-// that is unreachable.
-func (g *Gateway) owner(c *customer) int {
-	switch {
-	case !g.settings.PeerMessages || c.gatewayCount == 1:
-		return g.settings.Self
-	case c.gatewayCount == 0 || g.protocol.reachable(c.primaryOwner):
-		return c.primaryOwner
-	}
-	return g.ringSuccessor(c, g.protocol.reachable)
+// receives tells whether the customer's requests come to a gateway, of gatewayCount in the fleet. They come
+// to several in a row, which may go on from the last gateway to the first.
+func (c *customer) receives(gateway, gatewayCount int) bool {
+	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
+	return distance < c.gatewayCount
 }
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -73,10 +73,10 @@
 	g, _, send := asMember(t, nil)
 	c := send(100, "q", 1)
 	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
-	if g.owner(c) != 0 {
+	if g.owners.owner(c) != 0 {
 		t.Fatal("an unreachable owner still owns")
 	}
-	if g.clock.now = 100 + unreachablePeriod + 0.01; g.owner(c) != 1 {
+	if g.clock.now = 100 + unreachablePeriod + 0.01; g.owners.owner(c) != 1 {
 		t.Fatal("an unreachable owner is never tried again")
 	}
 }
@@ -90,7 +90,7 @@
 	for now := 100.0; now < 100+3*grantTimeout; now += timerInterval / 2 {
 		g.HandleTimer(now, 1)
 		if sent := r.ofKind("send_to_peer", ""); len(sent) == 3 {
-			if sent[1].to != owner || sent[2].to != owner || g.owner(c) != owner {
+			if sent[1].to != owner || sent[2].to != owner || g.owners.owner(c) != owner {
 				t.Fatalf("reports went to %v, the owner is %d", sent, owner)
 			}
 			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total += 2; reply.Remaining = 6 })
