--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -122,7 +122,7 @@
 	g.quota.retryQueued()
 }
 
-// Timer takes a timer: all work that no event brings.
+// HandleTimer does the work that no event brings.
 func (g *Gateway) HandleTimer(now float64, token uint64) {
 	g.clock.advance(now)
 	if token != 1 {
--- a/test.sh
+++ b/test.sh
@@ -1,14 +1,21 @@
 #!/usr/bin/env bash
-# The project's test command: format, vet, lint, build, tests.
+# The project's test command: format, vet, lint, build, tests. It needs no network beyond Go's modules.
 set -euo pipefail
 cd "$(dirname "$0")"
-out=$(gofmt -l policy internal cmd)
-if [ -n "$out" ]; then echo "gofmt needed: $out"; exit 1; fi
+
+golangci_lint() { go tool -modfile=tools/go.mod golangci-lint "$@"; }
+
+# deploy_value prints the value of a key of the deploy file, without its quotes or brackets.
+deploy_value() { sed -n "s/^$1 = [\"[]\(.*\)[]\"]\$/\1/p" deploy/balancer.toml; }
+
+golangci_lint fmt --diff
 go vet ./...
-go tool staticcheck ./...
-build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
+golangci_lint run
+
+build=$(deploy_value build)
 [ -n "$build" ] || { echo "no build command in deploy/balancer.toml"; exit 1; }
 bash -c "$build"
+
 red=()
 if [ -e KNOWN-RED.txt ]; then
   names=$(go test -list '^Test' ./...)
@@ -16,7 +23,12 @@
   if [ -n "$pattern" ]; then red=(-skip "$pattern"); fi
 fi
 go test -race -count=1 ${red[@]+"${red[@]}"} ./...
-for f in $(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '",'); do
+
+# The deploy file names each file of the decision module, and none has long lines.
+listed=$(deploy_value policy | tr -d '" ' | tr ',' '\n' | sort)
+present=$(ls policy/*.go | grep -v _test.go | sort)
+[ "$listed" = "$present" ] || { echo "deploy/balancer.toml does not list the files of policy:"; diff <(echo "$listed") <(echo "$present"); exit 1; }
+for f in $listed; do
   long=$(awk '{ gsub(/\t/, " ") } length($0) > 110 { print NR }' "$f")
   [ -z "$long" ] || { echo "$f: over 110 characters in lines" $long; exit 1; }
 done
