--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -227,7 +227,7 @@
 // reportOutcome replies to the client, if this is what it waits for, and tells the decision module.
 func (p *Proxy) reportOutcome(a *attempt, res attemptResult, at policy.Seconds) {
 	elapsed := max(at-a.sentAt, 0)
-	p.traceEnded(a, res, at)
+	p.trace.attemptEnded(a, res, at)
 	if a.request == nil {
 		p.decider.HandleHealthCheck(p.loop.Now(), policy.HealthCheckResult{
 			Endpoint: a.endpoint.ID, Status: res.status, Elapsed: elapsed, Load: res.load,
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -102,7 +102,7 @@
 	conn, err := s.dial(addr)
 	for first := true; netcalls.IsLocalFault(err) && shared.clock.Now()-startedAt < s.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
-			shared.loop.Post(shared.clock.Now(), func() { s.attempts.freeDescriptorsAfter(failed) })
+			shared.loop.Post(shared.clock.Now(), func() { s.descriptors.freeAfter(failed) })
 		}
 		shared.calls.Sleep(netcalls.RetryInterval)
 		conn, err = s.dial(addr)
@@ -147,7 +147,7 @@
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
-	s.attempts.freeDescriptorsAfter(err)
+	s.descriptors.freeAfter(err)
 	if netcalls.IsLocalFault(err) { // it tells nothing of the endpoint
 		return policy.NotSent
 	}
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -49,7 +49,7 @@
 		c.set.attempts.finishDeferred(a, policy.ConnectFailed)
 	case n == len(command):
 		c.commandWritten.Store(true)
-		c.set.attempts.traceSent(a, c.dialedAs, startedAt, shared.clock.Now())
+		c.set.trace.attemptSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	default:
 		deadline := min(a.writeDeadline, a.expiresAt, startedAt+reserve+c.set.writeSlack)
 		c.startWriter(a, bytes.Clone(command[n:]), startedAt, shared.clock.Time(deadline))
@@ -85,7 +85,7 @@
 		}
 		_ = c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, the connection may be used again
 		c.commandWritten.Store(true)
-		c.set.attempts.traceSent(a, c.dialedAs, startedAt, shared.clock.Now())
+		c.set.trace.attemptSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	}()
 }
 
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -26,26 +26,35 @@
 	return file.Close()
 }
 
-// checkDescriptors makes room before a call fails that nobody learns of, and gives the limit on clients back once there
+// descriptorGuard makes room on the limits of connections when descriptors run out. The event loop owns it.
+type descriptorGuard struct {
+	services  *services
+	clients   *clientSet
+	endpoints *endpointSet
+	// probe fails if no descriptor is to be had.
+	probe func() error
+}
+
+// check makes room before a call fails that nobody learns of, and gives the limit on clients back once there
 // is room again.
-func (p *Proxy) checkDescriptors() {
-	s := &p.clients
-	if !p.freeDescriptorsAfter(p.probeDescriptor()) && s.limit < s.configuredLimit {
+func (g *descriptorGuard) check() {
+	s := g.clients
+	if !g.freeAfter(g.probe()) && s.limit < s.configuredLimit {
 		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryDivisor))
 	}
 }
 
-// freeDescriptorsAfter tells whether a call failed for want of descriptors. Idle connections are closed then: those to
-// endpoints first, which cost a new dial at most, and clients that are owed nothing, those idle for longest first.
-func (p *Proxy) freeDescriptorsAfter(err error) bool {
+// freeAfter tells whether a call failed for want of descriptors. Idle connections are closed then: those to
+// endpoints first, which cost a new dial at most, and clients that wait for no reply, those idle for longest first.
+func (g *descriptorGuard) freeAfter(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
 		return false
 	}
-	s := &p.clients
+	s := g.clients
 	evictions := max(1, s.staying()/evictionDivisor)
-	p.warn("no descriptor left", "clients", s.open(), "backend_connections", p.endpoints.openConns)
+	g.services.warn("no descriptor left", "clients", s.open(), "backend_connections", g.endpoints.openConns)
 	for range max(1, evictions/2) {
-		if !p.endpoints.evictIdle() {
+		if !g.endpoints.evictIdle() {
 			break
 		}
 	}
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -31,7 +31,7 @@
 }
 
 // attemptHandler is what backend connections hand attempts back to: the proxy. Its methods are called on the event
-// loop, but for traceSent.
+// loop.
 type attemptHandler interface {
 	// sendable tells whether an attempt that has waited may still be written.
 	sendable(a *attempt) bool
@@ -39,17 +39,15 @@
 	finishAttempt(a *attempt, res attemptResult, at policy.Seconds)
 	// finishDeferred ends an attempt, and reports it once the current event of the decision module is over.
 	finishDeferred(a *attempt, status policy.AttemptStatus)
-	// freeDescriptorsAfter makes room if a call failed for want of descriptors.
-	freeDescriptorsAfter(err error) bool
-	// traceSent logs that an attempt was written.
-	traceSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds)
 }
 
 // endpointSet holds the endpoints of the list, and bounds the connections to them. The event loop owns it, but for
-// dial, localFaultRetry, duplicateWindow and afterWrite, which never change while it runs.
+// trace, dial, localFaultRetry, duplicateWindow and afterWrite, which never change while it runs.
 type endpointSet struct {
 	services    *services
 	attempts    attemptHandler
+	descriptors *descriptorGuard
+	trace       *tracer
 	byID        map[string]*endpoint
 	openConns   int // with those that are being dialed
 	limit       int // of them
@@ -65,9 +63,12 @@
 }
 
 // init sets the limits by the configuration.
-func (s *endpointSet) init(shared *services, attempts attemptHandler, cfg config.Config) {
+func (s *endpointSet) init(
+	shared *services, attempts attemptHandler, descriptors *descriptorGuard, trace *tracer, cfg config.Config,
+) {
 	dial, dialTimeout := shared.calls.Dial, cfg.Settings.DialTimeout
 	s.services, s.attempts = shared, attempts
+	s.descriptors, s.trace = descriptors, trace
 	s.byID = map[string]*endpoint{}
 	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.MaxDescriptors))*backendShare))
 	s.idleTimeout = cfg.Settings.ConnectionIdleTimeout * idleTimeoutShare
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -56,15 +56,15 @@
 	// wallClock returns Unix time by the wall clock, which may be stepped.
 	wallClock func() policy.Seconds
 
-	decider   decider
-	listener  *net.TCPListener
-	clients   clientSet
-	requests  map[string]*request // open ones by id
-	endpoints endpointSet
-	peers     *peerlink.Link    // nil without peer messages
-	discovery discovery.Options // but for what followDiscovery adds
-	// probeDescriptor fails if no file descriptor is to be had.
-	probeDescriptor func() error
+	decider     decider
+	listener    *net.TCPListener
+	clients     clientSet
+	requests    map[string]*request // open ones by id
+	endpoints   endpointSet
+	descriptors descriptorGuard
+	trace       tracer
+	peers       *peerlink.Link    // nil without peer messages
+	discovery   discovery.Options // but for what followDiscovery adds
 	// readyAt is when the gateway is ready without an endpoint in service.
 	readyAt policy.Seconds
 }
@@ -88,21 +88,24 @@
 // open makes a proxy and its sockets; nothing is read from them yet.
 func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
-		services:        services{log: log, calls: calls, clock: eventloop.NewClock()},
-		cfg:             cfg,
-		wallClock:       func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
-		drain:           newDrainState(cfg.Settings.Classes),
-		requests:        map[string]*request{},
-		discovery:       discovery.DefaultOptions(cfg.Settings.DrainNotice),
-		probeDescriptor: probeDescriptor,
+		services:  services{log: log, calls: calls, clock: eventloop.NewClock()},
+		cfg:       cfg,
+		wallClock: func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
+		drain:     newDrainState(cfg.Settings.Classes),
+		requests:  map[string]*request{},
+		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
 	p.startTimes.Sample(p.loop.Now(), p.wallClock())
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
+	p.trace = tracer{services: &p.services, classes: cfg.Settings.Classes}
 	p.clients.init(&p.services, p, cfg.MaxDescriptors)
-	p.endpoints.init(&p.services, p, cfg)
+	p.endpoints.init(&p.services, p, &p.descriptors, &p.trace, cfg)
+	p.descriptors = descriptorGuard{
+		services: &p.services, clients: &p.clients, endpoints: &p.endpoints, probe: probeDescriptor,
+	}
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
@@ -158,7 +161,7 @@
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
 	p.clients.sweep()
-	p.checkDescriptors()
+	p.descriptors.check()
 }
 
 // SetTimer implements policy.Actions.
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -91,7 +91,7 @@
 	c.pipeline.add(r.slot)
 	c.lastUsedAt = p.loop.Now()
 	p.requests[r.ID] = r
-	p.traceAcceptedRequest(r)
+	p.trace.accepted(r)
 	// The decision module replies well before; should it fail to, the client gets a reply all the same.
 	r.timer = p.loop.After(r.deadline+p.cfg.Settings.ReplySlack-p.loop.Now(), func() {
 		p.warn("no reply from the decision module in time", "id", r.ID)
@@ -153,7 +153,7 @@
 		return
 	}
 	r.slot.reply = reply
-	p.traceReply(r, reply, why)
+	p.trace.completed(r, reply, why)
 	p.settle(r)
 	r.client.flush()
 }
@@ -173,7 +173,7 @@
 	if r.settled {
 		return
 	}
-	p.traceGone(r)
+	p.trace.clientGone(r)
 	p.settle(r)
 	p.decider.HandleClientGone(p.loop.Now(), r.ID)
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -4,10 +4,8 @@
 	"context"
 	"log/slog"
 
-	"reedlead/internal/netcalls"
-
 	"reedlead/internal/discovery"
-
+	"reedlead/internal/netcalls"
 	"reedlead/policy"
 )
 
@@ -21,28 +19,34 @@
 	traceClientGone   = "client disconnected"
 )
 
-// tracing tells whether the trace is logged. It never changes.
-func (p *Proxy) tracing() bool { return p.log.Enabled(context.Background(), slog.LevelDebug) }
+// tracer logs the trace. It never changes after the goroutines have started, and is safe for all of them.
+type tracer struct {
+	services *services
+	classes  []policy.Class
+}
+
+// enabled tells whether the trace is logged. It never changes.
+func (t *tracer) enabled() bool { return t.services.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// traceAcceptedRequest logs when a request's last byte had arrived, when the loop handled it, and its deadline.
-func (p *Proxy) traceAcceptedRequest(r *request) {
-	if !p.tracing() {
+// accepted logs when a request's last byte had arrived, when the loop handled it, and its deadline.
+func (t *tracer) accepted(r *request) {
+	if !t.enabled() {
 		return
 	}
-	p.log.Debug(
+	t.services.log.Debug(
 		traceAccepted, "id", r.ID, "connection", r.client.number,
-		"arrived", r.arrivedAt, "at", p.clock.Now(), "deadline", r.deadline,
+		"arrived", r.arrivedAt, "at", t.services.clock.Now(), "deadline", r.deadline,
 	)
 }
 
-// traceSent logs that the last byte of an attempt was written, at the time at; its writing had started at
-// writeStarted. Safe for any goroutine that the attempt was handed to: what it reads does not change any more.
-func (p *Proxy) traceSent(a *attempt, to discovery.Endpoint, writeStarted, at float64) {
-	if !p.tracing() || a.request == nil {
+// attemptSent logs that the last byte of an attempt was written, at the time at; its writing had started at
+// writeStarted. What it reads of the attempt does not change any more.
+func (t *tracer) attemptSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds) {
+	if !t.enabled() || a.request == nil {
 		return
 	}
-	class := p.class(a.request)
-	p.log.Debug(
+	class := t.class(a.request)
+	t.services.log.Debug(
 		traceAttemptSent, "id", a.request.ID, "attempt", a.number, "kind", string(a.kind),
 		"class", class.Name, "idempotency", class.Idempotency.String(),
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
@@ -52,23 +56,23 @@
 	)
 }
 
-// traceEnded logs how an attempt ended.
-func (p *Proxy) traceEnded(a *attempt, res attemptResult, at float64) {
-	if !p.tracing() || a.request == nil {
+// attemptEnded logs how an attempt ended.
+func (t *tracer) attemptEnded(a *attempt, result attemptResult, at policy.Seconds) {
+	if !t.enabled() || a.request == nil {
 		return
 	}
-	p.log.Debug(
-		traceAttemptEnded, "id", a.request.ID, "attempt", a.number, "status", res.status.String(), "at", at,
-		"malformed", res.malformedText(),
+	t.services.log.Debug(
+		traceAttemptEnded, "id", a.request.ID, "attempt", a.number, "status", result.status.String(), "at", at,
+		"malformed", result.malformedText(),
 	)
 }
 
-// traceReply logs a request's final reply, by the kind of it, and why it is not a value.
-func (p *Proxy) traceReply(r *request, reply []byte, why policy.Reason) {
-	if !p.tracing() {
+// completed logs a request's final reply, by the kind of it, and why it is not a value.
+func (t *tracer) completed(r *request, reply []byte, why policy.Reason) {
+	if !t.enabled() {
 		return
 	}
-	p.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", p.clock.Now())
+	t.services.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", t.services.clock.Now())
 }
 
 // replyKind is "value", or of an error the first three letters of its code.
@@ -80,17 +84,17 @@
 	return "value"
 }
 
-// traceGone logs that a request's client was found to have disconnected.
-func (p *Proxy) traceGone(r *request) {
-	if !p.tracing() {
+// clientGone logs that a request's client was found to have disconnected.
+func (t *tracer) clientGone(r *request) {
+	if !t.enabled() {
 		return
 	}
-	p.log.Debug(traceClientGone, "id", r.ID, "at", p.clock.Now())
+	t.services.log.Debug(traceClientGone, "id", r.ID, "at", t.services.clock.Now())
 }
 
 // class is that of a request, as the settings describe it.
-func (p *Proxy) class(r *request) policy.Class {
-	for _, c := range p.cfg.Settings.Classes {
+func (t *tracer) class(r *request) policy.Class {
+	for _, c := range t.classes {
 		if c.Name == r.Class {
 			return c
 		}
