--- /dev/null
+++ b/internal/proxy/actions.go
@@ -0,0 +1,49 @@
+package proxy
+
+import "reedlead/policy"
+
+// The methods of this file implement policy.Actions, together with SendToPeer. The decision module calls them on the
+// event loop.
+
+// Send implements policy.Actions. A timeout of 0 stands for the request's deadline; with one below 0 the attempt has
+// timed out at once.
+func (p *Proxy) Send(id, endpointID string, timeout, writeWithin policy.Seconds) {
+	r := p.requests.byID[id]
+	if r == nil {
+		p.warn("attempt for a request that is not open", "id", id)
+		return
+	}
+	p.attempts.send(r, endpointID, timeout, writeWithin)
+}
+
+// Cancel implements policy.Actions.
+func (p *Proxy) Cancel(id string, number int) {
+	if r := p.requests.byID[id]; r != nil {
+		p.attempts.cancel(r, number)
+	}
+}
+
+// HealthCheck implements policy.Actions.
+func (p *Proxy) HealthCheck(endpointID string) { p.attempts.checkHealth(endpointID) }
+
+// Reject implements policy.Actions.
+func (p *Proxy) Reject(id string, retryAfter policy.Seconds, why policy.Reason) {
+	if r := p.requests.byID[id]; r != nil {
+		p.requests.reject(r, retryAfter, why)
+	}
+}
+
+// Fail implements policy.Actions.
+func (p *Proxy) Fail(id string, why policy.Reason) {
+	if r := p.requests.byID[id]; r != nil {
+		p.requests.fail(r, why)
+	}
+}
+
+// SetTimer implements policy.Actions.
+func (p *Proxy) SetTimer(token uint64, delay policy.Seconds) {
+	p.loop.After(max(delay, 0), func() { p.decider.HandleTimer(p.loop.Now(), token) })
+}
+
+// Log implements policy.Actions.
+func (p *Proxy) Log(text string) { p.log.Info(text) }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -124,7 +124,7 @@
 				want = policy.Cancelled
 				r.onLoop(func() { r.proxy.Cancel("a", 0); r.proxy.Cancel("a", 0) })
 			} else {
-				r.onLoop(func() { r.proxy.expireAttempt(r.proxy.requests["a"].attempts[0]) })
+				r.onLoop(func() { r.proxy.attempts.expire(r.proxy.requests.byID["a"].attempts[0]) })
 			}
 			if o := receive(t, r.decider.outcomes); o.Status != want || o.RequestDone {
 				t.Errorf("got %+v, want %v", o, want)
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -67,5 +67,5 @@
 	if !c.commandWritten.Load() {
 		status = policy.ConnectFailed
 	}
-	c.set.attempts.finishAttempt(a, attemptResult{status: status}, at)
+	c.set.attempts.finish(a, attemptResult{status: status}, at)
 }
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -139,7 +139,7 @@
 			s.assign(idle)
 			continue
 		}
-		s.attempts.finishAttempt(e.waiting[0], attemptResult{status: failure}, s.services.loop.Now())
+		s.attempts.finish(e.waiting[0], attemptResult{status: failure}, s.services.loop.Now())
 	}
 }
 
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -147,5 +147,5 @@
 		a.conn = nil
 		c.release()
 	}
-	c.set.attempts.finishAttempt(a, res, at)
+	c.set.attempts.finish(a, res, at)
 }
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -35,7 +35,7 @@
 	remaining := 0.0
 	r.onLoop(func() {
 		waitForClock(r.proxy, r.proxy.loop.Now()+0.05)
-		remaining = r.proxy.requests["a"].deadline - r.proxy.clock.Now()
+		remaining = r.proxy.requests.byID["a"].deadline - r.proxy.clock.Now()
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	if args := b.readCommand(); len(args) != 4 {
@@ -51,7 +51,7 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
-		r.proxy.requests["a"].deadline = r.proxy.loop.Now() + 0.01
+		r.proxy.requests.byID["a"].deadline = r.proxy.loop.Now() + 0.01
 		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
 		r.proxy.Send("a", "s0", 0, 0)
 	})
@@ -118,7 +118,7 @@
 	if got := b.readCommand(); len(got) != 5 {
 		t.Fatalf("the endpoint got %q", got)
 	}
-	r.onLoop(func() { r.proxy.expireAttempt(r.proxy.requests["a"].attempts[0]) })
+	r.onLoop(func() { r.proxy.attempts.expire(r.proxy.requests.byID["a"].attempts[0]) })
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Timeout {
 		t.Errorf("got %+v", o)
 	}
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -96,7 +96,7 @@
 	if c.closed {
 		return
 	}
-	unused := c.set.requests.isDraining() || !c.usedSinceRequest
+	unused := c.set.status.isDraining() || !c.usedSinceRequest
 	if unused && c.idle() && c.reader.buffer.Len() == 0 && netcalls.NoDataPending(c.rawConn) {
 		c.closeGracefully()
 		return
@@ -138,7 +138,7 @@
 	c.close(why, cause)
 	for _, slot := range slots {
 		if slot.request != nil {
-			c.set.requests.abandonRequest(slot.request)
+			c.set.requests.abandon(slot.request)
 		}
 	}
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -74,7 +74,7 @@
 			t.Error(err)
 		}
 		r.proxy.inputBudget.Reserve(request.Size)
-		r.proxy.admitRequest(conn, request, r.proxy.clock.Now())
+		r.proxy.requests.admit(conn, request, r.proxy.clock.Now())
 	})
 	r.wantNothingSent(conns)
 }
@@ -86,7 +86,7 @@
 	c.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
 	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
-		r.proxy.requests["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
+		r.proxy.requests.byID["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
 		r.proxy.loop.After(-1, func() {})
 		r.proxy.Send("a", "s0", 0, 0)
 	})
@@ -162,7 +162,7 @@
 	// With the reply to r0 the next command has its permit.
 	r.whileLoopWaits(func() {}, closed, func() { r.proxy.Fail("r0", policy.DeadlineTooClose) })
 	r.awaitGone(conns, fmt.Sprint("r", maxPipelined-1))
-	r.eventually("all is released", func() bool { return len(r.proxy.requests) == 0 && r.proxy.clients.open() == 0 })
+	r.eventually("all is released", func() bool { return len(r.proxy.requests.byID) == 0 && r.proxy.clients.open() == 0 })
 	if len(conns) != 0 || r.proxy.endpoints.openConns != 0 {
 		t.Error("a command was sent")
 	}
@@ -190,7 +190,7 @@
 // clientClosed tells whether the client of an open request has closed its connection.
 func (r *harness) clientClosed(id string) func() bool {
 	var open *request
-	r.onLoop(func() { open = r.proxy.requests[id] })
+	r.onLoop(func() { open = r.proxy.requests.byID[id] })
 	return func() bool { return netcalls.ClosedByPeer(open.client.rawConn) }
 }
 
@@ -215,8 +215,8 @@
 		r.t.Errorf("gone: %q", got)
 	}
 	r.onLoop(func() {
-		if len(conns) != 0 || r.proxy.endpoints.openConns != 0 || len(r.proxy.requests) != 0 {
-			r.t.Errorf("%d connections, %d open, %d requests", len(conns), r.proxy.endpoints.openConns, len(r.proxy.requests))
+		if len(conns) != 0 || r.proxy.endpoints.openConns != 0 || len(r.proxy.requests.byID) != 0 {
+			r.t.Errorf("%d connections, %d open, %d requests", len(conns), r.proxy.endpoints.openConns, len(r.proxy.requests.byID))
 		}
 	})
 }
@@ -275,7 +275,7 @@
 	for range maxPipelined {
 		receive(t, r.decider.gone)
 	}
-	r.eventually("all is released", func() bool { return len(r.proxy.requests) == 0 && r.proxy.clients.open() == 0 })
+	r.eventually("all is released", func() bool { return len(r.proxy.requests.byID) == 0 && r.proxy.clients.open() == 0 })
 	if len(r.decider.requests) != 0 {
 		t.Error("more of its commands were handled")
 	}
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -196,9 +196,9 @@
 			return nil
 		}
 		request.CopyArgs()
-		shared.loop.Post(at, func() { requests.admitRequest(c, request, arrivedAt) })
+		shared.loop.Post(at, func() { requests.admit(c, request, arrivedAt) })
 	case bytes.EqualFold(args[0], []byte(pingCommand)):
-		shared.loop.Post(at, func() { requests.ping(c) })
+		shared.loop.Post(at, func() { c.replyToPing() })
 	default:
 		return fmt.Errorf("unknown command %.*q", maxQuotedBytes, args[0])
 	}
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"reedlead/internal/command"
 	"reedlead/internal/netcalls"
 	"reedlead/policy"
 )
@@ -39,24 +38,11 @@
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
 
-// requestHandler is what client connections hand requests to: the proxy. Its methods are called on the event loop.
-type requestHandler interface {
-	// admitRequest handles a request whose last byte had arrived at a time.
-	admitRequest(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds)
-	// rejectAtOnce rejects a request for which there is no room.
-	rejectAtOnce(c *clientConn, parsed *command.Request, why policy.Reason)
-	// ping replies whether this gateway can serve requests.
-	ping(c *clientConn)
-	// abandonRequest ends a request whose client has disconnected.
-	abandonRequest(r *request)
-	// isDraining tells whether connections close between requests.
-	isDraining() bool
-}
-
 // clientSet holds the connections of clients and bounds their number. The event loop owns it, but for places.
 type clientSet struct {
 	services           *services
-	requests           requestHandler
+	requests           *requestTable
+	status             gatewayStatus
 	conns              map[*clientConn]struct{}
 	limit              int // of open connections; lower than configured while descriptors are short
 	configuredLimit    int
@@ -71,9 +57,9 @@
 }
 
 // init sets the limits for a process that gets so many descriptors.
-func (s *clientSet) init(shared *services, requests requestHandler, descriptors int) {
+func (s *clientSet) init(shared *services, requests *requestTable, status gatewayStatus, descriptors int) {
 	usable := usableDescriptors(descriptors)
-	s.services, s.requests = shared, requests
+	s.services, s.requests, s.status = shared, requests, status
 	s.conns = map[*clientConn]struct{}{}
 	s.limit = max(minClients, int(float64(usable)*clientShare))
 	s.configuredLimit = s.limit
@@ -100,7 +86,7 @@
 	now := s.services.loop.Now()
 	c.openedAt, c.lastUsedAt = now, now
 	s.conns[c] = struct{}{}
-	if s.requests.isDraining() { // it came before the listener closed, and so does its command
+	if s.status.isDraining() { // it came before the listener closed, and so does its command
 		s.services.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
 	}
 }
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -120,7 +120,7 @@
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
 		c.close(lastReplyWritten, nil)
-	case c.set.requests.isDraining() && len(c.pipeline.slots) == 0:
+	case c.set.status.isDraining() && len(c.pipeline.slots) == 0:
 		c.requestClose(draining)
 	}
 }
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -14,7 +14,7 @@
 	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
 		r.proxy.clients.limit = 2
 		r.decider.onRequest = func(q policy.Request) {
-			r.proxy.reply(r.proxy.requests[q.ID], []byte(strings.Repeat("x", 60_000)), served)
+			r.proxy.requests.reply(r.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), served)
 		}
 	})
 	stuck := r.client()
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -51,7 +51,7 @@
 		r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
 		c.write("*1")
 		r.eventually("the error waits", func() bool {
-			q := r.proxy.requests["a"]
+			q := r.proxy.requests.byID["a"]
 			return q != nil && len(q.client.pipeline.slots) == 2
 		})
 		r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
@@ -68,7 +68,7 @@
 	receive(t, r.decider.requests)
 	c.write(strings.Repeat("x", maxLingerBytes))
 	r.eventually("enough is read", func() bool {
-		q := r.proxy.requests["a"]
+		q := r.proxy.requests.byID["a"]
 		return q != nil && q.client.lingerDone
 	})
 	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
@@ -143,7 +143,7 @@
 	b := receive(t, conns)
 	b.readCommand()
 	var completed *request
-	r.onLoop(func() { completed = r.proxy.requests["a"] })
+	r.onLoop(func() { completed = r.proxy.requests.byID["a"] })
 	if openTimers, less := r.idleUsage(); openTimers != timers+2 || less >= available {
 		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", openTimers, less, timers, available)
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -36,7 +36,7 @@
 	return drainState{acceptGrace: acceptGrace, timeout: killAfter - drainMargin}
 }
 
-// isDraining tells whether connections close between requests.
+// isDraining implements gatewayStatus.
 func (p *Proxy) isDraining() bool { return p.drain.started }
 
 // startDrain is called on the signal to end.
@@ -66,12 +66,7 @@
 	if !p.drain.started {
 		p.stopAccepting()
 	}
-	for _, r := range p.requests {
-		if !r.settled {
-			p.fail(r, shuttingDown)
-			p.decider.HandleClientGone(p.loop.Now(), r.ID)
-		}
-	}
+	p.requests.failOpen(shuttingDown)
 	p.clients.closeIdle()
 	p.loop.After(drainMargin.Seconds()/2, func() {
 		for c := range p.clients.conns {
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -30,22 +30,11 @@
 	dials   int            // under way
 }
 
-// attemptHandler is what backend connections hand attempts back to: the proxy. Its methods are called on the event
-// loop.
-type attemptHandler interface {
-	// sendable tells whether an attempt that has waited may still be written.
-	sendable(a *attempt) bool
-	// finishAttempt ends and reports an attempt, as of a time.
-	finishAttempt(a *attempt, res attemptResult, at policy.Seconds)
-	// finishDeferred ends an attempt, and reports it once the current event of the decision module is over.
-	finishDeferred(a *attempt, status policy.AttemptStatus)
-}
-
 // endpointSet holds the endpoints of the list, and bounds the connections to them. The event loop owns it, but for
 // trace, dial, localFaultRetry, duplicateWindow and afterWrite, which never change while it runs.
 type endpointSet struct {
 	services    *services
-	attempts    attemptHandler
+	attempts    *attemptRunner
 	descriptors *descriptorGuard
 	trace       *tracer
 	byID        map[string]*endpoint
@@ -64,7 +53,7 @@
 
 // init sets the limits by the configuration.
 func (s *endpointSet) init(
-	shared *services, attempts attemptHandler, descriptors *descriptorGuard, trace *tracer, cfg config.Config,
+	shared *services, attempts *attemptRunner, descriptors *descriptorGuard, trace *tracer, cfg config.Config,
 ) {
 	dial, dialTimeout := shared.calls.Dial, cfg.Settings.DialTimeout
 	s.services, s.attempts = shared, attempts
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -13,10 +13,10 @@
 // attempt that has its reply would time out, and an attempt would be sent to an endpoint that is known to be draining.
 func TestWhatHasComeGoesBeforeTimers(t *testing.T) {
 	r, c, b, _ := startWithAttempt(t)
-	r.eventually("it is in flight", func() bool { return r.proxy.requests["a"].attempts[0].conn != nil })
+	r.eventually("it is in flight", func() bool { return r.proxy.requests.byID["a"].attempts[0].conn != nil })
 	waiting, arrived := make(chan struct{}), make(chan struct{})
 	r.onLoop(func() {
-		a := r.proxy.requests["a"].attempts[0]
+		a := r.proxy.requests.byID["a"].attempts[0]
 		r.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
 			close(waiting)
 			<-arrived
@@ -24,7 +24,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		})
-		r.proxy.loop.After(0, func() { r.proxy.expireAttempt(a) })
+		r.proxy.loop.After(0, func() { r.proxy.attempts.expire(a) })
 	})
 	receive(t, waiting)
 	b.write(valueReply)
@@ -40,7 +40,7 @@
 func TestReadersGoBeforeLateTimers(t *testing.T) {
 	r, _, b, _ := startWithAttempt(t)
 	var a *attempt
-	r.eventually("it is in flight", func() bool { a = r.proxy.requests["a"].attempts[0]; return a.conn != nil })
+	r.eventually("it is in flight", func() bool { a = r.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
 	a.conn.writeMu.Lock() // its reader reports the end of the connection once it has this
 	b.hangUp()
 	r.eventually("the reader waits", a.conn.unusable.Load)
@@ -54,7 +54,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		r.proxy.loop.After(-1, func() { r.proxy.expireAttempt(a) }) // long overdue
+		r.proxy.loop.After(-1, func() { r.proxy.attempts.expire(a) }) // long overdue
 	})
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want the end that the reader posts", o)
@@ -82,9 +82,9 @@
 				b = receive(t, conns)
 			}
 			b.readCommand()
-			arrived := func() bool { return !r.proxy.requests["a"].attempts[0].conn.awaitingReply.Load() }
+			arrived := func() bool { return !r.proxy.requests.byID["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				arrived = func() bool { return !netcalls.NoDataPending(r.proxy.requests["a"].attempts[0].conn.rawConn) }
+				arrived = func() bool { return !netcalls.NoDataPending(r.proxy.requests.byID["a"].attempts[0].conn.rawConn) }
 			}
 			r.whileLoopWaits(func() { b.write(valueReply) }, arrived, func() { r.proxy.Send("a", "s0", 0, 0) })
 			for {
@@ -126,7 +126,7 @@
 	b.readCommand()
 	var first *attempt
 	r.onLoop(func() {
-		first = r.proxy.requests["a"].attempts[0]
+		first = r.proxy.requests.byID["a"].attempts[0]
 		r.proxy.Send("a", "s1", 0, 0)
 	})
 	first.conn.writeMu.Lock() // its reader posts the end once it has this
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -163,7 +163,7 @@
 		cancel()
 		r.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
-			p.requests = map[string]*request{}
+			p.requests.byID = map[string]*request{}
 			p.drain.started, p.drain.acceptorEnded = true, true
 		})
 		<-r.ended
@@ -359,7 +359,7 @@
 func (r *harness) awaitPartialWrite(id string) {
 	r.t.Helper()
 	r.eventually("a part is written", func() bool {
-		a := r.proxy.requests[id].attempts[0]
+		a := r.proxy.requests.byID[id].attempts[0]
 		return a.conn != nil && !a.conn.commandWritten.Load()
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,17 +30,6 @@
 	readyTimeout = 2 * time.Second
 )
 
-// decider is the decision module, a *policy.Gateway but for tests. Its methods are called on the event loop.
-type decider interface {
-	HandleRequest(now policy.Seconds, request policy.Request)
-	HandleOutcome(now policy.Seconds, outcome policy.Outcome)
-	HandleClientGone(now policy.Seconds, id string)
-	HandleEndpoints(now policy.Seconds, list []policy.Endpoint, whole bool)
-	HandleTimer(now policy.Seconds, token uint64)
-	HandlePeerMessage(now policy.Seconds, from int, data []byte)
-	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
-}
-
 // Proxy is a gateway on real sockets. It carries out the actions of the decision module and hands it the events.
 //
 // The event loop owns all of its state that is not said to belong to another goroutine. Goroutines of their own
@@ -56,10 +45,10 @@
 	// wallClock returns Unix time by the wall clock, which may be stepped.
 	wallClock func() policy.Seconds
 
-	decider     decider
 	listener    *net.TCPListener
 	clients     clientSet
-	requests    map[string]*request // open ones by id
+	requests    requestTable
+	attempts    attemptRunner
 	endpoints   endpointSet
 	descriptors descriptorGuard
 	trace       tracer
@@ -92,7 +81,6 @@
 		cfg:       cfg,
 		wallClock: func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
 		drain:     newDrainState(cfg.Settings.Classes),
-		requests:  map[string]*request{},
 		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
@@ -100,18 +88,31 @@
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.trace = tracer{services: &p.services, classes: cfg.Settings.Classes}
-	p.clients.init(&p.services, p, cfg.MaxDescriptors)
-	p.endpoints.init(&p.services, p, &p.descriptors, &p.trace, cfg)
-	p.descriptors = descriptorGuard{
-		services: &p.services, clients: &p.clients, endpoints: &p.endpoints, probe: probeDescriptor,
-	}
+	p.connectParts()
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
+// connectParts makes the parts and hands each of them the others that it uses.
+func (p *Proxy) connectParts() {
+	shared, configured := &p.services, &p.cfg.Settings
+	p.trace = tracer{services: shared, classes: configured.Classes}
+	p.requests = requestTable{
+		services: shared, settings: configured, drain: &p.drain, trace: &p.trace, attempts: &p.attempts,
+		byID: map[string]*request{},
+	}
+	p.attempts = attemptRunner{
+		services: shared, settings: configured, endpoints: &p.endpoints, requests: &p.requests, trace: &p.trace,
+	}
+	p.descriptors = descriptorGuard{
+		services: shared, clients: &p.clients, endpoints: &p.endpoints, probe: probeDescriptor,
+	}
+	p.clients.init(shared, &p.requests, p, p.cfg.MaxDescriptors)
+	p.endpoints.init(shared, &p.attempts, &p.descriptors, &p.trace, p.cfg)
+}
+
 // openSockets makes the listener and, with peer messages, the link to the other gateways.
 func (p *Proxy) openSockets(ctx context.Context) error {
 	address, err := net.ResolveTCPAddr("tcp", p.cfg.ListenAddress)
@@ -163,11 +164,3 @@
 	p.clients.sweep()
 	p.descriptors.check()
 }
-
-// SetTimer implements policy.Actions.
-func (p *Proxy) SetTimer(token uint64, delay policy.Seconds) {
-	p.loop.After(max(delay, 0), func() { p.decider.HandleTimer(p.loop.Now(), token) })
-}
-
-// Log implements policy.Actions.
-func (p *Proxy) Log(text string) { p.log.Info(text) }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -53,8 +53,8 @@
 		t.Errorf("gone: %q", id)
 	}
 	r.onLoop(func() {
-		if len(r.proxy.requests) != 0 {
-			t.Errorf("%d requests are kept", len(r.proxy.requests))
+		if len(r.proxy.requests.byID) != 0 {
+			t.Errorf("%d requests are kept", len(r.proxy.requests.byID))
 		}
 	})
 }
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -6,8 +6,20 @@
 	"reedlead/internal/eventloop"
 	"reedlead/internal/netcalls"
 	"reedlead/internal/readbuf"
+	"reedlead/policy"
 )
 
+// decider is the decision module, a *policy.Gateway but for tests. Its methods are called on the event loop.
+type decider interface {
+	HandleRequest(now policy.Seconds, request policy.Request)
+	HandleOutcome(now policy.Seconds, outcome policy.Outcome)
+	HandleClientGone(now policy.Seconds, id string)
+	HandleEndpoints(now policy.Seconds, list []policy.Endpoint, whole bool)
+	HandleTimer(now policy.Seconds, token uint64)
+	HandlePeerMessage(now policy.Seconds, from int, data []byte)
+	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
+}
+
 // services are what the parts of a proxy share. All but warnings, which the event loop owns, are set before the
 // goroutines start and may be used by each of them, as far as their own methods may.
 type services struct {
@@ -18,4 +30,6 @@
 	// inputBudget bounds what clients and endpoints have sent and nobody has used up yet.
 	inputBudget *readbuf.Budget
 	warnings    warningLimiter
+	// decider is called on the event loop alone.
+	decider decider
 }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -152,7 +152,9 @@
 			}
 			c.send(lookCommand("a")...)
 			receive(t, r.decider.requests)
-			r.onLoop(func() { r.proxy.reply(r.proxy.requests["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded) })
+			r.onLoop(func() {
+				r.proxy.requests.reply(r.proxy.requests.byID["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded)
+			})
 			if got := c.readLine(); got != "-BUSY" {
 				t.Errorf("a request got %q", got)
 			}
--- /dev/null
+++ b/internal/proxy/status.go
@@ -0,0 +1,27 @@
+package proxy
+
+import "github.com/tidwall/redcon"
+
+// gatewayStatus is what client connections ask of the gateway as a whole: the proxy. Event loop only.
+type gatewayStatus interface {
+	// isReady tells whether this gateway can serve requests.
+	isReady() bool
+	// isDraining tells whether connections close between requests.
+	isDraining() bool
+}
+
+// isReady implements gatewayStatus. While discovery is down and the list that the gateway was started with names no
+// endpoint in service, it is ready all the same after a moment: it replies to what comes, and has its place when
+// discovery is back.
+func (p *Proxy) isReady() bool {
+	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
+}
+
+// replyToPing replies to a health check of this gateway. Event loop only.
+func (c *clientConn) replyToPing() {
+	if !c.set.status.isReady() {
+		c.replyAtOnce(redcon.AppendError(nil, "LOADING no backends known yet"), false)
+		return
+	}
+	c.replyAtOnce(redcon.AppendString(nil, "PONG"), false)
+}
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -309,7 +309,7 @@
 				t.Errorf("gone: %q", id)
 			}
 			r.eventually("nothing is left", func() bool {
-				return r.proxy.clients.open() == 0 && len(r.proxy.requests) == 0 && len(r.proxy.clients.places) == 1
+				return r.proxy.clients.open() == 0 && len(r.proxy.requests.byID) == 0 && len(r.proxy.clients.places) == 1
 			})
 		})
 		t.Run("backend, "+number.Error(), func(t *testing.T) {
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -35,7 +35,7 @@
 	c.send("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", "body")
 	receive(t, r.decider.requests)
 	windowEnd := 0.0
-	r.onLoop(func() { windowEnd = r.proxy.requests["a"].attempts[0].writeDeadline })
+	r.onLoop(func() { windowEnd = r.proxy.requests.byID["a"].attempts[0].writeDeadline })
 	waitForClock(r.proxy, windowEnd)
 	close(free)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
@@ -105,7 +105,7 @@
 		}
 		b = newTestConn(t, conn)
 		r.eventually("it is out", func() bool {
-			q := r.proxy.requests["a"]
+			q := r.proxy.requests.byID["a"]
 			if q != nil {
 				used = q.attempts[0]
 			}
@@ -116,7 +116,7 @@
 		}
 		b = nil
 		receive(t, r.decider.outcomes)
-		r.onLoop(func() { r.proxy.fail(r.proxy.requests["a"], policy.DeadlineTooClose); writeWithin *= 2 })
+		r.onLoop(func() { r.proxy.requests.fail(r.proxy.requests.byID["a"], policy.DeadlineTooClose); writeWithin *= 2 })
 		c.readLine()
 	}
 	r.eventually("it is noted", func() bool { return used.conn.commandWritten.Load() })
