--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -256,3 +256,86 @@
 		}
 	}
 }
+
+func TestRetriesWithAKeyStayInScopeAndWindow(t *testing.T) {
+	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
+	for seed := range 20 {
+		g, r := newTestGateway(t, singleGateway)
+		id := fmt.Sprint("k", seed)
+		sendRequest(g, 100, id, "put", "wide", 1)
+		first := r.ofKind("send", id)[0].endpoint
+		r.actions = nil
+		g.HandleOutcome(100.2, Outcome{RequestID: id, Endpoint: first, Status: Reset, Elapsed: 0.2})
+		for _, a := range r.ofKind("send", id) {
+			if zone[a.endpoint] != zone[first] {
+				t.Fatalf("retried at %s in another zone, after %s", a.endpoint, first)
+			}
+		}
+	}
+	g, r := newTestGateway(t, singleGateway)
+	sendRequest(g, 100, "c", "cell", "wide", 1)
+	first := r.ofKind("send", "c")[0].endpoint
+	g.HandleOutcome(100.2, Outcome{RequestID: "c", Endpoint: first, Status: Error, Elapsed: 0.2})
+	for _, a := range r.ofKind("send", "c") {
+		if a.endpoint != first {
+			t.Fatalf("retried at %s in another cell", a.endpoint)
+		}
+	}
+	g, r = newTestGateway(t, singleGateway)
+	sendRequest(g, 100, "t", "any", "wide", 1)
+	first = r.ofKind("send", "t")[0].endpoint
+	g.HandleOutcome(100.6, Outcome{RequestID: "t", Endpoint: first, Status: Error, Elapsed: 0.6})
+	if len(r.ofKind("send", "t")) != 1 || len(r.ofKind("reject", "t")) != 1 {
+		t.Fatalf("after the idempotency window: want a rejection and no retry, got %v", r.actions)
+	}
+}
+
+func TestSameDedupGroup(t *testing.T) {
+	here := dedupGroup{zone: "a", cell: 1}
+	for name, tc := range map[string]struct {
+		other             dedupGroup
+		fleet, zone, cell bool
+	}{
+		"the same cell":              {here, true, true, true},
+		"another cell of the zone":   {dedupGroup{"a", 2}, true, true, false},
+		"a cell of another zone":     {dedupGroup{"b", 2}, true, false, false},
+		"that cell in another zone":  {dedupGroup{"b", 1}, true, false, false},
+		"a zone and cell not listed": {dedupGroup{}, true, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for scope, want := range map[DedupScope]bool{DedupFleet: tc.fleet, DedupZone: tc.zone, DedupCell: tc.cell} {
+				if got := sameDedupGroup(scope, here, tc.other); got != want {
+					t.Errorf("scope %s: %v, want %v", scope, got, want)
+				}
+			}
+		})
+	}
+}
+
+// A rejection lets the client send the request again, so it must not be given where that could execute it twice.
+func TestClientMayRepeat(t *testing.T) {
+	inFlight := func(r *request) { r.inFlight = 1 }
+	for name, tc := range map[string]struct {
+		class  Class
+		change func(*request)
+		want   bool
+	}{
+		"nothing sent":                        {Class{Idempotency: NonIdempotent}, func(*request) {}, true},
+		"not idempotent, executed":            {Class{Idempotency: NonIdempotent}, executedOnce, false},
+		"not idempotent, in flight":           {Class{Idempotency: NonIdempotent}, inFlight, false},
+		"idempotent, executed":                {Class{Idempotency: Idempotent}, executedOnce, true},
+		"key of all endpoints, executed":      {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, executedOnce, true},
+		"key of a zone, executed":             {Class{Idempotency: IdempotencyKey, DedupScope: DedupZone}, executedOnce, false},
+		"key of a cell, in flight":            {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, inFlight, false},
+		"key of a cell, nothing sent to any":  {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
+		"key of all endpoints, one in flight": {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, inFlight, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := &request{class: &class{Class: tc.class}}
+			tc.change(r)
+			if got := r.clientMayRepeat(); got != tc.want {
+				t.Errorf("clientMayRepeat = %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,100 @@
+package policy
+
+import "testing"
+
+func TestNonIdempotentAfterEachOutcome(t *testing.T) {
+	for status, want := range map[AttemptStatus]string{
+		Rejected:      "send",
+		ConnectFailed: "send",
+		NotSent:       "send",
+		Error:         "fail",
+		Timeout:       "fail",
+		Reset:         "fail",
+		Cancelled:     "fail",
+	} {
+		t.Run(status.String(), func(t *testing.T) {
+			g, r := newTestGateway(t, singleGateway)
+			sendRequest(g, 100, "p", "pay", "wide", 1)
+			first := r.ofKind("send", "p")[0]
+			r.actions = nil
+			g.HandleOutcome(100.2, Outcome{RequestID: "p", Endpoint: first.endpoint, Status: status, Elapsed: 0.2})
+			replies := len(r.ofKind("send", "p")) + len(r.ofKind("fail", "p")) + len(r.ofKind("reject", "p"))
+			if len(r.ofKind(want, "p")) != 1 || replies != 1 {
+				t.Errorf("want one %s, got %v", want, r.actions)
+			}
+		})
+	}
+}
+
+func TestTimeoutAtTheDeadlineGivesAFinalReply(t *testing.T) {
+	for class, want := range map[string]string{"read": "reject", "put": "fail", "any": "reject", "pay": "fail"} {
+		g, r := newTestGateway(t, singleGateway)
+		sendRequest(g, 100, "d", class, "wide", 1)
+		first := r.ofKind("send", "d")[0].endpoint
+		r.actions = nil
+		g.HandleOutcome(104, Outcome{RequestID: "d", Endpoint: first, Status: Timeout, Elapsed: 4})
+		if len(r.ofKind(want, "d")) != 1 || len(r.ofKind("send", "d")) != 0 {
+			t.Errorf("%s: want one %s in the same batch, got %v", class, want, r.actions)
+		}
+	}
+}
+
+// openRequest returns a request at time 100 with a deadline of 2 s and an objective of 1 s, whose class takes
+// 0.1 s and earns half of its weight after the objective.
+func openRequest(idempotency Idempotency) *request {
+	settings := Class{
+		LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, LateWeightFraction: 0.5,
+		Idempotency: idempotency, IdempotencyWindow: 0.5,
+	}
+	cls := newClass(settings, 0)
+	cls.meanLatency = 0.1
+	return &request{Request: Request{Deadline: 102}, class: cls, objectiveAt: 101, firstWriteBy: 100.9}
+}
+
+// executedOnce notes an attempt of the request at time 100 that may have executed.
+func executedOnce(r *request) {
+	r.attempts = append(r.attempts, attempt{endpoint: &endpoint{}, sentAt: 100, done: true})
+	r.recordStatus(&r.attempts[0], Reset)
+}
+
+func TestRetryPolicy(t *testing.T) {
+	const lastSend = 101.5 - 0.1 // for a reply up to half of the time between objective and deadline
+	for name, tc := range map[string]struct {
+		idempotency Idempotency
+		change      func(*request)
+		now         Seconds
+		want        bool
+		reason      Reason // where it is not allowed
+	}{
+		"first attempt":                    {Idempotent, func(*request) {}, 100, true, ""},
+		"first attempt, not written":       {Idempotent, func(*request) {}, 100.91, false, DeadlineTooClose},
+		"written, after the first write":   {Idempotent, func(r *request) { r.written = true }, 100.91, true, ""},
+		"too late for a useful reply":      {Idempotent, func(r *request) { r.written = true }, lastSend + 0.01, false, DeadlineTooClose},
+		"all attempts made":                {Idempotent, func(r *request) { r.attempts = make([]attempt, 3) }, 100, false, AttemptsExhausted},
+		"idempotent, executed":             {Idempotent, executedOnce, 101, true, ""},
+		"not idempotent, executed":         {NonIdempotent, executedOnce, 100.1, false, AttemptsExhausted},
+		"key, executed within its window":  {IdempotencyKey, executedOnce, 100.4, true, ""},
+		"key, executed before the window":  {IdempotencyKey, executedOnce, 100.46, false, AttemptsExhausted},
+		"not idempotent, never executed":   {NonIdempotent, func(r *request) { r.attempts = make([]attempt, 1) }, 100.1, true, ""},
+		"too late, with attempts to spare": {NonIdempotent, executedOnce, lastSend + 0.01, false, DeadlineTooClose},
+	} {
+		t.Run(name, func(t *testing.T) {
+			policy := newRetryPolicy(Settings{MaxAttempts: 3}, &eventClock{now: tc.now})
+			r := openRequest(tc.idempotency)
+			tc.change(r)
+			if got := policy.allowsAttempt(r); got != tc.want {
+				t.Fatalf("allowsAttempt = %v, want %v", got, tc.want)
+			}
+			if reason := policy.rejectionReason(r); !tc.want && reason != tc.reason {
+				t.Errorf("rejectionReason = %q, want %q", reason, tc.reason)
+			}
+		})
+	}
+}
+
+func TestRetryPolicyAllowsOneAttemptAtLeast(t *testing.T) {
+	policy := newRetryPolicy(Settings{MaxAttempts: 0}, &eventClock{now: 100})
+	if !policy.allowsAttempt(openRequest(Idempotent)) {
+		t.Error("no attempt is allowed")
+	}
+}
