--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -29,10 +29,10 @@
 //     checks. endpointPicker reads them all.
 //   - The quota side: quotaController admits requests. It holds the customers with their quotas, as a member
 //     sees them or, in their ledgers, as their owner; the usageReporter, which reports to the owners through
-//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerRing finds the owner.
+//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerRing finds owners.
 //
-// In each event the clock is advanced first, then the parts take in what the event says, then the request that
-// it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests that
+// In each event the clock is advanced first, then the parts take in what the event says, then the request
+// that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests that
 // wait for a concurrency slot, and the reports to owners after both. The order decides who gets the last free
 // capacity, and in which order random numbers are drawn, so it is part of the behavior.
 type Gateway struct {
@@ -112,10 +112,9 @@
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, g.actions.SendToPeer
 	g.retries = newRetryPolicy(settings, g.clock)
 	g.quota = quotaController{
-		clock: g.clock, self: settings.Self, owner: g.owner, protocol: &g.protocol, retries: g.retries,
-		customers:           newCustomerTable(settings, g.clock, g.findPrimaryOwner),
-		reporter:            newUsageReporter(settings, g.clock, &g.protocol, g.owner),
-		meanAttemptDuration: func() Seconds { return g.limiter.meanAttemptDuration },
+		clock: g.clock, self: settings.Self, owners: g, protocol: &g.protocol, retries: g.retries, limiter: g.limiter,
+		customers: newCustomerTable(settings, g.clock, g),
+		reporter:  newUsageReporter(settings, g.clock, &g.protocol, g),
 	}
 }
 
