--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -32,9 +32,9 @@
 //     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerRing finds owners.
 //
 // In each event the clock is advanced first, then the parts take in what the event says, then the request
-// that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests that
-// wait for a concurrency slot, and the reports to owners after both. The order decides who gets the last free
-// capacity, and in which order random numbers are drawn, so it is part of the behavior.
+// that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests
+// that wait for a concurrency slot, and the reports to owners after both. The order decides who gets the last
+// free capacity, and in which order random numbers are drawn, so it is part of the behavior.
 type Gateway struct {
 	settings Settings
 	actions  Actions
@@ -112,7 +112,8 @@
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, g.actions.SendToPeer
 	g.retries = newRetryPolicy(settings, g.clock)
 	g.quota = quotaController{
-		clock: g.clock, self: settings.Self, owners: g, protocol: &g.protocol, retries: g.retries, limiter: g.limiter,
+		clock: g.clock, self: settings.Self, owners: g, protocol: &g.protocol,
+		retries: g.retries, limiter: g.limiter,
 		customers: newCustomerTable(settings, g.clock, g),
 		reporter:  newUsageReporter(settings, g.clock, &g.protocol, g),
 	}
