--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -33,7 +33,7 @@
 	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxGrantAttempts || sent[len(sent)-1].to == first {
 		t.Fatalf("no report went past the unreachable owner: %v", sent)
 	}
-	if g.reachable(first) {
+	if g.protocol.reachable(first) {
 		t.Fatal("an owner that left all unanswered counts as reachable")
 	}
 }
@@ -44,7 +44,7 @@
 	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
-	if !g.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
+	if !g.protocol.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
 		t.Fatal("a standstill of this gateway counted as silence of another")
 	}
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total += 2 })
