--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -29,7 +29,8 @@
 //     checks. endpointPicker reads them all.
 //   - The quota side: quotaController admits requests. It holds the customers with their quotas, as a member
 //     sees them or, in their ledgers, as their owner; the usageReporter, which reports to the owners through
-//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerRing finds owners.
+//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory tells which
+//     gateway owns a customer.
 //
 // In each event the clock is advanced first, then the parts take in what the event says, then the request
 // that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests
@@ -59,7 +60,7 @@
 	picker       *endpointPicker
 
 	quota    quotaController
-	ring     ownerRing
+	owners   *ownerDirectory
 	protocol peerProtocol
 
 	nextSweepAt Seconds // when what expired is evicted next
@@ -108,15 +109,15 @@
 // initQuotaSide makes the parts that know of customers and peers. It draws the incarnation of this gateway.
 func (g *Gateway) initQuotaSide() {
 	settings := g.settings
-	g.ring = newOwnerRing(settings.GatewayCount)
 	g.protocol = newPeerProtocol(settings, g.clock, uint8(g.random.Uint32()))
 	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, g.actions.SendToPeer
+	g.owners = newOwnerDirectory(settings, g.protocol.reachable)
 	g.retries = newRetryPolicy(settings, g.clock)
 	g.quota = quotaController{
-		clock: g.clock, self: settings.Self, owners: g, protocol: &g.protocol,
+		clock: g.clock, self: settings.Self, owners: g.owners, protocol: &g.protocol,
 		retries: g.retries, limiter: g.limiter,
-		customers: newCustomerTable(settings, g.clock, g),
-		reporter:  newUsageReporter(settings, g.clock, &g.protocol, g),
+		customers: newCustomerTable(settings, g.clock, g.owners),
+		reporter:  newUsageReporter(settings, g.clock, &g.protocol, g.owners),
 	}
 }
 
