--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -53,7 +53,7 @@
 	g.clock.now = 100.2
 	req := &request{Request: Request{ID: "b"}, class: g.classes.byName["read"]}
 	g.requests.byID["b"] = req
-	g.startAttempt(req, e)
+	g.sender.start(req, e)
 	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: e.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
 	if e.hasIdleConnection(g.clock.now, 10) {
 		t.Fatal("a connection is counted on that was closed with its attempt")
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -337,7 +337,7 @@
 func (g *simulatedGateway) tick(now Seconds) {
 	g.policy.HandleTimer(now, 1)
 	interval := timerInterval
-	if g.inFlight == 0 && g.policy.dispatchQueue.isEmpty() {
+	if g.inFlight == 0 && g.policy.dispatcher.queue.isEmpty() {
 		interval = 4 * timerInterval
 	}
 	g.fleet.schedule(now+interval, g.tick)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -102,7 +102,7 @@
 		req := &request{Request: Request{ID: id}, class: cls}
 		g.requests.byID[id] = req
 		g.clock.now = now
-		g.startAttempt(req, e)
+		g.sender.start(req, e)
 		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: status, RequestDone: true, Elapsed: 0.1})
 	}
 	attempt(100, "a", Timeout)
