--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	// BroadcastAddress reaches all of them; not valid if there is no such address.
 	BroadcastAddress netip.AddrPort
 
-	// InitialEndpoints is the endpoint list that counts until discovery answers.
+	// InitialEndpoints is the endpoint list that counts until discovery responds.
 	InitialEndpoints discovery.List
 	Settings         settings.Settings
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,7 @@
 // Package discovery follows the endpoint list of a discovery agent over HTTP.
 //
 // A Client keeps one watch open, on which the agent sends a JSON value for each change, and polls the
-// complete list where changes may have been missed. Its Events tell the caller what it has found.
+// complete list where changes may have been missed. Its Events notify the caller of what it has found.
 package discovery
 
 import (
@@ -15,19 +15,19 @@
 )
 
 const (
-	// DefaultSilenceTimeout is how long an answer may be silent. A watch sends a line every 2 s. Soon after
-	// one that is missing the connection is taken for broken; the agent answers at once, so a needless poll
-	// costs little.
+	// DefaultSilenceTimeout is how long a response may be silent. A watch sends a heartbeat, an empty line, every
+	// 2 s. Soon after one that is missing the connection is taken for broken; the agent responds at once, so a
+	// needless poll costs little.
 	DefaultSilenceTimeout = 2500 * time.Millisecond
 
-	// A change counts as announced once the agent has it, whether or not a watch is open, and sends to a
+	// A change counts as announced once the agent has it, whether or not a watch is open, and attempts on a
 	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
 	// again within a share of it.
 	pollTimeoutShare    = 0.3
 	defaultGrace        = 250 * time.Millisecond // where the settings name none
 	maxPollTimeout      = 500 * time.Millisecond
-	maxOpenRetries      = 3 // unanswered polls of an agent, beside the first
-	maxPause            = 50 * time.Millisecond
+	maxOpenRetries      = 3 // open polls of an agent, beside the first
+	maxBackoff          = 50 * time.Millisecond
 	minUnusableBackoff  = 50 * time.Millisecond
 	maxUnusableBackoff  = time.Second // a complete list costs the agent; an unusable one is not polled for more often
 	maxValueSize        = 4 << 20
@@ -40,15 +40,15 @@
 	// ErrValueTooLong reports a value of more than 4 MiB.
 	ErrValueTooLong = errors.New("the list is too long")
 	// ErrUnusable reports that a value came, in whole or in part, that can't be used.
-	ErrUnusable = errors.New("a list came that is of no use")
+	ErrUnusable = errors.New("unusable list")
 )
 
-// StatusError reports an answer with another HTTP status than 200.
+// StatusError reports a response with another HTTP status than 200.
 type StatusError struct {
 	Status string // with its code
 }
 
-func (e *StatusError) Error() string { return "discovery answered " + e.Status }
+func (e *StatusError) Error() string { return "discovery responded with " + e.Status }
 
 // VersionError reports a change whose version is older than one before it.
 type VersionError struct {
@@ -87,16 +87,16 @@
 
 // Options configure a Client. All fields must be set.
 type Options struct {
-	// PollTimeout is how long a poll may stay unanswered until the agent is polled again beside it.
+	// PollTimeout is how long a poll may stay without a response until the agent is polled again beside it.
 	PollTimeout time.Duration
-	// SilenceTimeout is how long an answer may be silent, or one value of it take.
+	// SilenceTimeout is how long a response may be silent, or one value of it take.
 	SilenceTimeout time.Duration
 	// DialContext connects to the agent.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 	// After and AfterFunc are those of package time, but for tests.
 	After     func(time.Duration) <-chan time.Time
 	AfterFunc func(time.Duration, func()) Timer
-	// Notify takes the events in their order. It is called on goroutines of the client, one call at a time.
+	// Notify is called with the events in their order, on goroutines of the client, one call at a time.
 	Notify func(Event)
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// PollTimeout is how long an agent that does not answer is left alone, by the grace period for sends to
+// PollTimeout is how long an agent that does not respond is left alone, by the grace period for attempts on
 // draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
 // 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
 // before. docs/endings.md adds the waits up.
@@ -127,7 +127,7 @@
 	address         string
 	version         int64         // of the last update
 	resync          bool          // changes may be missing: the complete list has to be polled
-	unusableBackoff time.Duration // the pause after the next watch that brings nothing but unusable values
+	unusableBackoff time.Duration // the backoff after the next watch that brings nothing but unusable values
 }
 
 // New returns a client that starts with a watch for what comes after a version of the list.
@@ -152,8 +152,8 @@
 		}
 		if !switched {
 			c.options.Notify(WatchEnded{err, c.address, c.version})
-			pause := c.nextPause(err, c.version != before)
-			switched = c.pause(ctx, addresses, pause)
+			backoff := c.nextBackoff(err, c.version != before)
+			switched = c.waitUntilSwitched(ctx, addresses, backoff)
 		}
 		if switched {
 			c.unusableBackoff = minUnusableBackoff
@@ -182,21 +182,21 @@
 	}
 }
 
-// nextPause returns the pause after a watch that ended with an error. An agent that refuses or is silent
-// is polled again soon, but complete lists cost, so unusable ones lengthen the pause.
-func (c *Client) nextPause(err error, updated bool) time.Duration {
-	pause := min(c.options.PollTimeout, maxPause)
+// nextBackoff returns the backoff after a watch that ended with an error. An agent that refuses or is silent
+// is polled again soon, but complete lists cost, so unusable ones lengthen the backoff.
+func (c *Client) nextBackoff(err error, updated bool) time.Duration {
+	backoff := min(c.options.PollTimeout, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusable) {
 		c.unusableBackoff = minUnusableBackoff
-		return pause
+		return backoff
 	}
-	pause = max(pause, c.unusableBackoff)
+	backoff = max(backoff, c.unusableBackoff)
 	c.unusableBackoff = min(2*c.unusableBackoff, maxUnusableBackoff)
-	return pause
+	return backoff
 }
 
-// pause waits, unless another address comes or ctx ends.
-func (c *Client) pause(ctx context.Context, addresses <-chan string, d time.Duration) (switched bool) {
+// waitUntilSwitched waits for a duration, or until another address comes or ctx ends.
+func (c *Client) waitUntilSwitched(ctx context.Context, addresses <-chan string, d time.Duration) (switched bool) {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a list that comes late after an outage: a poll of an agent that is down may never be
-// answered, so another one is made beside it, and the answer to any of them is read.
+// responded to, so another one is made beside it, and the response to any of them is read.
 func TestSilentAgentIsPolledAgain(t *testing.T) {
 	list := discoverytest.ListJSON(7, false, "x", "in_service")
 	pollOften := func(o *Options) { o.PollTimeout = 75 * time.Millisecond }
@@ -26,12 +26,12 @@
 		}
 		return first, second
 	}
-	t.Run("a later poll is answered", func(t *testing.T) {
+	t.Run("response to a later poll", func(t *testing.T) {
 		address, polls := discoverytest.NewManualAgent(t)
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
 		go second.Write(list)
-		go func() { // however late this test runs, one of them is answered in time
+		go func() { // however late this test runs, one of them gets a response in time
 			for {
 				select {
 				case poll := <-polls:
@@ -44,7 +44,7 @@
 		client.wantUpdate("[x in_service]")
 		receive(t, first.Cancelled) // and is given up now
 	})
-	t.Run("the first poll is answered", func(t *testing.T) {
+	t.Run("response to the first poll", func(t *testing.T) {
 		address, polls := discoverytest.NewManualAgent(t)
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
@@ -94,41 +94,41 @@
 		{"switched, refusing", "127.0.0.1:2", "127.0.0.1:3"}, // the complete list is polled at another address
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			pauses, free := make(chan time.Duration, 64), make(chan time.Time)
+			backoffs, free := make(chan time.Duration, 64), make(chan time.Time)
 			client := runClient(t, tc.address, func(o *Options) {
 				o.PollTimeout = PollTimeout(200 * time.Millisecond)
-				o.After = func(d time.Duration) <-chan time.Time { pauses <- d; return free }
+				o.After = func(d time.Duration) <-chan time.Time { backoffs <- d; return free }
 			})
 			if tc.switchTo != "" {
-				receive(t, pauses)
+				receive(t, backoffs)
 				client.addresses <- tc.switchTo
 			}
 			for range 12 {
-				if d := receive(t, pauses); d > 100*time.Millisecond {
-					t.Errorf("a pause of %v, half of the grace period at most is wanted", d)
+				if d := receive(t, backoffs); d > 100*time.Millisecond {
+					t.Errorf("a backoff of %v, half of the grace period at most is wanted", d)
 				}
 				free <- time.Time{}
 			}
-			receive(t, pauses) // it waits for good
+			receive(t, backoffs) // it waits for good
 		})
 	}
 }
 
 // Guards against complete lists that are polled for at full speed while none of them can be read.
 func TestUnreadableListsArePolledForLessOften(t *testing.T) {
-	var pauses []time.Duration
+	var backoffs []time.Duration
 	took, free := make(chan time.Duration), make(chan time.Time)
 	agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{"nonsense"} })
 	runClient(t, agent.Address(), func(o *Options) {
 		o.After = func(d time.Duration) <-chan time.Time { took <- d; return free }
 	})
 	for range 10 {
-		pauses = append(pauses, receive(t, took))
+		backoffs = append(backoffs, receive(t, took))
 		free <- time.Time{}
 	}
 	receive(t, took)
-	if !slices.IsSorted(pauses) || pauses[9] != maxUnusableBackoff {
-		t.Errorf("pauses of %v", pauses)
+	if !slices.IsSorted(backoffs) || backoffs[9] != maxUnusableBackoff {
+		t.Errorf("backoffs of %v", backoffs)
 	}
 }
 
@@ -184,14 +184,14 @@
 
 // Guards against another address that waits for what is under way at the old one.
 func TestNewAddressIsPolledAtOnce(t *testing.T) {
-	pausing := make(chan struct{}, 1)
+	backingOff := make(chan struct{}, 1)
 	for _, tc := range []struct {
 		during  string
 		refuses bool
 		reach   func(*testing.T, *runningClient, chan discoverytest.Poll)
 	}{
-		{during: "a pause", refuses: true, reach: func(t *testing.T, _ *runningClient, _ chan discoverytest.Poll) {
-			receive(t, pausing)
+		{during: "a backoff", refuses: true, reach: func(t *testing.T, _ *runningClient, _ chan discoverytest.Poll) {
+			receive(t, backingOff)
 		}},
 		{during: "a poll", reach: func(t *testing.T, _ *runningClient, polls chan discoverytest.Poll) {
 			receive(t, polls)
@@ -220,7 +220,7 @@
 					if !tc.refuses {
 						return time.After(d)
 					}
-					pausing <- struct{}{}
+					backingOff <- struct{}{}
 					return nil // for good
 				}
 			})
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -20,22 +20,22 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(endpoints, ","))
 }
 
-// ScriptedAgent answers each poll with the lines that a function returns for it.
+// ScriptedAgent responds to each poll with the lines that a function returns for it.
 type ScriptedAgent struct {
 	server *httptest.Server
 	// Polls are the URIs that were polled, in their order.
 	Polls chan string
 }
 
-// NewScriptedAgent starts an agent that answers a query with the lines of answer. An answer whose lines end
-// with "" stays open. The agent ends with the test.
-func NewScriptedAgent(t *testing.T, answer func(query string) []string) *ScriptedAgent {
+// NewScriptedAgent starts an agent that responds to a query with the lines of response. A response whose lines
+// end with "" stays open. The agent ends with the test.
+func NewScriptedAgent(t *testing.T, response func(query string) []string) *ScriptedAgent {
 	t.Helper()
 	agent := &ScriptedAgent{Polls: make(chan string, 64)}
 	ended := make(chan struct{})
 	agent.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		agent.Polls <- request.URL.RequestURI()
-		lines := answer(request.URL.RawQuery)
+		lines := response(request.URL.RawQuery)
 		write(w, strings.Join(lines, "\n")+"\n")
 		if len(lines) > 0 && lines[len(lines)-1] == "" {
 			select {
@@ -51,7 +51,7 @@
 // Address is where the agent listens.
 func (a *ScriptedAgent) Address() string { return strings.TrimPrefix(a.server.URL, "http://") }
 
-// Poll is a poll that the test answers by hand.
+// Poll is a poll to which the test responds by hand.
 type Poll struct {
 	URI string
 	// Cancelled is closed when the client has given up the poll.
@@ -60,7 +60,7 @@
 	ended     chan struct{}
 }
 
-// Write writes a part of the answer, unless the client has given up the poll.
+// Write writes a part of the response, unless the client has given up the poll.
 func (p Poll) Write(text string) {
 	select {
 	case p.parts <- text:
@@ -68,7 +68,7 @@
 	}
 }
 
-// End ends the answer.
+// End ends the response.
 func (p Poll) End() { close(p.ended) }
 
 // NewManualAgent starts an agent that hands each poll to the test. It ends with the test.
@@ -96,7 +96,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), polls
 }
 
-// write writes a part of an answer at once. Clients that have left are what some tests are about.
+// write writes a part of a response at once. Clients that have disconnected are what some tests are about.
 func write(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -6,10 +6,10 @@
 	"net/http"
 )
 
-// poll asks the agent until it answers, and returns the body of the answer. An agent that is down is silent,
-// and may never answer what it was sent meanwhile: it is polled again and again, and the first answer is the
-// one that is read. The first poll stays open beside the later ones, for an agent that is only slow.
-// The error is that of the last poll once all have failed, or that of ctx, whose end also ends the answer.
+// poll polls the agent until it responds, and returns the body of the response. An agent that is down is silent,
+// and may never respond to what it was sent meanwhile: it is polled again and again, and the first response is
+// read. The first poll stays open beside the later ones, for an agent that is only slow.
+// The error is that of the last poll once all have failed, or that of ctx, whose end also ends the response.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.closed)
@@ -27,12 +27,12 @@
 		case <-due:
 			retry.Reset(c.options.PollTimeout)
 			group.start(ctx)
-		case answer := <-group.answers:
-			if answer.err == nil {
-				return group.accept(answer), nil
+		case result := <-group.results:
+			if result.err == nil {
+				return group.accept(result), nil
 			}
-			if group.fail(answer); group.unanswered == 0 {
-				return nil, answer.err
+			if group.recordFailure(result); group.pending == 0 {
+				return nil, result.err
 			}
 		case <-ctx.Done():
 			group.cancelAllBut(none)
@@ -44,19 +44,19 @@
 // none is the number of no poll.
 const none = -1
 
-// pollGroup is a series of equal polls of which the first answer counts. It belongs to the goroutine of
-// Client.poll; each poll runs on a goroutine of its own, which ends with the answer or when it is cancelled.
+// pollGroup is a series of equal polls of which the first response counts. It belongs to the goroutine of
+// Client.poll; each poll runs on a goroutine of its own, which ends with the response or when it is cancelled.
 type pollGroup struct {
-	http       *http.Client
-	url        string
-	answers    chan pollAnswer
-	closed     chan struct{}        // closed when no answer is taken any more
-	cancels    []context.CancelFunc // by the number of the poll
-	unanswered int
+	http    *http.Client
+	url     string
+	results chan pollResult
+	closed  chan struct{}        // closed when no result is received any more
+	cancels []context.CancelFunc // by the number of the poll
+	pending int                  // polls that have not failed
 }
 
-// pollAnswer is the outcome of one poll: the body of the answer or an error.
-type pollAnswer struct {
+// pollResult is the outcome of one poll: the body of the response or an error.
+type pollResult struct {
 	body   io.ReadCloser
 	err    error
 	number int
@@ -66,7 +66,7 @@
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
 		http: c.http, url: "http://" + c.address + targetsPath + query,
-		answers: make(chan pollAnswer), closed: make(chan struct{}),
+		results: make(chan pollResult), closed: make(chan struct{}),
 	}
 }
 
@@ -78,11 +78,11 @@
 	}
 	pollContext, cancel := context.WithCancel(ctx)
 	g.cancels = append(g.cancels, cancel)
-	g.unanswered++
+	g.pending++
 	go func() {
 		body, err := get(pollContext, g.http, g.url)
 		select {
-		case g.answers <- pollAnswer{body, err, number}:
+		case g.results <- pollResult{body, err, number}:
 		case <-g.closed:
 			cancel()
 			if body != nil {
@@ -92,16 +92,16 @@
 	}()
 }
 
-// fail takes a poll's failure.
-func (g *pollGroup) fail(answer pollAnswer) {
-	g.unanswered--
-	g.cancels[answer.number]()
+// recordFailure notes that a poll has failed.
+func (g *pollGroup) recordFailure(result pollResult) {
+	g.pending--
+	g.cancels[result.number]()
 }
 
-// accept takes the first answer and cancels all other polls.
-func (g *pollGroup) accept(answer pollAnswer) io.ReadCloser {
-	g.cancelAllBut(answer.number)
-	return answerBody{answer.body, g.cancels[answer.number]}
+// accept returns the body of the first response, and cancels all other polls.
+func (g *pollGroup) accept(result pollResult) io.ReadCloser {
+	g.cancelAllBut(result.number)
+	return responseBody{result.body, g.cancels[result.number]}
 }
 
 func (g *pollGroup) cancelAllBut(accepted int) {
@@ -129,14 +129,14 @@
 	return response.Body, nil
 }
 
-// answerBody is the body of an answer that releases the context of its poll when it is closed.
-type answerBody struct {
+// responseBody is the body of a response that releases the context of its poll when it is closed.
+type responseBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (b answerBody) Close() error {
+func (b responseBody) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -94,7 +94,7 @@
 	trickle []*agentConn // each gets a byte more with each step
 }
 
-// agentConn is a connection to a client. Writes to a client that has left fail, which is what some tests are
+// agentConn is a connection to a client. Writes to a client that has disconnected fail, which is what some tests are
 // about.
 type agentConn struct{ *net.TCPConn }
 
@@ -130,13 +130,13 @@
 				return
 			}
 			t.Cleanup(func() { _ = conn.Close() })
-			go a.answer(&agentConn{conn})
+			go a.respond(&agentConn{conn})
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func (a *brokenAgent) answer(conn *agentConn) {
+func (a *brokenAgent) respond(conn *agentConn) {
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
@@ -223,7 +223,7 @@
 }
 
 // Guards the time within which a change of the list is acted on, whatever was before: 6 s after discovery has
-// it and can be reached, here with a third of that to spare. Each way of failing goes on until the pauses
+// it and can be reached, here with a third of that to spare. Each way of failing goes on until the backoffs
 // between polls have grown as far as they do, and the change comes right after one more of them.
 func TestAChangeIsActedOnInTimeWhateverWasBefore(t *testing.T) {
 	for _, mode := range failureModes() {
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -103,44 +103,44 @@
 	}
 }
 
-// sendCounter carries out what a decision module asks for, and answers each send at once.
-type sendCounter struct {
+// attemptCounter stands in for the network side: each attempt succeeds at once.
+type attemptCounter struct {
 	outcomes []policy.Outcome
-	sends    map[string]int // by endpoint
+	attempts map[string]int // by endpoint
 }
 
-func (c *sendCounter) Send(id, endpoint string, _, _ float64) {
-	c.sends[endpoint]++
+func (c *attemptCounter) Send(id, endpoint string, _, _ float64) {
+	c.attempts[endpoint]++
 	c.outcomes = append(c.outcomes, policy.Outcome{
 		RequestID: id, Endpoint: endpoint, Status: policy.OK, RequestDone: true, Elapsed: 0.02,
 	})
 }
-func (c *sendCounter) Reject(string, float64, policy.Reason) {}
-func (c *sendCounter) Fail(string, policy.Reason)            {}
-func (c *sendCounter) Cancel(string, int)                    {}
-func (c *sendCounter) SetTimer(uint64, float64)              {}
-func (c *sendCounter) HealthCheck(string)                    {}
-func (c *sendCounter) SendToPeer(int, []byte)                {}
-func (c *sendCounter) Log(string)                            {}
-
-// joiningSends counts the sends to an endpoint that joins: in the first 2 s after it is heard of, when it is warm,
-// and in the first 2 s after it is heard of again, which is after a restart.
-type joiningSends struct{ cold, warm, restarted int }
-
-// count adds the sends of an event at a time.
-func (j *joiningSends) count(now float64, sends int) {
+func (c *attemptCounter) Reject(string, float64, policy.Reason) {}
+func (c *attemptCounter) Fail(string, policy.Reason)            {}
+func (c *attemptCounter) Cancel(string, int)                    {}
+func (c *attemptCounter) SetTimer(uint64, float64)              {}
+func (c *attemptCounter) HealthCheck(string)                    {}
+func (c *attemptCounter) SendToPeer(int, []byte)                {}
+func (c *attemptCounter) Log(string)                            {}
+
+// joiningAttempts counts the attempts on an endpoint that joins: in the first 2 s after it is listed, while it warms
+// up, when it is warm, and in the first 2 s after it is listed again, which is after a restart.
+type joiningAttempts struct{ warmingUp, warm, restarted int }
+
+// count adds the attempts of an event at a time.
+func (j *joiningAttempts) count(now float64, attempts int) {
 	switch {
 	case now >= 10.5 && now < 12.5:
-		j.cold += sends
+		j.warmingUp += attempts
 	case now >= 30 && now < 32:
-		j.warm += sends
+		j.warm += attempts
 	case now >= 40.5 && now < 42.5:
-		j.restarted += sends
+		j.restarted += attempts
 	}
 }
 
-// sendsToJoining plays an endpoint that joins at 10, is heard of at 10.5 and restarts at 40.
-func sendsToJoining(t *testing.T, clock steppedClock) (sends joiningSends) {
+// attemptsOnJoining plays an endpoint that joins at 10, is listed at 10.5 and restarts at 40.
+func attemptsOnJoining(t *testing.T, clock steppedClock) (attempts joiningAttempts) {
 	t.Helper()
 	const slowStart, perSecond = 14, 200
 	settings := policy.Settings{
@@ -148,7 +148,7 @@
 		OverloadMultiple: 2.5, OverloadWindow: 1,
 		Classes: []policy.Class{{Name: "look", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent}},
 	}
-	counter := &sendCounter{sends: map[string]int{}}
+	counter := &attemptCounter{attempts: map[string]int{}}
 	gateway, err := policy.New(settings, 7, 0, counter)
 	if err != nil {
 		t.Fatal(err)
@@ -178,35 +178,35 @@
 		if i%perSecond == 0 {
 			starts.Sample(now, clock.wall(now))
 		}
-		before := counter.sends["new"]
+		before := counter.attempts["new"]
 		gateway.HandleRequest(now, policy.Request{
 			ID: fmt.Sprint("q", i), Class: "look", Deadline: now + 2, GatewayCount: 1, Units: 1,
 		})
 		if i%4 == 0 {
 			gateway.HandleTimer(now, 1)
 		}
-		sends.count(now, counter.sends["new"]-before)
+		attempts.count(now, counter.attempts["new"]-before)
 		for _, outcome := range counter.outcomes {
 			gateway.HandleOutcome(now+0.004, outcome)
 		}
 		counter.outcomes = counter.outcomes[:0]
 	}
-	return sends
+	return attempts
 }
 
 // TestSlowStartUnderASteppedClock guards against endpoints that are not spared, or spared for good, as the wall clock
 // was stepped: what a joining endpoint gets is the same within a third, whatever the step and whenever it came.
 func TestSlowStartUnderASteppedClock(t *testing.T) {
-	want := sendsToJoining(t, steppedClock{start: 1e9})
-	if want.cold == 0 || want.warm < 2*want.cold {
+	want := attemptsOnJoining(t, steppedClock{start: 1e9})
+	if want.warmingUp == 0 || want.warm < 2*want.warmingUp {
 		t.Fatalf("no step: %+v", want)
 	}
 	near := func(n, want int) bool { return 3*n >= 2*want && 3*n <= 4*want }
 	for _, step := range []float64{-3600, -5, 5, 3600} {
 		for _, stepAt := range []float64{9.2, 10.2, 11, 20, 40.2} {
-			got := sendsToJoining(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
-			if !near(got.cold, want.cold) || !near(got.warm, want.warm) || !near(got.restarted, want.restarted) {
-				t.Errorf("step of %v at %v: sends of %+v; %+v without", step, stepAt, got, want)
+			got := attemptsOnJoining(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
+			if !near(got.warmingUp, want.warmingUp) || !near(got.warm, want.warm) || !near(got.restarted, want.restarted) {
+				t.Errorf("step of %v at %v: attempts of %+v; %+v without", step, stepAt, got, want)
 			}
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -18,7 +18,7 @@
 			return fmt.Errorf("complete list: %w", err)
 		}
 	}
-	return c.readAnswer(ctx, fmt.Sprintf(watchQueryWithAfter, c.version), func(values *valueReader) error {
+	return c.readResponse(ctx, fmt.Sprintf(watchQueryWithAfter, c.version), func(values *valueReader) error {
 		for {
 			list, err := c.nextChange(values)
 			if err != nil {
@@ -51,7 +51,7 @@
 // resynchronize polls the complete list. An entry that can't be used is left out: the rest must not wait for it.
 func (c *Client) resynchronize(ctx context.Context) error {
 	var list List
-	err := c.readAnswer(ctx, completeListQuery, func(values *valueReader) error { return values.decode(&list) })
+	err := c.readResponse(ctx, completeListQuery, func(values *valueReader) error { return values.decode(&list) })
 	if err != nil {
 		return err
 	}
@@ -75,9 +75,9 @@
 	return errors.As(err, &syntax) || errors.As(err, &wrongType) || errors.Is(err, ErrValueTooLong)
 }
 
-// readAnswer polls the agent and has read take the JSON values of the answer. An answer that falls silent
+// readResponse polls the agent and has read take the JSON values of the response. A response that falls silent
 // is ended. The error wraps ErrUnusable if a value had begun to come.
-func (c *Client) readAnswer(ctx context.Context, query string, read func(*valueReader) error) error {
+func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	body, err := c.poll(ctx, query)
@@ -95,12 +95,12 @@
 }
 
 // valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Blank
-// lines put off the end of a silent answer. It bounds what a value may take, in bytes and in time: one that
+// lines, the heartbeat of a watch, put off the end of a silent response. It bounds what a value may take, in bytes and in time: one that
 // trickles in would keep the next change from being polled for.
 type valueReader struct {
 	source    io.Reader
 	decoder   *json.Decoder
-	silence   Timer // ends the answer
+	silence   Timer // ends the response
 	timeout   time.Duration
 	remaining int  // bytes that the value may still take
 	inValue   bool // a value has begun to come
--- a/internal/netcalls/errors.go
+++ b/internal/netcalls/errors.go
@@ -28,7 +28,7 @@
 
 // IsLocalFault tells whether a dial failed for something on this side, which tells nothing of the endpoint: no
 // descriptor, port, buffer or route, or a connection that this machine gave up. A host that can't be reached, a
-// dial that is refused or gets no answer may well be the endpoint's fault.
+// dial that is refused or times out may well be the endpoint's fault.
 func IsLocalFault(err error) bool {
 	return IsShortage(err) || isErrno(
 		err, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN,
