--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -68,7 +68,7 @@
 // span is a part of a byte string, from start up to end.
 type span struct{ start, end int }
 
-// IsRequest tells whether a command of this name is a request.
+// IsRequest reports whether a command of this name is a request.
 func IsRequest(name []byte) bool {
 	return bytes.EqualFold(name, []byte(Get)) || bytes.EqualFold(name, []byte(Post))
 }
@@ -84,8 +84,8 @@
 	r.Args = args
 }
 
-// AppendTo appends the request as an endpoint gets it: all arguments as they came, but for the field d, which tells
-// the time that remains, in whole milliseconds rounded up.
+// AppendTo appends the request as an endpoint gets it: all arguments as they came, but for the field d, which
+// holds the time that remains, in whole milliseconds rounded up.
 func (r *Request) AppendTo(b []byte, remaining policy.Seconds) []byte {
 	fields := r.Args[argFields]
 	wait := r.waitValue
@@ -164,13 +164,13 @@
 	return request, nil
 }
 
-// isCustomer tells whether b is the one spelling of a customer's number.
+// isCustomer reports whether b is the one spelling of a customer's number.
 func isCustomer(b []byte) bool {
 	number, err := strconv.ParseUint(string(b), 16, 64)
 	return err == nil && len(b) == customerLength && number < 1<<customerNumberBits && !bytes.ContainsAny(b, "ABCDEF")
 }
 
-// isPrintable tells whether b holds visible ASCII alone.
+// isPrintable reports whether b holds visible ASCII alone.
 func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c > '~' {
@@ -249,7 +249,7 @@
 	return nil
 }
 
-// parseField reads the value of one field and tells whether it is valid.
+// parseField reads the value of one field and reports whether it is valid.
 func (p *Parser) parseField(request *Request, field fieldSet, value string) (ok bool) {
 	var number int
 	switch field {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,7 +58,7 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Differs tells whether more differs than what a running gateway takes over from a configuration that is
+// Differs reports whether more differs than what a running gateway takes over from a configuration that is
 // read again, or than what is new with each start.
 func (c Config) Differs(from Config) bool {
 	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = from.DiscoveryAddress, from.InitialEndpoints, from.Seed
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -142,7 +142,7 @@
 	return b.String()
 }
 
-// Guards against lists that are indented, or come in pieces, being taken for noise: each is one value,
+// Guards against lists that are indented, or come in pieces, being taken for malformed: each is one value,
 // wherever its lines end, and blank lines may come between two.
 func TestIndentedLists(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,7 +13,7 @@
 type List struct {
 	// Version counts the changes of the list at one discovery agent.
 	Version int64 `json:"version"`
-	// Full tells that the list replaces all earlier ones; else it holds what has changed.
+	// Full is set where the list replaces all earlier ones; else it holds what has changed.
 	Full      bool       `json:"full"`
 	Endpoints []Endpoint `json:"servers"`
 }
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -21,7 +21,7 @@
 //
 // The decision module counts in this process's own time, which only advances. Discovery gives the start of an
 // endpoint in Unix time, and the wall clock may be stepped meanwhile, by seconds or by hours. So the
-// offset between the two is followed, and each start is translated once, when it is first heard of.
+// offset between the two is followed, and each start is translated once, when it is first listed.
 //
 // The zero value is ready for use. It is not safe for concurrent use: the event loop owns it.
 type StartTimes struct {
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -33,12 +33,12 @@
 }
 
 const (
-	heardAt   = 105.0 // when the start is heard of
+	listedAt  = 105.0 // when the start is listed
 	restartAt = 111.0
 )
 
 // TestStartTimesAcrossSteps guards the age of an endpoint against a wall clock that is stepped, before or after the
-// start, and before or after it is heard of.
+// start, and before or after it is listed.
 func TestStartTimesAcrossSteps(t *testing.T) {
 	for _, step := range []float64{-3600, -90, -2, 2, 90, 3600} {
 		for _, startAt := range []float64{60, 102.5, 104.5} {
@@ -53,7 +53,7 @@
 func (tc stepCase) test(t *testing.T) {
 	clock := steppedClock{start: 1e9, steps: map[float64]float64{tc.stepAt: tc.step}}
 	var starts StartTimes
-	for now := 100.0; now <= heardAt; now++ {
+	for now := 100.0; now <= listedAt; now++ {
 		starts.Sample(now, clock.wall(now))
 	}
 	unixMS := clock.unixMS(tc.startAt)
@@ -61,7 +61,7 @@
 	if want := tc.want(); math.Abs(got-want) > 0.01 {
 		t.Errorf("the start is taken for %v, want %v", got, want)
 	}
-	for now := heardAt; now < restartAt+1; now++ {
+	for now := listedAt; now < restartAt+1; now++ {
 		starts.Sample(now, clock.wall(now))
 	}
 	if later := starts.EventTime("a", unixMS); later != got {
@@ -75,7 +75,7 @@
 // want is the start that is to be found. Where the wall clock showed the same time twice, the later one is safe.
 func (tc stepCase) want() float64 {
 	again := tc.startAt - tc.step
-	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && again >= tc.stepAt-1 && again <= heardAt
+	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && again >= tc.stepAt-1 && again <= listedAt
 	if shownTwice {
 		return again
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// isMalformed tells whether an error means that a value came and can't be read, not that the connection has ended.
+// isMalformed reports whether an error means that a value came and can't be read, not that the connection has ended.
 func isMalformed(err error) bool {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
--- a/internal/eventloop/lag.go
+++ b/internal/eventloop/lag.go
@@ -3,14 +3,14 @@
 import "reedlead/policy"
 
 const (
-	// LagTolerance is how late a timer may be without telling that the process has stalled. Each time limit has
+	// LagTolerance is how late a timer may be without a sign that the process has stalled. Each time limit has
 	// 50 ms of slack; when a timer is later than a part of it, what came meanwhile may still lie in the sockets.
 	LagTolerance policy.Seconds = 0.02
 	// StallMemory is for how long after a stall what is read may have arrived during it.
 	StallMemory policy.Seconds = 0.1
 )
 
-// Lag tells whether the event loop, and with it the process, keeps up with the clock. A stall is a time during
+// Lag reports whether the event loop, and with it the process, keeps up with the clock. A stall is a time during
 // which it did not run though a timer was due. The event loop writes it, readers of connections read it. The
 // zero value is ready for use.
 type Lag struct {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -90,7 +90,7 @@
 // Ended returns a channel that is closed when Run has returned.
 func (l *Loop) Ended() <-chan struct{} { return l.ended }
 
-// Lag returns what tells readers of sockets whether the process has kept up with the clock.
+// Lag returns the record of stalls, for readers of sockets.
 func (l *Loop) Lag() *Lag { return &l.lag }
 
 // QueuedEvents returns how many events wait to be handled.
@@ -165,7 +165,7 @@
 	}
 }
 
-// hasStalled tells whether a timer is so overdue that the process must have stalled.
+// hasStalled reports whether a timer is so overdue that the process must have stalled.
 func (l *Loop) hasStalled(now policy.Seconds) bool {
 	return len(l.timers) > 0 && now-l.timers[0].at > LagTolerance
 }
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -10,7 +10,7 @@
 const (
 	// RetryInterval is the pause before a call that failed for a shortage is made again.
 	RetryInterval = 5 * time.Millisecond
-	// startRetryTimeout is how long the process tries to get its sockets and its configuration as it starts.
+	// startRetryTimeout is how long the process retries to get its sockets and its configuration as it starts.
 	// It has 30 s to be ready.
 	startRetryTimeout = 20 * time.Second
 )
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestRetryAtStartGivesUp guards against a process that tries for ever to start: an error that is not transient
+// TestRetryAtStartGivesUp guards against a process that retries its start for ever: an error that is not transient
 // ends it at once, a shortage after a while.
 func TestRetryAtStartGivesUp(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -17,7 +17,7 @@
 
 // WriteAll writes all of b, for as long as the other end takes some of it within each stall timeout; progressed is
 // called when it has. No deadline outlives it. A deadline that has passed while this process stood still is no stall:
-// the socket is tried before that is returned, as an error that is os.ErrDeadlineExceeded.
+// the socket is written once more before that is returned, as an error that is os.ErrDeadlineExceeded.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // it fails on a closed connection alone
 	lastProgress := time.Now()
@@ -74,7 +74,7 @@
 	return max(n, 0), err
 }
 
-// NoDataPending tells whether a connection is open and no byte waits on it.
+// NoDataPending reports whether a connection is open and no byte waits on it.
 func NoDataPending(raw syscall.RawConn) bool {
 	var one [1]byte
 	var err error
@@ -95,7 +95,7 @@
 // tcpStateMask leaves the state of a connection, which is the first byte of its TCP_INFO.
 const tcpStateMask = 0xff
 
-// ClosedByPeer tells whether the other end has closed a connection, or reset it, also while bytes that it has sent
+// ClosedByPeer reports whether the other end has closed a connection, or reset it, also while bytes that it has sent
 // before are unread here.
 func ClosedByPeer(raw syscall.RawConn) (closed bool) {
 	failed := raw.Control(func(fd uintptr) {
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -10,7 +10,7 @@
 )
 
 // A request's time runs from the arrival of its last byte at this machine, not from when a reader read it: the reader
-// may wait behind open commands, and the whole process may have stalled. Neither the socket nor the clock tells the
+// may wait behind open commands, and the whole process may have stalled. Neither the socket nor the clock gives the
 // arrival of each byte, so it is bounded by what is known, on the early side.
 
 // arrival bounds when the bytes of one read arrived.
@@ -19,7 +19,7 @@
 	last  policy.Seconds // when the last of them had arrived
 }
 
-// ofCommand is when a command had arrived as a whole. endsRead tells that its last byte is the last of the read;
+// ofCommand is when a command had arrived as a whole. endsRead is set where its last byte is the last of the read;
 // else more bytes came behind it.
 func (a arrival) ofCommand(endsRead bool) policy.Seconds {
 	if endsRead {
@@ -34,7 +34,7 @@
 	marks       []arrivalMark  // of the reads whose bytes are in the buffer, oldest first
 }
 
-// arrivalMark tells when the bytes of one read arrived.
+// arrivalMark is when the bytes of one read arrived.
 type arrivalMark struct {
 	end     int // of them, in the buffer
 	arrival arrival
@@ -90,7 +90,7 @@
 	return read
 }
 
-// lastDataAge is how long ago data last arrived on a connection, to the millisecond, if the system tells.
+// lastDataAge is how long ago data last arrived on a connection, to the millisecond, if the system reports it.
 func lastDataAge(raw syscall.RawConn) (age policy.Seconds, ok bool) {
 	const milliseconds = 1000 // in a second
 	failed := raw.Control(func(fd uintptr) {
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -8,10 +8,10 @@
 
 // TestArrivalEstimates guards the bounds on when the bytes of a read arrived.
 func TestArrivalEstimates(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	mine := newTestConn(t, mustDial(t, addr))
 	raw := rawConnOf(t, receive(t, conns).Conn)
-	mine.send("PING") // just now, as the socket tells
+	mine.send("PING") // just now, by the record of the socket
 	for name, tc := range map[string]struct {
 		emptyAt, dueAt, began, ended float64
 		filled                       bool
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -20,7 +20,7 @@
 	done          bool
 }
 
-// attemptKind tells why an attempt is made. The trace holds it.
+// attemptKind is why an attempt is made. The trace holds it.
 type attemptKind string
 
 const (
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -76,26 +76,26 @@
 	runner.start(a)
 }
 
-// unsendable tells whether no byte of the attempt may be written any more.
+// unsendable reports whether no byte of the attempt may be written any more.
 func (runner *attemptRunner) unsendable(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	settled := a.request != nil && a.request.settled
 	return !inService || settled || runner.services.loop.Now() >= a.expiresAt
 }
 
-// sendable tells whether an attempt that has waited may still be written.
+// sendable reports whether an attempt that has waited may still be written.
 func (runner *attemptRunner) sendable(a *attempt) bool {
 	return !runner.unsendable(a) && (a.request == nil || !runner.alreadySettled(a.request))
 }
 
-// alreadySettled tells whether something has come that makes an attempt of the request needless or wrong, though the
+// alreadySettled reports whether something has come that makes an attempt of the request needless or wrong, though the
 // event loop has not handled it: a reply is in the socket of an earlier attempt, or the client has disconnected. A
 // request that was only just read is no exception: it may have been in its socket for long.
 func (runner *attemptRunner) alreadySettled(r *request) bool {
 	return runner.replyPending(r) || runner.clientDisconnected(r.client)
 }
 
-// replyPending tells whether an attempt of the request has ended, though the event loop has not handled it.
+// replyPending reports whether an attempt of the request has ended, though the event loop has not handled it.
 func (runner *attemptRunner) replyPending(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
@@ -103,7 +103,7 @@
 	})
 }
 
-// clientDisconnected tells whether the client has closed its connection. If so, it is abandoned once the current event
+// clientDisconnected reports whether the client has closed its connection. If so, it is abandoned once the current event
 // of the decision module is over.
 func (runner *attemptRunner) clientDisconnected(c *clientConn) bool {
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -16,9 +16,9 @@
 )
 
 // TestRequestAndValuePassUnchanged guards against a changed command or value: all passes byte for byte but the field d,
-// which tells the remaining time.
+// which holds the remaining time.
 func TestRequestAndValuePassUnchanged(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(300))
 	c := r.client()
 	body := "b\r\n\x00\xff*$"
@@ -61,7 +61,7 @@
 // TestAttemptOutcomes guards the table of outcomes: what may have been executed must never be reported as not
 // executed, nor the reverse.
 func TestAttemptOutcomes(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	for name, tc := range map[string]struct {
 		reply string // "" closes after the command
 		want  policy.AttemptStatus
@@ -73,7 +73,7 @@
 		"busy and load":    {"-BUSY cpu_share=0.5\r\n", policy.Rejected, true},
 		"closed":           {"", policy.Reset, false},
 		"half and closed":  {"*3\r\n$10\r\nab", policy.Reset, false},
-		"noise":            {"\x00\x01\x02", policy.Error, false},
+		"garbage":          {"\x00\x01\x02", policy.Error, false},
 		"oversized length": {"*3\r\n$65537\r\nab", policy.Error, false},
 		"negative length":  {"*3\r\n$-7\r\n", policy.Error, false},
 		"null value":       {"*3\r\n$-1\r\n$-1\r\n$-1\r\n", policy.Error, false},
@@ -89,7 +89,7 @@
 			b := receive(t, conns)
 			b.readCommand()
 			if b.write(tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
-				b.hangUp()
+				b.mustClose()
 			}
 			o := receive(t, r.decider.outcomes)
 			if o.Status != tc.want || o.RequestDone != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
@@ -144,7 +144,7 @@
 // TestAttemptWaitingForADialIsCheckedAgain guards against an attempt that is written to an endpoint which is draining by
 // then: what waits for a dial is looked at again before its first byte.
 func TestAttemptWaitingForADialIsCheckedAgain(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	for name, change := range map[string]func(*harness){
 		"draining": func(r *harness) {
 			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: discovery.StateTerminating}}})
@@ -177,7 +177,7 @@
 
 // TestHealthCheck guards the path of a health check: its load report reaches the decision module.
 func TestHealthCheck(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	r.onLoop(func() { r.proxy.HealthCheck("s0") })
 	b := receive(t, conns)
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// usable tells whether the connection may carry another command: its endpoint is in service, and is the one that it was
+// usable reports whether the connection may carry another command: its endpoint is in service, and is the one that it was
 // dialed as, in the group for which the decision module chose it.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
@@ -148,7 +148,7 @@
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
 	s.descriptors.freeAfter(err)
-	if netcalls.IsLocalFault(err) { // it tells nothing of the endpoint
+	if netcalls.IsLocalFault(err) { // not the endpoint's
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
@@ -164,7 +164,7 @@
 	}
 	failure := policy.ConnectFailed
 	if !c.unusable.Load() || c.dialedAs.Addr != c.endpoint.Addr {
-		failure = policy.NotSent // the endpoint is another one by now, of which the dial tells nothing
+		failure = policy.NotSent // the endpoint is another one by now, about which the dial says nothing
 	}
 	c.close(notUsable, nil)
 	return failure
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -14,7 +14,7 @@
 // TestPooledConnections guards against a request written to a connection that its endpoint has closed while it was
 // idle, which would end as a reset that may have executed it.
 func TestPooledConnections(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c := r.client()
 	serve := func(id string, b *testConn) {
@@ -29,7 +29,7 @@
 	serve("a", b)
 	c.send(lookCommand("b")...)
 	serve("b", b) // the same connection
-	b.hangUp()
+	b.mustClose()
 	r.eventually("the pool notices the close", func() bool { return r.proxy.endpoints.openConns == 0 })
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
@@ -46,14 +46,14 @@
 // TestNothingIsWrittenBehindUnsolicitedBytes guards against a duplicate of a reply that is taken for the reply to the
 // next command: a connection on which bytes wait, or that has ended, gets none, also before its reader has noticed.
 func TestNothingIsWrittenBehindUnsolicitedBytes(t *testing.T) {
-	for name, unsolicited := range map[string]string{"a duplicate": valueReply, "noise": "x", "the end": ""} {
+	for name, unsolicited := range map[string]string{"a duplicate": valueReply, "garbage": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			conn := mustDial(t, addr)
 			old := receive(t, conns)
 			if old.write(unsolicited); unsolicited == "" {
-				old.hangUp()
+				old.mustClose()
 			}
 			var c *backendConn
 			r.onLoop(func() { // a pooled connection whose reader has not run yet
@@ -90,7 +90,7 @@
 		"an error":                 {"-ERR failed\r\n", "", "-ERR failed\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				sendEachRequest(0)(r)
 				r.proxy.endpoints.duplicateWindow = 3600
@@ -126,7 +126,7 @@
 // TestAnEqualReplyAfterARestIsGood guards against a reply that is rejected for an equal one that came long before: its
 // connection had rested, so that a duplicate would have been noticed.
 func TestAnEqualReplyAfterARestIsGood(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
 		r.proxy.endpoints.duplicateWindow = 0.001
@@ -148,8 +148,8 @@
 // TestMovedEndpointsConnectionsAreNotPooled guards against a reply from what stands now where an endpoint has been: a
 // connection that was in use while its endpoint moved, or restarted, is not pooled.
 func TestMovedEndpointsConnectionsAreNotPooled(t *testing.T) {
-	from, old := listenBackend(t)
-	to, moved := listenBackend(t)
+	from, old := listenEndpoint(t)
+	to, moved := listenEndpoint(t)
 	for name, change := range map[string]func(*discovery.Endpoint){
 		"moved":     func(e *discovery.Endpoint) { e.Addr = to },
 		"restarted": func(e *discovery.Endpoint) { e.StartedMS = 5 },
@@ -190,7 +190,7 @@
 		"cell": func(e *discovery.Endpoint) { e.Cell = 7 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			free := make(chan struct{})
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				sendEachRequest(0)(r)
@@ -217,7 +217,7 @@
 // TestFailedDialLeavesTheFreeConnection guards against an endpoint taken for down, and a request for failed, where a
 // dial fails while another connection has become free.
 func TestFailedDialLeavesTheFreeConnection(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -53,7 +53,7 @@
 	shared.loop.Post(at, func() { c.readerEnded(cause, at) })
 }
 
-// readOnce reads what has come, waiting for it, and handles a reply that is whole. It tells whether to go on, and the
+// readOnce reads what has come, waiting for it, and handles a reply that is whole. It reports whether to go on, and the
 // error of the read.
 func (r *backendReader) readOnce() (goOn bool, err error) {
 	c, shared := r.conn, r.services
@@ -75,7 +75,7 @@
 	return err == nil, err
 }
 
-// handleReply posts the reply in the buffer if it is whole. It tells whether to go on.
+// handleReply posts the reply in the buffer if it is whole. It reports whether to go on.
 func (r *backendReader) handleReply(at policy.Seconds) (goOn bool) {
 	c, content := r.conn, r.buffer.Bytes()
 	size, err := resp.Frame(content)
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// writeSlack is how long what the socket does not take at once may take to be written: the command tells how much
-	// time its client had left as its writing started, and may tell 0.15 s too much.
+	// writeSlack is how long what the socket does not take at once may take to be written: the command holds the time
+	// that its client had left as its writing started, which may be 0.15 s too much.
 	writeSlack policy.Seconds = 0.1
-	// A command of more than longCommand bytes tells less time than its client has left, as it may take longer to
+	// A command of more than longCommand bytes holds less time than its client has left, as it may take longer to
 	// write: writeReserveShare of it less, but not more than maxWriteReserve.
 	longCommand                      = 16 << 10
 	writeReserveShare                = 0.25
@@ -57,7 +57,7 @@
 }
 
 // appendCommand appends what the attempt sends if its writing starts at a time. It returns also how long the writing
-// may take beyond the usual, which its client has left and the endpoint is not told of.
+// may take beyond the usual, which its client has left and the command does not hold.
 func (a *attempt) appendCommand(b []byte, startedAt policy.Seconds) (command []byte, reserve policy.Seconds) {
 	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
@@ -89,7 +89,7 @@
 	}()
 }
 
-// abortWrite tells whether the command on the connection was never wholly written, and closes the connection then.
+// abortWrite reports whether the command on the connection was never wholly written, and closes the connection then.
 // Nobody knows while a writer runs: the connection is closed first, which ends the writer, and then the writer's note
 // is read. Event loop only.
 func (c *backendConn) abortWrite() (aborted bool) {
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -10,7 +10,7 @@
 	"reedlead/policy"
 )
 
-// deadlineField is the field of a request that tells the remaining time in milliseconds.
+// deadlineField is the field of a request with the remaining time in milliseconds.
 var deadlineField = regexp.MustCompile(`d=(\d+)`)
 
 // startWithIdleConnection starts a proxy with an idle connection to its endpoint. It returns a client's connection and
@@ -26,7 +26,7 @@
 	return r, c, b
 }
 
-// TestRemainingTimeIsThatAtTheWrite guards against a command that tells its endpoint more time than its client has left:
+// TestRemainingTimeIsThatAtTheWrite guards against a command that gives its endpoint more time than its client has left:
 // the loop's time is that of the event that it handles, and the clock goes on meanwhile.
 func TestRemainingTimeIsThatAtTheWrite(t *testing.T) {
 	r, c, b := startWithIdleConnection(t)
@@ -41,7 +41,7 @@
 	if args := b.readCommand(); len(args) != 4 {
 		t.Fatalf("got %q", args)
 	} else if ms, _ := strconv.Atoi(deadlineField.FindStringSubmatch(args[3])[1]); float64(ms) > remaining*1000+1 {
-		t.Errorf("the command tells %d ms, %.1f ms were left before the write", ms, remaining*1000)
+		t.Errorf("the command holds %d ms, %.1f ms were left before the write", ms, remaining*1000)
 	}
 }
 
@@ -59,7 +59,7 @@
 }
 
 // TestACommandThatTakesTooLongIsCutOff guards against a command whose last byte comes so late that the
-// remaining time that it tells is not true any more.
+// remaining time that it holds is not true any more.
 func TestACommandThatTakesTooLongIsCutOff(t *testing.T) {
 	listener, r := startWithSmallSockets(t, func(r *harness) { r.proxy.endpoints.writeSlack = 0.01 })
 	c := r.client()
@@ -88,7 +88,7 @@
 	post("a")
 	b := acceptOne(t, listener)
 	r.awaitPartialWrite("a")
-	b.hangUp()
+	b.mustClose()
 	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
 		t.Errorf("a command that was cut off: %+v", o)
 	}
@@ -128,7 +128,7 @@
 // rest of its command is written: it is cut off as its client disconnects, or as the request has another final reply.
 func TestHalfWrittenAttemptsEndWithTheirRequest(t *testing.T) {
 	for name, end := range map[string]func(r *harness, c *testConn){
-		"the client disconnects": func(_ *harness, c *testConn) { c.hangUp() },
+		"the client disconnects": func(_ *harness, c *testConn) { c.mustClose() },
 		"it is rejected":         func(r *harness, _ *testConn) { r.onLoop(func() { r.proxy.Reject("a", 1, policy.DeadlineTooClose) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -62,10 +62,10 @@
 	closed           bool
 }
 
-// idle tells whether the client waits for nothing, as far as its commands were handled.
+// idle reports whether the client waits for nothing, as far as its commands were handled.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyAtOnce replies to a command that the decision module never hears of. Event loop only.
+// replyAtOnce replies to a command that the decision module never sees. Event loop only.
 func (c *clientConn) replyAtOnce(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
@@ -108,7 +108,7 @@
 	c.set.enforceLimit() // another one has to be closed in its place
 }
 
-// closeGracefully ends a connection on which nothing is owed. Bytes may come at this very moment: a close over them
+// closeGracefully ends a connection on which no reply is pending. Bytes may come at this very moment: a close over them
 // would reset the connection, and so destroy replies that the client has not received yet. Where one was written
 // lately only the sending side is shut down, and what still comes is discarded until the client closes too; it repeats
 // on another connection what it had sent meanwhile.
@@ -128,8 +128,8 @@
 	_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 }
 
-// abandon closes a connection with all that is owed on it: its open requests end, and the decision module hears that
-// their client is gone. Event loop only.
+// abandon closes a connection with its pending replies: its open requests end, and the decision module is notified
+// that their client is gone. Event loop only.
 func (c *clientConn) abandon(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -157,7 +157,7 @@
 		c.set.closing--
 	}
 	close(c.done)
-	_ = c.conn.Close() // nothing more is owed on it
+	_ = c.conn.Close() // nothing more is written on it
 	delete(c.set.conns, c)
 	<-c.set.places
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -18,7 +18,7 @@
 // disconnected.
 func TestDisconnectReachesTheDecisionModule(t *testing.T) {
 	r, c, b, _ := startWithAttempt(t)
-	c.hangUp()
+	c.mustClose()
 	if id := receive(t, r.decider.gone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
@@ -48,7 +48,7 @@
 }
 
 func disconnectWhileQueuedByPolicy(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	c := r.client()
 	c.send(lookCommand("a")...)
@@ -60,7 +60,7 @@
 }
 
 func disconnectWhileJustRead(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c, conn := r.knownClient()
 	var args [][]byte
@@ -80,7 +80,7 @@
 }
 
 func disconnectDuringAStall(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	c := r.client()
 	c.send(lookCommand("a")...)
@@ -108,7 +108,7 @@
 }
 
 func disconnectWhileInTheEventQueue(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	c, conn := r.knownClient()
 	r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
@@ -120,7 +120,7 @@
 }
 
 func disconnectWhileWaitingForADial(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	free := make(chan struct{})
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
@@ -141,7 +141,7 @@
 }
 
 func disconnectBehindOtherCommands(t *testing.T, how ending) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	c := r.client()
 	var all strings.Builder
@@ -168,7 +168,7 @@
 	}
 }
 
-// awaitGone waits until the decision module hears that the client of a request is gone, and holds that no connection
+// awaitGone waits until the decision module is notified that the client of a request is gone, and holds that no connection
 // is made before.
 func (r *harness) awaitGone(conns <-chan *testConn, id string) {
 	r.t.Helper()
@@ -182,12 +182,12 @@
 				return
 			}
 		case <-time.After(patience):
-			r.t.Fatal("the decision module never hears of it")
+			r.t.Fatal("the decision module is never notified")
 		}
 	}
 }
 
-// clientClosed tells whether the client of an open request has closed its connection.
+// clientClosed reports whether the client of an open request has closed its connection.
 func (r *harness) clientClosed(id string) func() bool {
 	var open *request
 	r.onLoop(func() { open = r.proxy.requests.byID[id] })
@@ -204,8 +204,8 @@
 	return c, conn
 }
 
-// wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module has heard that its
-// client is gone, and that nothing is left of it.
+// wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module was notified that
+// its client is gone, and that nothing is left of it.
 func (r *harness) wantNothingSent(conns <-chan *testConn) {
 	r.t.Helper()
 	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
@@ -231,7 +231,7 @@
 			"reset":       func(c *testConn) { c.disconnect(endingReset) },
 			"half closed": (*testConn).closeWrite,
 		} {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			near := mustDial(t, addr)
 			t.Cleanup(func() { _ = near.Close() })
 			raw := rawConnOf(t, near)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -23,7 +23,7 @@
 
 // clientListener accepts the connections of clients and starts their readers. Its goroutine, which Proxy.serve starts,
 // owns it. When the event loop gives the listener a deadline, it accepts what has come before that, closes the
-// listener, tells the event loop and ends. It also ends with the event loop.
+// listener, notifies the event loop and ends. It also ends with the event loop.
 type clientListener struct {
 	services   *services
 	clients    *clientSet // it uses places alone; the rest belongs to the event loop
@@ -70,7 +70,7 @@
 	}
 }
 
-// acceptOne accepts one connection, for which the place is taken, or gives the place back. It tells whether to go on.
+// acceptOne accepts one connection, for which the place is taken, or gives the place back. It reports whether to go on.
 func (l *clientListener) acceptOne() (goOn bool) {
 	shared := l.services
 	startedAt := time.Now()
@@ -101,7 +101,7 @@
 	return true
 }
 
-// waitQuietly handles a passed deadline of the listener after a wait. It tells whether to go on, with a new deadline.
+// waitQuietly handles a passed deadline of the listener after a wait. It reports whether to go on, with a new deadline.
 func (l *clientListener) waitQuietly(waited time.Duration) (goOn bool) {
 	l.quietWaits++
 	if waited < listenerQuietPeriod/2 { // accept may have returned without a look, as the deadline had passed already
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -29,7 +29,7 @@
 // add appends the slot of the next command.
 func (p *replyPipeline) add(slot *pipelineSlot) { p.slots = append(p.slots, slot) }
 
-// empty tells whether no reply is open or pending.
+// empty reports whether no reply is open or pending.
 func (p *replyPipeline) empty() bool { return len(p.slots) == 0 && len(p.pending) == 0 }
 
 // unfinished is the number of replies that are open or not wholly written.
--- a/internal/proxy/client_pipeline_test.go
+++ b/internal/proxy/client_pipeline_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestPipelineReleasesPermitsOfWrittenReplies guards against a permit that is released before its reply is written, or
-// never, and against requests that are owed a reply and not named.
+// never, and against requests without a reply that are not named.
 func TestPipelineReleasesPermitsOfWrittenReplies(t *testing.T) {
 	var p replyPipeline
 	for _, id := range []string{"a", "b"} {
@@ -47,7 +47,7 @@
 	p.queueDue()
 	for _, step := range []struct {
 		written, permits int
-		owed             []string
+		unreplied        []string
 	}{
 		{0, 0, []string{"a", "b", "c"}},
 		{4, 0, []string{"a", "b", "c"}},
@@ -55,8 +55,8 @@
 		{5, 1, []string{"c"}},
 	} {
 		permits := p.recordWritten(step.written)
-		if owed := p.requestIDs(); permits != step.permits || !slices.Equal(owed, step.owed) {
-			t.Errorf("%d more bytes written: %d permits, %v are owed, want %+v", step.written, permits, owed, step)
+		if unreplied := p.requestIDs(); permits != step.permits || !slices.Equal(unreplied, step.unreplied) {
+			t.Errorf("%d more bytes written: %d permits, %v without a reply, want %+v", step.written, permits, unreplied, step)
 		}
 	}
 }
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// readAhead reads what has come without waiting, as far as there is room for it. If the connection has ended, it tells
-// the event loop and returns true.
+// readAhead reads what has come without waiting, as far as there is room for it. If the connection has ended, it
+// notifies the event loop and returns true.
 func (r *clientReader) readAhead() (ended bool) {
 	shared, c := r.services, r.client
 	for r.buffer.Len() < maxReadAhead && shared.inputBudget.AllowsReadAhead() {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// readOnce reads what has come, waiting for it, and handles the commands that are whole. It tells whether to go on.
+// readOnce reads what has come, waiting for it, and handles the commands that are whole. It reports whether to go on.
 func (r *clientReader) readOnce() (goOn bool) {
 	space := r.buffer.Space()
 	if space == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// handleError handles an error of a read. It tells whether to go on.
+// handleError handles an error of a read. It reports whether to go on.
 func (r *clientReader) handleError(at policy.Seconds, err error) (goOn bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
@@ -132,7 +132,7 @@
 	return false
 }
 
-// pause lets the event loop decide between commands whether the connection is closed. It tells whether to go on.
+// pause lets the event loop decide between commands whether the connection is closed. It reports whether to go on.
 func (r *clientReader) pause(at policy.Seconds) (goOn bool) {
 	c := r.client
 	r.services.loop.Post(at, c.readerPaused)
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// replyError replies to a bad command. It tells whether the connection goes on.
+// replyError replies to a bad command. It reports whether the connection goes on.
 func (r *clientReader) replyError(at policy.Seconds, err error) (goOn bool) {
 	if r.badCommands++; r.badCommands == maxBadCommands {
 		<-r.client.permits // the last reply has none
@@ -217,7 +217,7 @@
 	return true
 }
 
-// errorReply is the reply that tells a client of its error.
+// errorReply is the reply to a malformed command.
 func errorReply(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
 
 // rejectInput replies to input that can't be handled and ends the connection. What still comes is read for a while: a
@@ -234,7 +234,7 @@
 	})
 }
 
-// drainInput reads and discards what still comes, for a while. It tells whether the client has closed its side.
+// drainInput reads and discards what still comes, for a while. It reports whether the client has closed its side.
 func (r *clientReader) drainInput(timeout time.Duration) (closedByClient bool) {
 	r.buffer.Free()
 	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // where it fails, so does the read
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -18,8 +18,8 @@
 	overLimitShare = 1.0 / 8
 	// acceptAhead is how many connections may be accepted that the event loop has not handled yet.
 	acceptAhead = 8
-	// commandTimeout is how long a client may take for its first command, and for a command that it has begun. A
-	// reply is owed within 3 s to what can't be read.
+	// commandTimeout is how long a client may take for its first command, and for a command that it has begun. What
+	// can't be read must get a reply within 3 s.
 	commandTimeout = 2 * time.Second
 	// clientIdleTimeout is how long a connection may be idle.
 	clientIdleTimeout policy.Seconds = 10
@@ -56,7 +56,7 @@
 	commandTimeout time.Duration // readers use it too
 }
 
-// init sets the limits for a process that gets so many descriptors.
+// init sets the limits for a process that gets this number of descriptors.
 func (s *clientSet) init(shared *services, requests *requestTable, status gatewayStatus, descriptors int) {
 	usable := usableDescriptors(descriptors)
 	s.services, s.requests, s.status = shared, requests, status
@@ -92,7 +92,7 @@
 }
 
 // sweep closes the connections that were idle for too long, so that clients that keep a connection open hold no
-// memory. A client that has never spoken is left to its reader, which owes it an error.
+// memory. A client that has never spoken is left to its reader, which replies with an error.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
@@ -124,7 +124,7 @@
 }
 
 // makeRoom closes connections, those of the lowest eviction rank first, until no more are open than the limit. The
-// newcomer, which may be nil, is not counted. It tells whether too many are open all the same.
+// newcomer, which may be nil, is not counted. It reports whether too many are open all the same.
 func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// allWritten ends a connection on which nothing more is owed, if it is to end.
+// allWritten ends a connection on which no reply is pending, if it is to end.
 func (c *clientConn) allWritten() {
 	switch lastWritten := c.pipeline.lastReplyQueued; {
 	case lastWritten && !c.lingerDone:
@@ -125,10 +125,10 @@
 	}
 }
 
-// stalled tells whether the client has taken nothing of its replies for long.
+// stalled reports whether the client has taken nothing of its replies for long.
 func (c *clientConn) stalled(now policy.Seconds) bool {
 	return c.writing && now-c.writeProgressAt.Load() > stalledAfter
 }
 
-// owed are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
+// openRequestIDs are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
 func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -10,7 +10,7 @@
 	"reedlead/policy"
 )
 
-// idleUsage tells what a proxy holds: its timers, and what is available of its input budget.
+// idleUsage is what a proxy holds: its timers, and what is available of its input budget.
 func (r *harness) idleUsage() (timers int, available int64) {
 	r.onLoop(func() { timers, available = r.proxy.loop.PendingTimers(), r.proxy.inputBudget.Available() })
 	return timers, available
@@ -39,7 +39,7 @@
 			}
 			c.write(tc.half)
 			c.wantLines(want, "")
-			c.hangUp()
+			c.mustClose()
 			r.eventually("the connection is closed", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
 		})
 	}
@@ -59,7 +59,7 @@
 	})
 }
 
-// TestJunkBehindARequest guards against a request that is lost with the junk behind it: however much of that comes, the
+// TestJunkBehindARequest guards against a request that is lost with malformed input behind it: however much of that comes, the
 // connection stays until the commands before it have their replies.
 func TestJunkBehindARequest(t *testing.T) {
 	r := startProxy(t, testConfig(unreachableAgent), nil)
@@ -76,7 +76,7 @@
 		t.Errorf("got %q, then %q", a, b)
 	}
 	if len(r.decider.gone) != 0 {
-		t.Error("the decision module heard that the client was gone")
+		t.Error("the decision module was notified that the client was gone")
 	}
 }
 
@@ -135,7 +135,7 @@
 // TestACompletedRequestHoldsNothing guards against memory that a request with its final reply holds until its deadline,
 // an hour away if its client says so: timers, the bytes of the command and what was reserved of the budget for them.
 func TestACompletedRequestHoldsNothing(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), sendEachRequest(0))
 	timers, available := r.idleUsage()
 	c := r.client()
@@ -177,7 +177,7 @@
 			t.Errorf("reply %d is %q", i, got)
 		}
 	}
-	c.hangUp()
+	c.mustClose()
 	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.Available() == 30_000 })
 }
 
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -10,10 +10,10 @@
 // idle connections make room, so that discovery, new connections and files never have to wait for one.
 
 const (
-	// evictionDivisor: one in so many client connections is closed when there is no descriptor left.
+	// evictionDivisor: one in evictionDivisor client connections is closed when there is no descriptor left.
 	evictionDivisor = 8
-	// limitRecoveryDivisor: each check that finds a descriptor gives back one in so many of the limit on client
-	// connections.
+	// limitRecoveryDivisor: each check that finds a descriptor raises the limit on client connections by this
+	// fraction of the configured one.
 	limitRecoveryDivisor = 32
 )
 
@@ -35,7 +35,7 @@
 	probe func() error
 }
 
-// check makes room before a call fails that nobody learns of, and gives the limit on clients back once there
+// check makes room before a call fails without anybody's notice, and gives the limit on clients back once there
 // is room again.
 func (g *descriptorGuard) check() {
 	s := g.clients
@@ -44,7 +44,7 @@
 	}
 }
 
-// freeAfter tells whether a call failed for want of descriptors. Idle connections are closed then: those to
+// freeAfter reports whether a call failed for want of descriptors. Idle connections are closed then: those to
 // endpoints first, which cost a new dial at most, and clients that wait for no reply, those idle for longest first.
 func (g *descriptorGuard) freeAfter(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -24,7 +24,7 @@
 // has changes in it that no later line repeats: the complete list is polled, less what is unusable in it.
 func TestDiscoveryWatch(t *testing.T) {
 	for name, bad := range map[string]string{
-		"noise": "nonsense", "unknown state": discoverytest.ListJSON(7, false, "y", "odd"),
+		"malformed": "nonsense", "unknown state": discoverytest.ListJSON(7, false, "y", "odd"),
 		"version goes back": discoverytest.ListJSON(3, false, "y", "terminating"),
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -46,7 +46,7 @@
 	p.loop.After(p.drain.timeout.Seconds(), p.endDrain)
 }
 
-// drained tells whether the process may end.
+// drained reports whether the process may end.
 func (p *Proxy) drained() bool {
 	return p.drain.started && p.drain.acceptorEnded && p.clients.open() == 0
 }
@@ -59,7 +59,7 @@
 	p.clients.closeIdle()
 }
 
-// endDrain ends a drain that takes too long: open requests fail while their clients can hear of it. What comes
+// endDrain ends a drain that takes too long: open requests fail while their clients can get the reply. What comes
 // after that is rejected at once, until its connection is quiet for long enough to be closed.
 func (p *Proxy) endDrain() {
 	p.drain.timedOut = true
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -12,7 +12,7 @@
 const (
 	// minBackendConns is the least limit on backend connections.
 	minBackendConns = 8
-	// backendShare is what they may take of the usable descriptors.
+	// backendShare is what backend connections may take of the usable descriptors.
 	backendShare = 3.0 / 8
 	// idleTimeoutShare is when a connection is retired, as a share of the time after which endpoints close it: a
 	// request that is written after that ends as a reset.
@@ -68,7 +68,7 @@
 	s.afterWrite = func(*backendConn) {}
 }
 
-// hasInService tells whether a request could be sent to any endpoint.
+// hasInService reports whether a request could be sent to any endpoint.
 func (s *endpointSet) hasInService() bool {
 	for _, e := range s.byID {
 		if e.state == policy.InService {
@@ -129,7 +129,7 @@
 	}
 }
 
-// evictIdle closes the idle connection that was used longest ago, and tells whether there was one.
+// evictIdle closes the idle connection that was used longest ago, and reports whether there was one.
 func (s *endpointSet) evictIdle() bool {
 	var oldest *backendConn
 	for _, e := range s.byID {
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -42,7 +42,7 @@
 	var a *attempt
 	r.eventually("it is in flight", func() bool { a = r.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
 	a.conn.writeMu.Lock() // its reader reports the end of the connection once it has this
-	b.hangUp()
+	b.mustClose()
 	r.eventually("the reader waits", a.conn.unusable.Load)
 	r.onLoop(func() {
 		turns := 0
@@ -66,7 +66,7 @@
 func TestNoAttemptBesideAReplyThatHasCome(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			r := startProxy(t, testConfig(addr), sendEachRequest(0))
 			var b *testConn
 			if where == "socket" { // a connection that nobody reads
@@ -107,8 +107,8 @@
 // TestNoAttemptFromADialBesideAReplyThatHasCome guards against the same where the hedge waited for a dial when the
 // reply came.
 func TestNoAttemptFromADialBesideAReplyThatHasCome(t *testing.T) {
-	addr, conns := listenBackend(t)
-	other, others := listenBackend(t)
+	addr, conns := listenEndpoint(t)
+	other, others := listenEndpoint(t)
 	free := make(chan struct{})
 	r := startProxy(t, testConfig(addr, other), func(r *harness) {
 		sendEachRequest(0)(r)
@@ -130,7 +130,7 @@
 		r.proxy.Send("a", "s1", 0, 0)
 	})
 	first.conn.writeMu.Lock() // its reader posts the end once it has this
-	b.hangUp()
+	b.mustClose()
 	r.eventually("the reader waits", first.conn.unusable.Load)
 	close(free)
 	if o := receive(t, r.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
--- a/internal/proxy/growth_test.go
+++ b/internal/proxy/growth_test.go
@@ -35,7 +35,7 @@
 // the customer's gateways anew.
 func BenchmarkGrowth(b *testing.B) {
 	for _, size := range []growthSize{{300, 200}, {900, 3200}} {
-		b.Run(fmt.Sprintf("%d gateways, %d backends", size.gateways, size.endpoints), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
 			for b.Loop() {
 				g := measureGrowth(b, size)
 				b.ReportMetric(g.cpu.Seconds()*1000, "cpu-ms/play")
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -106,7 +106,7 @@
 const unreachableAgent = "127.0.0.1:1"
 
 // testConfig is a configuration with an endpoint s0, s1, ... at each address.
-func testConfig(backends ...string) config.Config {
+func testConfig(addresses ...string) config.Config {
 	c := config.Config{
 		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024,
 		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
@@ -120,7 +120,7 @@
 			Plans: []policy.Plan{{Name: "basic", Rate: 5, Burst: 10, WeightFactor: 1}},
 		}},
 	}
-	for i, addr := range backends {
+	for i, addr := range addresses {
 		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: discovery.StateInService})
 	}
 	c.InitialEndpoints.Full = true
@@ -215,12 +215,12 @@
 	}
 }
 
-// queued tells whether n events wait in the queue; on the event loop.
+// queued reports whether n events wait in the queue; on the event loop.
 func (r *harness) queued(n int) func() bool {
 	return func() bool { return r.proxy.loop.QueuedEvents() >= n }
 }
 
-// waitFor waits until something holds, and tells whether it came to.
+// waitFor waits until something holds, and reports whether it came to.
 func waitFor(holds func() bool) bool {
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -274,7 +274,7 @@
 	}
 }
 
-// rejectEachRequest has the decision module reject each request, so that the reply tells that it was asked.
+// rejectEachRequest has the decision module reject each request, so that the reply shows that it was asked.
 func rejectEachRequest(r *harness) {
 	r.decider.onRequest = func(q policy.Request) { r.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
@@ -292,7 +292,7 @@
 // connection and that of the endpoint, on which the command was read, and further connections of the endpoint.
 func startWithAttempt(t *testing.T) (r *harness, c, b *testConn, conns chan *testConn) {
 	t.Helper()
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r = startProxy(t, testConfig(addr), sendEachRequest(0))
 	c = r.client()
 	c.send(lookCommand("a")...)
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// closeReason tells why a connection was closed. Its text is what the log holds.
+// closeReason is why a connection was closed. Its text is what the log holds.
 type closeReason string
 
 // String returns the text that the log holds.
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -43,7 +43,7 @@
 // TestEveryCloseIsLoggedWithItsReason guards against connections that are closed, and requests that are rejected, with no
 // line of why, and of the requests that were open.
 func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -61,7 +61,7 @@
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// forbids tells whether a request can't be opened, and replies to it then, unless its client can't hear of it.
+// forbids reports whether a request can't be opened, and replies to it then, unless its client can't get a reply any more.
 func (t *requestTable) forbids(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
@@ -125,7 +125,7 @@
 	t.reply(r, redcon.AppendError(nil, "ERR failed"), why)
 }
 
-// rejectAtOnce rejects a request that the decision module never hears of.
+// rejectAtOnce rejects a request that the decision module never sees.
 func (t *requestTable) rejectAtOnce(c *clientConn, parsed *command.Request, why policy.Reason) {
 	t.services.warn("request rejected", "id", parsed.ID, "connection", c.number, "reason", string(why))
 	c.replyAtOnce(t.busyReply(t.settings.MaxRetryAfter), false)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -7,8 +7,8 @@
 	"reedlead/policy"
 )
 
-// Guards against a request that waits for ever: a panic in the decision module costs one request, and where
-// that module never replies the proxy does.
+// Guards against a request that waits for ever: a panic in the decision module fails one request, and where the
+// decision module never decides, the proxy replies.
 func TestModuleThatFails(t *testing.T) {
 	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) {
 		r.decider.onRequest = func(q policy.Request) {
@@ -33,7 +33,7 @@
 
 // Guards against the same where the decision module fails on an outcome: the request gets its reply at its deadline.
 func TestModuleThatFailsOnAnOutcome(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
 		r.decider.onOutcome = func(policy.Outcome) { panic("broken") }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -36,7 +36,7 @@
 				return
 			}
 			if c.send("PING"); c.readLine() != "+PONG" {
-				t.Error("the connection is of no use afterwards")
+				t.Error("the connection is unusable afterwards")
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 			if got := c.readLine(); got != "" || len(r.decider.requests) != 0 {
 				t.Errorf("behind them came %q, and %d requests were read", got, len(r.decider.requests))
 			}
-			c.hangUp()
+			c.mustClose()
 			r.eventually("the connection is closed", func() bool { return r.proxy.clients.open() == 0 })
 		})
 	}
@@ -172,7 +172,7 @@
 // the requests that were accepted have their replies before the process ends.
 func TestGracefulShutdown(t *testing.T) {
 	t.Run("with a request in flight", func(t *testing.T) {
-		addr, conns := listenBackend(t)
+		addr, conns := listenEndpoint(t)
 		r := startProxy(t, testConfig(addr), func(r *harness) {
 			sendEachRequest(0)(r)
 			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -122,22 +122,22 @@
 }
 
 // Guards against a process that is never ready while discovery is down and its list has no endpoint in service,
-// or is empty; and against one that is ready before it could have heard of any.
+// or is empty; and against one that is ready before it could know any.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, servers := range map[string][]discovery.Endpoint{
+	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
 		"an old list":   {{ID: "s0", Addr: "127.0.0.1:1", State: discovery.StateTerminating}},
-		"a list of use": {{ID: "s0", Addr: "127.0.0.1:1", State: discovery.StateInService}},
+		"a usable list": {{ID: "s0", Addr: "127.0.0.1:1", State: discovery.StateInService}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, polls := discoverytest.NewManualAgent(t) // silent
 			cfg := testConfig()
-			cfg.DiscoveryAddress, cfg.InitialEndpoints.Endpoints = address, servers
+			cfg.DiscoveryAddress, cfg.InitialEndpoints.Endpoints = address, endpoints
 			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.loop.Now() + 3600 })
 			receive(t, polls)
 			c := r.client()
 			want := "-LOADING no backends known yet"
-			if name == "a list of use" {
+			if name == "a usable list" {
 				want = "+PONG"
 			}
 			if c.send("PING"); want != "" {
@@ -163,7 +163,7 @@
 }
 
 // Guards the peer messages of the decision module in the largest fleets: a member and an owner with the largest numbers
-// agree on a customer, and gossip on any of so many endpoints is sent.
+// agree on a customer, and gossip on any of their endpoints is sent.
 func TestMessagesOfAThousandGateways(t *testing.T) {
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -4,9 +4,9 @@
 
 // gatewayStatus is what client connections ask of the gateway as a whole: the proxy. Event loop only.
 type gatewayStatus interface {
-	// isReady tells whether this gateway can serve requests.
+	// isReady reports whether this gateway can serve requests.
 	isReady() bool
-	// isDraining tells whether connections close between requests.
+	// isDraining reports whether connections close between requests.
 	isDraining() bool
 }
 
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -82,7 +82,7 @@
 // quickly makes the pauses before a call is made again short, so that tests need not wait.
 func quickly(r *harness) { r.proxy.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
 
-// serve has a backend answer each command that comes with a value.
+// serve has an endpoint reply to each command with a value.
 func (r *harness) serve(conns chan *testConn) {
 	go func() {
 		for b := range conns {
@@ -188,7 +188,7 @@
 		{syscall.ECONNRESET, 1, policy.ConnectFailed},
 	} {
 		t.Run(fmt.Sprint(tc.number, " ", tc.times), func(t *testing.T) {
-			addr, conns := listenBackend(t)
+			addr, conns := listenEndpoint(t)
 			fault := failing(tc.times, tc.number, "connect")
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				quickly(r)
@@ -228,7 +228,7 @@
 	for _, number := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
 			t.Run(fmt.Sprint(number, " ", partSize), func(t *testing.T) {
-				addr, conns := listenBackend(t)
+				addr, conns := listenEndpoint(t)
 				r := startProxy(t, testConfig(addr), func(r *harness) {
 					quickly(r)
 					sendEachRequest(0)(r)
@@ -267,7 +267,7 @@
 	}
 }
 
-// wrapConns replaces each connection of a client, and each to a backend, by another one on top of it.
+// wrapConns replaces each client connection, and each backend connection, by another one on top of it.
 func wrapConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
 	wrapClientConns(r, wrap)
 	wrapBackendConns(r, wrap)
@@ -312,8 +312,8 @@
 				return r.proxy.clients.open() == 0 && len(r.proxy.requests.byID) == 0 && len(r.proxy.clients.places) == 1
 			})
 		})
-		t.Run("backend, "+number.Error(), func(t *testing.T) {
-			addr, conns := listenBackend(t)
+		t.Run("endpoint, "+number.Error(), func(t *testing.T) {
+			addr, conns := listenEndpoint(t)
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				sendEachRequest(0)(r)
 				wrapBackendConns(r, failAfterRead)
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -40,8 +40,8 @@
 	c.write(encodeCommand(args...))
 }
 
-// hangUp closes the connection.
-func (c *testConn) hangUp() {
+// mustClose closes the connection.
+func (c *testConn) mustClose() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
 		c.t.Errorf("close: %v", err)
@@ -72,7 +72,7 @@
 			c.t.Error(err)
 		}
 	}
-	c.hangUp()
+	c.mustClose()
 }
 
 // readLine reads one line without its end, or what came before the end of the connection, which may be "".
@@ -159,8 +159,8 @@
 	return listener
 }
 
-// listenBackend accepts the connections of an endpoint.
-func listenBackend(t *testing.T) (addr string, conns chan *testConn) {
+// listenEndpoint accepts the connections of an endpoint.
+func listenEndpoint(t *testing.T) (addr string, conns chan *testConn) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{})
 	conns = make(chan *testConn, eventsKept)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -25,7 +25,7 @@
 	classes  []policy.Class
 }
 
-// enabled tells whether the trace is logged. It never changes.
+// enabled reports whether the trace is logged. It never changes.
 func (t *tracer) enabled() bool { return t.services.log.Enabled(context.Background(), slog.LevelDebug) }
 
 // accepted logs when a request's last byte had arrived, when the loop handled it, and its deadline.
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// lockedBuffer is a log that tests read once the ingress has ended.
+// lockedBuffer is a log that tests read once the proxy has ended.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -30,7 +30,7 @@
 			`.*msg="attempt ended" id=a attempt=0 status=ok .*\n.*msg="request completed" id=a reply=value `,
 		slog.LevelInfo: `^$`,
 	} {
-		addr, conns := listenBackend(t)
+		addr, conns := listenEndpoint(t)
 		var log lockedBuffer
 		r := startProxy(t, testConfig(addr), func(r *harness) {
 			sendEachRequest(0)(r)
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -21,7 +21,7 @@
 // Guards against work that may run only once and is sent again: a further attempt of a keyed request whose
 // window ends while it waits for a dial is not written, though the decision module allowed it in time.
 func TestTheWindowEndsWhileADialIsWaitedFor(t *testing.T) {
-	addr, conns := listenBackend(t)
+	addr, conns := listenEndpoint(t)
 	free := make(chan struct{})
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0.01) }
@@ -45,7 +45,7 @@
 	r.eventually("the connection rests", func() bool { return len(r.proxy.endpoints.byID["s0"].idle) == 1 })
 	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
 	if got := b.readCommand(); got != nil {
-		t.Errorf("the backend got %q", got)
+		t.Errorf("the endpoint got %q", got)
 	}
 }
 
@@ -62,7 +62,7 @@
 	r.wantNotSent(b)
 }
 
-// Guards against the same where a backend reads slowly: the last byte does not follow once the window is
+// Guards against the same where an endpoint reads slowly: the last byte does not follow once the window is
 // over, and the attempt was not executed.
 func TestTheWindowEndsWhileACommandIsWritten(t *testing.T) {
 	l, r := startWithSmallSockets(t, func(r *harness) {
@@ -80,7 +80,7 @@
 		t.Errorf("got %+v", o)
 	}
 	if got := newTestConn(t, b).readCommand(); got != nil {
-		t.Errorf("the backend got %d words", len(got))
+		t.Errorf("the endpoint got %d arguments", len(got))
 	}
 }
 
@@ -128,6 +128,6 @@
 	r.onLoop(func() { writeWithin = 0 })
 	post("b")
 	if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
-		t.Errorf("the backend got %d words", len(got))
+		t.Errorf("the endpoint got %d arguments", len(got))
 	}
 }
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -10,7 +10,7 @@
 // to read into.
 const Size = 4 << 10
 
-// ErrExhausted tells that the budget has no memory left for a buffer. A client gets its text.
+// ErrExhausted reports that the budget has no memory left for a buffer. A client gets its text.
 var ErrExhausted = errors.New("no room for more input")
 
 // Budget bounds the bytes that readers and the event loop hold for others, beyond the first Size bytes of each
@@ -20,7 +20,7 @@
 	readAheadReserve int64 // never changes
 }
 
-// NewBudget returns a budget of so many bytes. Readers that only read ahead leave readAheadReserve of them to others.
+// NewBudget returns a budget of size bytes. Readers that only read ahead leave readAheadReserve of them to others.
 func NewBudget(size, readAheadReserve int64) *Budget {
 	b := &Budget{readAheadReserve: readAheadReserve}
 	b.available.Store(size)
@@ -30,10 +30,10 @@
 // Available returns how many bytes can be reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// AllowsReadAhead tells whether so much is available that a reader may read ahead.
+// AllowsReadAhead reports whether more is available than the reserve, so that a reader may read ahead.
 func (b *Budget) AllowsReadAhead() bool { return b.available.Load() > b.readAheadReserve }
 
-// Reserve takes n bytes, and tells whether there were as many.
+// Reserve takes n bytes, and reports whether there were as many.
 func (b *Budget) Reserve(n int) bool {
 	if b.available.Add(-int64(n)) < 0 {
 		b.available.Add(int64(n))
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fill reads n bytes of a kind into a buffer, and tells whether there was space for them.
+// fill reads n bytes of a kind into a buffer, and reports whether there was space for them.
 func fill(b *Buffer, kind byte, n int) bool {
 	for n > 0 {
 		space := b.Space()
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -21,7 +21,7 @@
 	receivedAt policy.Seconds
 }
 
-// IsDuplicate tells whether a reply may be a duplicate of one that was received after a time: one of the same bytes.
+// IsDuplicate reports whether a reply may be a duplicate of one that was received after a time: one of the same bytes.
 // A rejection is trusted least, and any other rejection since then will do: one that belonged to the command before
 // must not be taken for that of this command, which may be executing.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -22,7 +22,7 @@
 	ErrNotAReply = errors.New("not a reply")
 )
 
-// rejectedCode is the first word of the error by which an endpoint rejects a request unseen.
+// rejectedCode is the code of the error by which an endpoint rejects a request unseen.
 const rejectedCode = "BUSY"
 
 // loadReportElement is the index of the load report in the array of a reply.
@@ -70,7 +70,7 @@
 	return parsed, nil
 }
 
-// parseError reads an error or a rejection, whose last word may be a load report.
+// parseError reads an error or a rejection, whose last field may be a load report.
 func parseError(text string) Reply {
 	parsed := Reply{Status: policy.Error}
 	if code, _, _ := strings.Cut(text, " "); code == rejectedCode {
@@ -80,7 +80,7 @@
 	return parsed
 }
 
-// Bounds on the figures of a load report: what lies above them is noise. Utilization is measured, and may come a
+// Bounds on the figures of a load report: what lies above them is invalid. Utilization is measured, and may come a
 // little above 1.
 const (
 	MaxLoadFigure  = 1e6
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// TestParse guards against good values thrown away for the load report behind them, against figures out of all
+// TestParse guards against good values dropped for the load report behind them, against figures out of all
 // range, and against values in replies that are none.
 func TestParse(t *testing.T) {
 	const noLoad = -1.0
