--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -107,9 +107,7 @@
 		}
 		r := startProxy(t, testConfig(listener.Addr().String()), sendEachRequest(0))
 		r.client().send(lookCommand("a")...)
-		if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
-			t.Errorf("got %+v", o)
-		}
+		r.wantOutcome(policy.ConnectFailed)
 	})
 }
 
@@ -156,20 +154,17 @@
 			dialing, free := make(chan struct{}), make(chan struct{})
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				sendEachRequest(0)(r)
-				dial := r.proxy.endpoints.dial
-				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+				r.beforeDial(func(string) error {
 					close(dialing)
 					<-free
-					return dial(addr)
-				}
+					return nil
+				})
 			})
 			r.client().send(lookCommand("a")...)
 			receive(t, dialing)
 			r.onLoop(func() { change(r) })
 			close(free)
-			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
-				t.Errorf("got %+v", o)
-			}
+			r.wantOutcome(policy.NotSent)
 			r.wantNoCommand(receive(t, conns))
 		})
 	}
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"net"
 	"strings"
 	"testing"
 
@@ -161,9 +160,7 @@
 			b := receive(t, old)
 			b.readCommand()
 			r.onLoop(func() {
-				e := r.proxy.endpoints.byID["s0"].Endpoint
-				change(&e)
-				r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
+				r.changeEndpoint("s0", change)
 			})
 			b.write(valueReply)
 			c.wantValue("the reply to the attempt in flight")
@@ -199,17 +196,11 @@
 			r.client().send(lookCommand("a")...)
 			receive(t, r.decider.requests)
 			r.onLoop(func() {
-				e := r.proxy.endpoints.byID["s0"].Endpoint
-				change(&e)
-				r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{e}})
+				r.changeEndpoint("s0", change)
 			})
 			close(free)
-			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
-				t.Errorf("got %+v", o)
-			}
-			if got := receive(t, conns).readCommand(); got != nil {
-				t.Errorf("the endpoint got %q", got)
-			}
+			r.wantOutcome(policy.NotSent)
+			receive(t, conns).wantNoCommand()
 		})
 	}
 }
@@ -221,16 +212,16 @@
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		sendEachRequest(0)(r)
-		dial, n := r.proxy.endpoints.dial, 0
-		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) { // one after another in this test
-			n++
+		dials := 0
+		r.beforeDial(func(string) error { // one after another in this test
+			dials++
 			dialed <- struct{}{}
-			if n == 1 {
-				return dial(addr)
+			if dials == 1 {
+				return nil
 			}
 			<-fail
-			return nil, io.ErrUnexpectedEOF
-		}
+			return io.ErrUnexpectedEOF
+		})
 	})
 	c := r.client()
 	c.send(lookCommand("a")...)
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -48,8 +48,7 @@
 // TestNoAttemptIsWrittenAfterItsDeadline guards against the same where no time remains by the clock.
 func TestNoAttemptIsWrittenAfterItsDeadline(t *testing.T) {
 	r, c, b := startWithIdleConnection(t)
-	c.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
+	r.openRequest(c, "a")
 	r.onLoop(func() {
 		r.proxy.requests.byID["a"].deadline = r.proxy.loop.Now() + 0.01
 		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
@@ -65,12 +64,8 @@
 	c := r.client()
 	c.send(postCommand("a", strings.Repeat("x", resp.MaxValue))...)
 	b := acceptOne(t, listener)
-	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed { // the endpoint has read nothing
-		t.Errorf("got %+v", o)
-	}
-	if got := b.readCommand(); got != nil {
-		t.Errorf("the endpoint got %d arguments", len(got))
-	}
+	r.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
+	b.wantNoCommand()
 }
 
 // TestPartialCommandWrites guards the edge between the two ways in which a broken connection may end an attempt: a
@@ -98,9 +93,7 @@
 	}
 	b.write(valueReply)
 	c.wantValue("the command that was written in the end")
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Errorf("got %+v", o)
-	}
+	r.wantOutcome(policy.OK)
 }
 
 // TestTimeoutAtLastByteOfCommand guards against a request that is executed twice: one whose last byte was just written
@@ -118,9 +111,7 @@
 		t.Fatalf("the endpoint got %q", got)
 	}
 	r.onLoop(func() { r.proxy.attempts.expire(r.proxy.requests.byID["a"].attempts[0]) })
-	if o := receive(t, r.decider.outcomes); o.Status != policy.Timeout {
-		t.Errorf("got %+v", o)
-	}
+	r.wantOutcome(policy.Timeout)
 }
 
 // TestPartiallyWrittenAttemptEndsWithItsRequest guards against an attempt that begins after its request's end, as the
@@ -137,12 +128,8 @@
 			b := acceptOne(t, listener)
 			r.awaitPartialWrite("a")
 			end(r, c)
-			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || !o.RequestDone {
-				t.Errorf("got %+v", o)
-			}
-			if got := b.readCommand(); got != nil {
-				t.Errorf("the endpoint got %d arguments", len(got))
-			}
+			r.wantFinalOutcome(policy.NotSent)
+			b.wantNoCommand()
 		})
 	}
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -23,9 +23,7 @@
 		t.Errorf("gone: %q", id)
 	}
 	b.write(valueReply)
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK || !o.RequestDone {
-		t.Errorf("got %+v", o)
-	}
+	r.wantFinalOutcome(policy.OK)
 }
 
 // TestNoAttemptForDisconnectedClient guards against requests that are sent long after their client has disconnected
@@ -51,8 +49,7 @@
 	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	c := r.client()
-	c.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
+	r.openRequest(c, "a")
 	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
 		r.proxy.Send("a", "s0", 0, 0)
 	})
@@ -83,8 +80,7 @@
 	addr, conns := listenEndpoint(t)
 	r := startProxy(t, testConfig(addr), nil)
 	c := r.client()
-	c.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
+	r.openRequest(c, "a")
 	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
 		r.proxy.requests.byID["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
 		r.proxy.loop.After(-1, func() {})
@@ -99,9 +95,7 @@
 	b.write("-ERR failed\r\n")
 	receive(t, r.decider.outcomes)
 	r.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
-		restarted := r.proxy.endpoints.byID["s0"].Endpoint
-		restarted.StartedMS = 1
-		r.proxy.applyList(discovery.List{Full: true, Endpoints: []discovery.Endpoint{restarted}})
+		r.changeEndpoint("s0", func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
 		r.proxy.Send("a", "s0", 0, 0)
 	})
 	r.wantNothingSent(conns)
@@ -127,16 +121,13 @@
 		r.holdDials(free)
 	})
 	c := r.client()
-	c.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
+	r.openRequest(c, "a")
 	closed := r.clientClosed("a")
 	r.whileLoopWaits(func() { close(free) }, r.queued(1), func() {
 		c.disconnect(how)
 		waitFor(closed)
 	})
-	if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || !o.RequestDone {
-		t.Errorf("got %+v", o)
-	}
+	r.wantFinalOutcome(policy.NotSent)
 	r.wantNoCommand(receive(t, conns))
 }
 
@@ -198,8 +189,7 @@
 func (r *harness) knownClient() (c *testConn, conn *clientConn) {
 	r.t.Helper()
 	c = r.client()
-	c.send("PING")
-	c.readLine()
+	c.mustPing()
 	r.onLoop(func() { conn = r.onlyClient() })
 	return c, conn
 }
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -27,9 +27,7 @@
 		receive(t, r.decider.requests)
 	}
 	idle := r.client()
-	if idle.send("PING"); idle.readLine() != "+PONG" {
-		t.Fatal("not served")
-	}
+	idle.mustPing()
 	third := r.client()
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client made no room")
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -100,9 +100,7 @@
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit = 2 })
 	usual := r.client()
-	if usual.send("PING"); usual.readLine() != "+PONG" {
-		t.Fatal("not served")
-	}
+	usual.mustPing()
 	silent := r.client()
 	r.eventually("both are open", func() bool { return r.proxy.clients.open() == 2 })
 	third := r.client()
@@ -118,11 +116,9 @@
 func TestIdleClientsTimeOut(t *testing.T) {
 	r := startProxy(t, testConfig(unreachableAgent), nil)
 	busy, idle := r.client(), r.client()
-	busy.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
-	idle.send("PING")
-	idle.readLine()
-	r.onLoop(func() { r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1); r.proxy.clients.sweep() })
+	r.openRequest(busy, "a")
+	idle.mustPing()
+	r.onLoop(r.expireIdleClients)
 	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
@@ -265,9 +261,7 @@
 	var conns []*testConn
 	for range 3 {
 		c := r.client()
-		if c.send("PING"); c.readLine() != "+PONG" {
-			t.Fatal("not served")
-		}
+		c.mustPing()
 		conns = append(conns, c)
 	}
 	if conns[0].readLine() != "" {
@@ -283,8 +277,7 @@
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
 	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit, r.proxy.clients.overLimitAllowance = 1, 1 })
 	busy := r.client()
-	busy.send(lookCommand("a")...)
-	receive(t, r.decider.requests)
+	r.openRequest(busy, "a")
 	extra := r.client()
 	extra.send(lookCommand("b")...)
 	if got := extra.readLine(); got != "-BUSY 1000" {
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"net"
 	"testing"
 	"time"
 
@@ -29,9 +28,7 @@
 	receive(t, waiting)
 	b.write(valueReply)
 	close(arrived)
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Errorf("got %+v", o)
-	}
+	r.wantOutcome(policy.OK)
 	c.wantValue("the reply that had come")
 }
 
@@ -112,13 +109,12 @@
 	free := make(chan struct{})
 	r := startProxy(t, testConfig(addr, other), func(r *harness) {
 		sendEachRequest(0)(r)
-		dial := r.proxy.endpoints.dial
-		r.proxy.endpoints.dial = func(to string) (net.Conn, error) {
+		r.beforeDial(func(to string) error {
 			if to == other {
 				<-free
 			}
-			return dial(to)
-		}
+			return nil
+		})
 	})
 	c := r.client()
 	c.send(lookCommand("a")...)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/netip"
 	"syscall"
 	"testing"
 	"time"
@@ -127,6 +128,29 @@
 	return c
 }
 
+// peerConfig is a configuration with messages between gateways, of which the others have these addresses.
+func peerConfig(others ...netip.AddrPort) config.Config {
+	c := testConfig()
+	c.Settings.PeerMessages = true
+	c.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
+	c.PeerAddresses = append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, others...)
+	return c
+}
+
+// listenUDP opens a socket for datagrams until the test ends.
+func listenUDP(t *testing.T) (conn *net.UDPConn, address netip.AddrPort) {
+	t.Helper()
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
+}
+
 // startProxy starts a proxy, which change may have altered, and ends it with the test.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
@@ -267,6 +291,11 @@
 	return []string{"CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body}
 }
 
+// holdCommand is a request of a class that has an idempotency key.
+func holdCommand(id, body string) []string {
+	return []string{"CALL.POST", testCustomer, id, "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", body}
+}
+
 // sendEachRequest has the decision module send each request to s0.
 func sendEachRequest(timeout policy.Seconds) func(*harness) {
 	return func(r *harness) {
@@ -281,9 +310,19 @@
 
 // holdDials has dials wait until free is closed.
 func (r *harness) holdDials(free <-chan struct{}) {
+	r.beforeDial(func(string) error {
+		<-free
+		return nil
+	})
+}
+
+// beforeDial has a function run before each dial to an address, and fail it with its error.
+func (r *harness) beforeDial(run func(addr string) error) {
 	dial := r.proxy.endpoints.dial
 	r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
-		<-free
+		if err := run(addr); err != nil {
+			return nil, err
+		}
 		return dial(addr)
 	}
 }
@@ -331,6 +370,32 @@
 	})
 }
 
+// openRequest sends a request, and waits until the decision module has it.
+func (r *harness) openRequest(c *testConn, id string) {
+	r.t.Helper()
+	c.send(lookCommand(id)...)
+	receive(r.t, r.decider.requests)
+}
+
+// changeEndpoint applies a changed entry of the endpoint list; on the event loop.
+func (r *harness) changeEndpoint(id string, change func(*discovery.Endpoint)) {
+	entry := r.proxy.endpoints.byID[id].Endpoint
+	change(&entry)
+	r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
+}
+
+// expireIdleClients closes the connections of idle clients, as after their timeout; on the event loop.
+func (r *harness) expireIdleClients() {
+	r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1)
+	r.proxy.clients.sweep()
+}
+
+// evictIdleClient closes the connection of the only client to make room, if it is idle; on the event loop.
+func (r *harness) evictIdleClient() {
+	r.proxy.clients.limit = 1
+	r.proxy.clients.makeRoom(nil)
+}
+
 // closePool closes the idle connections of all endpoints.
 func (r *harness) closePool() {
 	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) })
@@ -340,8 +405,22 @@
 func (r *harness) wantNoCommand(b *testConn) {
 	r.t.Helper()
 	r.closePool()
-	if got := b.readCommand(); got != nil {
-		r.t.Errorf("the endpoint got %q", got)
+	b.wantNoCommand()
+}
+
+// wantOutcome holds that the next attempt to end has a status.
+func (r *harness) wantOutcome(want policy.AttemptStatus) {
+	r.t.Helper()
+	if o := receive(r.t, r.decider.outcomes); o.Status != want {
+		r.t.Errorf("got %+v, want status %v", o, want)
+	}
+}
+
+// wantFinalOutcome holds that the next attempt to end has a status, and its request a final reply or no client.
+func (r *harness) wantFinalOutcome(want policy.AttemptStatus) {
+	r.t.Helper()
+	if o := receive(r.t, r.decider.outcomes); o.Status != want || !o.RequestDone {
+		r.t.Errorf("got %+v, want status %v and a settled request", o, want)
 	}
 }
 
@@ -349,9 +428,7 @@
 // endpoint.
 func (r *harness) wantNotSent(b *testConn) {
 	r.t.Helper()
-	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent {
-		r.t.Errorf("got %+v", o)
-	}
+	r.wantOutcome(policy.NotSent)
 	r.wantNoCommand(b)
 }
 
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -3,9 +3,7 @@
 import (
 	"bytes"
 	"net"
-	"net/netip"
 	"testing"
-	"time"
 
 	"reedlead/internal/peerlink"
 	"reedlead/policy"
@@ -13,24 +11,11 @@
 
 // TestPeerMessages guards against messages that are accepted from strangers, and against datagrams that are too long.
 func TestPeerMessages(t *testing.T) {
-	udp := func() *net.UDPConn {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = c.Close() })
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
-	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
-	friend, stranger, all := udp(), udp(), udp()
-	cfg := testConfig()
-	cfg.Settings.PeerMessages = true
-	cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
-	cfg.PeerAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
-	cfg.BroadcastAddress = addr(all)
+	friend, friendAddress := listenUDP(t)
+	stranger, _ := listenUDP(t)
+	all, allAddress := listenUDP(t)
+	cfg := peerConfig(friendAddress)
+	cfg.BroadcastAddress = allAddress
 	r := startProxy(t, cfg, nil)
 	here := r.proxy.peers.LocalAddr()
 	send := func(from *net.UDPConn, data []byte) {
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -59,9 +59,8 @@
 	log.line(t, "level=INFO", "backend connection closed", "endpoint=s0", "reason=peer_closed", "id=a")
 
 	idle := r.client()
-	idle.send("PING")
-	idle.readLine()
-	r.onLoop(func() { r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1); r.proxy.clients.sweep() })
+	idle.mustPing()
+	r.onLoop(r.expireIdleClients)
 	log.line(t, "level=DEBUG", "client connection closed", "connection=2", "reason=idle_timeout")
 
 	rejectEachRequest(r)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"io"
 	"testing"
 
 	"reedlead/policy"
@@ -43,9 +42,7 @@
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=200,units=2,spread=2,first=1")
 	b := receive(t, conns)
 	b.readCommand()
-	if _, err := io.WriteString(b, "-ERR failed\r\n"); err != nil {
-		t.Fatal(err)
-	}
+	b.write("-ERR failed\r\n")
 	receive(t, r.decider.outcomes)
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("got %q", got)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -14,21 +14,13 @@
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
 		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
-		"idle": func(r *harness) {
-			r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1)
-			r.proxy.clients.sweep()
-		},
-		"evicted": func(r *harness) {
-			r.proxy.clients.limit = 1
-			r.proxy.clients.makeRoom(nil)
-		},
+		"idle":     (*harness).expireIdleClients,
+		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 			c := r.client()
-			if c.send("PING"); c.readLine() != "+PONG" {
-				t.Fatal("not served")
-			}
+			c.mustPing()
 			r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() { end(r) })
 			c.wantLines("-BUSY 500")
 			if name == "shutdown" {
@@ -43,8 +35,7 @@
 	t.Run("behind a reply in a graceful shutdown", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), nil)
 		c := r.client()
-		c.send(lookCommand("a")...)
-		receive(t, r.decider.requests)
+		r.openRequest(c, "a")
 		r.onLoop(r.proxy.stopAccepting)
 		rejectEachRequest(r)
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
@@ -53,8 +44,7 @@
 	t.Run("at the end of a graceful shutdown", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), nil)
 		c := r.client()
-		c.send(lookCommand("a")...)
-		receive(t, r.decider.requests)
+		r.openRequest(c, "a")
 		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() {
 			r.proxy.stopAccepting()
 			r.proxy.endDrain()
@@ -72,9 +62,7 @@
 		r.proxy.clients.commandTimeout = time.Hour
 	})
 	c := r.client()
-	if c.send("PING"); c.readLine() != "+PONG" {
-		t.Fatal("not served")
-	}
+	c.mustPing()
 	all := encodeCommand(lookCommand("a")...)
 	c.write(all[:20])
 	r.eventually("half of it is read", func() bool { return netcalls.NoDataPending(r.onlyClient().rawConn) })
@@ -99,9 +87,7 @@
 			r.proxy.clients.places = make(chan struct{}, 1) // as if all descriptors were taken
 		})
 		first := r.client()
-		if first.send("PING"); first.readLine() != "+PONG" {
-			t.Fatal("not served")
-		}
+		first.mustPing()
 		second := r.client()
 		second.send(lookCommand("a")...)
 		r.onLoop(r.proxy.stopAccepting)
@@ -136,7 +122,7 @@
 func TestCloseLosesNoReplyInFlight(t *testing.T) {
 	for name, end := range map[string]func(r *harness){
 		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
-		"evicted":  func(r *harness) { r.proxy.clients.limit = 1; r.proxy.clients.makeRoom(nil) },
+		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
@@ -178,8 +164,7 @@
 			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
 		})
 		idle, busy := r.client(), r.client()
-		idle.send("PING")
-		idle.readLine()
+		idle.mustPing()
 		busy.send(lookCommand("a")...)
 		b := receive(t, conns)
 		b.readCommand()
@@ -207,8 +192,7 @@
 	t.Run("that takes too long", func(t *testing.T) {
 		r := startProxy(t, testConfig(unreachableAgent), nil)
 		c := r.client()
-		c.send(lookCommand("mute")...)
-		receive(t, r.decider.requests)
+		r.openRequest(c, "mute")
 		r.onLoop(func() { r.proxy.stopAccepting(); r.proxy.endDrain() })
 		c.wantLines("-ERR failed", "")
 		receive(t, r.ended)
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -151,8 +151,7 @@
 			if got := c.readLine(); got != "+PONG" {
 				t.Errorf("a moment later: got %q", got)
 			}
-			c.send(lookCommand("a")...)
-			receive(t, r.decider.requests)
+			r.openRequest(c, "a")
 			r.onLoop(func() {
 				r.proxy.requests.reply(r.proxy.requests.byID["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded)
 			})
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -151,10 +151,7 @@
 				}
 				return listenPacket(a)
 			}
-			cfg := testConfig()
-			cfg.Settings.PeerMessages = true
-			cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
-			p, err := open(t.Context(), cfg, slog.New(slog.DiscardHandler), calls)
+			p, err := open(t.Context(), peerConfig(), slog.New(slog.DiscardHandler), calls)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -194,13 +191,7 @@
 			r := startProxy(t, testConfig(addr), func(r *harness) {
 				quickly(r)
 				sendEachRequest(0)(r)
-				dial := r.proxy.endpoints.dial
-				r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
-					if err := fault.next(); err != nil {
-						return nil, err
-					}
-					return dial(addr)
-				}
+				r.beforeDial(func(string) error { return fault.next() })
 				if tc.times > 3 {
 					r.proxy.endpoints.localFaultRetry = time.Millisecond
 				} else {
@@ -210,9 +201,7 @@
 			r.serve(conns)
 			c := r.client()
 			c.send(lookCommand("a")...)
-			if o := receive(t, r.decider.outcomes); o.Status != tc.want {
-				t.Errorf("got %+v, want %v", o, tc.want)
-			}
+			r.wantOutcome(tc.want)
 			r.onLoop(func() {
 				if be := r.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.proxy.endpoints.openConns != len(be.idle) {
 					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.proxy.endpoints.openConns)
@@ -323,9 +312,7 @@
 			b := receive(t, conns)
 			b.readCommand()
 			_, _ = io.WriteString(b, "*3\r\n")
-			if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
-				t.Errorf("got %+v", o)
-			}
+			r.wantOutcome(policy.Reset)
 			r.eventually("nothing is left", func() bool { return r.proxy.endpoints.openConns == 0 })
 		})
 	}
@@ -352,25 +339,13 @@
 		syscall.EHOSTUNREACH, syscall.EINTR, syscall.EPERM,
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
-			peer, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { _ = peer.Close() })
-			cfg := testConfig(unreachableAgent)
-			cfg.Settings.PeerMessages = true
-			cfg.PeerListenAddress = netip.MustParseAddrPort("127.0.0.1:0")
-			at := peer.LocalAddr().(*net.UDPAddr).AddrPort()
-			cfg.PeerAddresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), at}
+			peer, address := listenUDP(t)
 			var sleeps atomic.Int32
-			r := startProxy(t, cfg, func(r *harness) {
+			r := startProxy(t, peerConfig(address), func(r *harness) {
 				failDatagrams(r, number)
 				r.proxy.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
 			})
 			r.onLoop(func() { r.proxy.SendToPeer(1, []byte("lost")); r.proxy.SendToPeer(1, []byte("there")) })
-			if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
-				t.Fatal(err)
-			}
 			buf := make([]byte, peerlink.MaxDatagramSize)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -108,6 +108,23 @@
 	}
 }
 
+// wantNoCommand holds that the connection ends before a whole command has come.
+func (c *testConn) wantNoCommand() {
+	c.t.Helper()
+	if got := c.readCommand(); got != nil {
+		c.t.Errorf("the endpoint got %.200q", got)
+	}
+}
+
+// mustPing sends a health check, and fails the test unless the gateway is ready.
+func (c *testConn) mustPing() {
+	c.t.Helper()
+	c.send("PING")
+	if got := c.readLine(); got != "+PONG" {
+		c.t.Fatalf("not served: %q", got)
+	}
+}
+
 // wantValue holds that the next reply is the value of valueReply.
 func (c *testConn) wantValue(what string) {
 	c.t.Helper()
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -1,17 +1,15 @@
 package proxy
 
 import (
-	"net"
 	"strings"
 	"testing"
 	"time"
 
-	"reedlead/internal/discovery"
 	"reedlead/internal/resp"
 	"reedlead/policy"
 )
 
-// passes waits until the clock has passed a time.
+// waitForClock waits until the clock has passed a time.
 func waitForClock(p *Proxy, at float64) {
 	for p.clock.Now() < at {
 		time.Sleep(time.Millisecond)
@@ -26,35 +24,26 @@
 	free := make(chan struct{})
 	r := startProxy(t, testConfig(addr), func(r *harness) {
 		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0.01) }
-		dial := r.proxy.endpoints.dial
-		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
-			<-free
-			return dial(addr)
-		}
+		r.holdDials(free)
 	})
 	c := r.client()
-	c.send("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", "body")
+	c.send(holdCommand("a", "body")...)
 	receive(t, r.decider.requests)
 	windowEnd := 0.0
 	r.onLoop(func() { windowEnd = r.proxy.requests.byID["a"].attempts[0].writeDeadline })
 	waitForClock(r.proxy, windowEnd)
 	close(free)
-	if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
-		t.Errorf("got %+v", o)
-	}
+	r.wantOutcome(policy.NotSent)
 	b := receive(t, conns)
 	r.eventually("the connection rests", func() bool { return len(r.proxy.endpoints.byID["s0"].idle) == 1 })
-	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) }) // closes the pool
-	if got := b.readCommand(); got != nil {
-		t.Errorf("the endpoint got %q", got)
-	}
+	r.wantNoCommand(b)
 }
 
 // TestIdempotencyWindowIsCheckedByClock guards against the same where the event loop lags behind: its time is that of
 // the event that it handles, and the window is over by the clock.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	r, c, b := startWithIdleConnection(t)
-	c.send("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", "body")
+	c.send(holdCommand("a", "body")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() {
 		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
@@ -70,19 +59,10 @@
 		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0.05) }
 	})
 	c := r.client()
-	c.send("CALL.POST", testCustomer, "a", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1",
-		strings.Repeat("x", resp.MaxValue))
-	b, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	o := receive(t, r.decider.outcomes) // the endpoint has read nothing
-	if o.Status != policy.ConnectFailed {
-		t.Errorf("got %+v", o)
-	}
-	if got := newTestConn(t, b).readCommand(); got != nil {
-		t.Errorf("the endpoint got %d arguments", len(got))
-	}
+	c.send(holdCommand("a", strings.Repeat("x", resp.MaxValue))...)
+	b := acceptOne(t, l)
+	r.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
+	b.wantNoCommand()
 }
 
 // TestIdempotencyWindowAppliesToOneCommand guards against a write deadline that outlives its command: the connection
@@ -94,18 +74,13 @@
 	})
 	c := r.client()
 	post := func(id string) {
-		c.send("CALL.POST", testCustomer, id, "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1",
-			strings.Repeat("x", resp.MaxValue))
+		c.send(holdCommand(id, strings.Repeat("x", resp.MaxValue))...)
 	}
 	var b *testConn
 	var used *attempt
 	for b == nil { // until this machine is fast enough for it
 		post("a")
-		conn, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		b = newTestConn(t, conn)
+		b = acceptOne(t, l)
 		r.eventually("it is out", func() bool {
 			q := r.proxy.requests.byID["a"]
 			if q != nil {
@@ -122,9 +97,7 @@
 		c.readLine()
 	}
 	r.eventually("it is noted", func() bool { return used.conn.commandWritten.Load() })
-	if _, err := b.Write([]byte(valueReply)); err != nil {
-		t.Fatal(err)
-	}
+	b.write(valueReply)
 	c.wantValue("the first")
 	waitForClock(r.proxy, used.writeDeadline+0.1) // a runtime timer that is late as well
 	r.onLoop(func() { writeWithin = 0 })
