--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -48,7 +48,7 @@
 	t.marks = append(t.marks, arrivalMark{end, arrived})
 }
 
-// ofCommandEndingAt is when the command had arrived as a whole that ends at a place of the buffer.
+// ofCommandEndingAt is when the command had arrived as a whole that ends at an offset of the buffer.
 func (t *arrivalTracker) ofCommandEndingAt(end int) policy.Seconds {
 	for _, mark := range t.marks {
 		if end <= mark.end {
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -19,8 +19,8 @@
 // field d, which holds the remaining time.
 func TestRequestAndValueAreForwardedUnchanged(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(300))
-	c := r.client()
+	h := startProxy(t, testConfig(addr), sendEachRequest(300))
+	c := h.client()
 	body := "b\r\n\x00\xff*$"
 	c.send("CALL.POST", testCustomer, "9b1f03aa5c7e2d41", "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1,x=y", body)
 	b := receive(t, conns)
@@ -39,7 +39,7 @@
 	if remainingMS < 1 || remainingMS > 300000 { // the attempt's timeout, less what the dial took
 		t.Errorf("d is %d", remainingMS)
 	}
-	q := receive(t, r.decider.requests)
+	q := receive(t, h.decider.requests)
 	if q.Class != "hold" || q.Plan != "basic" || q.Customer != testCustomer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
 		t.Errorf("the decision module got %+v", q)
 	}
@@ -52,7 +52,7 @@
 	if _, err := io.ReadFull(c.reader, value); err != nil || string(value) != "\r\n$1\r\n!\r\n" {
 		t.Errorf("the client got %q, %v", value, err)
 	}
-	o := receive(t, r.decider.outcomes)
+	o := receive(t, h.decider.outcomes)
 	if o.Status != policy.OK || !o.RequestDone || o.Load == nil || o.Load.Utilization != 0.25 || o.Load.ServiceTimeMS != 14.5 || o.Load.Queued != -1 {
 		t.Errorf("the decision module got %+v", o)
 	}
@@ -83,15 +83,15 @@
 		"value and more":   {"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$1\r\nw\r\n", policy.OK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, testConfig(addr), sendEachRequest(0))
-			c := r.client()
+			h := startProxy(t, testConfig(addr), sendEachRequest(0))
+			c := h.client()
 			c.send(lookCommand("a")...)
 			b := receive(t, conns)
 			b.readCommand()
 			if b.write(tc.reply); tc.reply == "" || strings.HasPrefix(name, "half") {
 				b.mustClose()
 			}
-			o := receive(t, r.decider.outcomes)
+			o := receive(t, h.decider.outcomes)
 			if o.Status != tc.want || o.RequestDone != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
 				t.Errorf("got %+v, want status %v", o, tc.want)
 			}
@@ -105,9 +105,9 @@
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
-		r := startProxy(t, testConfig(listener.Addr().String()), sendEachRequest(0))
-		r.client().send(lookCommand("a")...)
-		r.wantOutcome(policy.ConnectFailed)
+		h := startProxy(t, testConfig(listener.Addr().String()), sendEachRequest(0))
+		h.client().send(lookCommand("a")...)
+		h.wantOutcome(policy.ConnectFailed)
 	})
 }
 
@@ -116,23 +116,23 @@
 func TestAbandonedAttemptClosesItsConnection(t *testing.T) {
 	for _, how := range []string{"timeout", "cancel"} {
 		t.Run(how, func(t *testing.T) {
-			r, c, b, _ := startWithAttempt(t)
+			h, c, b, _ := startWithAttempt(t)
 			want := policy.Timeout
 			if how == "cancel" {
 				want = policy.Cancelled
-				r.onLoop(func() { r.proxy.Cancel("a", 0); r.proxy.Cancel("a", 0) })
+				h.onLoop(func() { h.proxy.Cancel("a", 0); h.proxy.Cancel("a", 0) })
 			} else {
-				r.onLoop(func() { r.proxy.attempts.expire(r.proxy.requests.byID["a"].attempts[0]) })
+				h.onLoop(func() { h.proxy.attempts.expire(h.proxy.requests.byID["a"].attempts[0]) })
 			}
-			if o := receive(t, r.decider.outcomes); o.Status != want || o.RequestDone {
+			if o := receive(t, h.decider.outcomes); o.Status != want || o.RequestDone {
 				t.Errorf("got %+v, want %v", o, want)
 			}
 			if b.readCommand() != nil {
 				t.Error("more was sent on a connection that was given up")
 			}
-			r.onLoop(func() { r.proxy.Reject("a", 0.25, policy.QuotaExceeded) })
+			h.onLoop(func() { h.proxy.Reject("a", 0.25, policy.QuotaExceeded) })
 			c.wantLines("-BUSY 250")
-			if len(r.decider.outcomes) != 0 {
+			if len(h.decider.outcomes) != 0 {
 				t.Error("one attempt was reported twice")
 			}
 		})
@@ -144,28 +144,28 @@
 func TestAttemptIsRecheckedAfterDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	for name, change := range map[string]func(*harness){
-		"draining": func(r *harness) {
-			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: discovery.StateTerminating}}})
+		"draining": func(h *harness) {
+			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: discovery.StateTerminating}}})
 		},
-		"gone": func(r *harness) { r.proxy.applyList(discovery.List{Full: true}) },
-		"over": func(r *harness) { r.proxy.Reject("a", 0, policy.QuotaExceeded) },
+		"gone": func(h *harness) { h.proxy.applyList(discovery.List{Full: true}) },
+		"over": func(h *harness) { h.proxy.Reject("a", 0, policy.QuotaExceeded) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dialing, free := make(chan struct{}), make(chan struct{})
-			r := startProxy(t, testConfig(addr), func(r *harness) {
-				sendEachRequest(0)(r)
-				r.beforeDial(func(string) error {
+			h := startProxy(t, testConfig(addr), func(h *harness) {
+				sendEachRequest(0)(h)
+				h.beforeDial(func(string) error {
 					close(dialing)
 					<-free
 					return nil
 				})
 			})
-			r.client().send(lookCommand("a")...)
+			h.client().send(lookCommand("a")...)
 			receive(t, dialing)
-			r.onLoop(func() { change(r) })
+			h.onLoop(func() { change(h) })
 			close(free)
-			r.wantOutcome(policy.NotSent)
-			r.wantNoCommand(receive(t, conns))
+			h.wantOutcome(policy.NotSent)
+			h.wantNoCommand(receive(t, conns))
 		})
 	}
 }
@@ -173,14 +173,14 @@
 // TestHealthCheckReportsLoad guards the path of a health check: its load report reaches the decision module.
 func TestHealthCheckReportsLoad(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), nil)
-	r.onLoop(func() { r.proxy.HealthCheck("s0") })
+	h := startProxy(t, testConfig(addr), nil)
+	h.onLoop(func() { h.proxy.HealthCheck("s0") })
 	b := receive(t, conns)
 	if got := b.readCommand(); fmt.Sprint(got) != "[INFO load]" {
 		t.Fatalf("the endpoint got %q", got)
 	}
 	b.write("$13\r\ncpu_share=0.5\r\n")
-	if p := receive(t, r.decider.healthChecks); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
+	if p := receive(t, h.decider.healthChecks); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
 		t.Errorf("got %+v", p)
 	}
 }
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -14,14 +14,14 @@
 // idle, which would end as a reset that may have executed it.
 func TestPooledConnections(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c := r.client()
+	h := startProxy(t, testConfig(addr), sendEachRequest(0))
+	c := h.client()
 	serve := func(id string, b *testConn) {
 		t.Helper()
 		b.readCommand()
 		b.write(valueReply)
 		c.wantValue(id)
-		receive(t, r.decider.outcomes)
+		receive(t, h.decider.outcomes)
 	}
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
@@ -29,13 +29,13 @@
 	c.send(lookCommand("b")...)
 	serve("b", b) // the same connection
 	b.mustClose()
-	r.eventually("the pool notices the close", func() bool { return r.proxy.endpoints.openConns == 0 })
+	h.eventually("the pool notices the close", func() bool { return h.proxy.endpoints.openConns == 0 })
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
-	r.onLoop(func() {
-		r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + r.proxy.endpoints.idleTimeout + 1)
-		r.proxy.endpoints.sweep()
+	h.onLoop(func() {
+		h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + h.proxy.endpoints.idleTimeout + 1)
+		h.proxy.endpoints.sweep()
 	})
 	if b.readCommand() != nil {
 		t.Error("a connection that was idle for long was used")
@@ -48,18 +48,18 @@
 	for name, unsolicited := range map[string]string{"a duplicate": valueReply, "garbage": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			r := startProxy(t, testConfig(addr), sendEachRequest(0))
+			h := startProxy(t, testConfig(addr), sendEachRequest(0))
 			conn := mustDial(t, addr)
 			old := receive(t, conns)
 			if old.write(unsolicited); unsolicited == "" {
 				old.mustClose()
 			}
 			var c *backendConn
-			r.onLoop(func() { // a pooled connection whose reader has not run yet
-				c = r.addIdleConn("s0", conn)
+			h.onLoop(func() { // a pooled connection whose reader has not run yet
+				c = h.addIdleConn("s0", conn)
 			})
-			r.eventually("it has come", func() bool { return !netcalls.NoDataPending(c.rawConn) })
-			client := r.client()
+			h.eventually("it has come", func() bool { return !netcalls.NoDataPending(c.rawConn) })
+			client := h.client()
 			client.send(lookCommand("a")...)
 			b := receive(t, conns)
 			if got := b.readCommand(); len(got) != 4 {
@@ -90,29 +90,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			r := startProxy(t, testConfig(addr), func(r *harness) {
-				sendEachRequest(0)(r)
-				r.proxy.endpoints.duplicateWindow = 3600
+			h := startProxy(t, testConfig(addr), func(h *harness) {
+				sendEachRequest(0)(h)
+				h.proxy.endpoints.duplicateWindow = 3600
 			})
-			c := r.client()
+			c := h.client()
 			send := func(id string) { c.send(postCommand(id, "body")...) }
 			send("a")
 			b := receive(t, conns)
 			b.readCommand()
 			b.write(tc.first)
-			receive(t, r.decider.outcomes)
+			receive(t, h.decider.outcomes)
 			if tc.between != "" {
 				send("between")
 				b.readCommand()
 				b.write(tc.between)
-				receive(t, r.decider.outcomes)
+				receive(t, h.decider.outcomes)
 			}
 			send("b")
 			if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
 				t.Fatalf("the connection got %q", got)
 			}
 			b.write(tc.duplicate)
-			if o := receive(t, r.decider.outcomes); o.RequestID != "b" || o.Status != policy.Error || o.RequestDone {
+			if o := receive(t, h.decider.outcomes); o.RequestID != "b" || o.Status != policy.Error || o.RequestDone {
 				t.Errorf("got %+v", o)
 			}
 			if b.readCommand() != nil {
@@ -126,18 +126,18 @@
 // before: its connection had rested, so that a duplicate would have been noticed.
 func TestEqualReplyAfterDuplicateWindowIsAccepted(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		sendEachRequest(0)(r)
-		r.proxy.endpoints.duplicateWindow = 0.001
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		sendEachRequest(0)(h)
+		h.proxy.endpoints.duplicateWindow = 0.001
 	})
-	c := r.client()
+	c := h.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
 	b.write(valueReply)
 	c.wantValue("the first")
-	receive(t, r.decider.outcomes)
-	waitForClock(r.proxy, r.proxy.clock.Now()+0.002)
+	receive(t, h.decider.outcomes)
+	waitForClock(h.proxy, h.proxy.clock.Now()+0.002)
 	c.send(lookCommand("b")...)
 	b.readCommand()
 	b.write(valueReply)
@@ -154,13 +154,13 @@
 		"restarted": func(e *discovery.Endpoint) { e.StartedMS = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, testConfig(from), sendEachRequest(0))
-			c := r.client()
+			h := startProxy(t, testConfig(from), sendEachRequest(0))
+			c := h.client()
 			c.send(lookCommand("a")...)
 			b := receive(t, old)
 			b.readCommand()
-			r.onLoop(func() {
-				r.changeEndpoint("s0", change)
+			h.onLoop(func() {
+				h.changeEndpoint("s0", change)
 			})
 			b.write(valueReply)
 			c.wantValue("the reply to the attempt in flight")
@@ -189,17 +189,17 @@
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
 			free := make(chan struct{})
-			r := startProxy(t, testConfig(addr), func(r *harness) {
-				sendEachRequest(0)(r)
-				r.holdDials(free)
+			h := startProxy(t, testConfig(addr), func(h *harness) {
+				sendEachRequest(0)(h)
+				h.holdDials(free)
 			})
-			r.client().send(lookCommand("a")...)
-			receive(t, r.decider.requests)
-			r.onLoop(func() {
-				r.changeEndpoint("s0", change)
+			h.client().send(lookCommand("a")...)
+			receive(t, h.decider.requests)
+			h.onLoop(func() {
+				h.changeEndpoint("s0", change)
 			})
 			close(free)
-			r.wantOutcome(policy.NotSent)
+			h.wantOutcome(policy.NotSent)
 			receive(t, conns).wantNoCommand()
 		})
 	}
@@ -210,10 +210,10 @@
 func TestFailedDialLeavesIdleConnection(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		sendEachRequest(0)(r)
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		sendEachRequest(0)(h)
 		dials := 0
-		r.beforeDial(func(string) error { // one after another in this test
+		h.beforeDial(func(string) error { // one after another in this test
 			dials++
 			dialed <- struct{}{}
 			if dials == 1 {
@@ -223,7 +223,7 @@
 			return io.ErrUnexpectedEOF
 		})
 	})
-	c := r.client()
+	c := h.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
@@ -232,7 +232,7 @@
 	receive(t, dialed)
 	b.write(valueReply)
 	c.wantValue("the first")
-	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
+	if o := receive(t, h.decider.outcomes); o.Status != policy.OK {
 		t.Fatalf("got %+v", o)
 	}
 	close(fail)
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -55,8 +55,8 @@
 	closeReason      closeReason // why its close was requested
 	closeRequested   bool        // the reader is to pause, so that the connection can be closed
 	usedSinceRequest bool        // a reply was queued since then
-	hasSpoken        bool        // a whole command has come
-	lingerDone       bool        // the reader has discarded input behind a malformed command for long enough
+	hasSentCommand   bool        // a whole command has come
+	inputDiscarded   bool        // the reader has discarded input behind a malformed command for long enough
 	sendingShutDown  bool        // no reply can be sent any more, and what comes is discarded
 	overLimit        bool        // beyond the limit: its requests are rejected while that holds
 	closed           bool
@@ -70,7 +70,7 @@
 	if c.closed || c.sendingShutDown {
 		return
 	}
-	c.hasSpoken = true
+	c.hasSentCommand = true
 	c.pipeline.add(&pipelineSlot{reply: reply, last: last})
 	c.flush()
 }
@@ -159,5 +159,5 @@
 	close(c.done)
 	_ = c.conn.Close() // nothing more is written on it
 	delete(c.set.conns, c)
-	<-c.set.places
+	<-c.set.connSlots
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -17,13 +17,13 @@
 // TestDisconnectReachesDecisionModule guards against a decision module that goes on working for a client that has
 // disconnected.
 func TestDisconnectReachesDecisionModule(t *testing.T) {
-	r, c, b, _ := startWithAttempt(t)
+	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
-	if id := receive(t, r.decider.gone); id != "a" {
+	if id := receive(t, h.decider.gone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	b.write(valueReply)
-	r.wantFinalOutcome(policy.OK)
+	h.wantFinalOutcome(policy.OK)
 }
 
 // TestNoAttemptForDisconnectedClient guards against requests that are sent long after their client has disconnected
@@ -47,166 +47,166 @@
 
 func disconnectWhileQueuedByPolicy(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), nil)
-	c := r.client()
-	r.openRequest(c, "a")
-	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
-		r.proxy.Send("a", "s0", 0, 0)
+	h := startProxy(t, testConfig(addr), nil)
+	c := h.client()
+	h.openRequest(c, "a")
+	h.whileLoopWaits(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
+		h.proxy.Send("a", "s0", 0, 0)
 	})
-	r.wantNothingSent(conns)
+	h.wantNothingSent(conns)
 }
 
 func disconnectWhileJustRead(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c, conn := r.knownClient()
+	h := startProxy(t, testConfig(addr), sendEachRequest(0))
+	c, conn := h.knownClient()
 	var args [][]byte
 	for _, arg := range lookCommand("a") {
 		args = append(args, []byte(arg))
 	}
 	closed := func() bool { return netcalls.ClosedByPeer(conn.rawConn) }
-	r.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
-		request, err := command.NewParser(r.proxy.cfg.Settings.Settings).Parse(args)
+	h.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
+		request, err := command.NewParser(h.proxy.cfg.Settings.Settings).Parse(args)
 		if err != nil {
 			t.Error(err)
 		}
-		r.proxy.inputBudget.Reserve(request.Size)
-		r.proxy.requests.admit(conn, request, r.proxy.clock.Now())
+		h.proxy.inputBudget.Reserve(request.Size)
+		h.proxy.requests.admit(conn, request, h.proxy.clock.Now())
 	})
-	r.wantNothingSent(conns)
+	h.wantNothingSent(conns)
 }
 
 func disconnectDuringAStall(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), nil)
-	c := r.client()
-	r.openRequest(c, "a")
-	r.whileLoopWaits(func() { c.disconnect(how) }, r.clientClosed("a"), func() {
-		r.proxy.requests.byID["a"].arrivedAt = r.proxy.clock.Now() // it was only read now
-		r.proxy.loop.After(-1, func() {})
-		r.proxy.Send("a", "s0", 0, 0)
+	h := startProxy(t, testConfig(addr), nil)
+	c := h.client()
+	h.openRequest(c, "a")
+	h.whileLoopWaits(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
+		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // it was only read now
+		h.proxy.loop.After(-1, func() {})
+		h.proxy.Send("a", "s0", 0, 0)
 	})
-	r.wantNothingSent(conns)
+	h.wantNothingSent(conns)
 }
 
 func disconnectBetweenAttempts(t *testing.T, how ending) {
-	r, c, b, conns := startWithAttempt(t)
-	closed := r.clientClosed("a")
+	h, c, b, conns := startWithAttempt(t)
+	closed := h.clientClosed("a")
 	b.write("-ERR failed\r\n")
-	receive(t, r.decider.outcomes)
-	r.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
-		r.changeEndpoint("s0", func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
-		r.proxy.Send("a", "s0", 0, 0)
+	receive(t, h.decider.outcomes)
+	h.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
+		h.changeEndpoint("s0", func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
+		h.proxy.Send("a", "s0", 0, 0)
 	})
-	r.wantNothingSent(conns)
+	h.wantNothingSent(conns)
 }
 
 func disconnectWhileInTheEventQueue(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c, conn := r.knownClient()
-	r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() {
+	h := startProxy(t, testConfig(addr), sendEachRequest(0))
+	c, conn := h.knownClient()
+	h.whileLoopWaits(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(r.proxy, r.proxy.clock.Now()+2*eventloop.LagTolerance) // the command has waited for longer than the lag that counts
+		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.LagTolerance) // the command has waited for longer than the lag that counts
 	})
-	r.wantNothingSent(conns)
+	h.wantNothingSent(conns)
 }
 
 func disconnectWhileWaitingForADial(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
 	free := make(chan struct{})
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		sendEachRequest(0)(r)
-		r.holdDials(free)
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		sendEachRequest(0)(h)
+		h.holdDials(free)
 	})
-	c := r.client()
-	r.openRequest(c, "a")
-	closed := r.clientClosed("a")
-	r.whileLoopWaits(func() { close(free) }, r.queued(1), func() {
+	c := h.client()
+	h.openRequest(c, "a")
+	closed := h.clientClosed("a")
+	h.whileLoopWaits(func() { close(free) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(closed)
 	})
-	r.wantFinalOutcome(policy.NotSent)
-	r.wantNoCommand(receive(t, conns))
+	h.wantFinalOutcome(policy.NotSent)
+	h.wantNoCommand(receive(t, conns))
 }
 
 func disconnectBehindOtherCommands(t *testing.T, how ending) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), nil)
-	c := r.client()
+	h := startProxy(t, testConfig(addr), nil)
+	c := h.client()
 	var all strings.Builder
 	for i := range maxPipelined + 3 {
 		all.WriteString(encodeCommand(lookCommand(fmt.Sprint("r", i))...))
 	}
 	c.write(all.String())
 	for range maxPipelined {
-		receive(t, r.decider.requests)
+		receive(t, h.decider.requests)
 	}
-	closed := r.clientClosed("r0")
-	r.onLoop(func() { r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0) } })
+	closed := h.clientClosed("r0")
+	h.onLoop(func() { h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0) } })
 	if how == endingReset {
 		c.disconnect(how)
 	} else { // what was sent before a FIN stays readable
 		c.closeWrite()
 	}
 	// With the reply to r0 the next command has its permit.
-	r.whileLoopWaits(func() {}, closed, func() { r.proxy.Fail("r0", policy.DeadlineTooClose) })
-	r.awaitGone(conns, fmt.Sprint("r", maxPipelined-1))
-	r.eventually("all is released", func() bool { return len(r.proxy.requests.byID) == 0 && r.proxy.clients.open() == 0 })
-	if len(conns) != 0 || r.proxy.endpoints.openConns != 0 {
+	h.whileLoopWaits(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
+	h.awaitGone(conns, fmt.Sprint("r", maxPipelined-1))
+	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
+	if len(conns) != 0 || h.proxy.endpoints.openConns != 0 {
 		t.Error("a command was sent")
 	}
 }
 
 // awaitGone waits until the decision module is notified that the client of a request is gone, and holds that no connection
 // is made before.
-func (r *harness) awaitGone(conns <-chan *testConn, id string) {
-	r.t.Helper()
+func (h *harness) awaitGone(conns <-chan *testConn, id string) {
+	h.t.Helper()
 	for {
 		select {
 		case <-conns:
-			r.t.Error("a command was sent")
+			h.t.Error("a command was sent")
 			return
-		case gone := <-r.decider.gone:
+		case gone := <-h.decider.gone:
 			if gone == id {
 				return
 			}
 		case <-time.After(patience):
-			r.t.Fatal("the decision module is never notified")
+			h.t.Fatal("the decision module is never notified")
 		}
 	}
 }
 
 // clientClosed reports whether the client of an open request has closed its connection.
-func (r *harness) clientClosed(id string) func() bool {
+func (h *harness) clientClosed(id string) func() bool {
 	var open *request
-	r.onLoop(func() { open = r.proxy.requests.byID[id] })
+	h.onLoop(func() { open = h.proxy.requests.byID[id] })
 	return func() bool { return netcalls.ClosedByPeer(open.client.rawConn) }
 }
 
 // knownClient connects a client that has had a reply, and returns both ends of its connection.
-func (r *harness) knownClient() (c *testConn, conn *clientConn) {
-	r.t.Helper()
-	c = r.client()
+func (h *harness) knownClient() (c *testConn, conn *clientConn) {
+	h.t.Helper()
+	c = h.client()
 	c.mustPing()
-	r.onLoop(func() { conn = r.onlyClient() })
+	h.onLoop(func() { conn = h.onlyClient() })
 	return c, conn
 }
 
 // wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module was notified that
 // its client is gone, and that nothing is left of it.
-func (r *harness) wantNothingSent(conns <-chan *testConn) {
-	r.t.Helper()
-	if o := receive(r.t, r.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
-		r.t.Errorf("got %+v", o)
+func (h *harness) wantNothingSent(conns <-chan *testConn) {
+	h.t.Helper()
+	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
+		h.t.Errorf("got %+v", o)
 	}
-	if got := receive(r.t, r.decider.gone); got != "a" {
-		r.t.Errorf("gone: %q", got)
+	if got := receive(h.t, h.decider.gone); got != "a" {
+		h.t.Errorf("gone: %q", got)
 	}
-	r.onLoop(func() {
-		if len(conns) != 0 || r.proxy.endpoints.openConns != 0 || len(r.proxy.requests.byID) != 0 {
-			r.t.Errorf("%d connections, %d open, %d requests", len(conns), r.proxy.endpoints.openConns, len(r.proxy.requests.byID))
+	h.onLoop(func() {
+		if len(conns) != 0 || h.proxy.endpoints.openConns != 0 || len(h.proxy.requests.byID) != 0 {
+			h.t.Errorf("%d connections, %d open, %d requests", len(conns), h.proxy.endpoints.openConns, len(h.proxy.requests.byID))
 		}
 	})
 }
@@ -241,9 +241,9 @@
 // TestDisconnectIsDetectedBehindLargeInput guards against a client whose end does not reach this machine, as commands
 // that are unread behind open ones fill its socket.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), nil)
-	_, available := r.idleUsage()
-	c := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), nil)
+	_, available := h.idleUsage()
+	c := h.client()
 	var all strings.Builder
 	for i := range maxPipelined + 1000 { // some times what a socket takes at first
 		all.WriteString(encodeCommand(lookCommand(fmt.Sprintf("r%0100d", i))...))
@@ -257,17 +257,17 @@
 		written <- err
 	}()
 	for range maxPipelined {
-		receive(t, r.decider.requests)
+		receive(t, h.decider.requests)
 	}
 	if err := receive(t, written); err != nil {
 		t.Error(err)
 	}
 	for range maxPipelined {
-		receive(t, r.decider.gone)
+		receive(t, h.decider.gone)
 	}
-	r.eventually("all is released", func() bool { return len(r.proxy.requests.byID) == 0 && r.proxy.clients.open() == 0 })
-	if len(r.decider.requests) != 0 {
+	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
+	if len(h.decider.requests) != 0 {
 		t.Error("more of its commands were handled")
 	}
-	r.eventually("the budget is given back", func() bool { return r.proxy.inputBudget.Available() == available })
+	h.eventually("the budget is given back", func() bool { return h.proxy.inputBudget.Available() == available })
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -26,7 +26,7 @@
 // listener, notifies the event loop and ends. It also ends with the event loop.
 type clientListener struct {
 	services   *services
-	clients    *clientSet // it uses places alone; the rest belongs to the event loop
+	clients    *clientSet // it uses connSlots alone; the rest belongs to the event loop
 	listener   *net.TCPListener
 	parser     *command.Parser
 	accepted   uint64 // connections so far
@@ -60,7 +60,7 @@
 	}()
 	for {
 		select {
-		case l.clients.places <- struct{}{}:
+		case l.clients.connSlots <- struct{}{}:
 		case <-loop.Ended():
 			return
 		}
@@ -70,7 +70,7 @@
 	}
 }
 
-// acceptOne accepts one connection, for which the place is taken, or gives the place back. It reports whether to go on.
+// acceptOne accepts one connection, for which a slot is taken, or gives the slot back. It reports whether to go on.
 func (l *clientListener) acceptOne() (goOn bool) {
 	shared := l.services
 	startedAt := time.Now()
@@ -89,7 +89,7 @@
 	}
 	at := shared.clock.Now()
 	if err != nil {
-		<-l.clients.places
+		<-l.clients.connSlots
 		shared.loop.Post(at, func() { l.onError(err) })
 		shared.calls.Sleep(netcalls.RetryInterval) // without descriptors, other connections must end first
 		return true
@@ -110,7 +110,7 @@
 	if l.quietWaits >= quietWaitsToClose {
 		return false
 	}
-	<-l.clients.places
+	<-l.clients.connSlots
 	_ = l.listener.SetDeadline(time.Now().Add(listenerQuietPeriod)) // it fails on a closed listener, as accept will
 	return true
 }
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -227,7 +227,7 @@
 	r.services.loop.Post(at, func() { c.replyAtOnce(reply, true) })
 	closedByClient := r.drainInput(lingerTimeout)
 	r.services.loop.Post(r.services.clock.Now(), func() {
-		c.lingerDone = true
+		c.inputDiscarded = true
 		if closedByClient || c.idle() {
 			c.abandon(protocolError, err)
 		} // else it is closed once the replies before the last one are written
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -38,7 +38,7 @@
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
 
-// clientSet holds the connections of clients and bounds their number. The event loop owns it, but for places.
+// clientSet holds the connections of clients and bounds their number. The event loop owns it, but for connSlots.
 type clientSet struct {
 	services           *services
 	requests           *requestTable
@@ -48,9 +48,9 @@
 	configuredLimit    int
 	overLimitAllowance int // connections beyond the limit that are accepted, to reject their requests with a reply
 	closing            int // open connections whose close was requested
-	// places has an element for each connection. The listener puts it in before it accepts, the event loop takes it
+	// connSlots has an element for each connection. The listener puts it in before it accepts, the event loop takes it
 	// out as it closes the connection.
-	places chan struct{}
+	connSlots chan struct{}
 
 	stallTimeout   time.Duration
 	commandTimeout time.Duration // readers use it too
@@ -66,7 +66,7 @@
 	s.overLimitAllowance = max(minOverLimit, int(float64(usable)*overLimitShare))
 	s.commandTimeout = commandTimeout
 	s.stallTimeout = stallTimeout
-	s.places = make(chan struct{}, s.limit+s.overLimitAllowance+acceptAhead)
+	s.connSlots = make(chan struct{}, s.limit+s.overLimitAllowance+acceptAhead)
 }
 
 // open is the number of open connections.
@@ -92,11 +92,11 @@
 }
 
 // sweep closes the connections that were idle for too long, so that clients that keep a connection open hold no
-// memory. A client that has never spoken is left to its reader, which replies with an error.
+// memory. A client that has sent no command is left to its reader, which replies with an error.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
-		if c.hasSpoken && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
+		if c.hasSentCommand && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
 		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
@@ -166,7 +166,7 @@
 
 const (
 	rankLastReplyQueued evictionRank = iota // its last reply was written or is being written
-	rankNeverSpoken                         // nothing has come on it
+	rankNoCommand                           // nothing has come on it
 	rankIdle                                // it waits for nothing
 	// rankUnhandledInput has a first command on its way: it could not be closed, and others would have to wait for
 	// that.
@@ -181,10 +181,10 @@
 		return rankStalled
 	case c.pipeline.lastReplyQueued:
 		return rankLastReplyQueued
-	case c.hasSpoken:
+	case c.hasSentCommand:
 		return rankIdle
 	case c.hasReceived.Load() || !netcalls.NoDataPending(c.rawConn):
 		return rankUnhandledInput
 	}
-	return rankNeverSpoken
+	return rankNoCommand
 }
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -116,7 +116,7 @@
 // allWritten ends a connection on which no reply is pending, if it is to end.
 func (c *clientConn) allWritten() {
 	switch lastWritten := c.pipeline.lastReplyQueued; {
-	case lastWritten && !c.lingerDone:
+	case lastWritten && !c.inputDiscarded:
 		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
 	case lastWritten:
 		c.close(lastReplyWritten, nil)
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -8,46 +8,46 @@
 	"reedlead/policy"
 )
 
-// TestStalledClientIsEvicted guards against clients that hold their places for good with replies that they do not read,
+// TestStalledClientIsEvicted guards against clients that hold their slots for good with replies that they do not read,
 // and against one that is closed in place of an idle one.
 func TestStalledClientIsEvicted(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-		r.proxy.clients.limit = 2
-		r.decider.onRequest = func(q policy.Request) {
-			r.proxy.requests.reply(r.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), served)
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		h.proxy.clients.limit = 2
+		h.decider.onRequest = func(q policy.Request) {
+			h.proxy.requests.reply(h.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), served)
 		}
 	})
-	stuck := r.client()
+	stuck := h.client()
 	for i := 0; ; i++ {
 		writing := false
-		if r.onLoop(func() { writing = r.onlyClient().writing }); writing {
+		if h.onLoop(func() { writing = h.onlyClient().writing }); writing {
 			break
 		}
 		stuck.send(lookCommand(fmt.Sprint("a", i))...)
-		receive(t, r.decider.requests)
+		receive(t, h.decider.requests)
 	}
-	idle := r.client()
+	idle := h.client()
 	idle.mustPing()
-	third := r.client()
+	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client made no room")
 	}
-	r.onLoop(func() { // the third one waits for a reply, the stuck one has taken nothing for long
-		r.writingClient().writeProgressAt.Store(0)
-		for c := range r.proxy.clients.conns {
+	h.onLoop(func() { // the third one waits for a reply, the stuck one has taken nothing for long
+		h.writingClient().writeProgressAt.Store(0)
+		for c := range h.proxy.clients.conns {
 			if !c.writing {
 				c.pipeline.add(&pipelineSlot{})
 			}
 		}
-		if r.proxy.clients.makeRoom(nil) {
+		if h.proxy.clients.makeRoom(nil) {
 			t.Error("the stalled client made no room")
 		}
 	})
 }
 
 // writingClient is the client whose socket is full; on the event loop.
-func (r *harness) writingClient() *clientConn {
-	for c := range r.proxy.clients.conns {
+func (h *harness) writingClient() *clientConn {
+	for c := range h.proxy.clients.conns {
 		if c.writing {
 			return c
 		}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -11,8 +11,8 @@
 )
 
 // idleUsage is what a proxy holds: its timers, and what is available of its input budget.
-func (r *harness) idleUsage() (timers int, available int64) {
-	r.onLoop(func() { timers, available = r.proxy.loop.PendingTimers(), r.proxy.inputBudget.Available() })
+func (h *harness) idleUsage() (timers int, available int64) {
+	h.onLoop(func() { timers, available = h.proxy.loop.PendingTimers(), h.proxy.inputBudget.Available() })
 	return timers, available
 }
 
@@ -29,32 +29,32 @@
 			if tc.before != "" {
 				timeout = time.Hour // until that has its reply, however busy this machine is
 			}
-			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.commandTimeout = timeout })
-			c := r.client()
+			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.commandTimeout = timeout })
+			c := h.client()
 			if tc.before != "" {
 				if c.write(tc.before); c.readLine() != "+PONG" {
 					t.Fatal("not served")
 				}
-				r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
+				h.onLoop(func() { h.proxy.clients.commandTimeout = time.Millisecond })
 			}
 			c.write(tc.half)
 			c.wantLines(want, "")
 			c.mustClose()
-			r.eventually("the connection is closed", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
+			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1 })
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), nil)
-		c := r.client()
+		h := startProxy(t, testConfig(unreachableAgent), nil)
+		c := h.client()
 		c.write(encodeCommand(lookCommand("a")...))
-		receive(t, r.decider.requests)
-		r.onLoop(func() { r.proxy.clients.commandTimeout = time.Millisecond })
+		receive(t, h.decider.requests)
+		h.onLoop(func() { h.proxy.clients.commandTimeout = time.Millisecond })
 		c.write("*1")
-		r.eventually("the error waits", func() bool {
-			q := r.proxy.requests.byID["a"]
+		h.eventually("the error waits", func() bool {
+			q := h.proxy.requests.byID["a"]
 			return q != nil && len(q.client.pipeline.slots) == 2
 		})
-		r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+		h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 		c.wantLines("-ERR failed", want, "")
 	})
 }
@@ -62,20 +62,20 @@
 // TestMalformedInputBehindRequestKeepsItsReply guards against a request that is lost with malformed input behind it:
 // however much of that comes, the connection stays until the commands before it have their replies.
 func TestMalformedInputBehindRequestKeepsItsReply(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), nil)
-	c := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), nil)
+	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + "*1\r\n$60000000\r\n")
-	receive(t, r.decider.requests)
+	receive(t, h.decider.requests)
 	c.write(strings.Repeat("x", maxLingerBytes))
-	r.eventually("enough is read", func() bool {
-		q := r.proxy.requests.byID["a"]
-		return q != nil && q.client.lingerDone
+	h.eventually("enough is read", func() bool {
+		q := h.proxy.requests.byID["a"]
+		return q != nil && q.client.inputDiscarded
 	})
-	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
 		t.Errorf("got %q, then %q", a, b)
 	}
-	if len(r.decider.gone) != 0 {
+	if len(h.decider.gone) != 0 {
 		t.Error("the decision module was notified that the client was gone")
 	}
 }
@@ -83,8 +83,8 @@
 // TestConnectionClosesAfterMaxBadCommands guards the event loop against a client that sends bad commands for as long as
 // it gets replies.
 func TestConnectionClosesAfterMaxBadCommands(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), nil)
-	c := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), nil)
+	c := h.client()
 	c.write(strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
 		if got := c.readLine(); got != `-ERR unknown command "NOVEL"` {
@@ -98,12 +98,12 @@
 
 // TestSilentClientsAreEvictedFirst guards against usual clients that make room for those that have sent nothing.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit = 2 })
-	usual := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
+	usual := h.client()
 	usual.mustPing()
-	silent := r.client()
-	r.eventually("both are open", func() bool { return r.proxy.clients.open() == 2 })
-	third := r.client()
+	silent := h.client()
+	h.eventually("both are open", func() bool { return h.proxy.clients.open() == 2 })
+	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
 		t.Error("the silent connection made no room")
 	}
@@ -114,15 +114,15 @@
 
 // TestIdleClientsTimeOut guards against clients that send one request and keep their connection for good.
 func TestIdleClientsTimeOut(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), nil)
-	busy, idle := r.client(), r.client()
-	r.openRequest(busy, "a")
+	h := startProxy(t, testConfig(unreachableAgent), nil)
+	busy, idle := h.client(), h.client()
+	h.openRequest(busy, "a")
 	idle.mustPing()
-	r.onLoop(r.expireIdleClients)
+	h.onLoop(h.expireIdleClients)
 	if idle.readLine() != "" {
 		t.Error("the idle connection is open")
 	}
-	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if got := busy.readLine(); got != "-ERR failed" {
 		t.Errorf("the connection with an open request got %q", got)
 	}
@@ -133,20 +133,20 @@
 // for them.
 func TestCompletedRequestReleasesResources(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), sendEachRequest(0))
-	timers, available := r.idleUsage()
-	c := r.client()
+	h := startProxy(t, testConfig(addr), sendEachRequest(0))
+	timers, available := h.idleUsage()
+	c := h.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
 	var completed *request
-	r.onLoop(func() { completed = r.proxy.requests.byID["a"] })
-	if openTimers, less := r.idleUsage(); openTimers != timers+2 || less >= available {
+	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
+	if openTimers, less := h.idleUsage(); openTimers != timers+2 || less >= available {
 		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", openTimers, less, timers, available)
 	}
 	b.write(valueReply)
-	receive(t, r.decider.outcomes)
-	if again, now := r.idleUsage(); again != timers || now != available || completed.Args != nil {
+	receive(t, h.decider.outcomes)
+	if again, now := h.idleUsage(); again != timers || now != available || completed.Args != nil {
 		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, available, completed.Args)
 	}
 }
@@ -154,21 +154,21 @@
 // TestClientsShareInputBudget guards the memory: what is unfinished or waits has one bound for all connections
 // together.
 func TestClientsShareInputBudget(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
 	big := func(id string) string {
 		return encodeCommand(postCommand(id, strings.Repeat("x", 10_000))...)
 	}
-	c := r.client()
+	c := h.client()
 	c.write(big("a") + big("b") + big("c"))
-	receive(t, r.decider.requests)
-	r.eventually("no more is read", func() bool { return r.proxy.inputBudget.Available() < 20_000 })
-	d := r.client()
+	receive(t, h.decider.requests)
+	h.eventually("no more is read", func() bool { return h.proxy.inputBudget.Available() < 20_000 })
+	d := h.client()
 	d.write("*5\r\n$60000\r\n" + strings.Repeat("x", 59_000))
 	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
 		t.Errorf("half a command beyond the budget got %q", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		r.onLoop(func() { r.proxy.Fail(id, policy.DeadlineTooClose) })
+		h.onLoop(func() { h.proxy.Fail(id, policy.DeadlineTooClose) })
 	}
 	for i := range 3 {
 		if got := c.readLine(); got != "-ERR failed" && got != "-BUSY 1000" {
@@ -176,23 +176,23 @@
 		}
 	}
 	c.mustClose()
-	r.eventually("all is given back", func() bool { return r.proxy.inputBudget.Available() == 30_000 })
+	h.eventually("all is given back", func() bool { return h.proxy.inputBudget.Available() == 30_000 })
 }
 
 // TestPipelinedRepliesAreWrittenOnceInOrder guards against replies out of order or given twice: a connection's replies
 // come in the order of its commands whatever the order of the decisions, and the first one for a request stands.
 func TestPipelinedRepliesAreWrittenOnceInOrder(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), nil)
-	c := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), nil)
+	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + encodeCommand(lookCommand("b")...) +
 		encodeCommand("PING") + encodeCommand("SELECT", "0"))
-	receive(t, r.decider.requests)
-	receive(t, r.decider.requests)
-	r.onLoop(func() {
-		r.proxy.Reject("b", 1, policy.QuotaExceeded)
-		r.proxy.Fail("b", policy.DeadlineTooClose)
-		r.proxy.Fail("a", policy.DeadlineTooClose)
-		r.proxy.Reject("a", 1, policy.QuotaExceeded)
+	receive(t, h.decider.requests)
+	receive(t, h.decider.requests)
+	h.onLoop(func() {
+		h.proxy.Reject("b", 1, policy.QuotaExceeded)
+		h.proxy.Fail("b", policy.DeadlineTooClose)
+		h.proxy.Fail("a", policy.DeadlineTooClose)
+		h.proxy.Reject("a", 1, policy.QuotaExceeded)
 	})
 	c.send("PING")
 	for i, want := range []string{"-ERR failed", "-BUSY 1000", "+PONG", "-ERR unknown command \"SELECT\"", "+PONG"} {
@@ -205,7 +205,7 @@
 // TestMalformedInputGetsErrorReply guards against a crash or a hang on what can't be read.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
-	r := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAgent), nil)
 	for want, input := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
 		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
@@ -233,7 +233,7 @@
 		"-ERR class bill does not go with CALL.GET":   encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "bill", 1)),
 		"-ERR field k is missing":                     encodeCommand("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
-		c := r.client()
+		c := h.client()
 		c.write(input)
 		if got := c.readLine(); !strings.HasPrefix(got, want) {
 			t.Errorf("%q: got %q, want %q", input[:min(len(input), 60)], got, want)
@@ -249,7 +249,7 @@
 			t.Errorf("%q: the connection is unusable afterwards", input)
 		}
 	}
-	if len(r.decider.requests) != 0 {
+	if len(h.decider.requests) != 0 {
 		t.Error("the decision module was asked about what could not be read")
 	}
 }
@@ -257,10 +257,10 @@
 // TestLongestIdleClientIsEvicted guards against running out of descriptors: the connection that is idle longest makes
 // room.
 func TestLongestIdleClientIsEvicted(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit = 2 })
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
 	var conns []*testConn
 	for range 3 {
-		c := r.client()
+		c := h.client()
 		c.mustPing()
 		conns = append(conns, c)
 	}
@@ -275,25 +275,25 @@
 // TestClientsBeyondLimitGetBusyReply guards against requests lost to the limit on connections: a connection beyond it
 // was closed, and with it the request that had come along. It gets a reply, and is served once another one is idle.
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { r.proxy.clients.limit, r.proxy.clients.overLimitAllowance = 1, 1 })
-	busy := r.client()
-	r.openRequest(busy, "a")
-	extra := r.client()
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1 })
+	busy := h.client()
+	h.openRequest(busy, "a")
+	extra := h.client()
 	extra.send(lookCommand("b")...)
 	if got := extra.readLine(); got != "-BUSY 1000" {
 		t.Errorf("beyond the limit: %q", got)
 	}
-	next := r.client() // an idle one beyond the limit makes room for it
+	next := h.client() // an idle one beyond the limit makes room for it
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
 		t.Errorf("beyond the limit, once more: %q", got)
 	}
-	if len(r.decider.requests) != 0 {
+	if len(h.decider.requests) != 0 {
 		t.Error("the decision module was asked about a request that was rejected for it")
 	}
-	r.onLoop(func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	next.send(lookCommand("c")...)
-	if q := receive(t, r.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
+	if q := receive(t, h.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
 		t.Errorf("with room made: %+v", q)
 	}
 }
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -11,9 +11,9 @@
 )
 
 // nextEndpoints waits for the next list that the decision module gets, and returns its ids and states.
-func (r *harness) nextEndpoints() (ids []string) {
-	r.t.Helper()
-	for _, s := range receive(r.t, r.decider.lists) {
+func (h *harness) nextEndpoints() (ids []string) {
+	h.t.Helper()
+	for _, s := range receive(h.t, h.decider.lists) {
 		ids = append(ids, fmt.Sprint(s.ID, " ", s.State))
 	}
 	return ids
@@ -44,15 +44,15 @@
 			cfg := testConfig()
 			cfg.DiscoveryAddress = a.Address()
 			cfg.InitialEndpoints = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
-			r := startProxy(t, cfg, nil)
+			h := startProxy(t, cfg, nil)
 			for _, want := range []string{"[old in_service]", "[x in_service y in_service]", "[x draining]", "[z in_service]"} {
-				if got := fmt.Sprint(r.nextEndpoints()); got != want {
+				if got := fmt.Sprint(h.nextEndpoints()); got != want {
 					t.Fatalf("the decision module got %s, want %s", got, want)
 				}
 			}
-			r.onLoop(func() {
-				if len(r.proxy.endpoints.byID) != 1 || r.proxy.endpoints.byID["z"].state != policy.InService {
-					t.Errorf("endpoints: %+v", r.proxy.endpoints.byID)
+			h.onLoop(func() {
+				if len(h.proxy.endpoints.byID) != 1 || h.proxy.endpoints.byID["z"].state != policy.InService {
+					t.Errorf("endpoints: %+v", h.proxy.endpoints.byID)
 				}
 			})
 			for _, want := range []string{"?watch=1&after=4", "?watch=1&after=5", "", "?watch=1&after=8"} {
@@ -77,16 +77,16 @@
 	})
 	cfg := testConfig()
 	cfg.DiscoveryAddress = from.Address()
-	r := startProxy(t, cfg, nil)
-	r.nextEndpoints()
-	if got := fmt.Sprint(r.nextEndpoints()); got != "[x in_service]" {
+	h := startProxy(t, cfg, nil)
+	h.nextEndpoints()
+	if got := fmt.Sprint(h.nextEndpoints()); got != "[x in_service]" {
 		t.Fatalf("the first address listed %s", got)
 	}
 	cfg.DiscoveryAddress = to.Address()
 	cfg.InitialEndpoints = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
-	r.reloads <- cfg
+	h.reloads <- cfg
 	for _, want := range []string{"[y in_service]", "[v in_service]"} {
-		if got := fmt.Sprint(r.nextEndpoints()); got != want {
+		if got := fmt.Sprint(h.nextEndpoints()); got != want {
 			t.Errorf("the decision module got %s, want %s", got, want)
 		}
 	}
@@ -98,17 +98,17 @@
 // TestEndpointStartTimesAfterWallClockStep guards the way from the list of the discovery client to the decision module.
 func TestEndpointStartTimesAfterWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3600, 3600} {
-		r := startProxy(t, testConfig(), nil)
-		receive(t, r.decider.lists)
+		h := startProxy(t, testConfig(), nil)
+		receive(t, h.decider.lists)
 		now, at := 0.0, 0.0
-		r.onLoop(func() {
-			wall := r.proxy.wallClock
-			r.proxy.wallClock = func() float64 { return wall() + step }
-			now = r.proxy.clock.Now()
+		h.onLoop(func() {
+			wall := h.proxy.wallClock
+			h.proxy.wallClock = func() float64 { return wall() + step }
+			now = h.proxy.clock.Now()
 			at = wall() + step // a start before the step has the old time
-			r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: discovery.StateInService, StartedMS: int64(at * 1000)}}})
+			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: discovery.StateInService, StartedMS: int64(at * 1000)}}})
 		})
-		if got := receive(t, r.decider.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
+		if got := receive(t, h.decider.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
 			t.Errorf("step of %v: a start of now is taken for %.1f s from now", step, got-now)
 		}
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// acceptGrace is how long after the signal new connections are taken. They come for up to 0.4 s after a
+	// acceptGrace is how long after the signal new connections are accepted. They come for up to 0.4 s after a
 	// planned restart was announced, and what is lost from 0.7 s on counts: the listener closes between the two.
 	acceptGrace = 500 * time.Millisecond
 	// SIGKILL may follow killDelay after the longest timeout, which counts as maxKillTimeout where it is longer.
@@ -19,7 +19,7 @@
 
 // drainState is the progress of a graceful shutdown. The event loop owns it.
 type drainState struct {
-	acceptGrace time.Duration // how long after the signal new connections are taken
+	acceptGrace time.Duration // how long after the signal new connections are accepted
 	timeout     time.Duration // after which all requests have their reply at the latest
 
 	started       bool // connections close between requests
@@ -51,7 +51,7 @@
 	return p.drain.started && p.drain.acceptorEnded && p.clients.open() == 0
 }
 
-// stopAccepting ends the time in which new connections are taken. From here on all that is open has time until
+// stopAccepting ends the time in which new connections are accepted. From here on all that is open has time until
 // endDrain: clients go on sending on connections that stay open.
 func (p *Proxy) stopAccepting() {
 	p.drain.started = true
@@ -77,6 +77,6 @@
 		for c := range p.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		p.drain.acceptorEnded = true // else its place is taken, and SIGKILL comes
+		p.drain.acceptorEnded = true // it may wait for a free slot until SIGKILL comes
 	})
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -11,49 +11,49 @@
 // TestQueuedEventsRunBeforeTimers guards against timers that overtake what has come during a stall of the process: an
 // attempt that has its reply would time out, and an attempt would be sent to an endpoint that is known to be draining.
 func TestQueuedEventsRunBeforeTimers(t *testing.T) {
-	r, c, b, _ := startWithAttempt(t)
-	r.eventually("it is in flight", func() bool { return r.proxy.requests.byID["a"].attempts[0].conn != nil })
+	h, c, b, _ := startWithAttempt(t)
+	h.eventually("it is in flight", func() bool { return h.proxy.requests.byID["a"].attempts[0].conn != nil })
 	waiting, arrived := make(chan struct{}), make(chan struct{})
-	r.onLoop(func() {
-		a := r.proxy.requests.byID["a"].attempts[0]
-		r.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
+	h.onLoop(func() {
+		a := h.proxy.requests.byID["a"].attempts[0]
+		h.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
 			close(waiting)
 			<-arrived
-			for !r.queued(1)() {
+			for !h.queued(1)() {
 				time.Sleep(time.Millisecond)
 			}
 		})
-		r.proxy.loop.After(0, func() { r.proxy.attempts.expire(a) })
+		h.proxy.loop.After(0, func() { h.proxy.attempts.expire(a) })
 	})
 	receive(t, waiting)
 	b.write(valueReply)
 	close(arrived)
-	r.wantOutcome(policy.OK)
+	h.wantOutcome(policy.OK)
 	c.wantValue("the reply that had come")
 }
 
 // TestReadersRunBeforeOverdueTimers guards against the same where the reply is still in the socket: no timer of a
 // process that stalled fires before the readers had their turn.
 func TestReadersRunBeforeOverdueTimers(t *testing.T) {
-	r, _, b, _ := startWithAttempt(t)
+	h, _, b, _ := startWithAttempt(t)
 	var a *attempt
-	r.eventually("it is in flight", func() bool { a = r.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
+	h.eventually("it is in flight", func() bool { a = h.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
 	a.conn.writeMu.Lock() // its reader reports the end of the connection once it has this
 	b.mustClose()
-	r.eventually("the reader waits", a.conn.unusable.Load)
-	r.onLoop(func() {
+	h.eventually("the reader waits", a.conn.unusable.Load)
+	h.onLoop(func() {
 		turns := 0
-		r.proxy.loop.YieldToReaders = func() {
+		h.proxy.loop.YieldToReaders = func() {
 			if turns++; turns == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); turns == 2 && r.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); turns == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		r.proxy.loop.After(-1, func() { r.proxy.attempts.expire(a) }) // long overdue
+		h.proxy.loop.After(-1, func() { h.proxy.attempts.expire(a) }) // long overdue
 	})
-	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
+	if o := receive(t, h.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want the end that the reader posts", o)
 	}
 }
@@ -64,28 +64,28 @@
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			r := startProxy(t, testConfig(addr), sendEachRequest(0))
+			h := startProxy(t, testConfig(addr), sendEachRequest(0))
 			var b *testConn
 			if where == "socket" { // a connection that nobody reads
 				conn := mustDial(t, addr)
 				b = receive(t, conns)
-				r.onLoop(func() {
-					r.addIdleConn("s0", conn)
+				h.onLoop(func() {
+					h.addIdleConn("s0", conn)
 				})
 			}
-			c := r.client()
+			c := h.client()
 			c.send(lookCommand("a")...)
 			if where == "queue" {
 				b = receive(t, conns)
 			}
 			b.readCommand()
-			arrived := func() bool { return !r.proxy.requests.byID["a"].attempts[0].conn.awaitingReply.Load() }
+			arrived := func() bool { return !h.proxy.requests.byID["a"].attempts[0].conn.awaitingReply.Load() }
 			if where == "socket" {
-				arrived = func() bool { return !netcalls.NoDataPending(r.proxy.requests.byID["a"].attempts[0].conn.rawConn) }
+				arrived = func() bool { return !netcalls.NoDataPending(h.proxy.requests.byID["a"].attempts[0].conn.rawConn) }
 			}
-			r.whileLoopWaits(func() { b.write(valueReply) }, arrived, func() { r.proxy.Send("a", "s0", 0, 0) })
+			h.whileLoopWaits(func() { b.write(valueReply) }, arrived, func() { h.proxy.Send("a", "s0", 0, 0) })
 			for {
-				o := receive(t, r.decider.outcomes)
+				o := receive(t, h.decider.outcomes)
 				if o.Attempt == 0 {
 					continue
 				}
@@ -107,33 +107,33 @@
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
 	free := make(chan struct{})
-	r := startProxy(t, testConfig(addr, other), func(r *harness) {
-		sendEachRequest(0)(r)
-		r.beforeDial(func(to string) error {
+	h := startProxy(t, testConfig(addr, other), func(h *harness) {
+		sendEachRequest(0)(h)
+		h.beforeDial(func(to string) error {
 			if to == other {
 				<-free
 			}
 			return nil
 		})
 	})
-	c := r.client()
+	c := h.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
 	var first *attempt
-	r.onLoop(func() {
-		first = r.proxy.requests.byID["a"].attempts[0]
-		r.proxy.Send("a", "s1", 0, 0)
+	h.onLoop(func() {
+		first = h.proxy.requests.byID["a"].attempts[0]
+		h.proxy.Send("a", "s1", 0, 0)
 	})
 	first.conn.writeMu.Lock() // its reader posts the end once it has this
 	b.mustClose()
-	r.eventually("the reader waits", first.conn.unusable.Load)
+	h.eventually("the reader waits", first.conn.unusable.Load)
 	close(free)
-	if o := receive(t, r.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
+	if o := receive(t, h.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	first.conn.writeMu.Unlock()
-	r.closePool()
+	h.closePool()
 	if got := receive(t, others).readCommand(); got != nil {
 		t.Errorf("the hedge was sent: %q", got)
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &harness{
+	h := &harness{
 		t: t, proxy: p, decider: newFakeDecider(),
 		ended: make(chan struct{}), terminate: cancel, reloads: make(chan config.Config),
 	}
@@ -176,72 +176,72 @@
 		close(quiet)
 	}
 	if change != nil {
-		change(r)
+		change(h)
 	}
 	go func() {
-		defer close(r.ended)
-		p.serve(ctx, r.reloads, r.decider)
+		defer close(h.ended)
+		p.serve(ctx, h.reloads, h.decider)
 	}()
 	receive(t, quiet)
 	t.Cleanup(func() {
 		cancel()
-		r.onLoop(func() {
+		h.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests.byID = map[string]*request{}
 			p.drain.started, p.drain.acceptorEnded = true, true
 		})
-		<-r.ended
+		<-h.ended
 	})
-	return r
+	return h
 }
 
 // onLoop runs f on the event loop and waits for it.
-func (r *harness) onLoop(f func()) {
+func (h *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	r.proxy.loop.Post(0, func() { defer close(done); f() })
+	h.proxy.loop.Post(0, func() { defer close(done); f() })
 	select {
 	case <-done:
-	case <-r.ended:
+	case <-h.ended:
 	}
 }
 
 // eventually waits for what comes to hold on the event loop without the test's doing.
-func (r *harness) eventually(what string, holds func() bool) {
-	r.t.Helper()
+func (h *harness) eventually(what string, holds func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		ok := false
-		if r.onLoop(func() { ok = holds() }); ok {
+		if h.onLoop(func() { ok = holds() }); ok {
 			return
 		}
 	}
-	r.t.Fatal("never came to: " + what)
+	h.t.Fatal("never came to: " + what)
 }
 
 // whileLoopWaits has the event loop wait while meanwhile runs, and then until holds. What comes meanwhile is not
 // handled before then has run on the event loop.
-func (r *harness) whileLoopWaits(meanwhile func(), holds func() bool, then func()) {
-	r.t.Helper()
+func (h *harness) whileLoopWaits(meanwhile func(), holds func() bool, then func()) {
+	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	held := false
-	r.proxy.loop.Post(0, func() {
+	h.proxy.loop.Post(0, func() {
 		defer close(done)
 		close(waiting)
 		<-resume
 		held = waitFor(holds)
 		then()
 	})
-	receive(r.t, waiting)
+	receive(h.t, waiting)
 	meanwhile()
 	close(resume)
 	<-done // nothing else is posted before
 	if !held {
-		r.t.Fatal("what was to come while the event loop waited has not come")
+		h.t.Fatal("what was to come while the event loop waited has not come")
 	}
 }
 
 // queued reports whether n events wait in the queue; on the event loop.
-func (r *harness) queued(n int) func() bool {
-	return func() bool { return r.proxy.loop.QueuedEvents() >= n }
+func (h *harness) queued(n int) func() bool {
+	return func() bool { return h.proxy.loop.QueuedEvents() >= n }
 }
 
 // waitFor waits until something holds, and reports whether it came to.
@@ -255,28 +255,28 @@
 }
 
 // client connects a client to the proxy.
-func (r *harness) client() *testConn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.proxy.listener.Addr().String())
+func (h *harness) client() *testConn {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.proxy.listener.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return newTestConn(r.t, c)
+	return newTestConn(h.t, c)
 }
 
 // addIdleConn puts a connection without a reader into the pool of an endpoint; on the event loop.
-func (r *harness) addIdleConn(endpointID string, conn net.Conn) *backendConn {
-	r.t.Helper()
-	e := r.proxy.endpoints.byID[endpointID]
+func (h *harness) addIdleConn(endpointID string, conn net.Conn) *backendConn {
+	h.t.Helper()
+	e := h.proxy.endpoints.byID[endpointID]
 	c := &backendConn{
-		services: &r.proxy.services, set: &r.proxy.endpoints, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: r.proxy.loop.Now(),
+		services: &h.proxy.services, set: &h.proxy.endpoints, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: h.proxy.loop.Now(),
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
-		r.t.Error(err)
+		h.t.Error(err)
 	}
 	e.idle = append(e.idle, c)
-	r.proxy.endpoints.openConns++
+	h.proxy.endpoints.openConns++
 	return c
 }
 
@@ -298,28 +298,28 @@
 
 // sendEachRequest has the decision module send each request to s0.
 func sendEachRequest(timeout policy.Seconds) func(*harness) {
-	return func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", timeout, 0) }
+	return func(h *harness) {
+		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", timeout, 0) }
 	}
 }
 
 // rejectEachRequest has the decision module reject each request, so that the reply shows that it was asked.
-func rejectEachRequest(r *harness) {
-	r.decider.onRequest = func(q policy.Request) { r.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
+func rejectEachRequest(h *harness) {
+	h.decider.onRequest = func(q policy.Request) { h.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
 
 // holdDials has dials wait until free is closed.
-func (r *harness) holdDials(free <-chan struct{}) {
-	r.beforeDial(func(string) error {
+func (h *harness) holdDials(free <-chan struct{}) {
+	h.beforeDial(func(string) error {
 		<-free
 		return nil
 	})
 }
 
 // beforeDial has a function run before each dial to an address, and fail it with its error.
-func (r *harness) beforeDial(run func(addr string) error) {
-	dial := r.proxy.endpoints.dial
-	r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+func (h *harness) beforeDial(run func(addr string) error) {
+	dial := h.proxy.endpoints.dial
+	h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 		if err := run(addr); err != nil {
 			return nil, err
 		}
@@ -329,15 +329,15 @@
 
 // startWithAttempt starts a proxy with one endpoint to which a client's request a was sent. It returns the client's
 // connection and that of the endpoint, on which the command was read, and further connections of the endpoint.
-func startWithAttempt(t *testing.T) (r *harness, c, b *testConn, conns chan *testConn) {
+func startWithAttempt(t *testing.T) (h *harness, c, b *testConn, conns chan *testConn) {
 	t.Helper()
 	addr, conns := listenEndpoint(t)
-	r = startProxy(t, testConfig(addr), sendEachRequest(0))
-	c = r.client()
+	h = startProxy(t, testConfig(addr), sendEachRequest(0))
+	c = h.client()
 	c.send(lookCommand("a")...)
 	b = receive(t, conns)
 	b.readCommand()
-	return r, c, b, conns
+	return h, c, b, conns
 }
 
 // smallBuffer is a size of socket buffers in bytes that holds only a part of a large command.
@@ -354,10 +354,10 @@
 		})
 		return errors.Join(err, failed)
 	}})
-	return listener, startProxy(t, testConfig(listener.Addr().String()), func(r *harness) {
-		sendEachRequest(0)(r)
-		dial := r.proxy.endpoints.dial
-		r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+	return listener, startProxy(t, testConfig(listener.Addr().String()), func(h *harness) {
+		sendEachRequest(0)(h)
+		dial := h.proxy.endpoints.dial
+		h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 			conn, err := dial(addr)
 			if err == nil {
 				err = conn.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(smallBuffer)
@@ -365,85 +365,85 @@
 			return conn, err
 		}
 		if change != nil {
-			change(r)
+			change(h)
 		}
 	})
 }
 
 // openRequest sends a request, and waits until the decision module has it.
-func (r *harness) openRequest(c *testConn, id string) {
-	r.t.Helper()
+func (h *harness) openRequest(c *testConn, id string) {
+	h.t.Helper()
 	c.send(lookCommand(id)...)
-	receive(r.t, r.decider.requests)
+	receive(h.t, h.decider.requests)
 }
 
 // changeEndpoint applies a changed entry of the endpoint list; on the event loop.
-func (r *harness) changeEndpoint(id string, change func(*discovery.Endpoint)) {
-	entry := r.proxy.endpoints.byID[id].Endpoint
+func (h *harness) changeEndpoint(id string, change func(*discovery.Endpoint)) {
+	entry := h.proxy.endpoints.byID[id].Endpoint
 	change(&entry)
-	r.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
+	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
 
 // expireIdleClients closes the connections of idle clients, as after their timeout; on the event loop.
-func (r *harness) expireIdleClients() {
-	r.proxy.loop.AdvanceTo(r.proxy.loop.Now() + clientIdleTimeout + 1)
-	r.proxy.clients.sweep()
+func (h *harness) expireIdleClients() {
+	h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + clientIdleTimeout + 1)
+	h.proxy.clients.sweep()
 }
 
 // evictIdleClient closes the connection of the only client to make room, if it is idle; on the event loop.
-func (r *harness) evictIdleClient() {
-	r.proxy.clients.limit = 1
-	r.proxy.clients.makeRoom(nil)
+func (h *harness) evictIdleClient() {
+	h.proxy.clients.limit = 1
+	h.proxy.clients.makeRoom(nil)
 }
 
 // closePool closes the idle connections of all endpoints.
-func (r *harness) closePool() {
-	r.onLoop(func() { r.proxy.applyList(discovery.List{Full: true}) })
+func (h *harness) closePool() {
+	h.onLoop(func() { h.proxy.applyList(discovery.List{Full: true}) })
 }
 
 // wantNoCommand holds that nothing was sent on a connection of an endpoint, which is closed with the pool.
-func (r *harness) wantNoCommand(b *testConn) {
-	r.t.Helper()
-	r.closePool()
+func (h *harness) wantNoCommand(b *testConn) {
+	h.t.Helper()
+	h.closePool()
 	b.wantNoCommand()
 }
 
 // wantOutcome holds that the next attempt to end has a status.
-func (r *harness) wantOutcome(want policy.AttemptStatus) {
-	r.t.Helper()
-	if o := receive(r.t, r.decider.outcomes); o.Status != want {
-		r.t.Errorf("got %+v, want status %v", o, want)
+func (h *harness) wantOutcome(want policy.AttemptStatus) {
+	h.t.Helper()
+	if o := receive(h.t, h.decider.outcomes); o.Status != want {
+		h.t.Errorf("got %+v, want status %v", o, want)
 	}
 }
 
 // wantFinalOutcome holds that the next attempt to end has a status, and its request a final reply or no client.
-func (r *harness) wantFinalOutcome(want policy.AttemptStatus) {
-	r.t.Helper()
-	if o := receive(r.t, r.decider.outcomes); o.Status != want || !o.RequestDone {
-		r.t.Errorf("got %+v, want status %v and a settled request", o, want)
+func (h *harness) wantFinalOutcome(want policy.AttemptStatus) {
+	h.t.Helper()
+	if o := receive(h.t, h.decider.outcomes); o.Status != want || !o.RequestDone {
+		h.t.Errorf("got %+v, want status %v and a settled request", o, want)
 	}
 }
 
 // wantNotSent holds that the next attempt to end was not sent, and that nothing was sent on a connection of its
 // endpoint.
-func (r *harness) wantNotSent(b *testConn) {
-	r.t.Helper()
-	r.wantOutcome(policy.NotSent)
-	r.wantNoCommand(b)
+func (h *harness) wantNotSent(b *testConn) {
+	h.t.Helper()
+	h.wantOutcome(policy.NotSent)
+	h.wantNoCommand(b)
 }
 
 // awaitPartialWrite waits until the socket has taken a part of the command of a request's first attempt.
-func (r *harness) awaitPartialWrite(id string) {
-	r.t.Helper()
-	r.eventually("a part is written", func() bool {
-		a := r.proxy.requests.byID[id].attempts[0]
+func (h *harness) awaitPartialWrite(id string) {
+	h.t.Helper()
+	h.eventually("a part is written", func() bool {
+		a := h.proxy.requests.byID[id].attempts[0]
 		return a.conn != nil && !a.conn.commandWritten.Load()
 	})
 }
 
 // onlyClient is the connection of the only client, nil if there is none; on the event loop.
-func (r *harness) onlyClient() (c *clientConn) {
-	for c = range r.proxy.clients.conns {
+func (h *harness) onlyClient() (c *clientConn) {
+	for c = range h.proxy.clients.conns {
 	}
 	return c
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -16,8 +16,8 @@
 	all, allAddress := listenUDP(t)
 	cfg := peerConfig(friendAddress)
 	cfg.BroadcastAddress = allAddress
-	r := startProxy(t, cfg, nil)
-	here := r.proxy.peers.LocalAddr()
+	h := startProxy(t, cfg, nil)
+	here := h.proxy.peers.LocalAddr()
 	send := func(from *net.UDPConn, data []byte) {
 		t.Helper()
 		if _, err := from.WriteToUDPAddrPort(data, here); err != nil {
@@ -27,14 +27,14 @@
 	send(stranger, []byte("spoof"))
 	send(friend, bytes.Repeat([]byte("x"), peerlink.MaxDatagramSize+1))
 	send(friend, []byte("hello"))
-	if m := receive(t, r.decider.messages); m != (peerMessage{1, "hello"}) {
+	if m := receive(t, h.decider.messages); m != (peerMessage{1, "hello"}) {
 		t.Errorf("got %+v", m)
 	}
-	r.onLoop(func() {
-		r.proxy.SendToPeer(1, make([]byte, peerlink.MaxDatagramSize+1))
-		r.proxy.SendToPeer(9, []byte("none"))
-		r.proxy.SendToPeer(1, []byte("one"))
-		r.proxy.SendToPeer(policy.Broadcast, []byte("all"))
+	h.onLoop(func() {
+		h.proxy.SendToPeer(1, make([]byte, peerlink.MaxDatagramSize+1))
+		h.proxy.SendToPeer(9, []byte("none"))
+		h.proxy.SendToPeer(1, []byte("one"))
+		h.proxy.SendToPeer(policy.Broadcast, []byte("all"))
 	})
 	buf := make([]byte, 512)
 	for c, want := range map[*net.UDPConn]string{friend: "one", all: "all"} {
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -8,9 +8,9 @@
 )
 
 // logged records the log of a proxy at debug level.
-func logged(r *harness) *lockedBuffer {
+func logged(h *harness) *lockedBuffer {
 	log := &lockedBuffer{}
-	r.proxy.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	h.proxy.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	return log
 }
 
@@ -45,11 +45,11 @@
 func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		sendEachRequest(0)(r)
-		log = logged(r)
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		sendEachRequest(0)(h)
+		log = logged(h)
 	})
-	left := r.client()
+	left := h.client()
 	left.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
@@ -58,13 +58,13 @@
 	_ = b.Close()
 	log.line(t, "level=INFO", "backend connection closed", "endpoint=s0", "reason=peer_closed", "id=a")
 
-	idle := r.client()
+	idle := h.client()
 	idle.mustPing()
-	r.onLoop(r.expireIdleClients)
+	h.onLoop(h.expireIdleClients)
 	log.line(t, "level=DEBUG", "client connection closed", "connection=2", "reason=idle_timeout")
 
-	rejectEachRequest(r)
-	refused := r.client()
+	rejectEachRequest(h)
+	refused := h.client()
 	refused.send(lookCommand("b")...)
 	refused.readLine()
 	log.line(t, "request completed", "id=b", "reply=BUS", "reason=quota_exceeded")
@@ -75,8 +75,8 @@
 	_ = refused.Close()
 	log.line(t, "client connection closed", "connection=3", "reason=protocol_error")
 
-	r.onLoop(func() { r.proxy.drain.timedOut = true })
-	late := r.client()
+	h.onLoop(func() { h.proxy.drain.timedOut = true })
+	late := h.client()
 	late.send(lookCommand("c")...)
 	late.readLine()
 	log.line(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -82,7 +82,7 @@
 
 // open registers a request and gives it its place among the replies of its connection.
 func (t *requestTable) open(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
-	c.overLimit, c.hasSpoken = false, true
+	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
 		Request: parsed, client: c, slot: &pipelineSlot{},
 		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Wait,
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -9,14 +9,14 @@
 // TestDecisionModulePanicFailsRequest guards against a request that waits for ever: a panic in the decision module
 // fails one request, and where the decision module never decides, the proxy replies.
 func TestDecisionModulePanicFailsRequest(t *testing.T) {
-	r := startProxy(t, testConfig("127.0.0.1:1"), func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) {
+	h := startProxy(t, testConfig("127.0.0.1:1"), func(h *harness) {
+		h.decider.onRequest = func(q policy.Request) {
 			if q.ID == "boom" {
 				panic("broken")
 			}
 		}
 	})
-	c := r.client()
+	c := h.client()
 	c.send(lookCommand("boom")...)
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("after a panic: %q", got)
@@ -25,7 +25,7 @@
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("at the deadline: %q", got)
 	}
-	if id := receive(t, r.decider.gone); id != "mute" {
+	if id := receive(t, h.decider.gone); id != "mute" {
 		t.Errorf("gone: %q", id)
 	}
 }
@@ -34,25 +34,25 @@
 // gets its reply at its deadline.
 func TestDecisionModulePanicOnOutcome(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		sendEachRequest(0)(r)
-		r.decider.onOutcome = func(policy.Outcome) { panic("broken") }
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		sendEachRequest(0)(h)
+		h.decider.onOutcome = func(policy.Outcome) { panic("broken") }
 	})
-	c := r.client()
+	c := h.client()
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=200,units=2,spread=2,first=1")
 	b := receive(t, conns)
 	b.readCommand()
 	b.write("-ERR failed\r\n")
-	receive(t, r.decider.outcomes)
+	receive(t, h.decider.outcomes)
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("got %q", got)
 	}
-	if id := receive(t, r.decider.gone); id != "a" {
+	if id := receive(t, h.decider.gone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
-	r.onLoop(func() {
-		if len(r.proxy.requests.byID) != 0 {
-			t.Errorf("%d requests are kept", len(r.proxy.requests.byID))
+	h.onLoop(func() {
+		if len(h.proxy.requests.byID) != 0 {
+			t.Errorf("%d requests are kept", len(h.proxy.requests.byID))
 		}
 	})
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -12,16 +12,16 @@
 // TestReadCommandIsServedBeforeClose guards against requests that are lost as their connection is closed between
 // commands: the command has been read, and waits in the event queue while the event loop takes the connection for idle.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
-	for name, end := range map[string]func(r *harness){
-		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
+	for name, end := range map[string]func(h *harness){
+		"shutdown": func(h *harness) { h.proxy.stopAccepting() },
 		"idle":     (*harness).expireIdleClients,
 		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
-			c := r.client()
+			h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+			c := h.client()
 			c.mustPing()
-			r.whileLoopWaits(func() { c.send(lookCommand("a")...) }, r.queued(1), func() { end(r) })
+			h.whileLoopWaits(func() { c.send(lookCommand("a")...) }, h.queued(1), func() { end(h) })
 			c.wantLines("-BUSY 500")
 			if name == "shutdown" {
 				c.wantLines("")
@@ -33,41 +33,41 @@
 		})
 	}
 	t.Run("behind a reply in a graceful shutdown", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), nil)
-		c := r.client()
-		r.openRequest(c, "a")
-		r.onLoop(r.proxy.stopAccepting)
-		rejectEachRequest(r)
-		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() { r.proxy.Fail("a", policy.DeadlineTooClose) })
+		h := startProxy(t, testConfig(unreachableAgent), nil)
+		c := h.client()
+		h.openRequest(c, "a")
+		h.onLoop(h.proxy.stopAccepting)
+		rejectEachRequest(h)
+		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 		c.wantLines("-ERR failed", "-BUSY 500", "")
 	})
 	t.Run("at the end of a graceful shutdown", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), nil)
-		c := r.client()
-		r.openRequest(c, "a")
-		r.whileLoopWaits(func() { c.send(lookCommand("b")...) }, r.queued(1), func() {
-			r.proxy.stopAccepting()
-			r.proxy.endDrain()
+		h := startProxy(t, testConfig(unreachableAgent), nil)
+		c := h.client()
+		h.openRequest(c, "a")
+		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() {
+			h.proxy.stopAccepting()
+			h.proxy.endDrain()
 		})
 		c.wantLines("-ERR failed", "-BUSY 1000", "")
-		receive(t, r.ended)
+		receive(t, h.ended)
 	})
 }
 
 // TestPartialCommandIsServedBeforeClose guards against a connection that is closed under half a command: it was read,
 // and the rest may come.
 func TestPartialCommandIsServedBeforeClose(t *testing.T) {
-	r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-		rejectEachRequest(r)
-		r.proxy.clients.commandTimeout = time.Hour
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		rejectEachRequest(h)
+		h.proxy.clients.commandTimeout = time.Hour
 	})
-	c := r.client()
+	c := h.client()
 	c.mustPing()
 	all := encodeCommand(lookCommand("a")...)
 	c.write(all[:20])
-	r.eventually("half of it is read", func() bool { return netcalls.NoDataPending(r.onlyClient().rawConn) })
-	r.onLoop(r.proxy.stopAccepting)
-	r.eventually("the reader goes on", func() bool { return r.onlyClient() == nil || !r.onlyClient().closeRequested })
+	h.eventually("half of it is read", func() bool { return netcalls.NoDataPending(h.onlyClient().rawConn) })
+	h.onLoop(h.proxy.stopAccepting)
+	h.eventually("the reader goes on", func() bool { return h.onlyClient() == nil || !h.onlyClient().closeRequested })
 	c.write(all[20:])
 	c.wantLines("-BUSY 500", "")
 }
@@ -76,26 +76,26 @@
 // that were accepted while the event loop was busy, and those that nobody has accepted yet.
 func TestPendingConnectionsAreAcceptedAtShutdown(t *testing.T) {
 	t.Run("accepted", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+		h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 		var c *testConn
-		r.whileLoopWaits(func() { c = r.client(); c.send(lookCommand("a")...) }, r.queued(2), r.proxy.stopAccepting)
+		h.whileLoopWaits(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.stopAccepting)
 		c.wantLines("-BUSY 500", "")
 	})
 	t.Run("in the backlog", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-			rejectEachRequest(r)
-			r.proxy.clients.places = make(chan struct{}, 1) // as if all descriptors were taken
+		h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+			rejectEachRequest(h)
+			h.proxy.clients.connSlots = make(chan struct{}, 1) // as if all descriptors were taken
 		})
-		first := r.client()
+		first := h.client()
 		first.mustPing()
-		second := r.client()
+		second := h.client()
 		second.send(lookCommand("a")...)
-		r.onLoop(r.proxy.stopAccepting)
+		h.onLoop(h.proxy.stopAccepting)
 		if first.readLine() != "" {
 			t.Error("the idle connection is open")
 		}
 		second.wantLines("-BUSY 500", "")
-		receive(t, r.ended)
+		receive(t, h.ended)
 	})
 }
 
@@ -108,9 +108,9 @@
 			cfg.Settings.Classes[i].Timeout = deadlineS / float64(i+1)
 		}
 		kill := time.Duration(min(deadlineS, 3)*float64(time.Second)) + 700*time.Millisecond
-		r := startProxy(t, cfg, nil)
-		r.onLoop(func() {
-			if d := r.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= r.proxy.drain.acceptGrace {
+		h := startProxy(t, cfg, nil)
+		h.onLoop(func() {
+			if d := h.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= h.proxy.drain.acceptGrace {
 				t.Errorf("deadline of %g s: all ends after %v, SIGKILL comes after %v", deadlineS, d, kill)
 			}
 		})
@@ -120,22 +120,22 @@
 // TestCloseLosesNoReplyInFlight guards against replies that are lost with the reset of a connection, as a command comes
 // at the moment at which it is closed between commands: the sending side alone ends, until the client has closed too.
 func TestCloseLosesNoReplyInFlight(t *testing.T) {
-	for name, end := range map[string]func(r *harness){
-		"shutdown": func(r *harness) { r.proxy.stopAccepting() },
+	for name, end := range map[string]func(h *harness){
+		"shutdown": func(h *harness) { h.proxy.stopAccepting() },
 		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
-			c := r.client()
+			h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+			c := h.client()
 			for i := range 3 {
 				c.send(lookCommand(fmt.Sprint("a", i))...)
-				receive(t, r.decider.requests)
+				receive(t, h.decider.requests)
 			}
-			r.eventually("all have their replies", func() bool { return r.onlyClient() != nil && r.onlyClient().idle() })
-			r.onLoop(func() { end(r) })
-			r.eventually("its end has come", func() bool { return r.proxy.clients.open() == 0 || r.onlyClient().sendingShutDown })
-			r.onLoop(func() {
-				if r.proxy.clients.open() != 1 {
+			h.eventually("all have their replies", func() bool { return h.onlyClient() != nil && h.onlyClient().idle() })
+			h.onLoop(func() { end(h) })
+			h.eventually("its end has come", func() bool { return h.proxy.clients.open() == 0 || h.onlyClient().sendingShutDown })
+			h.onLoop(func() {
+				if h.proxy.clients.open() != 1 {
 					t.Error("the connection is closed under replies that are on their way")
 				}
 			})
@@ -145,11 +145,11 @@
 					t.Errorf("reply %d is %q", i, got)
 				}
 			}
-			if got := c.readLine(); got != "" || len(r.decider.requests) != 0 {
-				t.Errorf("behind them came %q, and %d requests were read", got, len(r.decider.requests))
+			if got := c.readLine(); got != "" || len(h.decider.requests) != 0 {
+				t.Errorf("behind them came %q, and %d requests were read", got, len(h.decider.requests))
 			}
 			c.mustClose()
-			r.eventually("the connection is closed", func() bool { return r.proxy.clients.open() == 0 })
+			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 })
 		})
 	}
 }
@@ -159,42 +159,42 @@
 func TestGracefulShutdown(t *testing.T) {
 	t.Run("with a request in flight", func(t *testing.T) {
 		addr, conns := listenEndpoint(t)
-		r := startProxy(t, testConfig(addr), func(r *harness) {
-			sendEachRequest(0)(r)
-			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
+		h := startProxy(t, testConfig(addr), func(h *harness) {
+			sendEachRequest(0)(h)
+			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
 		})
-		idle, busy := r.client(), r.client()
+		idle, busy := h.client(), h.client()
 		idle.mustPing()
 		busy.send(lookCommand("a")...)
 		b := receive(t, conns)
 		b.readCommand()
-		r.terminate()
-		late := r.client() // the listener is open for longer than connections come
+		h.terminate()
+		late := h.client() // the listener is open for longer than connections come
 		if late.send("PING"); late.readLine() != "+PONG" {
 			t.Fatal("a connection after the signal was not served")
 		}
-		r.onLoop(r.proxy.stopAccepting)
+		h.onLoop(h.proxy.stopAccepting)
 		if idle.readLine() != "" || late.readLine() != "" {
 			t.Error("connections between requests were not closed")
 		}
 		b.write(valueReply)
 		busy.wantValue("the request in flight")
 		busy.wantLines("")
-		receive(t, r.ended)
+		receive(t, h.ended)
 	})
 	t.Run("with nothing open", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-			r.proxy.drain.acceptGrace, r.proxy.drain.timeout = time.Millisecond, time.Hour
+		h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Millisecond, time.Hour
 		})
-		r.terminate()
-		receive(t, r.ended) // by itself, once the time for late connections is over
+		h.terminate()
+		receive(t, h.ended) // by itself, once the time for late connections is over
 	})
 	t.Run("that takes too long", func(t *testing.T) {
-		r := startProxy(t, testConfig(unreachableAgent), nil)
-		c := r.client()
-		r.openRequest(c, "mute")
-		r.onLoop(func() { r.proxy.stopAccepting(); r.proxy.endDrain() })
+		h := startProxy(t, testConfig(unreachableAgent), nil)
+		c := h.client()
+		h.openRequest(c, "mute")
+		h.onLoop(func() { h.proxy.stopAccepting(); h.proxy.endDrain() })
 		c.wantLines("-ERR failed", "")
-		receive(t, r.ended)
+		receive(t, h.ended)
 	})
 }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -134,9 +134,9 @@
 			address, polls := discoverytest.NewManualAgent(t) // silent
 			cfg := testConfig()
 			cfg.DiscoveryAddress, cfg.InitialEndpoints.Endpoints = address, endpoints
-			r := startProxy(t, cfg, func(r *harness) { r.proxy.readyAt = r.proxy.loop.Now() + 3600 })
+			h := startProxy(t, cfg, func(h *harness) { h.proxy.readyAt = h.proxy.loop.Now() + 3600 })
 			receive(t, polls)
-			c := r.client()
+			c := h.client()
 			want := "-LOADING no backends known yet"
 			if name == "a usable list" {
 				want = "+PONG"
@@ -146,14 +146,14 @@
 					t.Errorf("at the start: got %q, want %q", got, want)
 				}
 			}
-			r.onLoop(func() { r.proxy.readyAt = r.proxy.loop.Now() })
+			h.onLoop(func() { h.proxy.readyAt = h.proxy.loop.Now() })
 			c.send("PING")
 			if got := c.readLine(); got != "+PONG" {
 				t.Errorf("a moment later: got %q", got)
 			}
-			r.openRequest(c, "a")
-			r.onLoop(func() {
-				r.proxy.requests.reply(r.proxy.requests.byID["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded)
+			h.openRequest(c, "a")
+			h.onLoop(func() {
+				h.proxy.requests.reply(h.proxy.requests.byID["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded)
 			})
 			if got := c.readLine(); got != "-BUSY" {
 				t.Errorf("a request got %q", got)
@@ -236,6 +236,6 @@
 func (messageRecorder) HealthCheck(string)                    {}
 func (messageRecorder) Log(string)                            {}
 
-func (r messageRecorder) SendToPeer(to int, data []byte) {
-	r.gateway.sent = append(r.gateway.sent, sentMessage{to, append([]byte(nil), data...)})
+func (m messageRecorder) SendToPeer(to int, data []byte) {
+	m.gateway.sent = append(m.gateway.sent, sentMessage{to, append([]byte(nil), data...)})
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -11,7 +11,7 @@
 }
 
 // isReady implements gatewayStatus. While discovery is down and the list that the gateway was started with names no
-// endpoint in service, it is ready all the same after a moment: it replies to what comes, and has its place when
+// endpoint in service, it is ready all the same after a moment: it replies to what comes, and serves once
 // discovery is back.
 func (p *Proxy) isReady() bool {
 	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -80,10 +80,10 @@
 }
 
 // quickly makes the pauses before a call is made again short, so that tests need not wait.
-func quickly(r *harness) { r.proxy.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
+func quickly(h *harness) { h.proxy.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) } }
 
 // serve has an endpoint reply to each command with a value.
-func (r *harness) serve(conns chan *testConn) {
+func (h *harness) serve(conns chan *testConn) {
 	go func() {
 		for b := range conns {
 			go func() {
@@ -95,7 +95,7 @@
 	}()
 }
 
-// TestAcceptErrorsAreRetried guards against a listener that is lost, or a place for a connection, as accept fails for a
+// TestAcceptErrorsAreRetried guards against a listener that is lost, or a slot for a connection, as accept fails for a
 // moment.
 func TestAcceptErrorsAreRetried(t *testing.T) {
 	for _, number := range []syscall.Errno{
@@ -104,11 +104,11 @@
 	} {
 		t.Run(number.Error(), func(t *testing.T) {
 			fault := failing(3, number, "accept")
-			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) {
-				quickly(r)
-				rejectEachRequest(r)
-				accept := r.proxy.calls.Accept
-				r.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
+			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+				quickly(h)
+				rejectEachRequest(h)
+				accept := h.proxy.calls.Accept
+				h.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
@@ -116,14 +116,14 @@
 				}
 			})
 			for i := range 3 {
-				c := r.client()
+				c := h.client()
 				c.send(lookCommand(fmt.Sprint("a", i))...)
 				if got := c.readLine(); got != "-BUSY 500" {
 					t.Errorf("got %q", got)
 				}
 				_ = c.Close()
 			}
-			r.eventually("no place is left behind", func() bool { return r.proxy.clients.open() == 0 && len(r.proxy.clients.places) == 1 })
+			h.eventually("all slots are free but the next one", func() bool { return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1 })
 		})
 	}
 }
@@ -188,23 +188,23 @@
 		t.Run(fmt.Sprint(tc.number, " ", tc.times), func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
 			fault := failing(tc.times, tc.number, "connect")
-			r := startProxy(t, testConfig(addr), func(r *harness) {
-				quickly(r)
-				sendEachRequest(0)(r)
-				r.beforeDial(func(string) error { return fault.next() })
+			h := startProxy(t, testConfig(addr), func(h *harness) {
+				quickly(h)
+				sendEachRequest(0)(h)
+				h.beforeDial(func(string) error { return fault.next() })
 				if tc.times > 3 {
-					r.proxy.endpoints.localFaultRetry = time.Millisecond
+					h.proxy.endpoints.localFaultRetry = time.Millisecond
 				} else {
-					r.proxy.endpoints.localFaultRetry = patience
+					h.proxy.endpoints.localFaultRetry = patience
 				}
 			})
-			r.serve(conns)
-			c := r.client()
+			h.serve(conns)
+			c := h.client()
 			c.send(lookCommand("a")...)
-			r.wantOutcome(tc.want)
-			r.onLoop(func() {
-				if be := r.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || r.proxy.endpoints.openConns != len(be.idle) {
-					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), r.proxy.endpoints.openConns)
+			h.wantOutcome(tc.want)
+			h.onLoop(func() {
+				if be := h.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || h.proxy.endpoints.openConns != len(be.idle) {
+					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), h.proxy.endpoints.openConns)
 				}
 			})
 		})
@@ -219,16 +219,16 @@
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
 			t.Run(fmt.Sprint(number, " ", partSize), func(t *testing.T) {
 				addr, conns := listenEndpoint(t)
-				r := startProxy(t, testConfig(addr), func(r *harness) {
-					quickly(r)
-					sendEachRequest(0)(r)
-					failReadsAndWrites(r, number, partSize)
+				h := startProxy(t, testConfig(addr), func(h *harness) {
+					quickly(h)
+					sendEachRequest(0)(h)
+					failReadsAndWrites(h, number, partSize)
 				})
-				r.serve(conns)
-				c := r.client()
+				h.serve(conns)
+				c := h.client()
 				for i := range 3 {
 					c.send(lookCommand(fmt.Sprint("a", i))...)
-					if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
+					if o := receive(t, h.decider.outcomes); o.Status != policy.OK {
 						t.Fatalf("got %+v", o)
 					}
 					c.wantValue("it")
@@ -240,13 +240,13 @@
 
 // failReadsAndWrites has the first reads and writes of each connection fail, and every other write of the loop, and
 // makes all of them in parts of a size; 0: whole.
-func failReadsAndWrites(r *harness, number syscall.Errno, partSize int) {
+func failReadsAndWrites(h *harness, number syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, failing(5, number, "read"), failing(5, number, "write"), partSize}
 	}
-	wrapConns(r, faulty)
+	wrapConns(h, faulty)
 	var calls atomic.Int32
-	r.proxy.calls.Write = func(fd int, b []byte) (int, error) {
+	h.proxy.calls.Write = func(fd int, b []byte) (int, error) {
 		if calls.Add(1)%2 == 1 {
 			return -1, number
 		}
@@ -258,14 +258,14 @@
 }
 
 // wrapConns replaces each client connection, and each backend connection, by another one on top of it.
-func wrapConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
-	wrapClientConns(r, wrap)
-	wrapBackendConns(r, wrap)
+func wrapConns(h *harness, wrap func(netcalls.Conn) netcalls.Conn) {
+	wrapClientConns(h, wrap)
+	wrapBackendConns(h, wrap)
 }
 
-func wrapClientConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
-	accept := r.proxy.calls.Accept
-	r.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
+func wrapClientConns(h *harness, wrap func(netcalls.Conn) netcalls.Conn) {
+	accept := h.proxy.calls.Accept
+	h.proxy.calls.Accept = func(l *net.TCPListener) (netcalls.Conn, error) {
 		conn, err := accept(l)
 		if err != nil {
 			return nil, err
@@ -274,9 +274,9 @@
 	}
 }
 
-func wrapBackendConns(r *harness, wrap func(netcalls.Conn) netcalls.Conn) {
-	dial := r.proxy.endpoints.dial
-	r.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+func wrapBackendConns(h *harness, wrap func(netcalls.Conn) netcalls.Conn) {
+	dial := h.proxy.endpoints.dial
+	h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, err
@@ -293,27 +293,27 @@
 			return &afterRead{conn, failing(1, number, "read").err}
 		}
 		t.Run("client, "+number.Error(), func(t *testing.T) {
-			r := startProxy(t, testConfig(unreachableAgent), func(r *harness) { wrapClientConns(r, failAfterRead) })
-			r.client().send(lookCommand("a")...)
-			if id := receive(t, r.decider.gone); id != "a" {
+			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { wrapClientConns(h, failAfterRead) })
+			h.client().send(lookCommand("a")...)
+			if id := receive(t, h.decider.gone); id != "a" {
 				t.Errorf("gone: %q", id)
 			}
-			r.eventually("nothing is left", func() bool {
-				return r.proxy.clients.open() == 0 && len(r.proxy.requests.byID) == 0 && len(r.proxy.clients.places) == 1
+			h.eventually("nothing is left", func() bool {
+				return h.proxy.clients.open() == 0 && len(h.proxy.requests.byID) == 0 && len(h.proxy.clients.connSlots) == 1
 			})
 		})
 		t.Run("endpoint, "+number.Error(), func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			r := startProxy(t, testConfig(addr), func(r *harness) {
-				sendEachRequest(0)(r)
-				wrapBackendConns(r, failAfterRead)
+			h := startProxy(t, testConfig(addr), func(h *harness) {
+				sendEachRequest(0)(h)
+				wrapBackendConns(h, failAfterRead)
 			})
-			r.client().send(lookCommand("a")...)
+			h.client().send(lookCommand("a")...)
 			b := receive(t, conns)
 			b.readCommand()
 			_, _ = io.WriteString(b, "*3\r\n")
-			r.wantOutcome(policy.Reset)
-			r.eventually("nothing is left", func() bool { return r.proxy.endpoints.openConns == 0 })
+			h.wantOutcome(policy.Reset)
+			h.eventually("nothing is left", func() bool { return h.proxy.endpoints.openConns == 0 })
 		})
 	}
 }
@@ -341,20 +341,20 @@
 		t.Run(number.Error(), func(t *testing.T) {
 			peer, address := listenUDP(t)
 			var sleeps atomic.Int32
-			r := startProxy(t, peerConfig(address), func(r *harness) {
-				failDatagrams(r, number)
-				r.proxy.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
+			h := startProxy(t, peerConfig(address), func(h *harness) {
+				failDatagrams(h, number)
+				h.proxy.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
 			})
-			r.onLoop(func() { r.proxy.SendToPeer(1, []byte("lost")); r.proxy.SendToPeer(1, []byte("there")) })
+			h.onLoop(func() { h.proxy.SendToPeer(1, []byte("lost")); h.proxy.SendToPeer(1, []byte("there")) })
 			buf := make([]byte, peerlink.MaxDatagramSize)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
 				t.Errorf("the peer got %q, %v", buf[:n], err)
 			}
-			if _, err := peer.WriteToUDPAddrPort([]byte("back"), r.proxy.peers.LocalAddr()); err != nil {
+			if _, err := peer.WriteToUDPAddrPort([]byte("back"), h.proxy.peers.LocalAddr()); err != nil {
 				t.Fatal(err)
 			}
-			if m := receive(t, r.decider.messages); m.from != 1 || m.data != "back" {
+			if m := receive(t, h.decider.messages); m.from != 1 || m.data != "back" {
 				t.Errorf("got %+v", m)
 			}
 			if n := sleeps.Load(); n != 3 {
@@ -365,16 +365,16 @@
 }
 
 // failDatagrams has the first three reads of the link to the other gateways fail, and its first write.
-func failDatagrams(r *harness, number syscall.Errno) {
+func failDatagrams(h *harness, number syscall.Errno) {
 	readFault, writeFault := failing(3, number, "recvfrom"), failing(1, number, "sendto")
-	read, write := r.proxy.calls.ReadPacket, r.proxy.calls.WritePacket
-	r.proxy.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
+	read, write := h.proxy.calls.ReadPacket, h.proxy.calls.WritePacket
+	h.proxy.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
 		if err := readFault.next(); err != nil {
 			return 0, netip.AddrPort{}, err
 		}
 		return read(c, b)
 	}
-	r.proxy.calls.WritePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
+	h.proxy.calls.WritePacket = func(c *net.UDPConn, b []byte, to netip.AddrPort) (int, error) {
 		if err := writeFault.next(); err != nil {
 			return 0, err
 		}
@@ -393,18 +393,18 @@
 			cfg := testConfig()
 			cfg.DiscoveryAddress = agent.Address()
 			fault := failing(4, number, "connect")
-			r := startProxy(t, cfg, func(r *harness) {
-				r.proxy.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
-				dial := r.proxy.calls.DialContext
-				r.proxy.calls.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			h := startProxy(t, cfg, func(h *harness) {
+				h.proxy.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
+				dial := h.proxy.calls.DialContext
+				h.proxy.calls.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if err := fault.next(); err != nil {
 						return nil, err
 					}
 					return dial(ctx, network, addr)
 				}
 			})
-			receive(t, r.decider.lists) // that of the configuration
-			if list := receive(t, r.decider.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
+			receive(t, h.decider.lists) // that of the configuration
+			if list := receive(t, h.decider.lists); len(list) != 1 || !strings.HasPrefix(list[0].ID, "s1") {
 				t.Errorf("got %+v", list)
 			}
 		})
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -32,17 +32,17 @@
 	} {
 		addr, conns := listenEndpoint(t)
 		var log lockedBuffer
-		r := startProxy(t, testConfig(addr), func(r *harness) {
-			sendEachRequest(0)(r)
-			r.proxy.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: level}))
+		h := startProxy(t, testConfig(addr), func(h *harness) {
+			sendEachRequest(0)(h)
+			h.proxy.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: level}))
 		})
-		c := r.client()
+		c := h.client()
 		c.send(lookCommand("a")...)
 		b := receive(t, conns)
 		b.readCommand()
 		b.write(valueReply)
 		c.wantValue("it")
-		receive(t, r.decider.outcomes)
+		receive(t, h.decider.outcomes)
 		log.mu.Lock()
 		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.b.String(), "")
 		log.mu.Unlock()
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -22,46 +22,46 @@
 func TestIdempotencyWindowEndsDuringDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	free := make(chan struct{})
-	r := startProxy(t, testConfig(addr), func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0.01) }
-		r.holdDials(free)
+	h := startProxy(t, testConfig(addr), func(h *harness) {
+		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.01) }
+		h.holdDials(free)
 	})
-	c := r.client()
+	c := h.client()
 	c.send(holdCommand("a", "body")...)
-	receive(t, r.decider.requests)
+	receive(t, h.decider.requests)
 	windowEnd := 0.0
-	r.onLoop(func() { windowEnd = r.proxy.requests.byID["a"].attempts[0].writeDeadline })
-	waitForClock(r.proxy, windowEnd)
+	h.onLoop(func() { windowEnd = h.proxy.requests.byID["a"].attempts[0].writeDeadline })
+	waitForClock(h.proxy, windowEnd)
 	close(free)
-	r.wantOutcome(policy.NotSent)
+	h.wantOutcome(policy.NotSent)
 	b := receive(t, conns)
-	r.eventually("the connection rests", func() bool { return len(r.proxy.endpoints.byID["s0"].idle) == 1 })
-	r.wantNoCommand(b)
+	h.eventually("the connection rests", func() bool { return len(h.proxy.endpoints.byID["s0"].idle) == 1 })
+	h.wantNoCommand(b)
 }
 
 // TestIdempotencyWindowIsCheckedByClock guards against the same where the event loop lags behind: its time is that of
 // the event that it handles, and the window is over by the clock.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
-	r, c, b := startWithIdleConnection(t)
+	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
-	receive(t, r.decider.requests)
-	r.onLoop(func() {
-		waitForClock(r.proxy, r.proxy.loop.Now()+0.02)
-		r.proxy.Send("a", "s0", 0, 0.01)
+	receive(t, h.decider.requests)
+	h.onLoop(func() {
+		waitForClock(h.proxy, h.proxy.loop.Now()+0.02)
+		h.proxy.Send("a", "s0", 0, 0.01)
 	})
-	r.wantNotSent(b)
+	h.wantNotSent(b)
 }
 
 // TestIdempotencyWindowEndsDuringWrite guards against the same where an endpoint reads slowly: the last byte does not
 // follow once the window is over, and the attempt was not executed.
 func TestIdempotencyWindowEndsDuringWrite(t *testing.T) {
-	l, r := startWithSmallSockets(t, func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, 0.05) }
+	l, h := startWithSmallSockets(t, func(h *harness) {
+		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.05) }
 	})
-	c := r.client()
+	c := h.client()
 	c.send(holdCommand("a", strings.Repeat("x", resp.MaxValue))...)
 	b := acceptOne(t, l)
-	r.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
+	h.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
 	b.wantNoCommand()
 }
 
@@ -69,10 +69,10 @@
 // serves the next one.
 func TestIdempotencyWindowAppliesToOneCommand(t *testing.T) {
 	writeWithin := 0.1
-	l, r := startWithSmallSockets(t, func(r *harness) {
-		r.decider.onRequest = func(q policy.Request) { r.proxy.Send(q.ID, "s0", 0, writeWithin) }
+	l, h := startWithSmallSockets(t, func(h *harness) {
+		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, writeWithin) }
 	})
-	c := r.client()
+	c := h.client()
 	post := func(id string) {
 		c.send(holdCommand(id, strings.Repeat("x", resp.MaxValue))...)
 	}
@@ -81,8 +81,8 @@
 	for b == nil { // until this machine is fast enough for it
 		post("a")
 		b = acceptOne(t, l)
-		r.eventually("it is out", func() bool {
-			q := r.proxy.requests.byID["a"]
+		h.eventually("it is out", func() bool {
+			q := h.proxy.requests.byID["a"]
 			if q != nil {
 				used = q.attempts[0]
 			}
@@ -92,15 +92,15 @@
 			break
 		}
 		b = nil
-		receive(t, r.decider.outcomes)
-		r.onLoop(func() { r.proxy.requests.fail(r.proxy.requests.byID["a"], policy.DeadlineTooClose); writeWithin *= 2 })
+		receive(t, h.decider.outcomes)
+		h.onLoop(func() { h.proxy.requests.fail(h.proxy.requests.byID["a"], policy.DeadlineTooClose); writeWithin *= 2 })
 		c.readLine()
 	}
-	r.eventually("it is noted", func() bool { return used.conn.commandWritten.Load() })
+	h.eventually("it is noted", func() bool { return used.conn.commandWritten.Load() })
 	b.write(valueReply)
 	c.wantValue("the first")
-	waitForClock(r.proxy, used.writeDeadline+0.1) // a runtime timer that is late as well
-	r.onLoop(func() { writeWithin = 0 })
+	waitForClock(h.proxy, used.writeDeadline+0.1) // a runtime timer that is late as well
+	h.onLoop(func() { writeWithin = 0 })
 	post("b")
 	if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
 		t.Errorf("the endpoint got %d arguments", len(got))
