--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -48,11 +48,9 @@
 // for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
 // the sender of the peer link, until it is closed. All of them post what they find to the loop.
 type Proxy struct {
+	services
+
 	cfg        config.Config
-	log        *slog.Logger
-	calls      *netcalls.Calls
-	clock      eventloop.Clock
-	loop       *eventloop.Loop
 	drain      drainState
 	startTimes discovery.StartTimes
 	// wallClock returns Unix time by the wall clock, which may be stepped.
@@ -65,10 +63,6 @@
 	endpoints endpointSet
 	peers     *peerlink.Link    // nil without peer messages
 	discovery discovery.Options // but for what followDiscovery adds
-	warnings  warningLimiter
-	// inputBudget bounds what clients and endpoints have sent and nobody has used up yet. All goroutines share it.
-	inputBudget   *readbuf.Budget
-	commandBuffer []byte // of the command that is being written
 	// probeDescriptor fails if no file descriptor is to be had.
 	probeDescriptor func() error
 	// readyAt is when the gateway is ready without an endpoint in service.
@@ -76,8 +70,8 @@
 }
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that
-// comes on reread, which may be nil, the address of discovery is taken over.
-func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
+// comes on reloads, which may be nil, the address of discovery is taken over.
+func Run(ctx context.Context, cfg config.Config, reloads <-chan config.Config, log *slog.Logger) error {
 	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
 		return err
@@ -87,14 +81,15 @@
 		p.close()
 		return fmt.Errorf("settings: %w", err)
 	}
-	p.serve(ctx, reread, gateway)
+	p.serve(ctx, reloads, gateway)
 	return nil
 }
 
 // open makes a proxy and its sockets; nothing is read from them yet.
 func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
-		cfg: cfg, log: log, calls: calls, clock: eventloop.NewClock(),
+		services:        services{log: log, calls: calls, clock: eventloop.NewClock()},
+		cfg:             cfg,
 		wallClock:       func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
 		drain:           newDrainState(cfg.Settings.Classes),
 		requests:        map[string]*request{},
@@ -106,8 +101,8 @@
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.clients.init(p, cfg.Sockets)
-	p.endpoints.init(p, cfg)
+	p.clients.init(&p.services, p, cfg.MaxDescriptors)
+	p.endpoints.init(&p.services, p, cfg)
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
@@ -116,7 +111,7 @@
 
 // openSockets makes the listener and, with peer messages, the link to the other gateways.
 func (p *Proxy) openSockets(ctx context.Context) error {
-	address, err := net.ResolveTCPAddr("tcp", p.cfg.Listen)
+	address, err := net.ResolveTCPAddr("tcp", p.cfg.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -143,13 +138,13 @@
 }
 
 // serve starts the goroutines and runs the event loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, decider decider) {
+func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, decider decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.decider = decider
-	p.applyList(p.cfg.Known)
-	go p.followDiscovery(background, reread)
+	p.applyList(p.cfg.InitialEndpoints)
+	go p.followDiscovery(background, reloads)
 	go p.acceptClients(p.listener)
 	if p.peers != nil {
 		go p.receivePeerMessages()
