--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -34,11 +34,11 @@
 		}, []float64{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, r := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, singleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a"}}, true)
 			sendRequest(g, 100, "k", tc.class, "wide", 1)
 			tc.events(g)
-			sends := r.ofKind("send", "k")
+			sends := recorded.ofKind("send", "k")
 			if len(sends) != len(tc.want) {
 				t.Fatalf("%d sends, want %d", len(sends), len(tc.want))
 			}
@@ -59,7 +59,7 @@
 		"to another cell": {ID: "s1", Zone: "a", Cell: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, r := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, singleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", Cell: 1}}, true)
 			sendRequest(g, 100, "k", "cell", "wide", 1)
 			g.HandleEndpoints(100.1, []Endpoint{moved, {ID: "s2", Zone: "a", Cell: 1}, {ID: "s3", Zone: moved.Zone, Cell: moved.Cell}}, true)
@@ -67,10 +67,10 @@
 			for now := 100.22; now < 102; now += timerInterval {
 				g.HandleTimer(now, 1)
 			}
-			if sends := r.ofKind("send", "k"); len(sends) != 1 {
+			if sends := recorded.ofKind("send", "k"); len(sends) != 1 {
 				t.Errorf("sent again to %s", sends[1].endpoint)
 			}
-			if len(r.ofKind("fail", "k")) != 1 {
+			if len(recorded.ofKind("fail", "k")) != 1 {
 				t.Error("no failure was replied")
 			}
 		})
@@ -256,3 +256,86 @@
 		}
 	}
 }
+
+func TestRetriesWithAKeyStayInScopeAndWindow(t *testing.T) {
+	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
+	for seed := range 20 {
+		g, recorded := newTestGateway(t, singleGateway)
+		id := fmt.Sprint("k", seed)
+		sendRequest(g, 100, id, "put", "wide", 1)
+		first := recorded.ofKind("send", id)[0].endpoint
+		recorded.actions = nil
+		g.HandleOutcome(100.2, Outcome{RequestID: id, Endpoint: first, Status: Reset, Elapsed: 0.2})
+		for _, a := range recorded.ofKind("send", id) {
+			if zone[a.endpoint] != zone[first] {
+				t.Fatalf("retried at %s in another zone, after %s", a.endpoint, first)
+			}
+		}
+	}
+	g, recorded := newTestGateway(t, singleGateway)
+	sendRequest(g, 100, "c", "cell", "wide", 1)
+	first := recorded.ofKind("send", "c")[0].endpoint
+	g.HandleOutcome(100.2, Outcome{RequestID: "c", Endpoint: first, Status: Error, Elapsed: 0.2})
+	for _, a := range recorded.ofKind("send", "c") {
+		if a.endpoint != first {
+			t.Fatalf("retried at %s in another cell", a.endpoint)
+		}
+	}
+	g, recorded = newTestGateway(t, singleGateway)
+	sendRequest(g, 100, "t", "any", "wide", 1)
+	first = recorded.ofKind("send", "t")[0].endpoint
+	g.HandleOutcome(100.6, Outcome{RequestID: "t", Endpoint: first, Status: Error, Elapsed: 0.6})
+	if len(recorded.ofKind("send", "t")) != 1 || len(recorded.ofKind("reject", "t")) != 1 {
+		t.Fatalf("after the idempotency window: want a rejection and no retry, got %v", recorded.actions)
+	}
+}
+
+func TestSameDedupGroup(t *testing.T) {
+	here := dedupGroup{zone: "a", cell: 1}
+	for name, tc := range map[string]struct {
+		other             dedupGroup
+		fleet, zone, cell bool
+	}{
+		"the same cell":              {here, true, true, true},
+		"another cell of the zone":   {dedupGroup{"a", 2}, true, true, false},
+		"a cell of another zone":     {dedupGroup{"b", 2}, true, false, false},
+		"that cell in another zone":  {dedupGroup{"b", 1}, true, false, false},
+		"a zone and cell not listed": {dedupGroup{}, true, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for scope, want := range map[DedupScope]bool{DedupFleet: tc.fleet, DedupZone: tc.zone, DedupCell: tc.cell} {
+				if got := sameDedupGroup(scope, here, tc.other); got != want {
+					t.Errorf("scope %s: %v, want %v", scope, got, want)
+				}
+			}
+		})
+	}
+}
+
+// A rejection lets the client send the request again, so it must not be given where that could execute it twice.
+func TestClientMayRepeat(t *testing.T) {
+	inFlight := func(r *request) { r.inFlight = 1 }
+	for name, tc := range map[string]struct {
+		class  Class
+		change func(*request)
+		want   bool
+	}{
+		"nothing sent":                        {Class{Idempotency: NonIdempotent}, func(*request) {}, true},
+		"not idempotent, executed":            {Class{Idempotency: NonIdempotent}, executedOnce, false},
+		"not idempotent, in flight":           {Class{Idempotency: NonIdempotent}, inFlight, false},
+		"idempotent, executed":                {Class{Idempotency: Idempotent}, executedOnce, true},
+		"key of all endpoints, executed":      {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, executedOnce, true},
+		"key of a zone, executed":             {Class{Idempotency: IdempotencyKey, DedupScope: DedupZone}, executedOnce, false},
+		"key of a cell, in flight":            {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, inFlight, false},
+		"key of a cell, nothing sent to any":  {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
+		"key of all endpoints, one in flight": {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, inFlight, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := &request{class: &class{Class: tc.class}}
+			tc.change(r)
+			if got := r.clientMayRepeat(); got != tc.want {
+				t.Errorf("clientMayRepeat = %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
