--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -11,7 +11,7 @@
 func TestMalformedInputIsIgnored(t *testing.T) {
 	g, recorded := newTestGateway(t, nil)
 	n := len(recorded.actions)
-	good := encodeRecord(1, usageRecord{Key: 5, Plan: 15})
+	good := encodeRecord(1, usageRecord{key: 5, planIndex: 15})
 	good[countOffset] = 0
 	for i := range good {
 		g.HandlePeerMessage(100, 1, good[:i])
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -50,12 +50,12 @@
 func (q *quotaController) handleRecords(from int, received message) {
 	answer := q.protocol.newMessage()
 	for _, record := range received.records {
-		c := q.customers.byKey[record.Key]
+		c := q.customers.byKey[record.key]
 		switch {
-		case record.Plan >= len(q.customers.plansByIndex):
-		case record.Owner && c != nil && c.report.gateway == from:
+		case record.planIndex >= len(q.customers.plansByIndex):
+		case record.fromOwner && c != nil && c.report.gateway == from:
 			q.applyGrant(c, record)
-		case !record.Owner:
+		case !record.fromOwner:
 			report := memberReport{
 				usageRecord: record, from: from, incarnation: received.incarnation, receivedAt: q.clock.now,
 			}
@@ -67,9 +67,9 @@
 
 // answerReport returns the owner's reply to a member's report.
 func (q *quotaController) answerReport(report memberReport) usageRecord {
-	c := q.customers.byKey[report.Key]
+	c := q.customers.byKey[report.key]
 	if c == nil {
-		c = q.customers.add(report.Key, q.customers.plansByIndex[report.Plan])
+		c = q.customers.add(report.key, q.customers.plansByIndex[report.planIndex])
 	}
 	c.usedAt = report.receivedAt
 	return c.answerReport(report, q.protocol.format, q.protocol.queryBackoff)
@@ -79,11 +79,11 @@
 // report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
-	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.Total-c.totalUnits)
-	c.quota.known, c.quota.window = true, tokenBucket{tokens: reply.Remaining, updatedAt: q.clock.now}
-	c.quota.othersDemand, c.quota.othersInFlight = reply.Demand, reply.InFlight
+	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
+	c.quota.known, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
-	if reply.WantedUnits > 0 && c.report.askedCount > 0 {
+	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
 		q.settleAsked(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
@@ -98,12 +98,12 @@
 func (q *quotaController) settleAsked(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.attempts = 0, 0
-	c.quota.backoffUntil = q.clock.now + reply.Backoff
+	c.quota.backoffUntil = q.clock.now + reply.backoff
 	fits := func(r *request) bool {
 		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
 	}
-	q.settleAwaiting(c, asked, fits, reply.CeilingPool)
-	if reply.Backoff > 0 {
+	q.settleAwaiting(c, asked, fits, reply.ceilingPool)
+	if reply.backoff > 0 {
 		none := func(*request) bool { return false }
 		q.settleAwaiting(c, len(c.awaitingOwner), none, false)
 	}
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -38,18 +38,18 @@
 func TestGrantCoversTheRequestsThatWereAskedFor(t *testing.T) {
 	q, decided, sent := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second", "third")
-	if len(*sent) != 1 || (*sent)[0].records[0].WantedUnits != 2 {
+	if len(*sent) != 1 || (*sent)[0].records[0].wantedUnits != 2 {
 		t.Fatalf("sent %+v, want a report for the first request", *sent)
 	}
-	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Total: 2, Remaining: 6, WantedUnits: 2})
+	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 2, remaining: 6, wantedUnits: 2})
 	if len(decided.dispatched) != 1 || decided.dispatched[0] != "first" || len(decided.rejected) != 0 {
 		t.Fatalf("decided %+v, want the first dispatched alone", decided)
 	}
 	q.reporter.sendDue()
-	if len(*sent) != 2 || (*sent)[1].records[0].WantedUnits != 4 {
+	if len(*sent) != 2 || (*sent)[1].records[0].wantedUnits != 4 {
 		t.Fatalf("sent %+v, want a report for the two that came later", *sent)
 	}
-	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Total: 4, Remaining: 4, WantedUnits: 4})
+	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
 	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
 		t.Fatalf("decided %+v, want the second dispatched and the third rejected on a grant of 2 units", decided)
 	}
@@ -58,7 +58,7 @@
 func TestBackoffRejectsAllThatWait(t *testing.T) {
 	q, decided, _ := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second")
-	q.applyGrant(c, usageRecord{Key: c.key, Owner: true, Remaining: 1, WantedUnits: 2, Backoff: 0.5})
+	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
 	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
 		t.Fatalf("decided %+v, want both rejected", decided)
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -187,7 +187,7 @@
 		t.Fatal("the last message has no report")
 	}
 	asked := report.records[0]
-	v := usageRecord{Key: asked.Key, Plan: asked.Plan, Owner: true, Known: true, Total: asked.Total, WantedUnits: asked.WantedUnits}
+	v := usageRecord{key: asked.key, planIndex: asked.planIndex, fromOwner: true, known: true, total: asked.total, wantedUnits: asked.wantedUnits}
 	change(&v)
 	return last.to, testFormat.encode(message{incarnation: 9, sequence: seq, records: []usageRecord{v}}, 0)
 }
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -81,12 +81,12 @@
 		m = l.addMember(report)
 	}
 	now := report.receivedAt
-	used := format.roundDifference(report.Total - m.totalUnits)
-	l.demand = demandMeter{rate: l.membersDemand(now) + report.Demand - m.demand.at(now), updatedAt: now}
+	used := format.roundDifference(report.total - m.totalUnits)
+	l.demand = demandMeter{rate: l.membersDemand(now) + report.demand - m.demand.at(now), updatedAt: now}
 	*m = member{
-		incarnation: m.incarnation, totalUnits: report.Total,
-		demand:   demandMeter{rate: report.Demand, updatedAt: now},
-		inFlight: report.InFlight, reportedAt: now,
+		incarnation: m.incarnation, totalUnits: report.total,
+		demand:   demandMeter{rate: report.demand, updatedAt: now},
+		inFlight: report.inFlight, reportedAt: now,
 	}
 	l.charge(used)
 	return m
@@ -105,10 +105,10 @@
 // addMember starts the count of a member at what no owner has acknowledged. A young ledger, made after a
 // restart or a move, adopts the units left that the member knows of where they are fewer.
 func (l *ledger) addMember(report memberReport) *member {
-	if report.Known && report.receivedAt-l.createdAt < youngLedgerAge {
-		l.window.tokens = min(l.window.tokens, max(report.Remaining+report.Unacknowledged, 0))
+	if report.known && report.receivedAt-l.createdAt < youngLedgerAge {
+		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
 	}
-	m := &member{incarnation: report.incarnation, totalUnits: report.Total - report.Unacknowledged}
+	m := &member{incarnation: report.incarnation, totalUnits: report.total - report.unacknowledged}
 	l.members[report.from] = m
 	return m
 }
@@ -163,31 +163,31 @@
 	now := report.receivedAt
 	l := c.currentLedger(now)
 	m := l.applyReport(report, format)
-	reply := usageRecord{Key: c.key, Plan: c.plan.index, Owner: true, Known: true}
-	if report.WantedUnits > 0 {
-		reply.WantedUnits = report.WantedUnits
+	reply := usageRecord{key: c.key, planIndex: c.plan.index, fromOwner: true, known: true}
+	if report.wantedUnits > 0 {
+		reply.wantedUnits = report.wantedUnits
 		if units := c.grantableUnits(l, report); units > 0 {
 			l.grant(m, units)
-			reply.CeilingPool = report.CeilingPool && c.reserveCeilingPool(units, now)
+			reply.ceilingPool = report.ceilingPool && c.reserveCeilingPool(units, now)
 		} else {
-			reply.Backoff = backoff(l.reportingMembers(now))
+			reply.backoff = backoff(l.reportingMembers(now))
 		}
 	}
-	reply.Total, reply.Remaining = m.totalUnits, l.window.tokens
-	reply.InFlight = c.inFlight + l.inFlight(now, report.from)
-	reply.Demand = max(l.membersDemand(now)-m.demand.at(now), 0) + c.demand.at(now)
+	reply.total, reply.remaining = m.totalUnits, l.window.tokens
+	reply.inFlight = c.inFlight + l.inFlight(now, report.from)
+	reply.demand = max(l.membersDemand(now)-m.demand.at(now), 0) + c.demand.at(now)
 	return reply
 }
 
 // grantableUnits returns the units that a report can be granted: those of all its waiting requests, else
 // those of the first, else 0. With a concurrency limit it is one request at a time.
 func (c *customer) grantableUnits(l *ledger, report memberReport) float64 {
-	candidates := []float64{report.WantedUnits, report.FirstWantedUnits}
+	candidates := []float64{report.wantedUnits, report.firstWantedUnits}
 	if c.plan.MaxConcurrent > 0 {
 		candidates = candidates[1:]
 	}
 	for _, units := range candidates {
-		if c.ledgerHasCapacity(l, units, report.PriorityDeficit, report.receivedAt) {
+		if c.ledgerHasCapacity(l, units, report.priorityDeficit, report.receivedAt) {
 			return units
 		}
 	}
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -112,14 +112,14 @@
 	g, r := newTestGateway(t, ofGateways(100))
 	granted := 0.0
 	for i := range 30 {
-		report := usageRecord{Key: 77, Plan: 0, WantedUnits: 1, FirstWantedUnits: 1}
+		report := usageRecord{key: 77, planIndex: 0, wantedUnits: 1, firstWantedUnits: 1}
 		g.HandlePeerMessage(100, 1+i, encodeRecord(1, report))
 		sent := r.ofKind("send_to_peer", "")
 		reply, err := testFormat.decode(sent[len(sent)-1].data, 100)
 		if err != nil || len(reply.records) != 1 {
 			t.Fatalf("the reply has %d records, want 1 (%v)", len(reply.records), err)
 		}
-		if granted += reply.records[0].Total; i == 29 && reply.records[0].Backoff == 0 {
+		if granted += reply.records[0].total; i == 29 && reply.records[0].backoff == 0 {
 			t.Fatal("an owner asked thirty times at once gave its members no backoff")
 		}
 	}
@@ -135,12 +135,12 @@
 		g.HandlePeerMessage(100, 1, encodeRecord(sequence, record))
 	}
 	left := func() float64 { return g.quota.customers.byKey[77].ledger.window.tokens }
-	report(1, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6})
-	report(2, usageRecord{Key: 77, WantedUnits: 6, FirstWantedUnits: 6}) // again, as the reply was lost
+	report(1, usageRecord{key: 77, wantedUnits: 6, firstWantedUnits: 6})
+	report(2, usageRecord{key: 77, wantedUnits: 6, firstWantedUnits: 6}) // again, as the reply was lost
 	if left() != 2 {
 		t.Fatalf("%v units are left after a grant of 6 of 8 that was asked for twice", left())
 	}
-	report(3, usageRecord{Key: 77})
+	report(3, usageRecord{key: 77})
 	if left() != 8 {
 		t.Fatalf("%v units are left after the grant was returned", left())
 	}
@@ -149,7 +149,7 @@
 // A young ledger adopts the units left that a member reports, as the owner may have restarted.
 func TestNewLedgerTakesRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{Key: 5, Known: true, Total: 0, Remaining: 1}))
+	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{key: 5, known: true, total: 0, remaining: 1}))
 	if left := g.quota.customers.byKey[5].currentLedger(104).window.tokens; left > 1 {
 		t.Fatalf("%v units are left after a member reported 1", left)
 	}
@@ -170,18 +170,18 @@
 	} {
 		c := &customer{plan: &plan{Plan: Plan{Rate: 2, Burst: 8, MaxConcurrent: tc.maxConcurrent}}, primaryHere: true}
 		c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
-		record := usageRecord{Total: 5, WantedUnits: tc.wanted, FirstWantedUnits: 2}
+		record := usageRecord{total: 5, wantedUnits: tc.wanted, firstWantedUnits: 2}
 		report := memberReport{usageRecord: record, from: 1, incarnation: 1, receivedAt: now}
 		backoff := func(int) Seconds { return 1 }
 		reply := c.answerReport(report, testFormat, backoff)
-		if granted := reply.Total - record.Total; granted != tc.want || reply.Remaining != 8-tc.want || reply.Backoff != 0 {
+		if granted := reply.total - record.total; granted != tc.want || reply.remaining != 8-tc.want || reply.backoff != 0 {
 			t.Errorf("%s: granted %v units, want %v: %+v", tc.name, granted, tc.want, reply)
 		}
-		if reply = c.answerReport(report, testFormat, backoff); reply.Total-record.Total != tc.want {
-			t.Errorf("%s: granted %v units to the same report again, want %v", tc.name, reply.Total-record.Total, tc.want)
+		if reply = c.answerReport(report, testFormat, backoff); reply.total-record.total != tc.want {
+			t.Errorf("%s: granted %v units to the same report again, want %v", tc.name, reply.total-record.total, tc.want)
 		}
-		report.from, report.WantedUnits, report.FirstWantedUnits = 2, 7, 7
-		if reply = c.answerReport(report, testFormat, backoff); reply.Total != record.Total || reply.Backoff != 1 {
+		report.from, report.wantedUnits, report.firstWantedUnits = 2, 7, 7
+		if reply = c.answerReport(report, testFormat, backoff); reply.total != record.total || reply.backoff != 1 {
 			t.Errorf("%s: another member's 7 units are not rejected with a backoff: %+v", tc.name, reply)
 		}
 	}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -53,7 +53,7 @@
 // The steps in which fractional values are written.
 const (
 	stepsPerUnit          = 4             // units and rates are written in quarters
-	backoffStep   Seconds = 0.05          // of usageRecord.Backoff
+	backoffStep   Seconds = 0.05          // of usageRecord.backoff
 	updateAgeStep Seconds = 0.02          // of a health update's age
 	maxByte               = math.MaxUint8 // stands for a fraction of 1
 )
@@ -85,35 +85,35 @@
 	updates     []healthUpdate
 }
 
-// usageRecord is what two gateways exchange about one customer. In a member's record to the owner, Total is
-// the member's own count, Demand the demand at the member, and Remaining the units that the owner last
-// reported to it. In an owner's record, Total is the member's count as the owner has acknowledged or reserved
-// it, Demand the demand at all other gateways, and Remaining what is left of the whole quota.
+// usageRecord is what two gateways exchange about one customer. In a member's record to the owner, total is
+// the member's own count, demand the demand at the member, and remaining the units that the owner last
+// reported to it. In an owner's record, total is the member's count as the owner has acknowledged or reserved
+// it, demand the demand at all other gateways, and remaining what is left of the whole quota.
 type usageRecord struct {
-	Key              uint32  // 32 bits of the customer's hash
-	Plan             int     // index of the plan in the settings
-	Owner            bool    // the sender is the customer's owner
-	Known            bool    // Remaining was reported or counted, and is not a guess
-	CeilingPool      bool    // member: the owner is the primary owner; owner: its ceiling pool pays the grant
-	Total            float64 // units, in quarters, modulo 16384
-	Remaining        float64 // units, in quarters, -64 to 8000
-	Demand           float64 // units a second, in quarters, up to 16383.75
-	InFlight         int     // attempts in flight, up to 65535
-	Unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; members only
-	WantedUnits      float64 // units of waiting requests, up to 63.75; owner: copied from the member's record
-	FirstWantedUnits float64 // units of the first waiting request, up to 63.75; members only
-	PriorityDeficit  float64 // of the first waiting request, 0 to 1; members only
-	Backoff          Seconds // time before which a retry is pointless, up to 12.75; owners only
+	key              uint32  // 32 bits of the customer's hash
+	planIndex        int     // index of the plan in the settings
+	fromOwner        bool    // the sender is the customer's owner
+	known            bool    // remaining was reported or counted, and is not a guess
+	ceilingPool      bool    // member: the owner is the primary owner; owner: its ceiling pool pays the grant
+	total            float64 // units, in quarters, modulo 16384
+	remaining        float64 // units, in quarters, -64 to 8000
+	demand           float64 // units a second, in quarters, up to 16383.75
+	inFlight         int     // attempts in flight, up to 65535
+	unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; members only
+	wantedUnits      float64 // units of waiting requests, up to 63.75; owner: copied from the member's record
+	firstWantedUnits float64 // units of the first waiting request, up to 63.75; members only
+	priorityDeficit  float64 // of the first waiting request, 0 to 1; members only
+	backoff          Seconds // time before which a retry is pointless, up to 12.75; owners only
 }
 
 // scale returns the record with all units multiplied by factor.
 func (r usageRecord) scale(factor float64) usageRecord {
-	r.Total *= factor
-	r.Remaining *= factor
-	r.Demand *= factor
-	r.Unacknowledged *= factor
-	r.WantedUnits *= factor
-	r.FirstWantedUnits *= factor
+	r.total *= factor
+	r.remaining *= factor
+	r.demand *= factor
+	r.unacknowledged *= factor
+	r.wantedUnits *= factor
+	r.firstWantedUnits *= factor
 	return r
 }
 
@@ -159,7 +159,7 @@
 }
 
 // roundDifference rounds the difference of two counts, of which one has been encoded, to wire steps. It
-// undoes the wrap-around of usageRecord.Total.
+// undoes the wrap-around of usageRecord.total.
 func (f messageFormat) roundDifference(units float64) float64 {
 	steps := int16(int64(math.Floor(units/f.unitsPerStep*stepsPerUnit + 0.5)))
 	return float64(steps) / stepsPerUnit * f.unitsPerStep
@@ -185,37 +185,37 @@
 
 func (f messageFormat) appendRecord(data []byte, record usageRecord) []byte {
 	record = record.scale(1 / f.unitsPerStep)
-	data = binary.BigEndian.AppendUint32(data, record.Key)
+	data = binary.BigEndian.AppendUint32(data, record.key)
 	data = append(data, recordFlags(record))
-	data = binary.BigEndian.AppendUint16(data, uint16(int64(math.Floor(record.Total*stepsPerUnit+0.5))))
-	remaining := clamp(record.Remaining*stepsPerUnit, minRemainingSteps, maxRemainingSteps)
+	data = binary.BigEndian.AppendUint16(data, uint16(int64(math.Floor(record.total*stepsPerUnit+0.5))))
+	remaining := clamp(record.remaining*stepsPerUnit, minRemainingSteps, maxRemainingSteps)
 	data = binary.BigEndian.AppendUint16(data, uint16(int16(remaining)))
-	data = binary.BigEndian.AppendUint16(data, uint16(clamp(record.Demand*stepsPerUnit, 0, math.MaxUint16)))
-	data = binary.BigEndian.AppendUint16(data, uint16(clamp(float64(record.InFlight), 0, math.MaxUint16)))
-	firstWanted := math.Ceil(record.FirstWantedUnits * stepsPerUnit)
-	if record.Owner {
-		firstWanted = math.Ceil(record.Backoff / backoffStep)
+	data = binary.BigEndian.AppendUint16(data, uint16(clamp(record.demand*stepsPerUnit, 0, math.MaxUint16)))
+	data = binary.BigEndian.AppendUint16(data, uint16(clamp(float64(record.inFlight), 0, math.MaxUint16)))
+	firstWanted := math.Ceil(record.firstWantedUnits * stepsPerUnit)
+	if record.fromOwner {
+		firstWanted = math.Ceil(record.backoff / backoffStep)
 	}
 	data = append(data,
-		clampToByte(record.Unacknowledged*stepsPerUnit),
-		clampToByte(math.Ceil(record.WantedUnits*stepsPerUnit)),
+		clampToByte(record.unacknowledged*stepsPerUnit),
+		clampToByte(math.Ceil(record.wantedUnits*stepsPerUnit)),
 		clampToByte(firstWanted),
-		clampToByte(record.PriorityDeficit*maxByte))
+		clampToByte(record.priorityDeficit*maxByte))
 	if f.widePlan {
-		data = append(data, byte(record.Plan/plansInFlags))
+		data = append(data, byte(record.planIndex/plansInFlags))
 	}
 	return data
 }
 
 func recordFlags(record usageRecord) byte {
-	flags := byte(record.Plan % plansInFlags)
-	if record.Owner {
+	flags := byte(record.planIndex % plansInFlags)
+	if record.fromOwner {
 		flags |= ownerFlag
 	}
-	if record.Known {
+	if record.known {
 		flags |= knownFlag
 	}
-	if record.CeilingPool {
+	if record.ceilingPool {
 		flags |= ceilingPoolFlag
 	}
 	return flags
@@ -263,26 +263,26 @@
 func (f messageFormat) decodeRecord(data []byte) usageRecord {
 	flags := data[flagsOffset]
 	record := usageRecord{
-		Key:             binary.BigEndian.Uint32(data[keyOffset:]),
-		Plan:            int(flags % plansInFlags),
-		Owner:           flags&ownerFlag != 0,
-		Known:           flags&knownFlag != 0,
-		CeilingPool:     flags&ceilingPoolFlag != 0,
-		Total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
-		Remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
-		Demand:          float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
-		InFlight:        int(binary.BigEndian.Uint16(data[inFlightOffset:])),
-		Unacknowledged:  float64(data[unacknowledgedOffset]) / stepsPerUnit,
-		WantedUnits:     float64(data[wantedOffset]) / stepsPerUnit,
-		PriorityDeficit: float64(data[priorityDeficitOffset]) / maxByte,
+		key:             binary.BigEndian.Uint32(data[keyOffset:]),
+		planIndex:       int(flags % plansInFlags),
+		fromOwner:       flags&ownerFlag != 0,
+		known:           flags&knownFlag != 0,
+		ceilingPool:     flags&ceilingPoolFlag != 0,
+		total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
+		remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
+		demand:          float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
+		inFlight:        int(binary.BigEndian.Uint16(data[inFlightOffset:])),
+		unacknowledged:  float64(data[unacknowledgedOffset]) / stepsPerUnit,
+		wantedUnits:     float64(data[wantedOffset]) / stepsPerUnit,
+		priorityDeficit: float64(data[priorityDeficitOffset]) / maxByte,
 	}
-	if record.Owner {
-		record.Backoff = float64(data[firstWantedOffset]) * backoffStep
+	if record.fromOwner {
+		record.backoff = float64(data[firstWantedOffset]) * backoffStep
 	} else {
-		record.FirstWantedUnits = float64(data[firstWantedOffset]) / stepsPerUnit
+		record.firstWantedUnits = float64(data[firstWantedOffset]) / stepsPerUnit
 	}
 	if f.widePlan {
-		record.Plan += int(data[planHighOffset]) * plansInFlags
+		record.planIndex += int(data[planHighOffset]) * plansInFlags
 	}
 	return record.scale(f.unitsPerStep)
 }
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -66,8 +66,8 @@
 				break
 			}
 			want := usageRecord{
-				Key: 7, Plan: plan, Known: true, Total: 40 * f.unitsPerStep, Remaining: -2 * f.unitsPerStep, Demand: 9 * f.unitsPerStep, InFlight: 3,
-				Unacknowledged: 5 * f.unitsPerStep, WantedUnits: 20 * f.unitsPerStep, FirstWantedUnits: 2 * f.unitsPerStep, PriorityDeficit: 1,
+				key: 7, planIndex: plan, known: true, total: 40 * f.unitsPerStep, remaining: -2 * f.unitsPerStep, demand: 9 * f.unitsPerStep, inFlight: 3,
+				unacknowledged: 5 * f.unitsPerStep, wantedUnits: 20 * f.unitsPerStep, firstWantedUnits: 2 * f.unitsPerStep, priorityDeficit: 1,
 			}
 			update := healthUpdate{endpointHash: 9, class: loadUpdate, value: 1, at: 50}
 			sent := message{incarnation: 3, sequence: 700, records: []usageRecord{want}, updates: []healthUpdate{update}}
@@ -97,10 +97,10 @@
 		incarnation: 3, sequence: 0x0102,
 		records: []usageRecord{
 			{
-				Key: 0x0a0b0c0d, Plan: 2*plansInFlags + 5, Known: true, Total: 64.25, Remaining: -1, Demand: 2.5,
-				InFlight: 258, Unacknowledged: 1.75, WantedUnits: 2, FirstWantedUnits: 1, PriorityDeficit: 1,
+				key: 0x0a0b0c0d, planIndex: 2*plansInFlags + 5, known: true, total: 64.25, remaining: -1, demand: 2.5,
+				inFlight: 258, unacknowledged: 1.75, wantedUnits: 2, firstWantedUnits: 1, priorityDeficit: 1,
 			},
-			{Key: 7, Owner: true, CeilingPool: true, WantedUnits: 2, Backoff: 0.5},
+			{key: 7, fromOwner: true, ceilingPool: true, wantedUnits: 2, backoff: 0.5},
 		},
 		updates: []healthUpdate{
 			{endpointHash: 0x0908, class: 4, value: 0.6, at: 99},
@@ -121,7 +121,7 @@
 
 // Guards the receiver against messages cut short, extended, or of another version.
 func TestDecodeTellsWhatIsMalformed(t *testing.T) {
-	good := encodeRecord(1, usageRecord{Key: 5})
+	good := encodeRecord(1, usageRecord{key: 5})
 	for name, tc := range map[string]struct {
 		data []byte
 		want error
@@ -147,7 +147,7 @@
 	for _, format := range []messageFormat{testFormat, {unitsPerStep: 1, widePlan: true}} {
 		full := message{}
 		for format.recordsFit(len(full.records) + 1) {
-			full.records = append(full.records, usageRecord{Key: 1})
+			full.records = append(full.records, usageRecord{key: 1})
 		}
 		full.updates = make([]healthUpdate, format.updatesBeside(len(full.records)))
 		size := len(format.encode(full, 100))
--- a/policy/peer_test.go
+++ b/policy/peer_test.go
@@ -51,7 +51,7 @@
 	if p.reachable(1) || !p.reachable(0) {
 		t.Fatal("the silent peer, and it alone, must be unreachable")
 	}
-	if _, ok := p.receive(1, encodeRecord(1, usageRecord{Key: 5})); !ok || !p.reachable(1) {
+	if _, ok := p.receive(1, encodeRecord(1, usageRecord{key: 5})); !ok || !p.reachable(1) {
 		t.Fatal("a peer is unreachable after its message came in")
 	}
 }
@@ -60,7 +60,7 @@
 	p, sent := newTestProtocol(&eventClock{now: 100})
 	p.send(1, p.newMessage())
 	m := p.newMessage()
-	m.records = append(m.records, usageRecord{Key: 5})
+	m.records = append(m.records, usageRecord{key: 5})
 	p.send(1, m)
 	if len(*sent) != 1 || (*sent)[0].sequence != 2 || (*sent)[0].incarnation != 7 {
 		t.Fatalf("sent %+v, want the second message alone", *sent)
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -65,7 +65,7 @@
 func TestFreedSlotIsReportedAtOnce(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	c := send(100, "q", 1)
-	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total++; reply.Remaining = 7; reply.InFlight = 1 })
+	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total++; reply.remaining = 7; reply.inFlight = 1 })
 	g.HandlePeerMessage(100.03, from, data)
 	if len(r.ofKind("send", "q")) != 1 || c.quota.othersInFlight != 1 {
 		t.Fatalf("not forwarded on a grant: %v", r.actions)
@@ -84,7 +84,7 @@
 func TestMemberAsksAgainForASlot(t *testing.T) {
 	g, r, send := asMemberOfParallel(t)
 	send(100, "q", 1)
-	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Remaining = 7; reply.InFlight = 2 })
+	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.remaining = 7; reply.inFlight = 2 })
 	g.HandlePeerMessage(100.03, from, data)
 	if len(r.ofKind("reject", "q")) != 0 {
 		t.Fatal("rejected with units left and time until its objective")
@@ -97,7 +97,7 @@
 	if now > 100.3 || now < 100.04 {
 		t.Fatalf("asked again at %.2f, want a short pause", now)
 	}
-	from, data = ownerReply(t, r, 2, func(reply *usageRecord) { reply.Total++; reply.Remaining = 6; reply.InFlight = 1 })
+	from, data = ownerReply(t, r, 2, func(reply *usageRecord) { reply.total++; reply.remaining = 6; reply.inFlight = 1 })
 	g.HandlePeerMessage(now+0.03, from, data)
 	if len(r.ofKind("send", "q")) != 1 {
 		t.Fatalf("not forwarded on the grant: %v", r.actions)
@@ -109,7 +109,7 @@
 	for _, age := range []float64{0.05, 0.3} {
 		g, r, send := asMemberOfParallel(t)
 		send(100, "first", 1)
-		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total++; reply.Remaining = 800; reply.Demand = 0 })
+		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total++; reply.remaining = 800; reply.demand = 0 })
 		g.HandlePeerMessage(100.03, from, data)
 		first := r.ofKind("send", "first")
 		if len(first) != 1 {
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -146,16 +146,16 @@
 	c.usedAt = now
 	remaining := c.remainingUnits(now) // first, as it may change the customer's state
 	record := usageRecord{
-		Key: c.key, Plan: c.plan.index, Known: c.quota.known, CeilingPool: c.report.gateway == c.primaryOwner,
-		Total: c.totalUnits, Remaining: remaining, Demand: c.demand.at(now), InFlight: c.inFlight,
-		Unacknowledged: c.unacknowledgedUnits(),
+		key: c.key, planIndex: c.plan.index, known: c.quota.known, ceilingPool: c.report.gateway == c.primaryOwner,
+		total: c.totalUnits, remaining: remaining, demand: c.demand.at(now), inFlight: c.inFlight,
+		unacknowledged: c.unacknowledgedUnits(),
 	}
 	for _, r := range c.awaitingOwner {
-		record.WantedUnits += r.Units
+		record.wantedUnits += r.Units
 	}
 	if len(c.awaitingOwner) > 0 {
 		first := c.awaitingOwner[0]
-		record.FirstWantedUnits, record.PriorityDeficit = first.Units, first.priorityDeficit
+		record.firstWantedUnits, record.priorityDeficit = first.Units, first.priorityDeficit
 	}
 	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
 	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -11,7 +11,7 @@
 		if len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) != 0 {
 			t.Fatal("a gateway of a hundred decided alone")
 		}
-		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total += grant; reply.Remaining = 1 })
+		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += grant; reply.remaining = 1 })
 		g.HandlePeerMessage(100.03, from, data)
 		if forwarded := len(r.ofKind("send", "q")); forwarded != int(grant/2) || forwarded+len(r.ofKind("reject", "q")) != 1 {
 			t.Fatalf("granted %v of 2 units: %v", grant, r.actions)
@@ -47,7 +47,7 @@
 	if !g.protocol.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
 		t.Fatal("a standstill of this gateway counted as silence of another")
 	}
-	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total += 2 })
+	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2 })
 	g.HandlePeerMessage(100.5, from, data)
 	if len(r.ofKind("send", "q")) != 1 {
 		t.Fatal("the grant that came meanwhile was not used")
@@ -93,7 +93,7 @@
 			if sent[1].to != owner || sent[2].to != owner || g.owners.owner(c) != owner {
 				t.Fatalf("reports went to %v, the owner is %d", sent, owner)
 			}
-			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.Total += 2; reply.Remaining = 6 })
+			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2; reply.remaining = 6 })
 			g.HandlePeerMessage(now, from, data)
 			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unanswered != 0 {
 				t.Fatal("the reply to the third report is not applied")
