--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -48,7 +48,7 @@
 	return updates
 }
 
-// merge takes in another gateway's update, and passes it on if it is news.
+// merge takes in another gateway's update, and passes it on if it is newer than what is known.
 func (b *gossipBuffer) merge(endpoints *endpointTable, update healthUpdate) {
 	e := endpoints.byHash[update.endpointHash]
 	if e != nil && e.applyUpdate(update) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// applyUpdate takes in another gateway's update, and returns false if it is no news.
+// applyUpdate takes in another gateway's update, and returns false if it is not newer than what is known.
 func (e *endpoint) applyUpdate(update healthUpdate) bool {
 	if e.StartedAt > update.at {
 		return false // about an earlier process
