--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -29,8 +29,8 @@
 //     checks. endpointPicker reads them all.
 //   - The quota side: quotaController admits requests. It holds the customers with their quotas, as a member
 //     sees them or, in their ledgers, as their owner; the usageReporter, which reports to the owners through
-//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory tells which
-//     gateway owns a customer.
+//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory finds the
+//     owner of a customer.
 //
 // In each event the clock is advanced first, then the parts take in what the event says, then the request
 // that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests
