--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -52,13 +52,14 @@
 	g.requests = newRequestTable()
 	g.retries = newRetryPolicy(s, g.clock)
 	g.gossip = &gossipBuffer{}
-	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()))
-	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, act.SendToPeer
+	g.protocol = newPeerProtocol(s, g.clock, uint8(g.rng.Uint32()), g.gossip, act.SendToPeer)
 	g.limiter = newConcurrencyLimiter(s.GatewayCount, g.clock)
 	g.owners = newOwnerDirectory(s, g.protocol.reachable)
 	g.quota = quotaController{
-		clock: g.clock, self: s.Self, owners: g.owners, protocol: &g.protocol, retries: &g.retries, limiter: g.limiter,
-		requests: g, customers: newCustomerTable(s, g.clock, g.owners), reporter: newUsageReporter(s, g.clock, &g.protocol, g.owners),
+		clock: g.clock, self: s.Self, owners: g.owners, protocol: &g.protocol,
+		retries: &g.retries, limiter: g.limiter, requests: g,
+		customers: newCustomerTable(s, g.clock, g.owners),
+		reporter:  newUsageReporter(s, g.clock, &g.protocol, g.owners),
 	}
 	g.outliers = newOutlierDetector(s.GatewayCount, g.clock, g.rng, g.gossip)
 	g.picker = &endpointPicker{
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -61,15 +61,18 @@
 	receivedRate float64
 	receivedAt   Seconds
 	peers        []peer
-	// gossip returns health updates to send along, at most limit of them.
-	gossip     func(limit int, now Seconds) []healthUpdate
-	sendToPeer func(gateway int, data []byte)
+	gossip       *gossipBuffer // the health updates to send along
+	sendToPeer   func(gateway int, data []byte)
 }
 
 // newPeerProtocol returns the protocol of a gateway whose start the incarnation tells from earlier ones.
-func newPeerProtocol(s Settings, clock *eventClock, incarnation uint8) peerProtocol {
+func newPeerProtocol(
+	s Settings, clock *eventClock, incarnation uint8,
+	gossip *gossipBuffer, sendToPeer func(gateway int, data []byte),
+) peerProtocol {
 	return peerProtocol{
 		clock: clock, self: s.Self, format: newMessageFormat(s), incarnation: incarnation,
+		gossip: gossip, sendToPeer: sendToPeer,
 		messageRate: cmp.Or(max(s.PeerMessageRate, 0), unboundedMessageRate),
 		peers:       make([]peer, s.GatewayCount),
 	}
@@ -86,7 +89,7 @@
 	if len(m.records) == 0 {
 		return
 	}
-	m.updates = p.gossip(p.format.updatesBeside(len(m.records)), p.clock.now)
+	m.updates = p.gossip.recent(p.format.updatesBeside(len(m.records)), p.clock.now)
 	p.sendToPeer(gateway, p.format.encode(m, p.clock.now))
 }
 
--- a/policy/peer_test.go
+++ b/policy/peer_test.go
@@ -29,13 +29,12 @@
 // newTestProtocol returns the protocol of gateway 0 of two, and the messages that it sends.
 func newTestProtocol(clock *eventClock) (*peerProtocol, *[]message) {
 	sent := &[]message{}
-	p := newPeerProtocol(testSettings(), clock, 7)
-	p.gossip = func(int, Seconds) []healthUpdate { return nil }
-	p.sendToPeer = func(_ int, data []byte) {
-		if m, err := p.format.decode(data, clock.now); err == nil {
+	format := newMessageFormat(testSettings())
+	p := newPeerProtocol(testSettings(), clock, 7, &gossipBuffer{}, func(_ int, data []byte) {
+		if m, err := format.decode(data, clock.now); err == nil {
 			*sent = append(*sent, m)
 		}
-	}
+	})
 	return &p, sent
 }
 
