--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -109,8 +109,8 @@
 // initQuotaSide makes the parts that know of customers and peers. It draws the incarnation of this gateway.
 func (g *Gateway) initQuotaSide() {
 	settings := g.settings
-	g.protocol = newPeerProtocol(settings, g.clock, uint8(g.random.Uint32()))
-	g.protocol.gossip, g.protocol.sendToPeer = g.gossip.recent, g.actions.SendToPeer
+	incarnation := uint8(g.random.Uint32())
+	g.protocol = newPeerProtocol(settings, g.clock, incarnation, g.gossip, g.actions.SendToPeer)
 	g.owners = newOwnerDirectory(settings, g.protocol.reachable)
 	g.retries = newRetryPolicy(settings, g.clock)
 	g.quota = quotaController{
