--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -94,9 +94,9 @@
 	return err
 }
 
-// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Blank
-// lines, the heartbeat of a watch, put off the end of a silent response. It bounds what a value may take, in bytes and in time: one that
-// trickles in would keep the next change from being polled for.
+// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Blank lines, the
+// heartbeat of a watch, put off the end of a silent response. It bounds what a value may take, in bytes and in time:
+// one that trickles in would keep the next change from being polled for.
 type valueReader struct {
 	source    io.Reader
 	decoder   *json.Decoder
--- a/internal/netcalls/errors.go
+++ b/internal/netcalls/errors.go
@@ -16,7 +16,7 @@
 func IsOutOfDescriptors(err error) bool { return isErrno(err, syscall.EMFILE, syscall.ENFILE) }
 
 // IsShortage reports whether a call failed for want of something that this machine may have again in a moment.
-// A connection on which a read or a write has failed so is as good as before.
+// A connection on which a read or a write has failed so can be used as before.
 func IsShortage(err error) bool {
 	return IsOutOfDescriptors(err) || isErrno(err, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR)
 }
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -73,7 +73,8 @@
 // its space.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{first: endedAt, last: endedAt}
-	if startedAt-t.lastEmptyAt > eventloop.LagTolerance { // the reader was held up: all may have arrived right after the last read
+	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
+		// The reader was delayed: all may have arrived right after the last read.
 		read.first = t.lastEmptyAt
 	} else {
 		read.first = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 	kind          attemptKind
 	sentAt        policy.Seconds
 	expiresAt     policy.Seconds   // when the reply is not waited for any more
-	writeDeadline policy.Seconds   // when the last byte must be written, by the clock, not by the loop's time; +Inf: at any time
+	writeDeadline policy.Seconds   // of the last byte, by the clock, not by the loop's time; +Inf: none
 	timer         *eventloop.Timer // fires at expiresAt
 	conn          *backendConn     // that it holds; nil before and after
 	done          bool
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -145,7 +145,7 @@
 	addr, conns := listenEndpoint(t)
 	for name, change := range map[string]func(*harness){
 		"draining": func(h *harness) {
-			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: discovery.StateTerminating}}})
+			h.changeEndpoint(func(e *discovery.Endpoint) { e.State = discovery.StateTerminating })
 		},
 		"gone": func(h *harness) { h.proxy.applyList(discovery.List{Full: true}) },
 		"over": func(h *harness) { h.proxy.Reject("a", 0, policy.QuotaExceeded) },
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -20,8 +20,8 @@
 // write deadline; it ends with the write, at its deadline, or with the connection. Nobody sets a read deadline:
 // attempts have timers, and an idle connection is closed.
 //
-// Whether commandWritten is set decides what the end of a connection means to its attempt. Who asks that while a writer
-// may be running closes the connection first, and locks writeMu to await the writer.
+// Whether commandWritten is set decides what the end of a connection means to its attempt. Where a writer may be
+// running, the connection is closed first, and writeMu is locked to wait for the writer.
 type backendConn struct {
 	services *services
 	set      *endpointSet // that its endpoint is in
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// usable reports whether the connection may carry another command: its endpoint is in service, and is the one that it was
-// dialed as, in the group for which the decision module chose it.
+// usable reports whether the connection may carry another command: its endpoint is in service, and is the one that it
+// was dialed as, in the group for which the decision module chose it.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -160,7 +160,7 @@
 			b := receive(t, old)
 			b.readCommand()
 			h.onLoop(func() {
-				h.changeEndpoint("s0", change)
+				h.changeEndpoint(change)
 			})
 			b.write(valueReply)
 			c.wantValue("the reply to the attempt in flight")
@@ -196,7 +196,7 @@
 			h.client().send(lookCommand("a")...)
 			receive(t, h.decider.requests)
 			h.onLoop(func() {
-				h.changeEndpoint("s0", change)
+				h.changeEndpoint(change)
 			})
 			close(free)
 			h.wantOutcome(policy.NotSent)
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -95,7 +95,7 @@
 	b.write("-ERR failed\r\n")
 	receive(t, h.decider.outcomes)
 	h.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
-		h.changeEndpoint("s0", func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
+		h.changeEndpoint(func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
 		h.proxy.Send("a", "s0", 0, 0)
 	})
 	h.wantNothingSent(conns)
@@ -159,8 +159,8 @@
 	}
 }
 
-// awaitGone waits until the decision module is notified that the client of a request is gone, and holds that no connection
-// is made before.
+// awaitGone waits until the decision module is notified that the client of a request is gone, and holds that no
+// connection is made before.
 func (h *harness) awaitGone(conns <-chan *testConn, id string) {
 	h.t.Helper()
 	for {
@@ -194,8 +194,8 @@
 	return c, conn
 }
 
-// wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module was notified that
-// its client is gone, and that nothing is left of it.
+// wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module was notified
+// that its client is gone, and that nothing is left of it.
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -81,7 +81,10 @@
 		c.abandon(memoryBudget, nil)
 		return
 	}
-	shared.log.Info("client socket is full", "connection", c.number, "unwritten_bytes", len(rest), "open_requests", c.openRequestIDs())
+	shared.log.Info(
+		"client socket is full", "connection", c.number, "unwritten_bytes", len(rest),
+		"open_requests", c.openRequestIDs(),
+	)
 	c.writing, c.pipeline.pending = true, nil
 	c.startWriter(rest)
 }
@@ -130,5 +133,6 @@
 	return c.writing && now-c.writeProgressAt.Load() > stalledAfter
 }
 
-// openRequestIDs are the requests of the client that have no final reply yet, and those whose reply is not wholly written.
+// openRequestIDs are the requests of the client that have no final reply yet, and those whose reply is not wholly
+// written.
 func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -40,7 +40,7 @@
 			c.write(tc.half)
 			c.wantLines(want, "")
 			c.mustClose()
-			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1 })
+			h.eventually("the connection is closed", h.allClientsClosed)
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
@@ -154,7 +154,9 @@
 // TestClientsShareInputBudget guards the memory: what is unfinished or waits has one bound for all connections
 // together.
 func TestClientsShareInputBudget(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000) })
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		h.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000)
+	})
 	big := func(id string) string {
 		return encodeCommand(postCommand(id, strings.Repeat("x", 10_000))...)
 	}
@@ -205,6 +207,9 @@
 // TestMalformedInputGetsErrorReply guards against a crash or a hang on what can't be read.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
+	requestWith := func(old, replaced string) string {
+		return encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, old, replaced, 1))
+	}
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	for want, input := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
@@ -220,17 +225,17 @@
 		"-ERR wrong number of arguments for CALL.GET": encodeCommand("CALL.GET", testCustomer),
 		"-ERR customer must be":                       encodeCommand("CALL.GET", "00000002b4d65521", "a", fields),
 		"-ERR the request's id":                       encodeCommand("CALL.GET", testCustomer, "", fields),
-		"-ERR field d: invalid value \"soon\"":        encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "soon", 1)),
-		"-ERR field d: invalid value \"NaN\"":         encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "100", "NaN", 1)),
-		"-ERR field c: invalid value":                 encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "x", 1)),
-		"-ERR field t: invalid value":                 encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "basic", "x", 1)),
-		"-ERR field units: invalid value":             encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "units=2", "units=-2", 1)),
-		"-ERR field spread: invalid value":            encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "spread=2", "spread=3", 1)),
-		"-ERR field first: invalid value":             encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "first=1", "first=2", 1)),
-		"-ERR field first is missing":                 encodeCommand("CALL.GET", testCustomer, "a", strings.TrimSuffix(fields, ",first=1")),
+		"-ERR field d: invalid value \"soon\"":        requestWith("100", "soon"),
+		"-ERR field d: invalid value \"NaN\"":         requestWith("100", "NaN"),
+		"-ERR field c: invalid value":                 requestWith("look", "x"),
+		"-ERR field t: invalid value":                 requestWith("basic", "x"),
+		"-ERR field units: invalid value":             requestWith("units=2", "units=-2"),
+		"-ERR field spread: invalid value":            requestWith("spread=2", "spread=3"),
+		"-ERR field first: invalid value":             requestWith("first=1", "first=2"),
+		"-ERR field first is missing":                 requestWith(",first=1", ""),
 		"-ERR field c is given twice":                 encodeCommand("CALL.GET", testCustomer, "a", fields+",c=look"),
 		"-ERR malformed field":                        encodeCommand("CALL.GET", testCustomer, "a", fields+","),
-		"-ERR class bill does not go with CALL.GET":   encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, "look", "bill", 1)),
+		"-ERR class bill does not go with CALL.GET":   requestWith("look", "bill"),
 		"-ERR field k is missing":                     encodeCommand("CALL.POST", testCustomer, "a", strings.Replace(fields, "look", "hold", 1), ""),
 	} {
 		c := h.client()
@@ -275,7 +280,9 @@
 // TestClientsBeyondLimitGetBusyReply guards against requests lost to the limit on connections: a connection beyond it
 // was closed, and with it the request that had come along. It gets a reply, and is served once another one is idle.
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1 })
+	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1
+	})
 	busy := h.client()
 	h.openRequest(busy, "a")
 	extra := h.client()
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -43,7 +43,7 @@
 			})
 			cfg := testConfig()
 			cfg.DiscoveryAddress = a.Address()
-			cfg.InitialEndpoints = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
+			cfg.InitialEndpoints = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{inService("old", "127.0.0.1:1")}}
 			h := startProxy(t, cfg, nil)
 			for _, want := range []string{"[old in_service]", "[x in_service y in_service]", "[x draining]", "[z in_service]"} {
 				if got := fmt.Sprint(h.nextEndpoints()); got != want {
@@ -83,7 +83,7 @@
 		t.Fatalf("the first address listed %s", got)
 	}
 	cfg.DiscoveryAddress = to.Address()
-	cfg.InitialEndpoints = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: discovery.StateInService}}}
+	cfg.InitialEndpoints = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{inService("old", "127.0.0.1:1")}}
 	h.reloads <- cfg
 	for _, want := range []string{"[y in_service]", "[v in_service]"} {
 		if got := fmt.Sprint(h.nextEndpoints()); got != want {
@@ -106,7 +106,9 @@
 			h.proxy.wallClock = func() float64 { return wall() + step }
 			now = h.proxy.clock.Now()
 			at = wall() + step // a start before the step has the old time
-			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: discovery.StateInService, StartedMS: int64(at * 1000)}}})
+			started := inService("s", "127.0.0.1:1")
+			started.StartedMS = int64(at * 1000)
+			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{started}})
 		})
 		if got := receive(t, h.decider.lists)[0].StartedAt; math.Abs(got-now) > 0.1 {
 			t.Errorf("step of %v: a start of now is taken for %.1f s from now", step, got-now)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -106,6 +106,11 @@
 // unreachableAgent is an address that refuses connections.
 const unreachableAgent = "127.0.0.1:1"
 
+// inService is an entry of the endpoint list.
+func inService(id, addr string) discovery.Endpoint {
+	return discovery.Endpoint{ID: id, Addr: addr, State: discovery.StateInService}
+}
+
 // testConfig is a configuration with an endpoint s0, s1, ... at each address.
 func testConfig(addresses ...string) config.Config {
 	c := config.Config{
@@ -122,7 +127,7 @@
 		}},
 	}
 	for i, addr := range addresses {
-		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, State: discovery.StateInService})
+		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, inService(fmt.Sprint("s", i), addr))
 	}
 	c.InitialEndpoints.Full = true
 	return c
@@ -269,7 +274,8 @@
 	h.t.Helper()
 	e := h.proxy.endpoints.byID[endpointID]
 	c := &backendConn{
-		services: &h.proxy.services, set: &h.proxy.endpoints, endpoint: e, dialedAs: e.Endpoint, conn: conn.(*net.TCPConn), idleSince: h.proxy.loop.Now(),
+		services: &h.proxy.services, set: &h.proxy.endpoints, endpoint: e, dialedAs: e.Endpoint,
+		conn: conn.(*net.TCPConn), idleSince: h.proxy.loop.Now(),
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
@@ -377,9 +383,9 @@
 	receive(h.t, h.decider.requests)
 }
 
-// changeEndpoint applies a changed entry of the endpoint list; on the event loop.
-func (h *harness) changeEndpoint(id string, change func(*discovery.Endpoint)) {
-	entry := h.proxy.endpoints.byID[id].Endpoint
+// changeEndpoint applies a change of the endpoint s0; on the event loop.
+func (h *harness) changeEndpoint(change func(*discovery.Endpoint)) {
+	entry := h.proxy.endpoints.byID["s0"].Endpoint
 	change(&entry)
 	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
@@ -441,6 +447,11 @@
 	})
 }
 
+// allClientsClosed reports whether no client is connected and the listener waits for one; on the event loop.
+func (h *harness) allClientsClosed() bool {
+	return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1
+}
+
 // onlyClient is the connection of the only client, nil if there is none; on the event loop.
 func (h *harness) onlyClient() (c *clientConn) {
 	for c = range h.proxy.clients.conns {
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -69,6 +69,8 @@
 		return
 	}
 	elapsed := time.Duration((c.services.loop.Now() - a.sentAt) * float64(time.Second))
-	attrs = append(attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String())
+	attrs = append(
+		attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String(),
+	)
 	c.services.log.Info("backend connection closed", attrs...)
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -61,7 +61,8 @@
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// forbids reports whether a request can't be opened, and replies to it then, unless its client can't get a reply any more.
+// forbids reports whether a request can't be opened, and replies to it then, unless its client can't get a reply any
+// more.
 func (t *requestTable) forbids(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -27,7 +27,7 @@
 	calls *netcalls.Calls
 	clock eventloop.Clock
 	loop  *eventloop.Loop
-	// inputBudget bounds what clients and endpoints have sent and nobody has used up yet.
+	// inputBudget bounds the input of clients and endpoints that is read and not handled yet.
 	inputBudget *readbuf.Budget
 	warnings    warningLimiter
 	// decider is called on the event loop alone.
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -128,7 +128,7 @@
 	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
 		"an old list":   {{ID: "s0", Addr: "127.0.0.1:1", State: discovery.StateTerminating}},
-		"a usable list": {{ID: "s0", Addr: "127.0.0.1:1", State: discovery.StateInService}},
+		"a usable list": {inService("s0", "127.0.0.1:1")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, polls := discoverytest.NewManualAgent(t) // silent
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -123,7 +123,7 @@
 				}
 				_ = c.Close()
 			}
-			h.eventually("all slots are free but the next one", func() bool { return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1 })
+			h.eventually("all connections are closed", h.allClientsClosed)
 		})
 	}
 }
@@ -203,8 +203,9 @@
 			c.send(lookCommand("a")...)
 			h.wantOutcome(tc.want)
 			h.onLoop(func() {
-				if be := h.proxy.endpoints.byID["s0"]; be.dials != 0 || len(be.waiting) != 0 || h.proxy.endpoints.openConns != len(be.idle) {
-					t.Errorf("%d dials, %d wait, %d open", be.dials, len(be.waiting), h.proxy.endpoints.openConns)
+				e, open := h.proxy.endpoints.byID["s0"], h.proxy.endpoints.openConns
+				if e.dials != 0 || len(e.waiting) != 0 || open != len(e.idle) {
+					t.Errorf("%d dials, %d wait, %d open", e.dials, len(e.waiting), open)
 				}
 			})
 		})
@@ -298,9 +299,7 @@
 			if id := receive(t, h.decider.gone); id != "a" {
 				t.Errorf("gone: %q", id)
 			}
-			h.eventually("nothing is left", func() bool {
-				return h.proxy.clients.open() == 0 && len(h.proxy.requests.byID) == 0 && len(h.proxy.clients.connSlots) == 1
-			})
+			h.eventually("nothing is left", func() bool { return h.allClientsClosed() && len(h.proxy.requests.byID) == 0 })
 		})
 		t.Run("endpoint, "+number.Error(), func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -9,7 +9,7 @@
 	"reedlead/policy"
 )
 
-// The trace follows each request by its id, through every gateway that it came to, in the log at debug level. Its
+// The trace follows each request by its id, through every gateway that it reached, in the log at debug level. Its
 // messages and keys are read by cmd/audit; times are in seconds of the process's own clock.
 const (
 	traceAccepted     = "request accepted"
@@ -52,7 +52,8 @@
 		"dedup_scope", class.DedupScope.String(), "idempotency_window", class.IdempotencyWindow,
 		"endpoint", to.ID, "zone", to.Zone, "cell", to.Cell, "endpoint_started", float64(to.StartedMS)/1000,
 		"arrived", a.request.arrivedAt, "write_started", writeStarted, "at", at,
-		"timeout_at", a.expiresAt, "deadline", a.request.deadline, "client_closed", netcalls.ClosedByPeer(a.request.client.rawConn),
+		"timeout_at", a.expiresAt, "deadline", a.request.deadline,
+		"client_closed", netcalls.ClosedByPeer(a.request.client.rawConn),
 	)
 }
 
@@ -72,7 +73,9 @@
 	if !t.enabled() {
 		return
 	}
-	t.services.log.Debug(traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", t.services.clock.Now())
+	t.services.log.Debug(
+		traceCompleted, "id", r.ID, "reply", replyKind(reply), "reason", string(why), "at", t.services.clock.Now(),
+	)
 }
 
 // replyKind is "value", or of an error the first three letters of its code.
