--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Validate returns an *EndpointError if the entry can't be used. An endpoint that is gone needs no address.
+// Validate returns an *EndpointError if the entry can't be used. A removed endpoint needs no address.
 func (e Endpoint) Validate() error {
 	state, known := e.State.Policy()
 	if e.ID == "" || !known {
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -42,7 +42,7 @@
 	at     policy.Seconds // event time; 0: long ago
 }
 
-// Sample takes in a reading of both clocks: the event time, and the wall clock in Unix seconds.
+// Sample records a reading of both clocks: the event time, and the wall clock in Unix seconds.
 func (s *StartTimes) Sample(now, wall policy.Seconds) {
 	offset := wall - now
 	if n := len(s.epochs); n == 0 {
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -51,12 +51,12 @@
 	c.closed = true
 	c.logClosed(why, cause)
 	c.unusable.Store(true)
-	_ = c.conn.Close() // whatever was written on it, no more will be
+	_ = c.conn.Close() // nothing more is written on it
 	c.set.openConns--
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(idle *backendConn) bool { return idle == c })
 }
 
-// readerEnded handles the end of the connection as its reader has noticed it. Event loop only.
+// readerEnded handles the end of the connection as its reader has detected it. Event loop only.
 func (c *backendConn) readerEnded(cause error, at policy.Seconds) {
 	c.close(peerClosed, cause)
 	a := c.attempt
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -119,7 +119,7 @@
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
-		_ = conn.Close() // nobody knows it yet
+		_ = conn.Close() // it is not in use yet
 		return nil, err
 	}
 	return c, nil
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -43,7 +43,7 @@
 		goOn, cause = r.readOnce()
 	}
 	c.unusable.Store(true)
-	_ = c.conn.Close() // whatever was written on it, no more will be
+	_ = c.conn.Close() // nothing more is written on it
 	c.writeMu.Lock()   // whether the command was completely written decides what the end means
 	if c.writeErr != nil {
 		cause = c.writeErr
@@ -111,7 +111,7 @@
 	return !hasMore
 }
 
-// rejectReply ends the connection's attempt for what came in place of a reply.
+// rejectReply ends the connection's attempt for malformed or unexpected input.
 func (r *backendReader) rejectReply(at policy.Seconds, got []byte, err error) {
 	c, shared := r.conn, r.services
 	c.unusable.Store(true)
@@ -127,18 +127,18 @@
 	if c.closed || c.attempt == nil {
 		return
 	}
-	res := attemptResult{status: received.Status, value: received.Value, load: received.Load}
+	result := attemptResult{status: received.Status, value: received.Value, load: received.Load}
 	if isHealthCheck := c.attempt.request == nil; received.Status == policy.OK && received.HealthCheck != isHealthCheck {
 		c.unusable.Store(true)
 		c.services.warn("malformed reply", "endpoint", c.endpoint.ID, "error", errOtherReply)
-		res = malformedReply(errOtherReply)
+		result = malformedReply(errOtherReply)
 	}
-	c.endAttempt(res, at)
+	c.endAttempt(result, at)
 }
 
 // endAttempt ends the attempt that the connection carries, and puts the connection into the pool if it may be used
 // again. Event loop only.
-func (c *backendConn) endAttempt(res attemptResult, at policy.Seconds) {
+func (c *backendConn) endAttempt(result attemptResult, at policy.Seconds) {
 	a := c.attempt
 	if c.closed || a == nil {
 		return
@@ -147,5 +147,5 @@
 		a.conn = nil
 		c.release()
 	}
-	c.set.attempts.finish(a, res, at)
+	c.set.attempts.finish(a, result, at)
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -55,7 +55,7 @@
 func (l *clientListener) run() {
 	loop, clock := l.services.loop, l.services.clock
 	defer func() {
-		_ = l.listener.Close() // a second close of it fails, and changes nothing
+		_ = l.listener.Close() // a second close fails and changes nothing
 		loop.Post(clock.Now(), l.onEnd)
 	}()
 	for {
@@ -84,7 +84,7 @@
 	var rawConn syscall.RawConn
 	if err == nil {
 		if rawConn, err = conn.SyscallConn(); err != nil {
-			_ = conn.Close() // nobody knows it yet
+			_ = conn.Close() // it is not in use yet
 		}
 	}
 	at := shared.clock.Now()
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -75,7 +75,7 @@
 // staying is the number of connections that are not about to be closed.
 func (s *clientSet) staying() int { return len(s.conns) - s.closing }
 
-// add takes in a connection that the listener has accepted.
+// add adds a connection that the listener has accepted.
 func (s *clientSet) add(c *clientConn) {
 	c.overLimit = s.makeRoom(c)
 	if c.overLimit && s.staying() >= s.limit+s.overLimitAllowance {
@@ -86,7 +86,7 @@
 	now := s.services.loop.Now()
 	c.openedAt, c.lastUsedAt = now, now
 	s.conns[c] = struct{}{}
-	if s.status.isDraining() { // it came before the listener closed, and so does its command
+	if s.status.isDraining() { // it was accepted before the listener closed, and its command may follow
 		s.services.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
 	}
 }
@@ -104,7 +104,7 @@
 			c.abandon(peerClosed, nil)
 		}
 	}
-	s.enforceLimit() // no newcomer may come that would make room
+	s.enforceLimit() // a newcomer would do the same, but none may come
 }
 
 // enforceLimit closes idle connections while more are open than the limit.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -23,7 +23,7 @@
 	timeout     time.Duration // after which all requests have their reply at the latest
 
 	started       bool // connections close between requests
-	acceptorEnded bool // the listener is closed, and all that came there was accepted
+	acceptorEnded bool // the listener is closed, and all pending connections were accepted
 	timedOut      bool // requests that come now are rejected at once
 }
 
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -48,7 +48,7 @@
 	dial            func(addr string) (net.Conn, error)
 	localFaultRetry time.Duration
 	duplicateWindow policy.Seconds
-	afterWrite      func(*backendConn) // runs between the last byte of a command that took long and the note of it
+	afterWrite      func(*backendConn) // for tests: runs when a writer has written its last byte, before that is noted
 }
 
 // init sets the limits by the configuration.
@@ -78,8 +78,8 @@
 	return false
 }
 
-// apply takes in a list, or a change of it. An attempt that waits for a dial to an endpoint that may get nothing new
-// is given back to the decision module at once.
+// apply applies a list, or a change of it. An attempt that waits for a dial to an endpoint that is not in service any
+// more ends at once as not sent.
 func (s *endpointSet) apply(list discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Endpoints {
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -15,10 +15,10 @@
 // Why a client's connection was closed.
 const (
 	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
-	idleTimeout        closeReason = "idle_timeout"         // no command came for long
+	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
 	evicted            closeReason = "evicted"              // it was idle and made room for others
 	draining           closeReason = "draining"             // this process ends
-	drainDeadline      closeReason = "drain_deadline"       // and its time to do so is over
+	drainDeadline      closeReason = "drain_deadline"       // and the time for that is over
 	tooManyConnections closeReason = "too_many_connections" // more are open than may be
 	protocolError      closeReason = "protocol_error"       // what it sent can't be parsed
 	writeFailed        closeReason = "write_failed"         // a reply could not be written
@@ -29,7 +29,7 @@
 
 // Why a backend connection was closed, beside peerClosed, idleTimeout and evicted.
 const (
-	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or is gone
+	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or was removed
 	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is not needed
 	notUsable        closeReason = "not_usable"        // broken, used up, or no longer where its endpoint listens
 )
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -25,14 +25,14 @@
 	settled   bool             // it has its final reply, or its client has disconnected
 }
 
-// Why the proxy itself rejects a request, or fails it, beside what the decision module decides.
+// The reasons for which the proxy itself rejects or fails a request, beside those of the decision module.
 const (
 	shuttingDown           policy.Reason = "shutting_down"
 	connectionLimitReached policy.Reason = "connection_limit_reached"
 	tooManyOpenRequests    policy.Reason = "too_many_open_requests"
 	inputMemoryExhausted   policy.Reason = "input_memory_exhausted"
 	noDecision             policy.Reason = "no_decision_in_time"
-	served                 policy.Reason = "" // it is not: the reply is a value
+	served                 policy.Reason = "" // none: the reply is a value
 )
 
 // requestTable holds the open requests, and gives each its final reply or its end, once. The event loop owns it.
@@ -61,7 +61,7 @@
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// forbids reports whether a request can't be opened, and replies to it then, unless its client can't get a reply any
+// forbids reports whether a request can't be opened, and then replies to it, unless its client can't get a reply any
 // more.
 func (t *requestTable) forbids(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
@@ -81,7 +81,7 @@
 	return true
 }
 
-// open registers a request and gives it its place among the replies of its connection.
+// open registers a request and reserves a slot for its reply in the pipeline of its connection.
 func (t *requestTable) open(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
 	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
@@ -151,7 +151,8 @@
 	r.client.flush()
 }
 
-// settle notes that a request gets no reply any more. Attempts that are in flight need neither timer nor command.
+// settle marks a request as settled, and releases what it holds: attempts in flight use neither its timer nor its
+// arguments.
 func (t *requestTable) settle(r *request) {
 	r.settled = true
 	t.attempts.abortUnwritten(r)
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -1,25 +1,11 @@
 package proxy
 
 import (
-	"bytes"
 	"log/slog"
 	"regexp"
-	"sync"
 	"testing"
 )
 
-// lockedBuffer is a log that tests read once the proxy has ended.
-type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *lockedBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
 // TestTraceLogsRequestLifecycle guards the trace that cmd/audit reads: each attempt, how it ended, the reply; and
 // nothing of it at the usual level.
 func TestTraceLogsRequestLifecycle(t *testing.T) {
@@ -43,9 +29,7 @@
 		b.write(valueReply)
 		c.wantValue("it")
 		receive(t, h.decider.outcomes)
-		log.mu.Lock()
-		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.b.String(), "")
-		log.mu.Unlock()
+		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.text(), "")
 		if !regexp.MustCompile(want).MatchString(got) {
 			t.Errorf("at %v: got %q", level, got)
 		}
