--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -55,6 +55,3 @@
 func (a actions) SendToPeer(gateway int, data []byte) {
 	a.out.Begin("BROADCAST_TO", a.instance).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
-
-// Log implements policy.Actions.
-func (a actions) Log(text string) { a.out.Begin("EMIT", a.instance).Str("msg", text).End() }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -99,9 +99,8 @@
 }
 
 func decodeStreamStarted(a *adapter, _ int) (delivery, error) {
-	fields := fieldReader{line: &a.line}
-	id, attempt := fields.text("id"), fields.int("hop")
-	return func(g *policy.Gateway) { g.HandleStreamStarted(a.now, id, attempt) }, fields.err
+	id, err := a.line.Text("id")
+	return func(g *policy.Gateway) { g.HandleStreamStarted(a.now, id) }, err
 }
 
 func decodeOutcome(a *adapter, _ int) (delivery, error) {
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -121,7 +121,6 @@
 func (c *attemptCounter) SetTimer(uint64, float64)              {}
 func (c *attemptCounter) HealthCheck(string)                    {}
 func (c *attemptCounter) SendToPeer(int, []byte)                {}
-func (c *attemptCounter) Log(string)                            {}
 
 // joiningAttempts counts the attempts on an endpoint that joins: in the first 2 s after it is listed, while it warms
 // up, when it is warm, and in the first 2 s after it is listed again, which is after a restart.
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -44,6 +44,3 @@
 func (p *Proxy) SetTimer(token uint64, delay policy.Seconds) {
 	p.loop.After(max(delay, 0), func() { p.decider.HandleTimer(p.loop.Now(), token) })
 }
-
-// Log implements policy.Actions.
-func (p *Proxy) Log(text string) { p.log.Info(text) }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -253,7 +253,6 @@
 func (messageRecorder) Cancel(string, int)                    {}
 func (messageRecorder) SetTimer(uint64, float64)              {}
 func (messageRecorder) HealthCheck(string)                    {}
-func (messageRecorder) Log(string)                            {}
 
 func (m messageRecorder) SendToPeer(to int, data []byte) {
 	m.gateway.sent = append(m.gateway.sent, sentMessage{to, append([]byte(nil), data...)})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,16 +44,13 @@
 		RetryAfter     bool    `json:"retryAfter"`
 	} `json:"limits"`
 	Packages []struct {
-		Name         string  `json:"name"`
-		UnitsPerS    float64 `json:"unitsPerS"`
-		PeakUnits    float64 `json:"peakUnits"`
-		Parallel     int     `json:"parallel"`
-		Pays         float64 `json:"pays"`
-		ExtraWorth   float64 `json:"extraWorth"`
-		ExcessCost   float64 `json:"excessCost"`
-		HardRate     float64 `json:"hardRate"`
-		CapDepth     float64 `json:"capDepth"`
-		CeilingSlack float64 `json:"ceilingSlack"`
+		Name      string  `json:"name"`
+		UnitsPerS float64 `json:"unitsPerS"`
+		PeakUnits float64 `json:"peakUnits"`
+		Parallel  int     `json:"parallel"`
+		Pays      float64 `json:"pays"`
+		HardRate  float64 `json:"hardRate"`
+		CapDepth  float64 `json:"capDepth"`
 	} `json:"packages"`
 	Prices struct {
 		CrossZone float64 `json:"crossZone"`
@@ -68,7 +65,6 @@
 		KeyScope   string  `json:"keyScope"`
 		KeyTTLS    float64 `json:"keyTtlS"`
 		LateWorth  float64 `json:"lateWorth"`
-		Stream     bool    `json:"stream"`
 		Worth      float64 `json:"worth"`
 	} `json:"profiles"`
 	Rules struct {
@@ -79,10 +75,6 @@
 		FallS        float64 `json:"fallS"`
 		StopSendingS float64 `json:"stopSendingWithinS"`
 	} `json:"rules"`
-	ScoreParts struct {
-		WorstTenant float64 `json:"worstTenant"`
-	} `json:"scoreParts"`
-	TickS float64 `json:"tickS"`
 }
 
 var idempotencyByEffect = map[string]policy.Idempotency{
@@ -98,11 +90,8 @@
 	"cell": policy.DedupCell,
 }
 
-// Where endpoints report their load, by feedback.how.
-const (
-	loadInHealthChecks = "probe"
-	loadInReplies      = "answers"
-)
+// loadInHealthChecks is the value of feedback.how where endpoints report their load in replies to health checks alone.
+const loadInHealthChecks = "probe"
 
 // Settings are those of the decision module, and beside them what only the network side has to know.
 type Settings struct {
@@ -159,7 +148,6 @@
 		MaxRetryAfter: w.Limits.MaxRetryAfterS,
 
 		LoadReportInHealthCheck: w.Feedback.How == loadInHealthChecks,
-		LoadReportInReply:       w.Feedback.How == loadInReplies,
 
 		ReplySlack:           w.Rules.AnswerSlackS,
 		SlowStartMinCapacity: w.Rules.ColdFrom,
@@ -167,11 +155,9 @@
 		OverloadMultiple:     w.Rules.FallMultiple,
 		OverloadWindow:       w.Rules.FallS,
 
-		BatchInterval:         w.TickS,
 		CrossZoneCost:         w.Prices.CrossZone,
 		HandshakeCost:         w.Prices.Handshake,
 		ConnectionIdleTimeout: w.Limits.ConnIdleS,
-		WorstPlanWeight:       w.ScoreParts.WorstTenant,
 	}
 }
 
@@ -196,7 +182,6 @@
 			Idempotency:         idempotency,
 			DedupScope:          scope,
 			IdempotencyWindow:   p.KeyTTLS,
-			Streaming:           p.Stream,
 		})
 	}
 	return classes, nil
@@ -206,16 +191,13 @@
 	var plans []policy.Plan
 	for _, p := range w.Packages {
 		plans = append(plans, policy.Plan{
-			Name:                    p.Name,
-			Rate:                    p.UnitsPerS,
-			Burst:                   p.PeakUnits,
-			MaxConcurrent:           p.Parallel,
-			WeightFactor:            p.Pays,
-			OverQuotaWeightFraction: p.ExtraWorth,
-			OverQuotaCostFraction:   p.ExcessCost,
-			CeilingRate:             p.HardRate,
-			CeilingBurst:            p.CapDepth,
-			CeilingSlack:            p.CeilingSlack,
+			Name:          p.Name,
+			Rate:          p.UnitsPerS,
+			Burst:         p.PeakUnits,
+			MaxConcurrent: p.Parallel,
+			WeightFactor:  p.Pays,
+			CeilingRate:   p.HardRate,
+			CeilingBurst:  p.CapDepth,
 		})
 	}
 	return plans
--- a/policy/api.go
+++ b/policy/api.go
@@ -85,8 +85,6 @@
 	// DedupScope and IdempotencyWindow tell, of IdempotencyKey, which endpoints drop repeats, and for how long.
 	DedupScope        DedupScope
 	IdempotencyWindow Seconds
-	// Streaming tells that replies are streams.
-	Streaming bool
 }
 
 // Plan describes the quota that each customer of the plan holds over all gateways.
@@ -100,15 +98,10 @@
 	MaxConcurrent int
 	// WeightFactor multiplies the priority weight of the class.
 	WeightFactor float64
-	// OverQuotaWeightFraction is the fraction of the weight earned beyond the quota.
-	OverQuotaWeightFraction float64
-	// OverQuotaCostFraction is the fraction of the weight that forwarding beyond the quota costs.
-	OverQuotaCostFraction float64
 	// CeilingRate, in units a second, and CeilingBurst bound what is forwarded in any case; a rate of 0
 	// stands for no ceiling.
 	CeilingRate  float64
 	CeilingBurst float64
-	CeilingSlack float64
 }
 
 // Settings are fixed for the life of a Gateway.
@@ -133,8 +126,8 @@
 	MaxAttempts int
 	// MaxRetryAfter is the longest Retry-After of a rejection.
 	MaxRetryAfter Seconds
-	// Where endpoints report their load.
-	LoadReportInHealthCheck, LoadReportInReply bool
+	// LoadReportInHealthCheck tells that endpoints report their load in replies to health checks alone.
+	LoadReportInHealthCheck bool
 
 	// ReplySlack is how long after the deadline a final reply still counts as given.
 	ReplySlack Seconds
@@ -146,16 +139,12 @@
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
-	// BatchInterval is the least time between two batches of events.
-	BatchInterval Seconds
 	// CrossZoneCost is what an attempt in another zone costs, as a fraction of the goal.
 	CrossZoneCost float64
 	// HandshakeCost is what a new connection costs, a first attempt, as a fraction of the goal.
 	HandshakeCost float64
 	// ConnectionIdleTimeout is how long an idle connection stays open.
 	ConnectionIdleTimeout Seconds
-	// WorstPlanWeight is the weight of the worst-served plan in the goal.
-	WorstPlanWeight float64
 }
 
 // EndpointState is what the endpoint list says of an endpoint.
@@ -306,6 +295,4 @@
 	HealthCheck(endpoint string)
 	// SendToPeer sends a message to a gateway, or to all with Broadcast. It may be lost.
 	SendToPeer(gateway int, data []byte)
-	// Log writes a line to the log.
-	Log(text string)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -29,7 +29,6 @@
 func (p *printedActions) Cancel(string, int)              {}
 func (p *printedActions) SetTimer(uint64, policy.Seconds) {}
 func (p *printedActions) HealthCheck(string)              {}
-func (p *printedActions) Log(text string)                 { fmt.Printf("%s: %s\n", p.name, text) }
 func (p *printedActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
 
 // exampleSettings has one class, and one plan with a quota of 3 units that grows by 1 a second.
@@ -40,7 +39,7 @@
 		Classes: []policy.Class{
 			{Name: "read", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
 		},
-		Plans: []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, WeightFactor: 1, OverQuotaCostFraction: 1}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, WeightFactor: 1}},
 	}
 }
 
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -372,4 +372,3 @@
 func (g *simulatedGateway) SetTimer(uint64, Seconds)              {}
 func (g *simulatedGateway) HealthCheck(string)                    {}
 func (g *simulatedGateway) SendToPeer(int, []byte)                {}
-func (g *simulatedGateway) Log(string)                            {}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -167,7 +167,7 @@
 
 // HandleStreamStarted notes that an attempt's reply is being streamed to the client, so that the request
 // is not retried any more.
-func (g *Gateway) HandleStreamStarted(now Seconds, id string, _ int) {
+func (g *Gateway) HandleStreamStarted(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil {
 		r.streaming = true
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -25,7 +25,7 @@
 	g.HandlePeerMessage(100, 1, make([]byte, 4000))
 	g.HandleOutcome(100, Outcome{RequestID: "none", Endpoint: "s1"})
 	g.HandleClientGone(100, "none")
-	g.HandleStreamStarted(100, "none", 0)
+	g.HandleStreamStarted(100, "none")
 	g.HandleHealthCheck(100, HealthCheckResult{Endpoint: "none"})
 	g.HandleTimer(100, 77)
 	if len(recorded.actions) != n {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -47,8 +47,6 @@
 	r.actions = append(r.actions, action{kind: "send_to_peer", to: gateway, data: bytes.Clone(data)})
 }
 
-func (r *recorder) Log(string) {}
-
 // ofKind returns the actions of a kind for a request, or for all requests with an id of "".
 func (r *recorder) ofKind(kind, id string) (list []action) {
 	for _, a := range r.actions {
@@ -66,7 +64,7 @@
 	return Settings{
 		Self: 0, GatewayCount: 2, Zone: "a", MaxRequestUnits: 4, PeerMessageRate: 40, PeerMessages: true, Cancellation: true, Hedging: true,
 		MaxAttempts: 3, MaxRetryAfter: 0.5, ReplySlack: 0.01,
-		SlowStartMinCapacity: 0.2, SlowStartDuration: 10, OverloadMultiple: 3, OverloadWindow: 1, BatchInterval: 0.002,
+		SlowStartMinCapacity: 0.2, SlowStartDuration: 10, OverloadMultiple: 3, OverloadWindow: 1,
 		Classes: []Class{
 			{Name: "read", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: Idempotent},
 			{Name: "put", LatencyObjective: 1, Timeout: 4, PriorityWeight: 3, Idempotency: IdempotencyKey, DedupScope: DedupZone, IdempotencyWindow: 2},
@@ -75,9 +73,9 @@
 			{Name: "pay", LatencyObjective: 1, Timeout: 4, PriorityWeight: 5, Idempotency: NonIdempotent},
 		},
 		Plans: []Plan{
-			{Name: "basic", Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaCostFraction: 1},
-			{Name: "capped", Rate: 10, Burst: 20, WeightFactor: 1, OverQuotaCostFraction: 1, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
-			{Name: "open", MaxConcurrent: 2, WeightFactor: 1, OverQuotaCostFraction: 1},
+			{Name: "basic", Rate: 2, Burst: 8, WeightFactor: 1},
+			{Name: "capped", Rate: 10, Burst: 20, WeightFactor: 1, CeilingRate: 20, CeilingBurst: 40},
+			{Name: "open", MaxConcurrent: 2, WeightFactor: 1},
 			{Name: "wide", Rate: 1000, Burst: 4000, WeightFactor: 1},
 		},
 	}
