--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net"
 	"time"
 
 	"reedlead/policy"
@@ -17,8 +18,14 @@
 	drainMargin    = 150 * time.Millisecond
 )
 
-// drainState is the progress of a graceful shutdown. The event loop owns it.
-type drainState struct {
+// drain is a graceful shutdown: it stops accepting connections, closes those that are idle, and after a time fails the
+// requests that are still open. The event loop owns it.
+type drain struct {
+	services *services
+	listener *net.TCPListener
+	clients  *clientSet
+	requests *requestTable
+
 	acceptGrace time.Duration // how long after the signal new connections are accepted
 	timeout     time.Duration // after which all requests have their reply at the latest
 
@@ -27,56 +34,57 @@
 	timedOut      bool // requests that come now are rejected at once
 }
 
-func newDrainState(classes []policy.Class) drainState {
+// init sets the times by the deadlines of the request classes.
+func (d *drain) init(
+	shared *services, listener *net.TCPListener, clients *clientSet, requests *requestTable, classes []policy.Class,
+) {
 	longest := policy.Seconds(0)
 	for _, class := range classes {
 		longest = max(longest, class.Timeout)
 	}
 	killAfter := min(time.Duration(longest*float64(time.Second)), maxKillTimeout) + killDelay
-	return drainState{acceptGrace: acceptGrace, timeout: killAfter - drainMargin}
+	d.services, d.listener, d.clients, d.requests = shared, listener, clients, requests
+	d.acceptGrace, d.timeout = acceptGrace, killAfter-drainMargin
 }
 
-// isDraining implements gatewayStatus.
-func (p *Proxy) isDraining() bool { return p.drain.started }
-
-// startDrain is called on the signal to end.
-func (p *Proxy) startDrain() {
-	p.log.Info("draining")
-	p.loop.After(p.drain.acceptGrace.Seconds(), p.stopAccepting)
-	p.loop.After(p.drain.timeout.Seconds(), p.endDrain)
+// start begins the shutdown, on the signal to end.
+func (d *drain) start() {
+	d.services.log.Info("draining")
+	d.services.loop.After(d.acceptGrace.Seconds(), d.stopAccepting)
+	d.services.loop.After(d.timeout.Seconds(), d.expire)
 }
 
-// drained reports whether the process may end.
-func (p *Proxy) drained() bool {
-	return p.drain.started && p.drain.acceptorEnded && p.clients.open() == 0
+// complete reports whether the process may end.
+func (d *drain) complete() bool {
+	return d.started && d.acceptorEnded && d.clients.open() == 0
 }
 
 // stopAccepting ends the time in which new connections are accepted. From here on all that is open has time until
-// endDrain: clients go on sending on connections that stay open.
-func (p *Proxy) stopAccepting() {
-	p.drain.started = true
-	_ = p.listener.SetDeadline(time.Now()) // it fails on a closed listener alone
-	p.clients.closeIdle()
+// expire: clients go on sending on connections that stay open.
+func (d *drain) stopAccepting() {
+	d.started = true
+	_ = d.listener.SetDeadline(time.Now()) // it fails on a closed listener alone
+	d.clients.closeIdle()
 }
 
-// endDrain ends a drain that takes too long: open requests fail while their clients can get the reply. What comes
+// expire ends a shutdown that takes too long: open requests fail while their clients can get the reply. What comes
 // after that is rejected at once, until its connection is quiet for long enough to be closed.
-func (p *Proxy) endDrain() {
-	p.drain.timedOut = true
-	if !p.drain.started {
-		p.stopAccepting()
+func (d *drain) expire() {
+	d.timedOut = true
+	if !d.started {
+		d.stopAccepting()
 	}
-	p.requests.failOpen(shuttingDown)
-	p.clients.closeIdle()
-	p.loop.After(drainMargin.Seconds()/2, func() {
-		for c := range p.clients.conns {
+	d.requests.failOpen(shuttingDown)
+	d.clients.closeIdle()
+	d.services.loop.After(drainMargin.Seconds()/2, func() {
+		for c := range d.clients.conns {
 			c.shutDownSending()
 		}
 	})
-	p.loop.After(drainMargin.Seconds()*3/4, func() {
-		for c := range p.clients.conns {
+	d.services.loop.After(drainMargin.Seconds()*3/4, func() {
+		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		p.drain.acceptorEnded = true // it may wait for a free slot until SIGKILL comes
+		d.acceptorEnded = true // it may wait for a free slot until SIGKILL comes
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -40,7 +40,7 @@
 	services
 
 	cfg        config.Config
-	drain      drainState
+	drain      drain
 	startTimes discovery.StartTimes
 	// wallClock returns Unix time by the wall clock, which may be stepped.
 	wallClock func() policy.Seconds
@@ -80,7 +80,6 @@
 		services:  services{log: log, calls: calls, clock: eventloop.NewClock()},
 		cfg:       cfg,
 		wallClock: func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
-		drain:     newDrainState(cfg.Settings.Classes),
 		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
@@ -88,14 +87,14 @@
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
 	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
-	p.connectParts()
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
+	p.connectParts()
 	return p, nil
 }
 
-// connectParts makes the parts and hands each of them the others that it uses.
+// connectParts makes the parts, once the sockets are open, and hands each of them the others that it uses.
 func (p *Proxy) connectParts() {
 	shared, configured := &p.services, &p.cfg.Settings
 	p.trace = tracer{services: shared, classes: configured.Classes}
@@ -109,6 +108,7 @@
 	p.descriptors = descriptorGuard{
 		services: shared, clients: &p.clients, endpoints: &p.endpoints, probe: probeDescriptor,
 	}
+	p.drain.init(shared, p.listener, &p.clients, &p.requests, configured.Classes)
 	p.clients.init(shared, &p.requests, p, p.cfg.MaxDescriptors)
 	p.endpoints.init(shared, &p.attempts, &p.descriptors, &p.trace, p.cfg)
 }
@@ -154,7 +154,7 @@
 		go p.receivePeerMessages()
 	}
 	p.loop.Every(sweepInterval, p.sweep)
-	p.loop.Run(p.drained, ctx.Done(), p.startDrain)
+	p.loop.Run(p.drain.complete, ctx.Done(), p.drain.start)
 }
 
 // sweep closes connections that were idle for long, follows the wall clock and looks for free descriptors.
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -39,7 +39,7 @@
 type requestTable struct {
 	services *services
 	settings *settings.Settings
-	drain    *drainState // of which it reads whether requests are still served
+	drain    *drain // of which it reads whether requests are still served
 	trace    *tracer
 	attempts *attemptRunner
 	byID     map[string]*request // the open ones
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -13,7 +13,7 @@
 // commands: the command has been read, and waits in the event queue while the event loop takes the connection for idle.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
-		"shutdown": func(h *harness) { h.proxy.stopAccepting() },
+		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
 		"idle":     (*harness).expireIdleClients,
 		"evicted":  (*harness).evictIdleClient,
 	} {
@@ -36,7 +36,7 @@
 		h := startProxy(t, testConfig(unreachableAgent), nil)
 		c := h.client()
 		h.openRequest(c, "a")
-		h.onLoop(h.proxy.stopAccepting)
+		h.onLoop(h.proxy.drain.stopAccepting)
 		rejectEachRequest(h)
 		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 		c.wantLines("-ERR failed", "-BUSY 500", "")
@@ -46,8 +46,8 @@
 		c := h.client()
 		h.openRequest(c, "a")
 		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() {
-			h.proxy.stopAccepting()
-			h.proxy.endDrain()
+			h.proxy.drain.stopAccepting()
+			h.proxy.drain.expire()
 		})
 		c.wantLines("-ERR failed", "-BUSY 1000", "")
 		receive(t, h.ended)
@@ -66,7 +66,7 @@
 	all := encodeCommand(lookCommand("a")...)
 	c.write(all[:20])
 	h.eventually("half of it is read", func() bool { return netcalls.NoDataPending(h.onlyClient().rawConn) })
-	h.onLoop(h.proxy.stopAccepting)
+	h.onLoop(h.proxy.drain.stopAccepting)
 	h.eventually("the reader goes on", func() bool { return h.onlyClient() == nil || !h.onlyClient().closeRequested })
 	c.write(all[20:])
 	c.wantLines("-BUSY 500", "")
@@ -78,7 +78,7 @@
 	t.Run("accepted", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 		var c *testConn
-		h.whileLoopWaits(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.stopAccepting)
+		h.whileLoopWaits(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.drain.stopAccepting)
 		c.wantLines("-BUSY 500", "")
 	})
 	t.Run("in the backlog", func(t *testing.T) {
@@ -90,7 +90,7 @@
 		first.mustPing()
 		second := h.client()
 		second.send(lookCommand("a")...)
-		h.onLoop(h.proxy.stopAccepting)
+		h.onLoop(h.proxy.drain.stopAccepting)
 		if first.readLine() != "" {
 			t.Error("the idle connection is open")
 		}
@@ -121,7 +121,7 @@
 // at the moment at which it is closed between commands: the sending side alone ends, until the client has closed too.
 func TestCloseLosesNoReplyInFlight(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
-		"shutdown": func(h *harness) { h.proxy.stopAccepting() },
+		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
 		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 		if late.send("PING"); late.readLine() != "+PONG" {
 			t.Fatal("a connection after the signal was not served")
 		}
-		h.onLoop(h.proxy.stopAccepting)
+		h.onLoop(h.proxy.drain.stopAccepting)
 		if idle.readLine() != "" || late.readLine() != "" {
 			t.Error("connections between requests were not closed")
 		}
@@ -193,7 +193,7 @@
 		h := startProxy(t, testConfig(unreachableAgent), nil)
 		c := h.client()
 		h.openRequest(c, "mute")
-		h.onLoop(func() { h.proxy.stopAccepting(); h.proxy.endDrain() })
+		h.onLoop(func() { h.proxy.drain.stopAccepting(); h.proxy.drain.expire() })
 		c.wantLines("-ERR failed", "")
 		receive(t, h.ended)
 	})
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -17,6 +17,9 @@
 	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
 }
 
+// isDraining implements gatewayStatus.
+func (p *Proxy) isDraining() bool { return p.drain.started }
+
 // replyToPing replies to a health check of this gateway. Event loop only.
 func (c *clientConn) replyToPing() {
 	if !c.set.status.isReady() {
