--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,17 +23,17 @@
 	// A change counts as announced once the agent has it, whether or not a watch is open, and attempts on a
 	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
 	// again within a share of it.
-	pollTimeoutShare    = 0.3
-	defaultGrace        = 250 * time.Millisecond // where the settings name none
-	maxPollTimeout      = 500 * time.Millisecond
-	maxOpenRetries      = 3 // open polls of an agent, beside the first
-	maxBackoff          = 50 * time.Millisecond
-	minUnusableBackoff  = 50 * time.Millisecond
-	maxUnusableBackoff  = time.Second // a complete list costs the agent; an unusable one is not polled for more often
-	maxValueSize        = 4 << 20
-	targetsPath         = "/api/targets"
-	completeListQuery   = ""
-	watchQueryWithAfter = "?watch=1&after=%d"
+	pollTimeoutShare   = 0.3
+	defaultGrace       = 250 * time.Millisecond // where the settings name none
+	maxPollTimeout     = 500 * time.Millisecond
+	maxOpenRetries     = 3 // open polls of an agent, beside the first
+	maxBackoff         = 50 * time.Millisecond
+	minUnusableBackoff = 50 * time.Millisecond
+	maxUnusableBackoff = time.Second // a complete list costs the agent; an unusable one is not polled for more often
+	maxValueSize       = 4 << 20
+	targetsPath        = "/api/targets"
+	listQuery          = ""
+	watchQuery         = "?watch=1&after=%d" // of the version after which changes are wanted
 )
 
 var (
@@ -103,18 +103,18 @@
 // DefaultOptions are those for real time. DialContext and Notify are left to the caller.
 func DefaultOptions(drainGrace time.Duration) Options {
 	return Options{
-		PollTimeout:    PollTimeout(drainGrace),
+		PollTimeout:    PollTimeoutFor(drainGrace),
 		SilenceTimeout: DefaultSilenceTimeout,
 		After:          time.After,
 		AfterFunc:      func(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) },
 	}
 }
 
-// PollTimeout is how long an agent that does not respond is left alone, by the grace period for attempts on
+// PollTimeoutFor is how long an agent that does not respond is left alone, by the grace period for attempts on
 // draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
 // 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
 // before. docs/endings.md adds the waits up.
-func PollTimeout(drainGrace time.Duration) time.Duration {
+func PollTimeoutFor(drainGrace time.Duration) time.Duration {
 	grace := cmp.Or(drainGrace, defaultGrace)
 	return min(time.Duration(grace.Seconds()*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -97,7 +97,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			backoffs, free := make(chan time.Duration, 64), make(chan time.Time)
 			client := runClient(t, tc.address, func(o *Options) {
-				o.PollTimeout = PollTimeout(200 * time.Millisecond)
+				o.PollTimeout = PollTimeoutFor(200 * time.Millisecond)
 				o.After = func(d time.Duration) <-chan time.Time { backoffs <- d; return free }
 			})
 			if tc.switchTo != "" {
@@ -245,7 +245,7 @@
 		0: 75 * time.Millisecond, 250 * time.Millisecond: 75 * time.Millisecond,
 		50 * time.Millisecond: 15 * time.Millisecond, time.Second: 300 * time.Millisecond, time.Minute: 500 * time.Millisecond,
 	} {
-		if got := PollTimeout(grace).Round(time.Microsecond); got != want {
+		if got := PollTimeoutFor(grace).Round(time.Microsecond); got != want {
 			t.Errorf("grace %v: polled again after %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -35,14 +35,14 @@
 				return nil, result.err
 			}
 		case <-ctx.Done():
-			group.cancelAllBut(none)
+			group.cancelAllBut(noPoll)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// none is the number of no poll.
-const none = -1
+// noPoll is the number of no poll: cancelAllBut(noPoll) cancels all of them.
+const noPoll = -1
 
 // pollGroup is a series of equal polls of which the first response counts. It belongs to the goroutine of
 // Client.poll; each poll runs on a goroutine of its own, which ends with the response or when it is cancelled.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -18,7 +18,7 @@
 			return fmt.Errorf("complete list: %w", err)
 		}
 	}
-	return c.readResponse(ctx, fmt.Sprintf(watchQueryWithAfter, c.version), func(values *valueReader) error {
+	return c.readResponse(ctx, fmt.Sprintf(watchQuery, c.version), func(values *valueReader) error {
 		for {
 			list, err := c.nextChange(values)
 			if err != nil {
@@ -51,7 +51,7 @@
 // resynchronize polls the complete list. An entry that can't be used is left out: the rest must not wait for it.
 func (c *Client) resynchronize(ctx context.Context) error {
 	var list List
-	err := c.readResponse(ctx, completeListQuery, func(values *valueReader) error { return values.decode(&list) })
+	err := c.readResponse(ctx, listQuery, func(values *valueReader) error { return values.decode(&list) })
 	if err != nil {
 		return err
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -11,10 +11,10 @@
 
 const (
 	queueSize = 1024
-	// After a stall the readers of sockets are given turns of readerTurn, until one brings nothing more, and
-	// maxReaderTurns at most.
-	readerTurn     = 200 * time.Microsecond
-	maxReaderTurns = 10
+	// After a stall the loop sleeps for readerYield, so that the readers of sockets run, until one such pause brings no
+	// event, and maxReaderYields times at most.
+	readerYield     = 200 * time.Microsecond
+	maxReaderYields = 10
 )
 
 // event is something that happened outside the loop, with the time at which it did.
@@ -33,7 +33,7 @@
 	now      policy.Seconds
 	timers   timerHeap
 	wake     *time.Timer
-	wakeAt   policy.Seconds // when wake rings; 0: it is not set
+	wakeAt   policy.Seconds // when wake fires; 0: it is not set
 	lag      Lag
 	deferred []func()
 	onPanic  func(cause any, stack []byte)
@@ -49,7 +49,7 @@
 		clock: clock, now: clock.Now(), onPanic: onPanic,
 		events: make(chan event, queueSize), ended: make(chan struct{}),
 		wake:           time.NewTimer(time.Hour),
-		YieldToReaders: func() { time.Sleep(readerTurn) },
+		YieldToReaders: func() { time.Sleep(readerYield) },
 	}
 }
 
@@ -138,7 +138,8 @@
 	run()
 }
 
-// setWake sets the one system timer to the timer that is due first, unless it rings before that anyway.
+// setWake sets the one system timer to the first timer, unless it fires before that anyway, and publishes when that
+// timer is due.
 func (l *Loop) setWake() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
@@ -172,8 +173,8 @@
 
 // letReadersCatchUp handles what the readers of sockets find after a stall.
 func (l *Loop) letReadersCatchUp() {
-	for turn := range maxReaderTurns {
-		if l.YieldToReaders(); len(l.events) == 0 && turn > 0 {
+	for yields := range maxReaderYields {
+		if l.YieldToReaders(); len(l.events) == 0 && yields > 0 {
 			return
 		}
 		l.handleQueued()
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -30,7 +30,7 @@
 	r.inFlight++
 	tooMany := len(r.attempts) > max(1, runner.settings.MaxAttempts)
 	switch {
-	case tooMany || (runner.unsendable(a) || runner.alreadySettled(r)) && timeout >= 0:
+	case tooMany || (runner.mustNotStart(a) || runner.endIsPending(r)) && timeout >= 0:
 		runner.finishDeferred(a, policy.NotSent)
 	case timeout < 0:
 		runner.finishDeferred(a, policy.Timeout)
@@ -76,22 +76,22 @@
 	runner.start(a)
 }
 
-// unsendable reports whether no byte of the attempt may be written any more.
-func (runner *attemptRunner) unsendable(a *attempt) bool {
+// mustNotStart reports whether the attempt's endpoint is out of service, its request has ended, or its time is over.
+func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	settled := a.request != nil && a.request.settled
 	return !inService || settled || runner.services.loop.Now() >= a.expiresAt
 }
 
-// sendable reports whether an attempt that has waited may still be written.
-func (runner *attemptRunner) sendable(a *attempt) bool {
-	return !runner.unsendable(a) && (a.request == nil || !runner.alreadySettled(a.request))
+// mayBeWritten reports whether an attempt that has waited for a connection may still be written.
+func (runner *attemptRunner) mayBeWritten(a *attempt) bool {
+	return !runner.mustNotStart(a) && (a.request == nil || !runner.endIsPending(a.request))
 }
 
-// alreadySettled reports whether something has come that makes an attempt of the request needless or wrong, though the
-// event loop has not handled it: a reply is in the socket of an earlier attempt, or the client has disconnected. A
-// request that was only just read is no exception: it may have been in its socket for long.
-func (runner *attemptRunner) alreadySettled(r *request) bool {
+// endIsPending reports whether the request has ended by something that the event loop has not handled yet: a reply in
+// the socket of an earlier attempt, or the client's disconnect. Requests that were only just read are checked too: they
+// may have been in their socket for long.
+func (runner *attemptRunner) endIsPending(r *request) bool {
 	return runner.replyPending(r) || runner.clientDisconnected(r.client)
 }
 
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -9,18 +9,18 @@
 	"reedlead/policy"
 )
 
-// connectionRest is how long a connection rests before it is preferred for another command: a duplicate of a reply
-// comes right behind it, and is noticed before the next command goes out.
-const connectionRest policy.Seconds = 0.005
+// minReuseDelay is how long a connection should have been idle before it carries another command. A duplicate of a reply
+// arrives right behind it, and is detected within that time.
+const minReuseDelay policy.Seconds = 0.005
 
 // acquireIdle takes a connection of an endpoint out of the pool, nil if there is none that can be used: the one used
-// last of those that have rested, else the one that has rested longest. A connection that has unsolicited bytes, or
-// that has ended, must not get a command, also if its reader has not noticed yet.
+// last of those that have been idle for minReuseDelay, else the one idle for longest. A connection that has unsolicited
+// bytes, or that has ended, must not get a command, also if its reader has not noticed yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
 		i := len(e.idle) - 1
-		for i > 0 && now-e.idle[i].idleSince < connectionRest {
+		for i > 0 && now-e.idle[i].idleSince < minReuseDelay {
 			i--
 		}
 		c := e.idle[i]
@@ -48,7 +48,7 @@
 	for len(e.waiting) > 0 {
 		a := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if !s.attempts.sendable(a) {
+		if !s.attempts.mayBeWritten(a) {
 			s.attempts.finishDeferred(a, policy.NotSent)
 			continue
 		}
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -123,7 +123,7 @@
 }
 
 // TestEqualReplyAfterDuplicateWindowIsAccepted guards against a reply that is rejected for an equal one that came long
-// before: its connection had rested, so that a duplicate would have been noticed.
+// before: its connection had been idle for long enough, so that a duplicate would have been noticed.
 func TestEqualReplyAfterDuplicateWindowIsAccepted(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -38,9 +38,9 @@
 	shared := c.services
 	r := &backendReader{conn: c, services: shared, buffer: readbuf.NewBuffer(shared.inputBudget)}
 	defer r.buffer.Free()
-	goOn, cause := true, error(nil)
-	for goOn {
-		goOn, cause = r.readOnce()
+	more, cause := true, error(nil)
+	for more {
+		more, cause = r.readOnce()
 	}
 	c.unusable.Store(true)
 	_ = c.conn.Close() // nothing more is written on it
@@ -55,7 +55,7 @@
 
 // readOnce reads what has come, waiting for it, and handles a reply that is complete. It reports whether to go on, and
 // the error of the read.
-func (r *backendReader) readOnce() (goOn bool, err error) {
+func (r *backendReader) readOnce() (more bool, err error) {
 	c, shared := r.conn, r.services
 	space := r.buffer.Space()
 	if space == nil {
@@ -76,7 +76,7 @@
 }
 
 // handleReply posts the reply in the buffer if it is complete. It reports whether to go on.
-func (r *backendReader) handleReply(at policy.Seconds) (goOn bool) {
+func (r *backendReader) handleReply(at policy.Seconds) (more bool) {
 	c, content := r.conn, r.buffer.Bytes()
 	size, err := resp.Frame(content)
 	if err == nil && size == 0 && len(content) > resp.MaxFrame {
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -47,19 +47,19 @@
 
 	reader clientReader
 
-	pipeline         replyPipeline
-	reservedOutput   int  // bytes of the budget, for what is pending or with the writer
-	writing          bool // a writer goroutine runs
-	openedAt         policy.Seconds
-	lastUsedAt       policy.Seconds
-	closeReason      closeReason // why its close was requested
-	closeRequested   bool        // the reader is to pause, so that the connection can be closed
-	usedSinceRequest bool        // a reply was queued since then
-	hasSentCommand   bool        // a complete command has come
-	inputDiscarded   bool        // the reader has discarded input behind a malformed command for long enough
-	sendingShutDown  bool        // no reply can be sent any more, and what comes is discarded
-	overLimit        bool        // beyond the limit: its requests are rejected while that holds
-	closed           bool
+	pipeline              replyPipeline
+	reservedOutput        int  // bytes of the budget, for what is pending or with the writer
+	writing               bool // a writer goroutine runs
+	openedAt              policy.Seconds
+	lastUsedAt            policy.Seconds
+	closeReason           closeReason // why its close was requested
+	closeRequested        bool        // the reader is to pause, so that the connection can be closed
+	usedSinceCloseRequest bool        // a reply was queued since the close was requested
+	hasSentCommand        bool        // a complete command has come
+	inputDiscarded        bool        // the reader has discarded input behind a malformed command for long enough
+	sendingShutDown       bool        // no reply can be sent any more, and what comes is discarded
+	overLimit             bool        // beyond the limit: its requests are rejected while that holds
+	closed                bool
 }
 
 // idle reports whether the client waits for nothing, as far as its commands were handled.
@@ -84,7 +84,7 @@
 	case c.pipeline.lastReplyQueued: // what still comes is discarded
 		c.close(why, nil)
 	default:
-		c.closeRequested, c.usedSinceRequest, c.closeReason = true, false, why
+		c.closeRequested, c.usedSinceCloseRequest, c.closeReason = true, false, why
 		c.set.closing++
 		c.pauseRequested.Store(true)
 		_ = c.conn.SetReadDeadline(pastDeadline) // it fails on a connection that has ended, which the reader reports
@@ -96,7 +96,7 @@
 	if c.closed {
 		return
 	}
-	unused := c.set.status.isDraining() || !c.usedSinceRequest
+	unused := c.set.status.isDraining() || !c.usedSinceCloseRequest
 	if unused && c.idle() && c.reader.buffer.Len() == 0 && netcalls.NoDataPending(c.rawConn) {
 		c.closeGracefully()
 		return
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -46,7 +46,7 @@
 			p.warn("accept failed", "error", err)
 			p.descriptors.freeAfter(err)
 		},
-		onEnd: func() { p.drain.acceptorEnded = true },
+		onEnd: func() { p.drain.listenerEnded = true },
 	}
 	l.run()
 }
@@ -71,7 +71,7 @@
 }
 
 // acceptOne accepts one connection, for which a slot is taken, or gives the slot back. It reports whether to go on.
-func (l *clientListener) acceptOne() (goOn bool) {
+func (l *clientListener) acceptOne() (more bool) {
 	shared := l.services
 	startedAt := time.Now()
 	conn, err := shared.calls.Accept(l.listener)
@@ -102,7 +102,7 @@
 }
 
 // waitQuietly handles a passed deadline of the listener after a wait. It reports whether to go on, with a new deadline.
-func (l *clientListener) waitQuietly(waited time.Duration) (goOn bool) {
+func (l *clientListener) waitQuietly(waited time.Duration) (more bool) {
 	l.quietWaits++
 	if waited < listenerQuietPeriod/2 { // accept may have returned without a look, as the deadline had passed already
 		l.quietWaits = 0
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -75,7 +75,7 @@
 }
 
 // readOnce reads what has come, waiting for it, and handles the commands that are complete. It reports whether to go on.
-func (r *clientReader) readOnce() (goOn bool) {
+func (r *clientReader) readOnce() (more bool) {
 	space := r.buffer.Space()
 	if space == nil {
 		r.rejectInput(r.services.clock.Now(), readbuf.ErrExhausted)
@@ -116,7 +116,7 @@
 }
 
 // handleError handles an error of a read. It reports whether to go on.
-func (r *clientReader) handleError(at policy.Seconds, err error) (goOn bool) {
+func (r *clientReader) handleError(at policy.Seconds, err error) (more bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case timedOut && r.client.pauseRequested.Load():
@@ -133,7 +133,7 @@
 }
 
 // pause lets the event loop decide between commands whether the connection is closed. It reports whether to go on.
-func (r *clientReader) pause(at policy.Seconds) (goOn bool) {
+func (r *clientReader) pause(at policy.Seconds) (more bool) {
 	c := r.client
 	r.services.loop.Post(at, c.readerPaused)
 	select {
@@ -206,7 +206,7 @@
 }
 
 // replyError replies to a bad command. It reports whether the connection goes on.
-func (r *clientReader) replyError(at policy.Seconds, err error) (goOn bool) {
+func (r *clientReader) replyError(at policy.Seconds, err error) (more bool) {
 	if r.badCommands++; r.badCommands == maxBadCommands {
 		<-r.client.permits // the last reply has none
 		r.rejectInput(at, err)
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -77,7 +77,7 @@
 
 // add adds a connection that the listener has accepted.
 func (s *clientSet) add(c *clientConn) {
-	c.overLimit = s.makeRoom(c)
+	c.overLimit = s.evictToLimit(c)
 	if c.overLimit && s.staying() >= s.limit+s.overLimitAllowance {
 		s.services.warn("client rejected: too many connections", "open", s.open())
 		c.close(tooManyConnections, nil)
@@ -110,7 +110,7 @@
 // enforceLimit closes idle connections while more are open than the limit.
 func (s *clientSet) enforceLimit() {
 	if s.staying() > s.limit {
-		s.makeRoom(nil)
+		s.evictToLimit(nil)
 	}
 }
 
@@ -123,9 +123,9 @@
 	}
 }
 
-// makeRoom closes connections, those of the lowest eviction rank first, until no more are open than the limit. The
-// newcomer, which may be nil, is not counted. It reports whether too many are open all the same.
-func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
+// evictToLimit closes idle and stalled connections, those of the lowest eviction rank first, until no more are open than
+// the limit. The newcomer, which may be nil, is not counted. It reports whether too many are open all the same.
+func (s *clientSet) evictToLimit(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
 		switch {
@@ -141,7 +141,7 @@
 	}
 }
 
-// evictionCandidate is the connection to close next to make room: of the lowest rank the one unused for longest, nil
+// evictionCandidate is the connection to evict next: of the lowest rank the one unused for longest, nil
 // if there is none. others is the number of connections that stay open beside the newcomer.
 func (s *clientSet) evictionCandidate(newcomer *clientConn) (candidate *clientConn, others int) {
 	var lowest evictionRank
@@ -161,7 +161,7 @@
 	return candidate, others
 }
 
-// evictionRank orders the connections that may be closed to make room; the lowest goes first.
+// evictionRank orders the connections that may be evicted; the lowest goes first.
 type evictionRank int
 
 const (
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -11,9 +11,9 @@
 
 const (
 	// stallTimeout is how long a client may take nothing of a reply that its socket has no room for. A close under a
-	// reply loses it, so this is long; such a client makes room for others earlier.
+	// reply loses it, so this is long; such a client may be evicted earlier.
 	stallTimeout = 30 * time.Second
-	// stalledAfter is the time without progress after which a client may be closed to make room for others.
+	// stalledAfter is the time without progress after which a client may be evicted.
 	stalledAfter policy.Seconds = 5
 	// maxKeptOutput is the largest buffer in bytes that is kept for the next reply.
 	maxKeptOutput = 4 * readbuf.Size
@@ -28,7 +28,7 @@
 	if replies == 0 {
 		return
 	}
-	c.lastUsedAt, c.usedSinceRequest = c.services.loop.Now(), true
+	c.lastUsedAt, c.usedSinceCloseRequest = c.services.loop.Now(), true
 	if !c.writing {
 		c.writePending()
 	} else if !c.reserveOutput(size) {
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -30,7 +30,7 @@
 	idle.mustPing()
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
-		t.Error("the idle client made no room")
+		t.Error("the idle client was not evicted")
 	}
 	h.onLoop(func() { // the third one waits for a reply, the stuck one has taken nothing for long
 		h.writingClient().writeProgressAt.Store(0)
@@ -39,8 +39,8 @@
 				c.pipeline.add(&pipelineSlot{})
 			}
 		}
-		if h.proxy.clients.makeRoom(nil) {
-			t.Error("the stalled client made no room")
+		if h.proxy.clients.evictToLimit(nil) {
+			t.Error("the stalled client was not evicted")
 		}
 	})
 }
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestSilentClientsAreEvictedFirst guards against usual clients that make room for those that have sent nothing.
+// TestSilentClientsAreEvictedFirst guards against the eviction of usual clients before those that have sent nothing.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
 	usual := h.client()
@@ -105,7 +105,7 @@
 	h.eventually("both are open", func() bool { return h.proxy.clients.open() == 2 })
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
-		t.Error("the silent connection made no room")
+		t.Error("the silent connection was not evicted")
 	}
 	if usual.send("PING"); usual.readLine() != "+PONG" {
 		t.Error("the usual client was closed in its place")
@@ -290,7 +290,7 @@
 	if got := extra.readLine(); got != "-BUSY 1000" {
 		t.Errorf("beyond the limit: %q", got)
 	}
-	next := h.client() // an idle one beyond the limit makes room for it
+	next := h.client() // an idle one beyond the limit is evicted for it
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
 		t.Errorf("beyond the limit, once more: %q", got)
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -7,7 +7,7 @@
 )
 
 // The limits on connections leave a reserve of descriptors. Where the process gets fewer than its configuration says,
-// idle connections make room, so that discovery, new connections and files never have to wait for one.
+// idle connections are evicted, so that discovery, new connections and files never have to wait for one.
 
 const (
 	// evictionDivisor: one in evictionDivisor client connections is closed when there is no descriptor left.
@@ -26,7 +26,7 @@
 	return file.Close()
 }
 
-// descriptorGuard makes room on the limits of connections when descriptors run out. The event loop owns it.
+// descriptorGuard evicts connections, and lowers the limit on clients, when descriptors run out. The event loop owns it.
 type descriptorGuard struct {
 	services  *services
 	clients   *clientSet
@@ -35,8 +35,8 @@
 	probe func() error
 }
 
-// check makes room before a call fails without anybody's notice, and gives the limit on clients back once there
-// is room again.
+// check probes for a free descriptor and evicts connections if there is none; else it raises a lowered limit on
+// clients again.
 func (g *descriptorGuard) check() {
 	s := g.clients
 	if !g.freeAfter(g.probe()) && s.limit < s.configuredLimit {
@@ -59,6 +59,6 @@
 		}
 	}
 	s.limit = max(minClients, min(s.limit, s.staying()-evictions))
-	s.makeRoom(nil)
+	s.evictToLimit(nil)
 	return true
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -29,9 +29,9 @@
 	acceptGrace time.Duration // how long after the signal new connections are accepted
 	timeout     time.Duration // after which all requests have their reply at the latest
 
-	started       bool // connections close between requests
-	acceptorEnded bool // the listener is closed, and all pending connections were accepted
-	timedOut      bool // requests that come now are rejected at once
+	acceptingStopped bool // no new connections are accepted, and connections close between requests
+	listenerEnded    bool // the listener is closed, and all pending connections were accepted
+	timedOut         bool // requests that come now are rejected at once
 }
 
 // init sets the times by the deadlines of the request classes.
@@ -56,13 +56,13 @@
 
 // complete reports whether the process may end.
 func (d *drain) complete() bool {
-	return d.started && d.acceptorEnded && d.clients.open() == 0
+	return d.acceptingStopped && d.listenerEnded && d.clients.open() == 0
 }
 
 // stopAccepting ends the time in which new connections are accepted. From here on all that is open has time until
 // expire: clients go on sending on connections that stay open.
 func (d *drain) stopAccepting() {
-	d.started = true
+	d.acceptingStopped = true
 	_ = d.listener.SetDeadline(time.Now()) // it fails on a closed listener alone
 	d.clients.closeIdle()
 }
@@ -71,7 +71,7 @@
 // after that is rejected at once, until its connection is quiet for long enough to be closed.
 func (d *drain) expire() {
 	d.timedOut = true
-	if !d.started {
+	if !d.acceptingStopped {
 		d.stopAccepting()
 	}
 	d.requests.failOpen(shuttingDown)
@@ -85,6 +85,6 @@
 		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		d.acceptorEnded = true // it may wait for a free slot until SIGKILL comes
+		d.listenerEnded = true // it may wait for a free slot until SIGKILL comes
 	})
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestReadersRunBeforeOverdueTimers guards against the same where the reply is still in the socket: no timer of a
-// process that stalled fires before the readers had their turn.
+// process that stalled fires before the readers have run.
 func TestReadersRunBeforeOverdueTimers(t *testing.T) {
 	h, _, b, _ := startWithAttempt(t)
 	var a *attempt
@@ -42,12 +42,12 @@
 	b.mustClose()
 	h.eventually("the reader waits", a.conn.unusable.Load)
 	h.onLoop(func() {
-		turns := 0
+		yields := 0
 		h.proxy.loop.YieldToReaders = func() {
-			if turns++; turns == 2 { // it needs no more than that
+			if yields++; yields == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); turns == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); yields == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -193,7 +193,7 @@
 		h.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests.byID = map[string]*request{}
-			p.drain.started, p.drain.acceptorEnded = true, true
+			p.drain.acceptingStopped, p.drain.listenerEnded = true, true
 		})
 		<-h.ended
 	})
@@ -396,10 +396,10 @@
 	h.proxy.clients.sweep()
 }
 
-// evictIdleClient closes the connection of the only client to make room, if it is idle; on the event loop.
+// evictIdleClient evicts the connection of the only client, if it is idle; on the event loop.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
-	h.proxy.clients.makeRoom(nil)
+	h.proxy.clients.evictToLimit(nil)
 }
 
 // closePool closes the idle connections of all endpoints.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,7 +33,7 @@
 // Proxy is a gateway on real sockets. It carries out the actions of the decision module and hands it the events.
 //
 // The event loop owns all of its state that is not said to belong to another goroutine. Goroutines of their own
-// are: the acceptor, until the listener is closed; a reader for each connection, until the connection ends; one
+// are: the client listener, until its socket is closed; a reader for each connection, until the connection ends; one
 // for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
 // the sender of the peer link, until it is closed. All of them post what they find to the loop.
 type Proxy struct {
@@ -142,11 +142,11 @@
 }
 
 // serve starts the goroutines and runs the event loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, decider decider) {
+func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, module decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p.decider = decider
+	p.decider = module
 	p.applyList(p.cfg.InitialEndpoints)
 	go p.followDiscovery(background, reloads)
 	go p.acceptClients(p.listener)
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -16,7 +16,7 @@
 const (
 	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
-	evicted            closeReason = "evicted"              // it was idle and made room for others
+	evicted            closeReason = "evicted"              // it was idle, and too many were open
 	draining           closeReason = "draining"             // this process ends
 	drainDeadline      closeReason = "drain_deadline"       // and the time for that is over
 	tooManyConnections closeReason = "too_many_connections" // more are open than may be
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -45,8 +45,8 @@
 	byID     map[string]*request // the open ones
 }
 
-// admit opens a request whose last byte had arrived at a time, and hands it to the decision module; or replies
-// at once where a limit of this process forbids that.
+// admit opens a request whose last byte had arrived at a time, and hands it to the decision module; or rejects it at
+// once where a limit of this process does not allow it.
 func (t *requestTable) admit(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) {
 	admitted := false
 	defer func() {
@@ -54,22 +54,22 @@
 			t.services.inputBudget.Release(parsed.Size)
 		}
 	}()
-	if t.forbids(c, parsed) {
+	if t.rejectedAtOnce(c, parsed) {
 		return
 	}
 	admitted = true
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// forbids reports whether a request can't be opened, and then replies to it, unless its client can't get a reply any
-// more.
-func (t *requestTable) forbids(c *clientConn, parsed *command.Request) bool {
+// rejectedAtOnce rejects a request that a limit of this process does not allow, and reports whether it did. Where the
+// client can't get a reply any more, there is none.
+func (t *requestTable) rejectedAtOnce(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
 	case c.closed, c.sendingShutDown:
 	case t.drain.timedOut:
 		t.rejectAtOnce(c, parsed, shuttingDown)
-	case c.overLimit && c.set.makeRoom(c):
+	case c.overLimit && c.set.evictToLimit(c):
 		t.rejectAtOnce(c, parsed, connectionLimitReached)
 	case t.byID[parsed.ID] != nil:
 		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -18,7 +18,7 @@
 }
 
 // isDraining implements gatewayStatus.
-func (p *Proxy) isDraining() bool { return p.drain.started }
+func (p *Proxy) isDraining() bool { return p.drain.acceptingStopped }
 
 // replyToPing replies to a health check of this gateway. Event loop only.
 func (c *clientConn) replyToPing() {
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -35,7 +35,7 @@
 	close(free)
 	h.wantOutcome(policy.NotSent)
 	b := receive(t, conns)
-	h.eventually("the connection rests", func() bool { return len(h.proxy.endpoints.byID["s0"].idle) == 1 })
+	h.eventually("the connection is idle", func() bool { return len(h.proxy.endpoints.byID["s0"].idle) == 1 })
 	h.wantNoCommand(b)
 }
 
