--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -24,12 +24,15 @@
 // UnixSeconds returns a time as Unix time.
 func UnixSeconds(t time.Time) policy.Seconds { return float64(t.UnixNano()) / 1e9 }
 
+// Duration converts a span of event time.
+func Duration(span policy.Seconds) time.Duration { return time.Duration(span * float64(time.Second)) }
+
 // Now returns the time in Unix seconds.
 func (c Clock) Now() policy.Seconds { return c.baseUnix + time.Since(c.base).Seconds() }
 
 // Time translates a time of the clock, such as for the deadline of a connection.
 func (c Clock) Time(at policy.Seconds) time.Time {
-	return c.base.Add(time.Duration((at - c.baseUnix) * float64(time.Second)))
+	return c.base.Add(Duration(at - c.baseUnix))
 }
 
 // AtomicTime is a time of a Clock that goroutines share. The zero value is the time 0.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -146,7 +146,7 @@
 	}
 	l.wakeAt = l.timers[0].at
 	l.lag.SetNextTimerDue(l.wakeAt)
-	l.wake.Reset(max(0, time.Duration((l.wakeAt-l.clock.Now())*float64(time.Second))))
+	l.wake.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
 // runTimers runs the timers that are due. What has come goes first, a reply, a disconnect or a list: else a hedge
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -4,6 +4,7 @@
 	"net"
 	"time"
 
+	"reedlead/internal/eventloop"
 	"reedlead/policy"
 )
 
@@ -42,7 +43,7 @@
 	for _, class := range classes {
 		longest = max(longest, class.Timeout)
 	}
-	killAfter := min(time.Duration(longest*float64(time.Second)), maxKillTimeout) + killDelay
+	killAfter := min(eventloop.Duration(longest), maxKillTimeout) + killDelay
 	d.services, d.listener, d.clients, d.requests = shared, listener, clients, requests
 	d.acceptGrace, d.timeout = acceptGrace, killAfter-drainMargin
 }
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -3,7 +3,8 @@
 import (
 	"context"
 	"log/slog"
-	"time"
+
+	"reedlead/internal/eventloop"
 )
 
 // closeReason is why a connection was closed. Its text is what the log holds.
@@ -68,7 +69,7 @@
 		c.services.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	elapsed := time.Duration((c.services.loop.Now() - a.sentAt) * float64(time.Second))
+	elapsed := eventloop.Duration(c.services.loop.Now() - a.sentAt)
 	attrs = append(
 		attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String(),
 	)
