--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -94,14 +94,22 @@
 	t.byID[r.ID] = r
 	t.trace.accepted(r)
 	// The decision module replies well before; should it fail to, the client gets a reply all the same.
-	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() {
-		t.services.warn("no reply from the decision module in time", "id", r.ID)
-		t.fail(r, noDecision)
-		t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
-	})
+	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() { t.expire(r) })
 	return r
 }
 
+// expire fails a request to which the decision module has not replied in time.
+func (t *requestTable) expire(r *request) {
+	t.services.warn("no reply from the decision module in time", "id", r.ID)
+	t.fail(r, noDecision)
+	t.notifyGone(r)
+}
+
+// notifyGone notifies the decision module that a request needs no reply any more.
+func (t *requestTable) notifyGone(r *request) {
+	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+}
+
 // decide hands a request to the decision module. A panic there must not leave a request hanging for which nothing
 // was sent.
 func (t *requestTable) decide(r *request) {
@@ -169,7 +177,7 @@
 	}
 	t.trace.clientGone(r)
 	t.settle(r)
-	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+	t.notifyGone(r)
 }
 
 // removeIfDone forgets a settled request once the outcomes of all its attempts were reported.
@@ -184,7 +192,7 @@
 	for _, r := range t.byID {
 		if !r.settled {
 			t.fail(r, why)
-			t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+			t.notifyGone(r)
 		}
 	}
 }
