--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -29,8 +29,9 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	tooMany := len(r.attempts) > max(1, runner.settings.MaxAttempts)
+	noLongerNeeded := !tooMany && (runner.mustNotStart(a) || runner.endIsPending(r))
 	switch {
-	case tooMany || (runner.mustNotStart(a) || runner.endIsPending(r)) && timeout >= 0:
+	case tooMany || noLongerNeeded && timeout >= 0:
 		runner.finishDeferred(a, policy.NotSent)
 	case timeout < 0:
 		runner.finishDeferred(a, policy.Timeout)
