--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -53,6 +53,12 @@
 	return 0, false
 }
 
+// EndpointState returns the state of an entry that was validated.
+func (e Endpoint) EndpointState() policy.EndpointState {
+	state, _ := e.State.Policy() // Validate has checked that it is known
+	return state
+}
+
 // ErrUnknownState is the cause of an EndpointError whose entry has no id, or a state that is not in the API.
 var ErrUnknownState = errors.New("unknown state")
 
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"net"
 	"slices"
 
 	"reedlead/internal/discovery"
@@ -96,7 +95,7 @@
 }
 
 // dialWithRetry dials an address, again for a while where that fails for something on this side.
-func (s *endpointSet) dialWithRetry(addr string) (net.Conn, error) {
+func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
 	conn, err := s.dial(addr)
@@ -111,11 +110,11 @@
 }
 
 // newConn makes a backend connection of what was dialed.
-func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn net.Conn) (*backendConn, error) {
+func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn netcalls.Conn) (*backendConn, error) {
 	shared := s.services
 	c := &backendConn{
 		services: shared, set: s, endpoint: e, dialedAs: dialedAs,
-		conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: shared.calls.Sleep},
+		conn: netcalls.RetryingConn{Conn: conn, Sleep: shared.calls.Sleep},
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -1,11 +1,11 @@
 package proxy
 
 import (
-	"net"
 	"time"
 
 	"reedlead/internal/config"
 	"reedlead/internal/discovery"
+	"reedlead/internal/netcalls"
 	"reedlead/policy"
 )
 
@@ -45,7 +45,7 @@
 	// commandBuffer is kept for the next command that is written.
 	commandBuffer []byte
 
-	dial            func(addr string) (net.Conn, error)
+	dial            func(addr string) (netcalls.Conn, error)
 	localFaultRetry time.Duration
 	duplicateWindow policy.Seconds
 	afterWrite      func(*backendConn) // for tests: runs when a writer has written its last byte, before that is noted
@@ -62,7 +62,7 @@
 	s.limit = max(minBackendConns, int(float64(usableDescriptors(cfg.MaxDescriptors))*backendShare))
 	s.idleTimeout = cfg.Settings.ConnectionIdleTimeout * idleTimeoutShare
 	s.writeSlack = writeSlack
-	s.dial = func(addr string) (net.Conn, error) { return dial(addr, dialTimeout) }
+	s.dial = func(addr string) (netcalls.Conn, error) { return dial(addr, dialTimeout) }
 	s.localFaultRetry = min(dialTimeout, maxLocalFaultRetry)
 	s.duplicateWindow = duplicateWindow
 	s.afterWrite = func(*backendConn) {}
@@ -91,7 +91,7 @@
 		}
 		moved := e.Addr != entry.Addr || e.StartedMS != entry.StartedMS
 		e.Endpoint = entry
-		e.state, _ = entry.State.Policy() // it was validated
+		e.state = entry.EndpointState()
 		if moved || e.state != policy.InService {
 			s.retire(e)
 		}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -56,9 +56,8 @@
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
-		state, _ := e.State.Policy() // it was validated
 		endpoints = append(endpoints, policy.Endpoint{
-			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: state,
+			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.EndpointState(),
 			Weight: e.Weight, StartedAt: p.startTimes.EventTime(e.ID, e.StartedMS),
 		})
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -325,7 +325,7 @@
 // beforeDial has a function run before each dial to an address, and fail it with its error.
 func (h *harness) beforeDial(run func(addr string) error) {
 	dial := h.proxy.endpoints.dial
-	h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+	h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
 		if err := run(addr); err != nil {
 			return nil, err
 		}
@@ -363,7 +363,7 @@
 	return listener, startProxy(t, testConfig(listener.Addr().String()), func(h *harness) {
 		sendEachRequest(0)(h)
 		dial := h.proxy.endpoints.dial
-		h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+		h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
 			conn, err := dial(addr)
 			if err == nil {
 				err = conn.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(smallBuffer)
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -277,12 +277,12 @@
 
 func wrapBackendConns(h *harness, wrap func(netcalls.Conn) netcalls.Conn) {
 	dial := h.proxy.endpoints.dial
-	h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+	h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, err
 		}
-		return wrap(conn.(netcalls.Conn)), nil
+		return wrap(conn), nil
 	}
 }
 
