--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -38,7 +38,7 @@
 
 var (
 	// ErrValueTooLong reports a value of more than 4 MiB.
-	ErrValueTooLong = errors.New("the list is too long")
+	ErrValueTooLong = errors.New("list value over 4 MiB")
 	// ErrUnusable reports that a value came, in whole or in part, that can't be used.
 	ErrUnusable = errors.New("unusable list")
 )
@@ -56,7 +56,7 @@
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d comes after %d", e.Got, e.After)
+	return fmt.Sprintf("list version %d is older than the last, %d", e.Got, e.After)
 }
 
 // Event is something that a Client has found: an Update, a SkippedEndpoint or a WatchEnded.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -59,8 +59,13 @@
 	return state
 }
 
-// ErrUnknownState is the cause of an EndpointError whose entry has no id, or a state that is not in the API.
-var ErrUnknownState = errors.New("unknown state")
+// Causes of an EndpointError, beside that of an address that can't be parsed.
+var (
+	// ErrMissingID reports an entry without an id.
+	ErrMissingID = errors.New("missing id")
+	// ErrUnknownState reports a state that is not in the API.
+	ErrUnknownState = errors.New("unknown state")
+)
 
 // EndpointError reports an entry of a list that can't be used.
 type EndpointError struct {
@@ -85,8 +90,11 @@
 
 // Validate returns an *EndpointError if the entry can't be used. A removed endpoint needs no address.
 func (e Endpoint) Validate() error {
+	if e.ID == "" {
+		return &EndpointError{e.ID, ErrMissingID}
+	}
 	state, known := e.State.Policy()
-	if e.ID == "" || !known {
+	if !known {
 		return &EndpointError{e.ID, fmt.Errorf("%w %q", ErrUnknownState, string(e.State))}
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil && state != policy.Removed {
--- /dev/null
+++ b/internal/discovery/list_test.go
@@ -0,0 +1,26 @@
+package discovery
+
+import (
+	"errors"
+	"testing"
+)
+
+// TestUnusableEntriesNameTheirFault guards the error of an entry that is skipped: it says which fault it has.
+func TestUnusableEntriesNameTheirFault(t *testing.T) {
+	cases := map[string]struct {
+		entry Endpoint
+		want  error
+	}{
+		"no id":                      {Endpoint{Addr: "127.0.0.1:1", State: StateInService}, ErrMissingID},
+		"unknown state":              {Endpoint{ID: "s0", Addr: "127.0.0.1:1", State: "asleep"}, ErrUnknownState},
+		"neither id nor known state": {Endpoint{}, ErrMissingID},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			var fault *EndpointError
+			if err := c.entry.Validate(); !errors.As(err, &fault) || !errors.Is(err, c.want) || fault.ID != c.entry.ID {
+				t.Errorf("got %v, want an EndpointError of %q for: %v", err, c.entry.ID, c.want)
+			}
+		})
+	}
+}
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -10,7 +10,7 @@
 func (p *Proxy) Send(id, endpointID string, timeout, writeWithin policy.Seconds) {
 	r := p.requests.byID[id]
 	if r == nil {
-		p.warn("attempt for a request that is not open", "id", id)
+		p.warn("attempt ignored: request is not open", "id", id)
 		return
 	}
 	p.attempts.send(r, endpointID, timeout, writeWithin)
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -71,7 +71,7 @@
 		sentAt:   now, expiresAt: now + healthCheckTimeout, writeDeadline: math.Inf(1),
 	}
 	if a.endpoint == nil {
-		runner.services.warn("health check of an endpoint that is not listed", "endpoint", endpointID)
+		runner.services.warn("health check ignored: endpoint is not listed", "endpoint", endpointID)
 		return
 	}
 	runner.start(a)
