--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -116,6 +116,7 @@
 	return c, nil
 }
 
+// checkAddresses checks that the addresses for clients and of discovery can be parsed.
 func (f *file) checkAddresses(*Config) error {
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
 		return &FieldError{"listen", err}
@@ -126,6 +127,7 @@
 	return nil
 }
 
+// parseSeed reads the seed, a hexadecimal number.
 func (f *file) parseSeed(c *Config) (err error) {
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return &FieldError{"seed", err}
@@ -133,6 +135,7 @@
 	return nil
 }
 
+// parseSettings reads the settings, and checks those that the network side uses.
 func (f *file) parseSettings(c *Config) (err error) {
 	if len(f.Settings) == 0 {
 		return &FieldError{"settings", ErrMissing}
@@ -146,6 +149,7 @@
 	return nil
 }
 
+// checkKnown checks the entries of the initial endpoint list.
 func (f *file) checkKnown(c *Config) error {
 	if err := c.InitialEndpoints.Validate(); err != nil {
 		return &FieldError{"known", err}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,17 +20,17 @@
 	// needless poll costs little.
 	DefaultSilenceTimeout = 2500 * time.Millisecond
 
-	// A change counts as announced once the agent has it, whether or not a watch is open, and attempts on a
-	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
-	// again within a share of it.
+	// pollTimeoutShare is the timeout of a poll as a share of the grace period for attempts on draining endpoints. A
+	// change counts as announced once the agent has it, whether or not a watch is open, and the attempts must end
+	// within the grace period from then. So an agent that was down has to be found again within a share of it.
 	pollTimeoutShare   = 0.3
 	defaultGrace       = 250 * time.Millisecond // where the settings name none
 	maxPollTimeout     = 500 * time.Millisecond
-	maxOpenRetries     = 3 // open polls of an agent, beside the first
+	maxOpenRetries     = 3 // polls that may be open at a time beside the first
 	maxBackoff         = 50 * time.Millisecond
 	minUnusableBackoff = 50 * time.Millisecond
 	maxUnusableBackoff = time.Second // a complete list costs the agent; an unusable one is not polled for more often
-	maxValueSize       = 4 << 20
+	maxValueSize       = 4 << 20     // bytes of one JSON value
 	targetsPath        = "/api/targets"
 	listQuery          = ""
 	watchQuery         = "?watch=1&after=%d" // of the version after which changes are wanted
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -104,6 +104,7 @@
 	return responseBody{result.body, g.cancels[result.number]}
 }
 
+// cancelAllBut cancels all polls but the one of a number.
 func (g *pollGroup) cancelAllBut(accepted int) {
 	for number, cancel := range g.cancels {
 		if number != accepted {
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// Two samples of the offset between the clocks that differ by more than this have a step of the wall clock
-	// between them; less is drift, or the time between the readings of the two clocks.
+	// minClockStep is the difference between two samples of the offset between the clocks above which the wall clock
+	// was stepped between them; less is drift, or the time between the readings of the two clocks.
 	minClockStep policy.Seconds = 0.25
-	// A start is announced at most some seconds after it happened, so few steps have to be remembered.
+	// maxEpochs is how many epochs are remembered: a start is announced at most some seconds after it happened, and few
+	// steps of the clock come within that.
 	maxEpochs = 16
-	// By how much a start may lie outside of an epoch, or in the future: machines read the clock at different
-	// moments.
+	// startTolerance is by how much a start may lie outside of an epoch, or in the future: machines read the clock at
+	// different moments.
 	startTolerance policy.Seconds = 0.5
 )
 
@@ -37,6 +38,7 @@
 	notBegunBy policy.Seconds // event time by which it had not
 }
 
+// startTime is the start of an endpoint as discovery gives it, and its translation.
 type startTime struct {
 	unixMS int64          // as discovery gives it
 	at     policy.Seconds // event time; 0: long ago
@@ -74,8 +76,9 @@
 }
 
 // fromUnix translates a wall time of the past. Each epoch in which the wall clock may have shown it gives a
-// candidate; the latest one counts, as an endpoint taken for colder than it is gets less than it could bear,
-// and one taken for warmer may fail. A start in the future of all epochs has just happened.
+// candidate; the latest one counts: an endpoint that is taken to have started too late gets less load than it
+// has capacity for, one taken to have started too early may be overloaded. A start in the future of all epochs
+// has just happened.
 func (s *StartTimes) fromUnix(unix policy.Seconds) policy.Seconds {
 	now := s.sampledAt
 	latest, found := 0.0, false
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -106,6 +106,7 @@
 	inValue   bool // a value has begun to come
 }
 
+// newValueReader returns a reader of the values of a response, which silence ends when its timeout has passed.
 func newValueReader(source io.Reader, silence Timer, timeout time.Duration) *valueReader {
 	r := &valueReader{source: source, silence: silence, timeout: timeout, remaining: maxValueSize}
 	r.decoder = json.NewDecoder(r)
--- a/internal/eventloop/lag.go
+++ b/internal/eventloop/lag.go
@@ -3,8 +3,9 @@
 import "reedlead/policy"
 
 const (
-	// LagTolerance is how late a timer may be without a sign that the process has stalled. Each time limit has
-	// 50 ms of slack; when a timer is later than a part of it, what came meanwhile may still lie in the sockets.
+	// LagTolerance is how late a timer may be without a sign that the process has stalled. The limits on replies and
+	// attempts that the specification sets have 50 ms of slack. A timer that is later than a part of that is taken for
+	// a sign of a stall: events from before may still be unread in the sockets.
 	LagTolerance policy.Seconds = 0.02
 	// StallMemory is for how long after a stall what is read may have arrived during it.
 	StallMemory policy.Seconds = 0.1
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,9 +23,8 @@
 	run func()
 }
 
-// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it: all
-// methods are for functions that the loop runs, but for Post, Ended and Lag, which are safe for concurrent use, and for
-// what is done before Run.
+// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it. All methods are
+// for functions that the loop runs, and for use before Run; Post, Ended and Lag are safe for concurrent use.
 type Loop struct {
 	clock    Clock
 	events   chan event
@@ -99,7 +98,7 @@
 // PendingTimers returns how many timers are set.
 func (l *Loop) PendingTimers() int { return len(l.timers) }
 
-// After runs a function on the loop after a delay from now. One that is not positive is over at once.
+// After runs a function on the loop after a delay from now. A delay that is not positive has expired at once.
 func (l *Loop) After(delay policy.Seconds, run func()) *Timer { return l.timers.add(l.now+delay, run) }
 
 // Every runs a function on the loop at an interval, the first time after one.
@@ -110,7 +109,7 @@
 	})
 }
 
-// Stop keeps a timer from running; nil and one that has run are fine.
+// Stop keeps a timer from running. It does nothing for nil or a timer that has run.
 func (l *Loop) Stop(timer *Timer) { l.timers.remove(timer) }
 
 // AdvanceTo moves event time on, unless it is later already.
@@ -149,8 +148,8 @@
 	l.wake.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
-// runTimers runs the timers that are due. What has come goes first, a reply, a disconnect or a list: else a hedge
-// would be sent beside the reply, or an attempt timed out that is done.
+// runTimers runs the timers that are due. Queued events go first: a hedge must not be sent, nor an attempt time out,
+// when its reply, a disconnect or a new endpoint list is in the queue.
 func (l *Loop) runTimers() {
 	now := l.clock.Now()
 	if l.hasStalled(now) {
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -55,7 +55,7 @@
 	return timer
 }
 
-// remove takes a timer off the heap, and with it all that it holds; nil and one that has run are fine.
+// remove takes a timer off the heap, and with it all that it holds. It does nothing for nil or a timer that has run.
 func (h *timerHeap) remove(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(h, timer.index)
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -37,6 +37,7 @@
 	ended time.Time
 }
 
+// pass records that n more bytes passed now.
 func (p *Passage) pass(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,6 +67,7 @@
 	return p.ended
 }
 
+// end records that the direction has ended, the first time that it is called.
 func (p *Passage) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,6 +96,7 @@
 	return l.broken
 }
 
+// markBroken notes that the proxy itself has ended the connection, or a direction of it.
 func (l *Link) markBroken() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,6 +176,7 @@
 	return p.near[atServer.String()]
 }
 
+// accept serves connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
--- a/internal/netcalls/calls.go
+++ b/internal/netcalls/calls.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// accept implements Calls.Accept by the operating system.
 func accept(listener *net.TCPListener) (Conn, error) {
 	conn, err := listener.AcceptTCP()
 	if err != nil {
@@ -60,6 +61,7 @@
 	return conn, nil
 }
 
+// dial implements Calls.Dial by the operating system.
 func dial(address string, timeout time.Duration) (Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -21,6 +21,7 @@
 	return retryAtStart(ctx, sleep, time.Now, call)
 }
 
+// retryAtStart is RetryAtStart with a clock.
 func retryAtStart[T any](ctx context.Context, sleep func(time.Duration), now func() time.Time, call func() (T, error)) (T, error) {
 	for until := now().Add(startRetryTimeout); ; sleep(RetryInterval) {
 		made, err := call()
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -64,6 +64,7 @@
 	queue chan datagram
 }
 
+// datagram is one that waits to be sent.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
@@ -107,6 +108,7 @@
 	}
 }
 
+// sendQueued sends what is queued, until the queue is closed. Its goroutine is started by New.
 func (l *Link) sendQueued() {
 	for d := range l.queue {
 		_, _ = l.calls.WritePacket(l.conn, d.data, d.to) // may be lost anyway
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -48,8 +48,8 @@
 	malformed error // why the reply could not be used
 }
 
-// malformedReply is the result of an attempt whose reply can't be used: its request may have been executed, and
-// nothing else is known of the endpoint, which is up and at work.
+// malformedReply is the result of an attempt whose reply can't be used. The request may have been executed; the endpoint
+// counts as reachable.
 func malformedReply(err error) attemptResult {
 	return attemptResult{status: policy.Error, malformed: err}
 }
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// dialFailed returns how an attempt that waited for the dial ends.
+// dialFailed returns the status of the attempts that are left without a dial.
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
@@ -153,8 +153,9 @@
 	return policy.ConnectFailed
 }
 
-// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns how an attempt ends
-// that waited for the dial and has got no connection.
+// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns the status of the
+// attempts that are left without a dial: ConnectFailed, or NotSent where the endpoint has moved meanwhile and the dial
+// says nothing about it.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -10,10 +10,9 @@
 )
 
 const (
-	// duplicateWindow is how long after a reply the same bytes once more are taken for a duplicate of it, if the
-	// command was written within that. Duplicates come right behind the reply, or some milliseconds later. The values
-	// of requests differ, as do the load reports beside them; equal errors may be two replies, and then one is given
-	// up needlessly, with its connection.
+	// duplicateWindow is the time after a reply within which an equal reply is taken for a duplicate of it, if the
+	// command was begun within that time. The values of requests and their load reports differ; two equal errors may be
+	// two replies, and then the second attempt fails and its connection closes.
 	duplicateWindow policy.Seconds = 0.1
 	// maxLoggedBytes is how much the log holds of a reply that could not be used.
 	maxLoggedBytes = 40
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -72,7 +72,7 @@
 // startWriter starts the writer goroutine with what the socket has not taken of a command.
 func (c *backendConn) startWriter(a *attempt, rest []byte, startedAt policy.Seconds, deadline time.Time) {
 	shared := c.services
-	c.writeMu.Lock()                      // its own reader alone takes it besides, for a moment at its end
+	c.writeMu.Lock()                      // only the connection's reader locks it too, briefly, when it ends
 	_ = c.conn.SetWriteDeadline(deadline) // where it fails, so does the write
 	go func() {
 		defer c.writeMu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // abortWrite reports whether the command on the connection was never completely written, and closes the connection then.
-// Nobody knows while a writer runs: the connection is closed first, which ends the writer, and then the writer's note
+// While a writer runs, that is not known: the connection is closed first, which ends the writer, and then commandWritten
 // is read. Event loop only.
 func (c *backendConn) abortWrite() (aborted bool) {
 	if c.commandWritten.Load() {
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -91,8 +91,9 @@
 	}
 }
 
-// sweep closes the connections that were idle for too long, so that clients that keep a connection open hold no
-// memory. A client that has sent no command is left to its reader, which replies with an error.
+// sweep closes the connections that were idle for too long, those that a client with maxPipelined open commands has
+// closed, and those beyond the limit. A client that has sent no command is left to its reader, which replies with an
+// error.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -133,6 +133,6 @@
 	return c.writing && now-c.writeProgressAt.Load() > stalledAfter
 }
 
-// openRequestIDs are the requests of the client that have no final reply yet, and those whose reply is not wholly
-// written.
+// openRequestIDs returns the ids of the client's requests that have no final reply yet, and of those whose reply is not
+// completely written.
 func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,8 +20,9 @@
 )
 
 const (
-	// inputMemoryShare is the share of the memory that unfinished and queued input may take beside a first buffer
-	// for each connection. The collector lets as much again lie, and the program itself needs some MB.
+	// inputMemoryShare is the share of the memory that unfinished and queued input may take, beside a first buffer
+	// for each connection. Garbage that is not collected yet takes about as much again, and the program itself needs
+	// some MB.
 	inputMemoryShare = 0.2
 	defaultMemoryMB  = 192 // where the configuration gives none
 	sweepInterval    = time.Second
@@ -54,7 +55,7 @@
 	trace       tracer
 	peers       *peerlink.Link    // nil without peer messages
 	discovery   discovery.Options // but for what followDiscovery adds
-	// readyAt is when the gateway is ready without an endpoint in service.
+	// readyAt is when the gateway reports that it is ready even without an endpoint in service.
 	readyAt policy.Seconds
 }
 
@@ -134,6 +135,7 @@
 	return err
 }
 
+// close closes the sockets that open made.
 func (p *Proxy) close() {
 	_ = p.listener.Close() // nothing is accepted any more
 	if p.peers != nil {
@@ -157,7 +159,8 @@
 	p.loop.Run(p.drain.complete, ctx.Done(), p.drain.start)
 }
 
-// sweep closes connections that were idle for long, follows the wall clock and looks for free descriptors.
+// sweep samples the wall clock, closes connections that were idle for too long, and checks that descriptors are free. It
+// runs once a second.
 func (p *Proxy) sweep() {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -15,6 +15,7 @@
 // It belongs to the reader of the connection.
 type History struct{ replies []pastReply } // oldest first
 
+// pastReply is what is kept of a reply.
 type pastReply struct {
 	hash       uint64
 	status     policy.AttemptStatus
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
 // Package settings reads the settings object that the simulator's ENLIST message and the configuration file of a
-// gateway both carry, and translates its words to those of the code. Nothing else uses the words of the wire.
+// gateway both carry, and translates its words to those of the code. The words of the settings are used
+// nowhere else.
 package settings
 
 import (
@@ -125,6 +126,7 @@
 	return s, nil
 }
 
+// seconds translates a number of seconds on the wire.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // policySettings translates all but classes and plans.
@@ -161,6 +163,7 @@
 	}
 }
 
+// classes translates the profiles. The error names the first that can't be translated.
 func (w *wireSettings) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for _, p := range w.Profiles {
@@ -187,6 +190,7 @@
 	return classes, nil
 }
 
+// plans translates the packages.
 func (w *wireSettings) plans() []policy.Plan {
 	var plans []policy.Plan
 	for _, p := range w.Packages {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -40,6 +40,7 @@
 	fields []field
 }
 
+// field is one field of a line, with its value as on the wire.
 type field struct{ name, value string }
 
 // Reader reads lines.
@@ -102,6 +103,7 @@
 // Has tells whether the field came with the line.
 func (l *Line) Has(name string) bool { _, ok := l.get(name); return ok }
 
+// get returns the value of a field, and false if the line has none of the name.
 func (l *Line) get(name string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == name {
@@ -111,6 +113,7 @@
 	return "", false
 }
 
+// missing is the error of a field that the line lacks.
 func (l *Line) missing(name string) error {
 	return fmt.Errorf("%s: field %s %w", l.Name, name, ErrMissing)
 }
@@ -247,6 +250,7 @@
 	return w
 }
 
+// key begins a field.
 func (w *Writer) key(name string) {
 	w.line = append(append(append(w.line, '\t'), name...), '=')
 }
