--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,25 +20,25 @@
 	// needless poll costs little.
 	DefaultSilenceTimeout = 2500 * time.Millisecond
 
-	// A change counts as announced once the agent has it, whether or not a watch is open, and attempts on a
-	// draining endpoint must end within a grace period of that. So an agent that was down has to be found
-	// again within a share of it.
-	pollTimeoutShare    = 0.3
-	defaultGrace        = 250 * time.Millisecond // where the settings name none
-	maxPollTimeout      = 500 * time.Millisecond
-	maxOpenRetries      = 3 // open polls of an agent, beside the first
-	maxBackoff          = 50 * time.Millisecond
-	minUnusableBackoff  = 50 * time.Millisecond
-	maxUnusableBackoff  = time.Second // a complete list costs the agent; an unusable one is not polled for more often
-	maxValueSize        = 4 << 20
-	targetsPath         = "/api/targets"
-	completeListQuery   = ""
-	watchQueryWithAfter = "?watch=1&after=%d"
+	// pollTimeoutShare is the timeout of a poll as a share of the grace period for attempts on draining endpoints. A
+	// change counts as announced once the agent has it, whether or not a watch is open, and the attempts must end
+	// within the grace period from then. So an agent that was down has to be found again within a share of it.
+	pollTimeoutShare   = 0.3
+	defaultGrace       = 250 * time.Millisecond // where the settings name none
+	maxPollTimeout     = 500 * time.Millisecond
+	maxOpenRetries     = 3 // polls that may be open at a time beside the first
+	maxBackoff         = 50 * time.Millisecond
+	minUnusableBackoff = 50 * time.Millisecond
+	maxUnusableBackoff = time.Second // a complete list costs the agent; an unusable one is not polled for more often
+	maxValueSize       = 4 << 20     // bytes of one JSON value
+	targetsPath        = "/api/targets"
+	listQuery          = ""
+	watchQuery         = "?watch=1&after=%d" // of the version after which changes are wanted
 )
 
 var (
 	// ErrValueTooLong reports a value of more than 4 MiB.
-	ErrValueTooLong = errors.New("the list is too long")
+	ErrValueTooLong = errors.New("list value over 4 MiB")
 	// ErrUnusable reports that a value came, in whole or in part, that can't be used.
 	ErrUnusable = errors.New("unusable list")
 )
@@ -56,7 +56,7 @@
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d comes after %d", e.Got, e.After)
+	return fmt.Sprintf("list version %d is older than the last, %d", e.Got, e.After)
 }
 
 // Event is something that a Client has found: an Update, a SkippedEndpoint or a WatchEnded.
@@ -103,18 +103,18 @@
 // DefaultOptions are those for real time. DialContext and Notify are left to the caller.
 func DefaultOptions(drainGrace time.Duration) Options {
 	return Options{
-		PollTimeout:    PollTimeout(drainGrace),
+		PollTimeout:    PollTimeoutFor(drainGrace),
 		SilenceTimeout: DefaultSilenceTimeout,
 		After:          time.After,
 		AfterFunc:      func(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) },
 	}
 }
 
-// PollTimeout is how long an agent that does not respond is left alone, by the grace period for attempts on
+// PollTimeoutFor is how long an agent that does not respond is left alone, by the grace period for attempts on
 // draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
 // 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
 // before. docs/endings.md adds the waits up.
-func PollTimeout(drainGrace time.Duration) time.Duration {
+func PollTimeoutFor(drainGrace time.Duration) time.Duration {
 	grace := cmp.Or(drainGrace, defaultGrace)
 	return min(time.Duration(grace.Seconds()*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -11,10 +11,10 @@
 
 const (
 	queueSize = 1024
-	// After a stall the readers of sockets are given turns of readerTurn, until one brings nothing more, and
-	// maxReaderTurns at most.
-	readerTurn     = 200 * time.Microsecond
-	maxReaderTurns = 10
+	// After a stall the loop sleeps for readerYield, so that the readers of sockets run, until one such pause brings no
+	// event, and maxReaderYields times at most.
+	readerYield     = 200 * time.Microsecond
+	maxReaderYields = 10
 )
 
 // event is something that happened outside the loop, with the time at which it did.
@@ -23,9 +23,8 @@
 	run func()
 }
 
-// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it: all
-// methods are for functions that the loop runs, but for Post, Ended and Lag, which are safe for concurrent use, and for
-// what is done before Run.
+// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it. All methods are
+// for functions that the loop runs, and for use before Run; Post, Ended and Lag are safe for concurrent use.
 type Loop struct {
 	clock    Clock
 	events   chan event
@@ -33,7 +32,7 @@
 	now      policy.Seconds
 	timers   timerHeap
 	wake     *time.Timer
-	wakeAt   policy.Seconds // when wake rings; 0: it is not set
+	wakeAt   policy.Seconds // when wake fires; 0: it is not set
 	lag      Lag
 	deferred []func()
 	onPanic  func(cause any, stack []byte)
@@ -49,7 +48,7 @@
 		clock: clock, now: clock.Now(), onPanic: onPanic,
 		events: make(chan event, queueSize), ended: make(chan struct{}),
 		wake:           time.NewTimer(time.Hour),
-		YieldToReaders: func() { time.Sleep(readerTurn) },
+		YieldToReaders: func() { time.Sleep(readerYield) },
 	}
 }
 
@@ -99,7 +98,7 @@
 // PendingTimers returns how many timers are set.
 func (l *Loop) PendingTimers() int { return len(l.timers) }
 
-// After runs a function on the loop after a delay from now. One that is not positive is over at once.
+// After runs a function on the loop after a delay from now. A delay that is not positive has expired at once.
 func (l *Loop) After(delay policy.Seconds, run func()) *Timer { return l.timers.add(l.now+delay, run) }
 
 // Every runs a function on the loop at an interval, the first time after one.
@@ -110,7 +109,7 @@
 	})
 }
 
-// Stop keeps a timer from running; nil and one that has run are fine.
+// Stop keeps a timer from running. It does nothing for nil or a timer that has run.
 func (l *Loop) Stop(timer *Timer) { l.timers.remove(timer) }
 
 // AdvanceTo moves event time on, unless it is later already.
@@ -138,18 +137,19 @@
 	run()
 }
 
-// setWake sets the one system timer to the timer that is due first, unless it rings before that anyway.
+// setWake sets the one system timer to the first timer, unless it fires before that anyway, and publishes when that
+// timer is due.
 func (l *Loop) setWake() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
 	}
 	l.wakeAt = l.timers[0].at
 	l.lag.SetNextTimerDue(l.wakeAt)
-	l.wake.Reset(max(0, time.Duration((l.wakeAt-l.clock.Now())*float64(time.Second))))
+	l.wake.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
-// runTimers runs the timers that are due. What has come goes first, a reply, a disconnect or a list: else a hedge
-// would be sent beside the reply, or an attempt timed out that is done.
+// runTimers runs the timers that are due. Queued events go first: a hedge must not be sent, nor an attempt time out,
+// when its reply, a disconnect or a new endpoint list is in the queue.
 func (l *Loop) runTimers() {
 	now := l.clock.Now()
 	if l.hasStalled(now) {
@@ -172,8 +172,8 @@
 
 // letReadersCatchUp handles what the readers of sockets find after a stall.
 func (l *Loop) letReadersCatchUp() {
-	for turn := range maxReaderTurns {
-		if l.YieldToReaders(); len(l.events) == 0 && turn > 0 {
+	for yields := range maxReaderYields {
+		if l.YieldToReaders(); len(l.events) == 0 && yields > 0 {
 			return
 		}
 		l.handleQueued()
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -29,8 +29,9 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	tooMany := len(r.attempts) > max(1, runner.settings.MaxAttempts)
+	noLongerNeeded := !tooMany && (runner.mustNotStart(a) || runner.endIsPending(r))
 	switch {
-	case tooMany || (runner.unsendable(a) || runner.alreadySettled(r)) && timeout >= 0:
+	case tooMany || noLongerNeeded && timeout >= 0:
 		runner.finishDeferred(a, policy.NotSent)
 	case timeout < 0:
 		runner.finishDeferred(a, policy.Timeout)
@@ -70,28 +71,28 @@
 		sentAt:   now, expiresAt: now + healthCheckTimeout, writeDeadline: math.Inf(1),
 	}
 	if a.endpoint == nil {
-		runner.services.warn("health check of an endpoint that is not listed", "endpoint", endpointID)
+		runner.services.warn("health check ignored: endpoint is not listed", "endpoint", endpointID)
 		return
 	}
 	runner.start(a)
 }
 
-// unsendable reports whether no byte of the attempt may be written any more.
-func (runner *attemptRunner) unsendable(a *attempt) bool {
+// mustNotStart reports whether the attempt's endpoint is out of service, its request has ended, or its time is over.
+func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	settled := a.request != nil && a.request.settled
 	return !inService || settled || runner.services.loop.Now() >= a.expiresAt
 }
 
-// sendable reports whether an attempt that has waited may still be written.
-func (runner *attemptRunner) sendable(a *attempt) bool {
-	return !runner.unsendable(a) && (a.request == nil || !runner.alreadySettled(a.request))
+// mayBeWritten reports whether an attempt that has waited for a connection may still be written.
+func (runner *attemptRunner) mayBeWritten(a *attempt) bool {
+	return !runner.mustNotStart(a) && (a.request == nil || !runner.endIsPending(a.request))
 }
 
-// alreadySettled reports whether something has come that makes an attempt of the request needless or wrong, though the
-// event loop has not handled it: a reply is in the socket of an earlier attempt, or the client has disconnected. A
-// request that was only just read is no exception: it may have been in its socket for long.
-func (runner *attemptRunner) alreadySettled(r *request) bool {
+// endIsPending reports whether the request has ended by something that the event loop has not handled yet: a reply in
+// the socket of an earlier attempt, or the client's disconnect. Requests that were only just read are checked too: they
+// may have been in their socket for long.
+func (runner *attemptRunner) endIsPending(r *request) bool {
 	return runner.replyPending(r) || runner.clientDisconnected(r.client)
 }
 
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"net"
 	"slices"
 
 	"reedlead/internal/discovery"
@@ -9,18 +8,18 @@
 	"reedlead/policy"
 )
 
-// connectionRest is how long a connection rests before it is preferred for another command: a duplicate of a reply
-// comes right behind it, and is noticed before the next command goes out.
-const connectionRest policy.Seconds = 0.005
+// minReuseDelay is how long a connection should have been idle before it carries another command. A duplicate of a reply
+// arrives right behind it, and is detected within that time.
+const minReuseDelay policy.Seconds = 0.005
 
 // acquireIdle takes a connection of an endpoint out of the pool, nil if there is none that can be used: the one used
-// last of those that have rested, else the one that has rested longest. A connection that has unsolicited bytes, or
-// that has ended, must not get a command, also if its reader has not noticed yet.
+// last of those that have been idle for minReuseDelay, else the one idle for longest. A connection that has unsolicited
+// bytes, or that has ended, must not get a command, also if its reader has not noticed yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
 		i := len(e.idle) - 1
-		for i > 0 && now-e.idle[i].idleSince < connectionRest {
+		for i > 0 && now-e.idle[i].idleSince < minReuseDelay {
 			i--
 		}
 		c := e.idle[i]
@@ -48,7 +47,7 @@
 	for len(e.waiting) > 0 {
 		a := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if !s.attempts.sendable(a) {
+		if !s.attempts.mayBeWritten(a) {
 			s.attempts.finishDeferred(a, policy.NotSent)
 			continue
 		}
@@ -96,7 +95,7 @@
 }
 
 // dialWithRetry dials an address, again for a while where that fails for something on this side.
-func (s *endpointSet) dialWithRetry(addr string) (net.Conn, error) {
+func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
 	conn, err := s.dial(addr)
@@ -111,11 +110,11 @@
 }
 
 // newConn makes a backend connection of what was dialed.
-func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn net.Conn) (*backendConn, error) {
+func (s *endpointSet) newConn(e *endpoint, dialedAs discovery.Endpoint, conn netcalls.Conn) (*backendConn, error) {
 	shared := s.services
 	c := &backendConn{
 		services: shared, set: s, endpoint: e, dialedAs: dialedAs,
-		conn: netcalls.RetryingConn{Conn: conn.(netcalls.Conn), Sleep: shared.calls.Sleep},
+		conn: netcalls.RetryingConn{Conn: conn, Sleep: shared.calls.Sleep},
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
@@ -143,7 +142,7 @@
 	}
 }
 
-// dialFailed returns how an attempt that waited for the dial ends.
+// dialFailed returns the status of the attempts that are left without a dial.
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
@@ -154,8 +153,9 @@
 	return policy.ConnectFailed
 }
 
-// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns how an attempt ends
-// that waited for the dial and has got no connection.
+// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns the status of the
+// attempts that are left without a dial: ConnectFailed, or NotSent where the endpoint has moved meanwhile and the dial
+// says nothing about it.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -193,7 +193,7 @@
 		h.onLoop(func() {
 			p.clients.conns = map[*clientConn]struct{}{}
 			p.requests.byID = map[string]*request{}
-			p.drain.started, p.drain.acceptorEnded = true, true
+			p.drain.acceptingStopped, p.drain.listenerEnded = true, true
 		})
 		<-h.ended
 	})
@@ -325,7 +325,7 @@
 // beforeDial has a function run before each dial to an address, and fail it with its error.
 func (h *harness) beforeDial(run func(addr string) error) {
 	dial := h.proxy.endpoints.dial
-	h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+	h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
 		if err := run(addr); err != nil {
 			return nil, err
 		}
@@ -363,7 +363,7 @@
 	return listener, startProxy(t, testConfig(listener.Addr().String()), func(h *harness) {
 		sendEachRequest(0)(h)
 		dial := h.proxy.endpoints.dial
-		h.proxy.endpoints.dial = func(addr string) (net.Conn, error) {
+		h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
 			conn, err := dial(addr)
 			if err == nil {
 				err = conn.(interface{ SetWriteBuffer(int) error }).SetWriteBuffer(smallBuffer)
@@ -396,10 +396,10 @@
 	h.proxy.clients.sweep()
 }
 
-// evictIdleClient closes the connection of the only client to make room, if it is idle; on the event loop.
+// evictIdleClient evicts the connection of the only client, if it is idle; on the event loop.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
-	h.proxy.clients.makeRoom(nil)
+	h.proxy.clients.evictToLimit(nil)
 }
 
 // closePool closes the idle connections of all endpoints.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,8 +20,9 @@
 )
 
 const (
-	// inputMemoryShare is the share of the memory that unfinished and queued input may take beside a first buffer
-	// for each connection. The collector lets as much again lie, and the program itself needs some MB.
+	// inputMemoryShare is the share of the memory that unfinished and queued input may take, beside a first buffer
+	// for each connection. Garbage that is not collected yet takes about as much again, and the program itself needs
+	// some MB.
 	inputMemoryShare = 0.2
 	defaultMemoryMB  = 192 // where the configuration gives none
 	sweepInterval    = time.Second
@@ -33,7 +34,7 @@
 // Proxy is a gateway on real sockets. It carries out the actions of the decision module and hands it the events.
 //
 // The event loop owns all of its state that is not said to belong to another goroutine. Goroutines of their own
-// are: the acceptor, until the listener is closed; a reader for each connection, until the connection ends; one
+// are: the client listener, until its socket is closed; a reader for each connection, until the connection ends; one
 // for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
 // the sender of the peer link, until it is closed. All of them post what they find to the loop.
 type Proxy struct {
@@ -54,7 +55,7 @@
 	trace       tracer
 	peers       *peerlink.Link    // nil without peer messages
 	discovery   discovery.Options // but for what followDiscovery adds
-	// readyAt is when the gateway is ready without an endpoint in service.
+	// readyAt is when the gateway reports that it is ready even without an endpoint in service.
 	readyAt policy.Seconds
 }
 
@@ -134,6 +135,7 @@
 	return err
 }
 
+// close closes the sockets that open made.
 func (p *Proxy) close() {
 	_ = p.listener.Close() // nothing is accepted any more
 	if p.peers != nil {
@@ -142,11 +144,11 @@
 }
 
 // serve starts the goroutines and runs the event loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, decider decider) {
+func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, module decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p.decider = decider
+	p.decider = module
 	p.applyList(p.cfg.InitialEndpoints)
 	go p.followDiscovery(background, reloads)
 	go p.acceptClients(p.listener)
@@ -157,7 +159,8 @@
 	p.loop.Run(p.drain.complete, ctx.Done(), p.drain.start)
 }
 
-// sweep closes connections that were idle for long, follows the wall clock and looks for free descriptors.
+// sweep samples the wall clock, closes connections that were idle for too long, and checks that descriptors are free. It
+// runs once a second.
 func (p *Proxy) sweep() {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -3,7 +3,8 @@
 import (
 	"context"
 	"log/slog"
-	"time"
+
+	"reedlead/internal/eventloop"
 )
 
 // closeReason is why a connection was closed. Its text is what the log holds.
@@ -16,7 +17,7 @@
 const (
 	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
-	evicted            closeReason = "evicted"              // it was idle and made room for others
+	evicted            closeReason = "evicted"              // it was idle, and too many were open
 	draining           closeReason = "draining"             // this process ends
 	drainDeadline      closeReason = "drain_deadline"       // and the time for that is over
 	tooManyConnections closeReason = "too_many_connections" // more are open than may be
@@ -68,7 +69,7 @@
 		c.services.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	elapsed := time.Duration((c.services.loop.Now() - a.sentAt) * float64(time.Second))
+	elapsed := eventloop.Duration(c.services.loop.Now() - a.sentAt)
 	attrs = append(
 		attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String(),
 	)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -45,8 +45,8 @@
 	byID     map[string]*request // the open ones
 }
 
-// admit opens a request whose last byte had arrived at a time, and hands it to the decision module; or replies
-// at once where a limit of this process forbids that.
+// admit opens a request whose last byte had arrived at a time, and hands it to the decision module; or rejects it at
+// once where a limit of this process does not allow it.
 func (t *requestTable) admit(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) {
 	admitted := false
 	defer func() {
@@ -54,22 +54,22 @@
 			t.services.inputBudget.Release(parsed.Size)
 		}
 	}()
-	if t.forbids(c, parsed) {
+	if t.rejectedAtOnce(c, parsed) {
 		return
 	}
 	admitted = true
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// forbids reports whether a request can't be opened, and then replies to it, unless its client can't get a reply any
-// more.
-func (t *requestTable) forbids(c *clientConn, parsed *command.Request) bool {
+// rejectedAtOnce rejects a request that a limit of this process does not allow, and reports whether it did. Where the
+// client can't get a reply any more, there is none.
+func (t *requestTable) rejectedAtOnce(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
 	case c.closed, c.sendingShutDown:
 	case t.drain.timedOut:
 		t.rejectAtOnce(c, parsed, shuttingDown)
-	case c.overLimit && c.set.makeRoom(c):
+	case c.overLimit && c.set.evictToLimit(c):
 		t.rejectAtOnce(c, parsed, connectionLimitReached)
 	case t.byID[parsed.ID] != nil:
 		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
@@ -94,14 +94,22 @@
 	t.byID[r.ID] = r
 	t.trace.accepted(r)
 	// The decision module replies well before; should it fail to, the client gets a reply all the same.
-	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() {
-		t.services.warn("no reply from the decision module in time", "id", r.ID)
-		t.fail(r, noDecision)
-		t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
-	})
+	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() { t.expire(r) })
 	return r
 }
 
+// expire fails a request to which the decision module has not replied in time.
+func (t *requestTable) expire(r *request) {
+	t.services.warn("no reply from the decision module in time", "id", r.ID)
+	t.fail(r, noDecision)
+	t.notifyGone(r)
+}
+
+// notifyGone notifies the decision module that a request needs no reply any more.
+func (t *requestTable) notifyGone(r *request) {
+	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+}
+
 // decide hands a request to the decision module. A panic there must not leave a request hanging for which nothing
 // was sent.
 func (t *requestTable) decide(r *request) {
@@ -169,7 +177,7 @@
 	}
 	t.trace.clientGone(r)
 	t.settle(r)
-	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+	t.notifyGone(r)
 }
 
 // removeIfDone forgets a settled request once the outcomes of all its attempts were reported.
@@ -184,7 +192,7 @@
 	for _, r := range t.byID {
 		if !r.settled {
 			t.fail(r, why)
-			t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+			t.notifyGone(r)
 		}
 	}
 }
