--- a/policy/hedge.go
+++ b/policy/attempt_watcher.go
@@ -11,7 +11,8 @@
 	hedgeObjectiveFraction = 0.4
 )
 
-// attemptWatcher looks at the requests that have not ended for what no event brings: silence.
+// attemptWatcher looks, at each timer tick, at the requests that have not ended for what no event reports: an
+// owner that does not grant, an endpoint that does not reply, an attempt to hedge.
 type attemptWatcher struct {
 	clock    *eventClock
 	requests *requestTable
