--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -4,6 +4,8 @@
 	// silentLatencies is how many mean latencies an attempt may take before its endpoint counts as failing for
 	// the class, unless it replies to others.
 	silentLatencies = 6.0
+	// minSilence is the least time without a reply after which an attempt counts as a failure of its endpoint.
+	minSilence Seconds = 0.2
 	// hedgeLatencies is how many mean latencies an attempt may take before it is hedged.
 	hedgeLatencies = 4.0
 	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, not
@@ -54,7 +56,7 @@
 // recordSilence records a failure for each endpoint that has not replied to an attempt for long, and not
 // to any later one of the class either. It does so once an attempt.
 func (w *attemptWatcher) recordSilence(r *request) {
-	patience := max(silentLatencies*r.class.meanLatency, minGossipInterval)
+	patience := max(silentLatencies*r.class.meanLatency, minSilence)
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.done || a.silenceRecorded || w.clock.since(a.sentAt) <= patience {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -4,8 +4,7 @@
 const loadUpdate = -1
 
 const (
-	// minGossipInterval is how much newer a health update must be than what is known already. It is also the
-	// least age at which an attempt without a reply counts as a failure.
+	// minGossipInterval is how much newer a health update must be than what is known already.
 	minGossipInterval Seconds = 0.2
 
 	maxGossip                = 64  // health updates that are held
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -14,6 +14,12 @@
 	repeatedErrorScore = 0.9 // added by errors in a row: they come fast, and so attract further requests
 	silenceScore       = 1.0 // added by an attempt that got no reply for long
 
+	// repeatedErrors is the number of errors in a row from which on each adds repeatedErrorScore.
+	repeatedErrors = 2
+
+	// minPublishedScore is the score up to which a success is not published: there is nothing left to correct.
+	minPublishedScore = singleFailureScore / 2
+
 	// outlierTimeConstant is the time constant with which scores decay.
 	outlierTimeConstant Seconds = 4.0
 
@@ -92,7 +98,7 @@
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
 	level := d.score(e, classIndex) * (1 - d.voteWeight)
 	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
-	if level > singleFailureScore/2 {
+	if level > minPublishedScore {
 		d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 	}
 }
@@ -118,7 +124,7 @@
 func (d *outlierDetector) recordError(e *endpoint, classIndex int) {
 	e.consecutiveErrors[classIndex]++
 	severity := errorScore
-	if e.consecutiveErrors[classIndex] >= consecutiveFailuresToEject {
+	if e.consecutiveErrors[classIndex] >= repeatedErrors {
 		severity = repeatedErrorScore
 	}
 	d.recordFailure(e, classIndex, severity)
