--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -7,25 +7,45 @@
 // ceilingPoolFraction is the pool's part of a ceiling; the gateways split the rest evenly.
 const ceilingPoolFraction = 0.5
 
+// ceilingSplitSize returns the rate, in units a second, and the burst of this gateway's split of the ceiling.
+func (c *customer) ceilingSplitSize() (rate, burst float64) {
+	fraction := (1 - ceilingPoolFraction) / c.gateways()
+	return c.plan.CeilingRate * fraction, c.plan.CeilingBurst * fraction
+}
+
+// ceilingPoolSize returns the rate, in units a second, and the burst of the primary owner's pool.
+func (c *customer) ceilingPoolSize() (rate, burst float64) {
+	return c.plan.CeilingRate * ceilingPoolFraction, c.plan.CeilingBurst * ceilingPoolFraction
+}
+
+// refillCeilingSplit brings this gateway's split of the ceiling up to now.
+func (c *customer) refillCeilingSplit(now Seconds) {
+	rate, burst := c.ceilingSplitSize()
+	c.ceilingSplit.refill(rate, burst, now)
+}
+
+// refillCeilingPool brings the pool up to now. It is for the primary owner alone.
+func (c *customer) refillCeilingPool(now Seconds) {
+	rate, burst := c.ceilingPoolSize()
+	c.ceilingPool.refill(rate, burst, now)
+}
+
 // ceilingSplitHasCapacity brings this gateway's split of the ceiling up to now and tells whether units fit.
 func (c *customer) ceilingSplitHasCapacity(units float64, now Seconds) bool {
-	p := c.plan
-	if p.CeilingRate <= 0 {
+	if c.plan.CeilingRate <= 0 {
 		return true
 	}
-	fraction := (1 - ceilingPoolFraction) / c.gateways()
-	c.ceilingSplit.refill(p.CeilingRate*fraction, p.CeilingBurst*fraction, now)
+	c.refillCeilingSplit(now)
 	return units <= c.ceilingSplit.tokens
 }
 
 // ceilingPoolHasCapacity brings the pool up to now and tells whether units fit. No gateway but the primary
 // owner has a pool, also while that one is unreachable and another owns the customer.
 func (c *customer) ceilingPoolHasCapacity(units float64, now Seconds) bool {
-	p := c.plan
-	if !c.primaryHere || p.CeilingRate <= 0 {
+	if !c.primaryHere || c.plan.CeilingRate <= 0 {
 		return false
 	}
-	c.ceilingPool.refill(p.CeilingRate*ceilingPoolFraction, p.CeilingBurst*ceilingPoolFraction, now)
+	c.refillCeilingPool(now)
 	return units <= c.ceilingPool.tokens
 }
 
@@ -53,9 +73,13 @@
 	if p.CeilingRate <= 0 {
 		return true
 	}
-	c.ceilingSplitHasCapacity(0, now)
-	c.ceilingPoolHasCapacity(0, now)
+	c.refillCeilingSplit(now)
+	// This burst is rounded differently from that of ceilingSplitSize, for which the tolerance allows.
 	splitFull := c.ceilingSplit.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
-	poolFull := !c.primaryHere || c.ceilingPool.tokens >= p.CeilingBurst*ceilingPoolFraction-tolerance
-	return splitFull && poolFull
+	if !c.primaryHere {
+		return splitFull
+	}
+	c.refillCeilingPool(now)
+	_, poolBurst := c.ceilingPoolSize()
+	return splitFull && c.ceilingPool.tokens >= poolBurst-tolerance
 }
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -145,7 +145,8 @@
 	p := c.plan
 	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(now, noGateway) >= p.MaxConcurrent {
 		return false
-	} else if p.Rate == 0 {
+	}
+	if p.Rate == 0 {
 		return true
 	}
 	if c.demand.at(now)+l.membersDemand(now) > p.Rate {
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -133,7 +133,8 @@
 		}
 		taken++
 		if c.report.gateway == gateway && c.report.scheduled {
-			m.records = append(m.records, u.takeRecord(c))
+			m.records = append(m.records, u.newRecord(c))
+			u.awaitReply(c)
 		}
 	}
 	batch.customers = slices.Delete(batch.customers, 0, taken)
@@ -141,10 +142,9 @@
 	u.protocol.send(gateway, m)
 }
 
-// takeRecord returns the report on a scheduled customer, and starts to wait for its reply.
-func (u *usageReporter) takeRecord(c *customer) usageRecord {
+// newRecord returns the report on a customer, with the units of the requests that wait for a grant.
+func (u *usageReporter) newRecord(c *customer) usageRecord {
 	now := u.clock.now
-	c.usedAt = now
 	remaining := c.remainingAsMember(now) // first, as it may change the customer's state
 	record := usageRecord{
 		key: c.key, planIndex: c.plan.index, known: c.quota.known, ceilingPool: c.report.gateway == c.primaryOwner,
@@ -158,12 +158,18 @@
 		first := c.awaitingOwner[0]
 		record.firstWantedUnits, record.priorityDeficit = first.Units, first.priorityDeficit
 	}
+	return record
+}
+
+// awaitReply notes that the report was sent, and starts to wait for its reply.
+func (u *usageReporter) awaitReply(c *customer) {
+	now := u.clock.now
+	c.usedAt = now
 	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
 	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
 		c.report.awaitingSince = now
 	}
 	u.expectReply(c)
-	return record
 }
 
 // expectReply adds the customer to those whose reply is watched for.
