--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -57,8 +57,8 @@
 // Guards against an endpoint that never replies to one class, while it goes on replying to the others.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
 	g, r := newTestGateway(t, singleGateway)
-	for _, cls := range g.classes.ordered {
-		cls.meanLatency, cls.successes = 0.05, 100
+	for _, requestClass := range g.classes.ordered {
+		requestClass.meanLatency, requestClass.successes = 0.05, 100
 	}
 	outlier := g.endpoints.byID["s1"]
 	sendRequest(g, 100, "q", "read", "wide", 1)
@@ -97,28 +97,28 @@
 // Guards against one missing reply that, by gossip, made the whole fleet leave an endpoint and overload the next.
 func TestLargeFleetScoresByTheUnansweredFraction(t *testing.T) {
 	g, _ := largeFleet(t)
-	cls, e := g.classes.byName["read"], g.endpoints.byID["s00"]
+	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
 	attempt := func(now Seconds, id string, status AttemptStatus) {
-		req := &request{Request: Request{ID: id}, class: cls}
+		req := &request{Request: Request{ID: id}, class: requestClass}
 		g.requests.byID[id] = req
 		g.clock.now = now
 		g.sender.start(req, e)
 		g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: "s00", Status: status, RequestDone: true, Elapsed: 0.1})
 	}
 	attempt(100, "a", Timeout)
-	if score := g.outliers.score(e, cls.index); score <= 0 || score >= suspectScore {
+	if score := g.outliers.score(e, requestClass.index); score <= 0 || score >= suspectScore {
 		t.Fatalf("the score is %.2f after one attempt without a reply: all other gateways would avoid it", score)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
-	high := g.outliers.score(e, cls.index)
+	high := g.outliers.score(e, requestClass.index)
 	if high < 0.8 {
 		t.Fatalf("the score is %.2f after thirteen attempts without a reply", high)
 	}
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
-	if score := g.outliers.score(e, cls.index); score >= high || score < suspectScore {
+	if score := g.outliers.score(e, requestClass.index); score >= high || score < suspectScore {
 		t.Fatalf("one reply takes the score from %.2f to %.2f, want a part of it off", high, score)
 	}
 	if len(g.gossip.updates) != 1 || g.gossip.updates[0].value >= high {
@@ -129,10 +129,10 @@
 // The gateways of a small fleet see enough themselves: one reply shows that an endpoint is healthy.
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	cls, e := g.classes.byName["read"], g.endpoints.byID["s1"]
-	g.outliers.recordFailure(e, cls.index, errorScore)
-	g.outliers.recordSuccess(e, cls.index)
-	if score := g.outliers.score(e, cls.index); score != 0 {
+	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s1"]
+	g.outliers.recordFailure(e, requestClass.index, errorScore)
+	g.outliers.recordSuccess(e, requestClass.index)
+	if score := g.outliers.score(e, requestClass.index); score != 0 {
 		t.Fatalf("the score is %.2f after a reply", score)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -46,9 +46,9 @@
 		LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, LateWeightFraction: 0.5,
 		Idempotency: idempotency, IdempotencyWindow: 0.5,
 	}
-	class := newClass(settings, 0)
-	class.meanLatency = 0.1
-	return &request{Request: Request{Deadline: 102}, class: class, objectiveAt: 101, firstWriteBy: 100.9}
+	requestClass := newClass(settings, 0)
+	requestClass.meanLatency = 0.1
+	return &request{Request: Request{Deadline: 102}, class: requestClass, objectiveAt: 101, firstWriteBy: 100.9}
 }
 
 // executedOnce notes an attempt of the request at time 100 that may have executed.
