--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -5,6 +5,8 @@
 	"syscall"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -31,7 +33,7 @@
 type clientConn struct {
 	proxy   *Proxy
 	number  uint64 // in the order of acceptance
-	conn    connection
+	conn    netcalls.Conn
 	rawConn syscall.RawConn
 	permits chan struct{} // one element for each open command: the reader puts it in, the event loop takes it out
 	done    chan struct{} // closed with the connection
@@ -94,7 +96,7 @@
 		return
 	}
 	unused := c.proxy.leaving || !c.usedSinceRequest
-	if unused && c.idle() && c.reader.buffer.Len() == 0 && noDataPending(c.rawConn) {
+	if unused && c.idle() && c.reader.buffer.Len() == 0 && netcalls.NoDataPending(c.rawConn) {
 		c.closeGracefully()
 		return
 	}
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/netcalls"
+
 	"reedlead/policy"
 )
 
@@ -28,7 +30,7 @@
 
 // TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
-	calls := realCalls()
+	calls := netcalls.System()
 	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -36,14 +38,14 @@
 	}
 	const stall = 20 * time.Millisecond
 	go io.Copy(io.Discard, far)
-	if err := calls.writeAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
+	if err := calls.WriteAll(near, raw, make([]byte, 1<<20), patience, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	if err := calls.writeAll(near, raw, []byte("short"), stall, func() {}); err != nil {
+	if err := calls.WriteAll(near, raw, []byte("short"), stall, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * stall) // the deadline of that write has passed by now
-	if n, err := calls.writeNow(raw, []byte("x")); n != 1 || err != nil {
+	if n, err := calls.WriteNow(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("the loop's write: %d, %v", n, err)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
@@ -55,7 +57,7 @@
 // against one that never ends.
 func TestWriteAllGoesByProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
-	calls := realCalls()
+	calls := netcalls.System()
 	near, far := connectedPair(t)
 	raw, err := near.SyscallConn()
 	if err != nil {
@@ -63,7 +65,7 @@
 	}
 	done, progressed := make(chan error, 1), make(chan struct{}, 1<<10)
 	go func() {
-		done <- calls.writeAll(near, raw, make([]byte, 64<<20), stall, func() {
+		done <- calls.WriteAll(near, raw, make([]byte, 64<<20), stall, func() {
 			select {
 			case progressed <- struct{}{}:
 			default:
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -13,6 +13,9 @@
 	"testing"
 	"time"
 
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+
 	"reedlead/internal/discovery"
 
 	"reedlead/internal/settings"
@@ -95,14 +98,14 @@
 	ended     chan struct{}
 	terminate context.CancelFunc
 
-	reread chan Config
+	reread chan config.Config
 }
 
 // unreachableAgent is an address that refuses.
 const unreachableAgent = "127.0.0.1:1"
 
-func testConfig(backends ...string) Config {
-	c := Config{
+func testConfig(backends ...string) config.Config {
+	c := config.Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: unreachableAgent, Sockets: 1024,
 		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
@@ -122,14 +125,14 @@
 	return c
 }
 
-func startProxy(t *testing.T, cfg Config, change func(*harness)) *harness {
+func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
-	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), realCalls())
+	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan Config)}
+	r := &harness{t: t, proxy: p, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan config.Config)}
 	p.endpoints.duplicateWindowS = 0 // the tests' answers are alike
 	p.endpoints.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,6 +12,10 @@
 	"runtime/debug"
 	"time"
 
+	"reedlead/internal/config"
+	"reedlead/internal/netcalls"
+	"reedlead/internal/peerlink"
+
 	"reedlead/internal/discovery"
 	"reedlead/internal/readbuf"
 	"reedlead/policy"
@@ -27,10 +31,11 @@
 	acceptAfterTerm = 500 * time.Millisecond
 	// SIGKILL may follow this much after the longest deadline, which counts as killCap where it is longer.
 	// By drainSpare before that, all has its answer, and by half of it each connection is closed.
-	killAfter  = 700 * time.Millisecond
-	killCap    = 3 * time.Second
-	drainSpare = 150 * time.Millisecond
-	sweepEvery = time.Second
+	killAfter       = 700 * time.Millisecond
+	killCap         = 3 * time.Second
+	drainSpare      = 150 * time.Millisecond
+	sweepEvery      = time.Second
+	defaultMemoryMB = 192 // where the configuration gives none
 	// Each time limit has 50 ms of slack. A timer that is later than a part of it tells that this process
 	// stood still, and what came meanwhile may still lie in the sockets.
 	lateS = 0.02
@@ -83,7 +88,7 @@
 // Ingress is one gateway on real sockets. Its loop alone owns the gateway and all that is not said
 // to belong to another goroutine.
 type Proxy struct {
-	cfg    Config
+	cfg    config.Config
 	log    *slog.Logger
 	clock  clock
 	events chan event
@@ -103,7 +108,7 @@
 	acceptFor       time.Duration     // how long after the signal new connections are taken
 	drainFor        time.Duration     // and when all is answered at the latest
 	discovery       discovery.Options // but for what followDiscovery adds
-	calls           systemCalls
+	calls           *netcalls.Calls
 	turn            func()       // lets readers run
 	probeDescriptor func() error // tells whether a descriptor is to be had
 	starts          discovery.StartTimes
@@ -111,7 +116,7 @@
 	clients         clientSet
 	requests        map[string]*request
 	endpoints       endpointSet
-	peers           *peerLink
+	peers           *peerlink.Link
 	leaving         bool    // connections close between requests
 	accepted        bool    // the listener is closed, all that came there was accepted
 	stopped         bool    // what comes now is refused at once
@@ -120,8 +125,8 @@
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each
 // configuration that comes on reread, which may be nil, the address of discovery is taken over.
-func Run(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger) error {
-	p, err := open(ctx, cfg, log, realCalls())
+func Run(ctx context.Context, cfg config.Config, reread <-chan config.Config, log *slog.Logger) error {
+	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
 		return err
 	}
@@ -135,7 +140,7 @@
 }
 
 // open makes an ingress and its sockets; nothing is read from them yet.
-func open(ctx context.Context, cfg Config, log *slog.Logger, calls systemCalls) (*Proxy, error) {
+func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
 		cfg: cfg, log: log, clock: newClock(), events: make(chan event, eventQueue),
 		done: make(chan struct{}), requests: map[string]*request{}, wake: time.NewTimer(time.Hour),
@@ -155,12 +160,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	p.listener, err = retryAtStart(ctx, func() (*net.TCPListener, error) { return calls.listen(addr) }, calls.wait, time.Now)
+	p.listener, err = netcalls.RetryAtStart(ctx, calls.Sleep, func() (*net.TCPListener, error) { return calls.Listen(addr) })
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if cfg.Settings.PeerMessages {
-		if p.peers, err = p.openPeers(ctx); err != nil {
+		if p.peers, err = p.openPeerLink(ctx); err != nil {
 			p.listener.Close()
 			return nil, err
 		}
@@ -171,12 +176,12 @@
 func (p *Proxy) close() {
 	p.listener.Close()
 	if p.peers != nil {
-		p.peers.close()
+		p.peers.Close()
 	}
 }
 
 // serve starts the readers and runs the loop to the end of the drain.
-func (p *Proxy) serve(ctx context.Context, reread <-chan Config, gate decider) {
+func (p *Proxy) serve(ctx context.Context, reread <-chan config.Config, gate decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -185,7 +190,7 @@
 	go p.followDiscovery(background, reread)
 	go p.acceptClients(p.listener)
 	if p.peers != nil {
-		go p.peers.receive()
+		go p.receivePeerMessages()
 	}
 	p.every(sweepEvery, func() {
 		p.starts.Sample(p.clock.now(), p.clock.wall())
@@ -369,13 +374,6 @@
 	p.after(max(delayS, 0), func() { p.decider.HandleTimer(p.now, token) })
 }
 
-// Tell implements policy.Actions.
-func (p *Proxy) SendToPeer(gateway int, data []byte) {
-	if p.peers != nil {
-		p.peers.tell(gateway, data)
-	}
-}
-
 // Log implements policy.Actions.
 func (p *Proxy) Log(text string) { p.log.Info(text) }
 
