--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"math"
 	"time"
 
 	"reedlead/policy"
@@ -126,8 +127,20 @@
 	return s, nil
 }
 
-// seconds translates a number of seconds on the wire.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// seconds translates a number of seconds on the wire. A number that a duration can't hold gives the nearest duration of
+// the same sign, so that no setting above 0 becomes 0 or negative.
+func seconds(s float64) time.Duration {
+	nanoseconds := s * float64(time.Second)
+	switch {
+	case nanoseconds >= math.MaxInt64:
+		return math.MaxInt64
+	case nanoseconds <= math.MinInt64:
+		return math.MinInt64
+	case s > 0:
+		return max(time.Duration(nanoseconds), time.Nanosecond)
+	}
+	return time.Duration(nanoseconds)
+}
 
 // policySettings translates all but classes and plans.
 func (w *wireSettings) policySettings() policy.Settings {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"math"
 	"strings"
 	"testing"
 	"time"
@@ -33,6 +34,23 @@
 	}
 }
 
+// Guards against a dial timeout that is refused at the start, or in force at once, as a duration can't hold it.
+func TestSecondsKeepTheirSign(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"0":      0,
+		"0.25":   250 * time.Millisecond,
+		"1e-10":  time.Nanosecond,
+		"1e10":   math.MaxInt64,
+		"-1":     -time.Second,
+		"-1e300": math.MinInt64,
+	} {
+		s, err := Parse([]byte(`{"limits":{"dialTimeoutS":` + text + `}}`))
+		if err != nil || s.DialTimeout != want {
+			t.Errorf("%s s: got %v, %v, want %v", text, s.DialTimeout, err, want)
+		}
+	}
+}
+
 func TestSetLoadByName(t *testing.T) {
 	l := EmptyLoadReport
 	for i, name := range []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "new"} {
