--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -115,7 +115,7 @@
 
 func decodeClientGone(a *adapter, _ int) (delivery, error) {
 	id, err := a.line.Text("id")
-	return func(g *policy.Gateway) { g.HandleClientGone(a.now, id) }, err
+	return func(g *policy.Gateway) { g.HandleClientDisconnected(a.now, id) }, err
 }
 
 func decodeTimer(a *adapter, _ int) (delivery, error) {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *fakeDecider) HandleClientGone(_ policy.Seconds, id string) { d.gone <- id }
+func (d *fakeDecider) HandleClientDisconnected(_ policy.Seconds, id string) { d.gone <- id }
 
 func (d *fakeDecider) HandleEndpoints(_ policy.Seconds, list []policy.Endpoint, _ bool) {
 	d.lists <- list
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -107,7 +107,7 @@
 
 // notifyGone notifies the decision module that a request needs no reply any more.
 func (t *requestTable) notifyGone(r *request) {
-	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
 // decide hands a request to the decision module. A panic there must not leave a request hanging for which nothing
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -13,7 +13,7 @@
 type decider interface {
 	HandleRequest(now policy.Seconds, request policy.Request)
 	HandleOutcome(now policy.Seconds, outcome policy.Outcome)
-	HandleClientGone(now policy.Seconds, id string)
+	HandleClientDisconnected(now policy.Seconds, id string)
 	HandleEndpoints(now policy.Seconds, list []policy.Endpoint, complete bool)
 	HandleTimer(now policy.Seconds, token uint64)
 	HandlePeerMessage(now policy.Seconds, from int, data []byte)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -189,15 +189,15 @@
 			return nil, fmt.Errorf("class %s: %w %q", p.Name, ErrUnknownScope, p.KeyScope)
 		}
 		classes = append(classes, policy.Class{
-			Name:                p.Name,
-			LatencyObjective:    p.AimS,
-			ObjectiveWorkFactor: p.AimStretch,
-			Timeout:             p.DeadlineS,
-			PriorityWeight:      p.Worth,
-			LateWeightFraction:  p.LateWorth,
-			Idempotency:         idempotency,
-			DedupScope:          scope,
-			IdempotencyWindow:   p.KeyTTLS,
+			Name:                     p.Name,
+			LatencyObjective:         p.AimS,
+			ObjectiveLatencyMultiple: p.AimStretch,
+			Timeout:                  p.DeadlineS,
+			PriorityWeight:           p.Worth,
+			LateWeightFraction:       p.LateWorth,
+			Idempotency:              idempotency,
+			DedupScope:               scope,
+			IdempotencyWindow:        p.KeyTTLS,
 		})
 	}
 	return classes, nil
--- a/policy/api.go
+++ b/policy/api.go
@@ -74,8 +74,8 @@
 	Name string
 	// LatencyObjective is the time within which a reply earns the full PriorityWeight.
 	LatencyObjective Seconds
-	// ObjectiveWorkFactor extends the objective by this multiple of the class's mean latency.
-	ObjectiveWorkFactor float64
+	// ObjectiveLatencyMultiple extends the objective by this multiple of the class's mean latency.
+	ObjectiveLatencyMultiple float64
 	// Timeout is how long clients wait for a reply.
 	Timeout Seconds
 	// PriorityWeight is the weight of a reply within the objective, at least 0, relative to other classes.
--- a/policy/class.go
+++ b/policy/class.go
@@ -42,7 +42,7 @@
 // objectiveFrom returns the point in time up to which a reply earns the full weight, for a request sent at
 // start.
 func (c *class) objectiveFrom(start Seconds) Seconds {
-	return start + c.LatencyObjective + c.ObjectiveWorkFactor*c.meanLatency
+	return start + c.LatencyObjective + c.ObjectiveLatencyMultiple*c.meanLatency
 }
 
 // classTable holds the classes of the settings. They are fixed for the life of a Gateway.
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// HandleClientGone notes that a request needs no reply any more.
-func (g *Gateway) HandleClientGone(now Seconds, id string) {
+// HandleClientDisconnected notes that a request needs no reply any more.
+func (g *Gateway) HandleClientDisconnected(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil && !r.done {
 		g.replies.finish(r)
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -24,7 +24,7 @@
 	g.HandlePeerMessage(100, 1, append(good, 1, 2, 3))
 	g.HandlePeerMessage(100, 1, make([]byte, 4000))
 	g.HandleOutcome(100, Outcome{RequestID: "none", Endpoint: "s1"})
-	g.HandleClientGone(100, "none")
+	g.HandleClientDisconnected(100, "none")
 	g.HandleStreamStarted(100, "none")
 	g.HandleHealthCheck(100, HealthCheckResult{Endpoint: "none"})
 	g.HandleTimer(100, 77)
