--- a/policy/admission.go
+++ b/policy/admission.go
@@ -96,7 +96,7 @@
 	case !a.retries.allowsAttempt(r):
 		// A client's retry can arrive with no time left at all. Its client will not retry any more, so this
 		// does not count as a rejection of the customer.
-		a.replies.replyUnserved(r, DeadlineTooClose)
+		a.replies.rejectOrFail(r, DeadlineTooClose)
 	case verdict == askOwner:
 		a.quota.awaitOwner(r)
 	default:
--- a/policy/api.go
+++ b/policy/api.go
@@ -287,9 +287,9 @@
 	Send(id, endpoint string, timeout, writeWithin Seconds)
 	// Reject gives the final reply that the request did not execute, or may safely be sent again, after
 	// retryAfter.
-	Reject(id string, retryAfter Seconds, why Reason)
+	Reject(id string, retryAfter Seconds, reason Reason)
 	// Fail gives the final reply that promises nothing.
-	Fail(id string, why Reason)
+	Fail(id string, reason Reason)
 	// Cancel gives up an attempt that is in flight.
 	Cancel(id string, attempt int)
 	// SetTimer has HandleTimer called with token after delay.
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -1,13 +1,13 @@
 package policy
 
 const (
-	// silentLatencies is how many mean latencies an attempt may take before its endpoint counts as failing for
+	// noReplyLatencyMultiple is how many mean latencies an attempt may take before its endpoint counts as failing for
 	// the class, unless it replies to others.
-	silentLatencies = 6.0
-	// minSilence is the least time without a reply after which an attempt counts as a failure of its endpoint.
-	minSilence Seconds = 0.2
-	// hedgeLatencies is how many mean latencies an attempt may take before it is hedged.
-	hedgeLatencies = 4.0
+	noReplyLatencyMultiple = 6.0
+	// minNoReplyDuration is the least time without a reply after which an attempt counts as a failure of its endpoint.
+	minNoReplyDuration Seconds = 0.2
+	// hedgeLatencyMultiple is how many mean latencies an attempt may take before it is hedged.
+	hedgeLatencyMultiple = 4.0
 	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, not
 	// even at an endpoint under suspicion.
 	hedgeObjectiveFraction = 0.4
@@ -32,19 +32,19 @@
 // hedges or moves attempts that take long.
 func (w *attemptWatcher) watch() {
 	for _, r := range w.requests.open() {
-		if w.rejectStaleOwnerWait(r) {
+		if w.rejectOnGrantTimeout(r) {
 			continue
 		}
-		w.recordSilence(r)
+		w.recordNoReply(r)
 		if slow := w.attemptToHedge(r); slow != nil {
 			w.hedge(r, slow)
 		}
 	}
 }
 
-// rejectStaleOwnerWait rejects a request whose owner has not granted it by the last moment at which it
+// rejectOnGrantTimeout rejects a request whose owner has not granted it by the last moment at which it
 // could be sent, and reports whether it did.
-func (w *attemptWatcher) rejectStaleOwnerWait(r *request) bool {
+func (w *attemptWatcher) rejectOnGrantTimeout(r *request) bool {
 	sendBy := min(r.lastUsefulReplyAt()-r.class.meanLatency, r.firstWriteBy)
 	if !r.awaitingOwner || w.clock.now+timerInterval <= sendBy {
 		return false
@@ -53,18 +53,18 @@
 	return true
 }
 
-// recordSilence records a failure for each endpoint that has not replied to an attempt for long, and not
+// recordNoReply records a failure for each endpoint that has not replied to an attempt for long, and not
 // to any later one of the class either. It does so once an attempt.
-func (w *attemptWatcher) recordSilence(r *request) {
-	patience := max(silentLatencies*r.class.meanLatency, minSilence)
+func (w *attemptWatcher) recordNoReply(r *request) {
+	noReplyDuration := max(noReplyLatencyMultiple*r.class.meanLatency, minNoReplyDuration)
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.done || a.silenceRecorded || w.clock.since(a.sentAt) <= patience {
+		if a.done || a.noReplyRecorded || w.clock.since(a.sentAt) <= noReplyDuration {
 			continue
 		}
 		if a.endpoint.lastSuccessAt[r.class.index] < a.sentAt {
-			a.silenceRecorded = true
-			w.outliers.recordFailure(a.endpoint, r.class.index, silenceScore)
+			a.noReplyRecorded = true
+			w.outliers.recordFailure(a.endpoint, r.class.index, noReplyScore)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 	if w.outliers.score(last.endpoint, r.class.index) > suspectScore {
 		return last
 	}
-	if !w.hedging || age < hedgeLatencies*r.class.meanLatency || !w.queue.isEmpty() {
+	if !w.hedging || age < hedgeLatencyMultiple*r.class.meanLatency || !w.queue.isEmpty() {
 		return nil
 	}
 	return last
--- a/policy/attempt_watcher_test.go
+++ b/policy/attempt_watcher_test.go
@@ -4,12 +4,12 @@
 
 // A gateway that stood still itself knows nothing of the endpoint: the reply may wait in its own socket, and a
 // hedge would go out beside it.
-func TestOwnStandstillSendsNoHedge(t *testing.T) {
-	attempts := func(from, to Seconds, standstill bool) int {
-		g, recorded := largeFleet(t)
+func TestNoHedgeAfterOwnStall(t *testing.T) {
+	attempts := func(from, to Seconds, stalled bool) int {
+		g, recorded := newLargeFleetGateway(t)
 		sendUnlimited(g, 100, "q")
 		for now := 100.0; now < to; now += timerInterval {
-			if !standstill || now < from {
+			if !stalled || now < from {
 				g.HandleTimer(now, 1)
 			}
 		}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,7 +1,7 @@
 package policy
 
-// deadlineMargin is the least timeout of an attempt, and the least time to write it in.
-const deadlineMargin Seconds = 0.004
+// minAttemptTimeout is the least timeout of an attempt, and the least time to write it in.
+const minAttemptTimeout Seconds = 0.004
 
 // attempt is one send of a request to an endpoint.
 type attempt struct {
@@ -10,7 +10,7 @@
 	sentAt          Seconds
 	done            bool
 	cancelled       bool // by this gateway
-	silenceRecorded bool // see attemptWatcher.recordSilence
+	noReplyRecorded bool // see attemptWatcher.recordNoReply
 }
 
 // replied tells whether the attempt ended with a reply of the endpoint.
@@ -40,7 +40,7 @@
 	e.observeSend(s.clock.now, r.class.meanLatency)
 	s.start(r, e)
 	s.slowStart.spendCredit(e, r.class)
-	timeout := max(r.lastUsefulReplyAt()-s.clock.now, deadlineMargin)
+	timeout := max(r.lastUsefulReplyAt()-s.clock.now, minAttemptTimeout)
 	s.actions.Send(r.ID, e.ID, timeout, r.writeWithin(s.clock.now))
 }
 
@@ -97,7 +97,7 @@
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return 0
 	}
-	return max(r.idempotencyWindowEnd()-now, deadlineMargin)
+	return max(r.idempotencyWindowEnd()-now, minAttemptTimeout)
 }
 
 // recordStatus notes what the end of an attempt tells of the request: whether it was written, and whether
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,8 +6,8 @@
 	initialLatencyFraction = 0.15
 	// minLatencyGain is the least weight of a new latency in the mean of its class.
 	minLatencyGain = 0.02
-	// negligibleWeight keeps quotients defined where all priority weights are 0.
-	negligibleWeight = 1e-9
+	// weightEpsilon keeps quotients defined where all priority weights are 0.
+	weightEpsilon = 1e-9
 )
 
 // class is a class of request with what this gateway has learnt of it.
@@ -67,5 +67,5 @@
 // priorityDeficit is how far the weight of a class lies below the largest one, as a fraction of that: 0
 // for the class of the highest priority, towards 1 for those of the lowest.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
-	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, negligibleWeight)
+	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -8,7 +8,7 @@
 // When clients change their timeout, the new one soon is the time of first attempts, and these are not rejected
 // as retries.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
-	g, recorded := newTestGateway(t, singleGateway)
+	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
 	send := func(n int, timeout Seconds) (sent int) {
 		for range n {
@@ -34,7 +34,7 @@
 
 // A client's retry has what is left of the time of its first attempt. It was served after its objective once.
 func TestClientRetriesAreDetected(t *testing.T) {
-	g, recorded := newTestGateway(t, singleGateway)
+	g, recorded := newTestGateway(t, withSingleGateway)
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
 		sendRequest(g, 100+float64(i), id, "read", "basic", 1)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestClientRetryDetectorTellsUncommonRemainingTimes(t *testing.T) {
+func TestClientRetryDetectorDetectsUncommonRemainingTimes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rounds    int
 		seen      []Seconds
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,8 +1,8 @@
 package policy
 
-// standstillThreshold is the time without events after which this gateway itself is taken to have
+// stallThreshold is the time without events after which this gateway itself is taken to have
 // stood still.
-const standstillThreshold Seconds = 0.1
+const stallThreshold Seconds = 0.1
 
 // clockUncertainty is how much older than measured what another process said or did may be.
 const clockUncertainty Seconds = 0.05
@@ -18,7 +18,7 @@
 
 // advance sets the time of the next event, and notes when this gateway itself stood still.
 func (c *eventClock) advance(now Seconds) {
-	if now-c.now > standstillThreshold {
+	if now-c.now > stallThreshold {
 		c.resumedAt = now
 	}
 	c.now = now
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -87,13 +87,13 @@
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
-	onePart := min(1, initialConcurrencyPerEndpoint/l.limit) // one attempt tells of one endpoint among many
+	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit) // one attempt tells of one endpoint among many
 	if timedOut && !spareCapacity {
-		l.limit *= 1 - timeoutDecrease*onePart
+		l.limit *= 1 - timeoutDecrease*endpointShare
 	}
 	reached := float64(l.inFlight)+limitReachedGap >= l.limit
 	if l.latencyRatio > highLatencyRatio && !spareCapacity {
-		l.limit *= 1 - limitDecrease*onePart
+		l.limit *= 1 - limitDecrease*endpointShare
 	} else if (spareCapacity || l.latencyRatio < lowLatencyRatio) && reached {
 		l.limit += limitIncrease * min(1, l.limit)
 	}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -8,7 +8,7 @@
 
 // Guards the limit of a fleet that grows: once it went from 37 to 189 endpoints while the limit stayed.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
-	g, _ := newTestGateway(t, singleGateway)
+	g, _ := newTestGateway(t, withSingleGateway)
 	before := g.limiter.limit
 	var more []Endpoint
 	for i := range 27 {
@@ -25,8 +25,8 @@
 
 // Guards against requests that wait while most of the endpoints are idle: a gateway of a large fleet has a limit of
 // few attempts, but may exceed it by what chance does to few requests.
-func TestSmallLimitAllowsFewRequestsAtOnce(t *testing.T) {
-	g, r := largeFleet(t)
+func TestSmallLimitAllowsShortBursts(t *testing.T) {
+	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
 		t.Fatalf("the limit is %.2f: the test needs one below the requests that follow", g.limiter.limit)
 	}
@@ -114,7 +114,7 @@
 }
 
 // Guards against many gateways that all round a part of an attempt up while endpoints are slow.
-func TestPartOfAnAttemptWaitsWhileRepliesAreSlow(t *testing.T) {
+func TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow(t *testing.T) {
 	limiter := newTestLimiter(1, 1)
 	limiter.limit = 0.5
 	limiter.lastSentAt = limiter.clock.now - 0.3
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -12,7 +12,7 @@
 
 // Memory must stay bounded on long days: what has left, or came once, is evicted once it is idle.
 func TestIdleCustomersAreEvicted(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 500 {
 		now := 200 + float64(i)*0.1
 		g.HandleEndpoints(now, []Endpoint{{ID: fmt.Sprint("new", i), Zone: "a"}}, true)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -11,9 +11,9 @@
 
 func (q *dispatchQueue) add(r *request) { q.requests = append(q.requests, r) }
 
-// drain offers each request to dequeue, those of the highest priority first, and keeps those for which it
+// dequeueFunc offers each request to dequeue, those of the highest priority first, and keeps those for which it
 // returns false.
-func (q *dispatchQueue) drain(dequeue func(*request) bool) {
+func (q *dispatchQueue) dequeueFunc(dequeue func(*request) bool) {
 	if q.isEmpty() {
 		return
 	}
@@ -52,7 +52,7 @@
 // dispatchQueued sends the queued requests for which an endpoint has capacity now, and rejects those that
 // can't be replied to within their objective any more.
 func (d *dispatcher) dispatchQueued() {
-	d.queue.drain(func(r *request) bool {
+	d.queue.dequeueFunc(func(r *request) bool {
 		if r.done || d.clock.now+r.class.meanLatency > r.objectiveAt || !d.retries.allowsAttempt(r) {
 			d.replies.reject(r, NoEndpointInTime)
 			return true
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -7,7 +7,7 @@
 
 // A client's retry may arrive with a few milliseconds left. It was queued until after its deadline once.
 func TestRequestTooCloseToItsDeadlineIsRejectedAtOnce(t *testing.T) {
-	g, recorded := newTestGateway(t, singleGateway)
+	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", State: Draining}}, true)
 	g.HandleRequest(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", Deadline: 100.005, GatewayCount: 1, Units: 1})
 	if len(recorded.ofKind("reject", "x")) != 1 {
@@ -15,8 +15,8 @@
 	}
 }
 
-func TestQueuedRequestIsRepliedBeforeItsDeadline(t *testing.T) {
-	g, recorded := newTestGateway(t, singleGateway)
+func TestQueuedRequestGetsAFinalReplyBeforeItsDeadline(t *testing.T) {
+	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, nil, true)
 	sendRequest(g, 100, "w", "read", "basic", 1)
 	for now := 100.0; now < 102; now += 0.02 {
@@ -28,8 +28,8 @@
 }
 
 // A request of which nothing was written is rejected while the client still has time for a retry.
-func TestUnwrittenRequestEndsInItsFirstHalf(t *testing.T) {
-	g, recorded := newTestGateway(t, singleGateway)
+func TestUnwrittenRequestIsRejectedEarly(t *testing.T) {
+	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, nil, true)
 	sendRequest(g, 100, "a", "any", "wide", 1) // objective 3 s, timeout 4 s
 	g.HandleTimer(101.5, 1)
@@ -52,7 +52,7 @@
 		queue.add(r)
 	}
 	offered := func(dequeue bool) (ids []string) {
-		queue.drain(func(r *request) bool {
+		queue.dequeueFunc(func(r *request) bool {
 			ids = append(ids, r.ID)
 			return dequeue
 		})
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -35,12 +35,12 @@
 	healthCheckedAt Seconds // when the last health check was sent
 
 	// Outlier detection. The slices are indexed by class.
-	outlierScores              []outlierScore
-	lastSuccessAt              []Seconds
-	consecutiveErrors          []int // since the last success
-	consecutiveConnectFailures int   // connections refused or lost since the last success
-	consecutiveRejections      int   // since the last success
-	ejectedUntil               Seconds
+	outlierScores                 []outlierScore
+	lastSuccessAt                 []Seconds
+	consecutiveErrors             []int // since the last success
+	consecutiveConnectionFailures int   // connections refused or lost since the last success
+	consecutiveRejections         int   // since the last success
+	ejectedUntil                  Seconds
 
 	// Slow start.
 	slowStartCredit   float64 // mean attempts that this gateway may send while the endpoint warms up, up to 1
@@ -64,7 +64,7 @@
 func (e *endpoint) restart(slowStartCredit float64) {
 	e.latencyFactor = 1
 	e.ejectedUntil = 0
-	e.consecutiveConnectFailures, e.consecutiveRejections = 0, 0
+	e.consecutiveConnectionFailures, e.consecutiveRejections = 0, 0
 	e.openConnections = 0
 	e.slowStartCredit = slowStartCredit
 	clear(e.outlierScores)
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -58,16 +58,16 @@
 func (p *endpointPicker) pickWarming(r *request) *endpoint {
 	for _, e := range p.endpoints.listed {
 		if p.slowStart.warmUpFraction(e) < 1 && e.available(p.clock.now) && p.slowStart.creditAvailable(e) &&
-			p.outliers.score(e, r.class.index) < suspectScore && p.suitsWarming(e, r) {
+			p.outliers.score(e, r.class.index) < suspectScore && p.allowedOnWarming(e, r) {
 			return e
 		}
 	}
 	return nil
 }
 
-// suitsWarming tells whether a request may go to a warming endpoint. What must not execute twice does not go
+// allowedOnWarming tells whether a request may go to a warming endpoint. What must not execute twice does not go
 // to an endpoint that may fail under it.
-func (p *endpointPicker) suitsWarming(e *endpoint, r *request) bool {
+func (p *endpointPicker) allowedOnWarming(e *endpoint, r *request) bool {
 	switch r.class.Idempotency {
 	case NonIdempotent:
 		return p.slowStart.warmUpFraction(e) >= minNonIdempotentWarmUp
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -36,7 +36,7 @@
 
 // An attempt without a reply takes its connection with it, and a connection that idles for long is not counted on.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
-	g, r := largeFleet(t)
+	g, r := newLargeFleetGateway(t)
 	g.settings.ConnectionIdleTimeout = 10
 	sendUnlimited(g, 100, "a")
 	e := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
--- a/policy/endpoint_table_test.go
+++ b/policy/endpoint_table_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDrainingEndpointsGetNoQueuedRequests(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 200 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestRestartedEndpointStartsAnew(t *testing.T) {
+func TestRestartResetsTheEndpoint(t *testing.T) {
 	table := newTestTable(Endpoint{ID: "a", StartedAt: 50}, Endpoint{ID: "b", StartedAt: 50})
 	for _, e := range table.byID {
 		e.ejectedUntil, e.openConnections, e.slowStartCredit = 200, 3, 0
@@ -104,7 +104,7 @@
 }
 
 // Guards against a health update that is taken for that of another endpoint.
-func TestEndpointsOfOneHashAreNotFoundByIt(t *testing.T) {
+func TestEndpointsWithTheSameHashAreNotIndexed(t *testing.T) {
 	table := newTestTable(Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	table.byID["b"].hash = table.byID["a"].hash
 	table.indexByHash(table.byID["b"])
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,29 +7,29 @@
 	"reedlead/policy"
 )
 
-// printedActions is the least that the network side has to do: here it prints what the gateway asks for, and
+// printingActions is the least that the network side has to do: here it prints what the gateway asks for, and
 // keeps the messages to its peer.
-type printedActions struct {
+type printingActions struct {
 	name     string
 	messages [][]byte // not delivered yet
 }
 
-func (p *printedActions) Send(id, endpoint string, _, _ policy.Seconds) {
+func (p *printingActions) Send(id, endpoint string, _, _ policy.Seconds) {
 	fmt.Printf("%s: send %s to %s\n", p.name, id, endpoint)
 }
 
-func (p *printedActions) Reject(id string, _ policy.Seconds, why policy.Reason) {
+func (p *printingActions) Reject(id string, _ policy.Seconds, why policy.Reason) {
 	fmt.Printf("%s: reject %s, %s\n", p.name, id, why)
 }
 
-func (p *printedActions) Fail(id string, why policy.Reason) {
+func (p *printingActions) Fail(id string, why policy.Reason) {
 	fmt.Printf("%s: fail %s, %s\n", p.name, id, why)
 }
 
-func (p *printedActions) Cancel(string, int)              {}
-func (p *printedActions) SetTimer(uint64, policy.Seconds) {}
-func (p *printedActions) HealthCheck(string)              {}
-func (p *printedActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
+func (p *printingActions) Cancel(string, int)              {}
+func (p *printingActions) SetTimer(uint64, policy.Seconds) {}
+func (p *printingActions) HealthCheck(string)              {}
+func (p *printingActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
 
 // exampleSettings has one class, and one plan with a quota of 3 units that grows by 1 a second.
 func exampleSettings(self, gatewayCount int) policy.Settings {
@@ -53,7 +53,7 @@
 
 // One gateway from its start to a final reply: the quota holds one of two requests.
 func ExampleGateway() {
-	actions := &printedActions{name: "gateway"}
+	actions := &printingActions{name: "gateway"}
 	gateway, err := policy.New(exampleSettings(0, 1), 42, 10, actions)
 	if err != nil {
 		fmt.Println(err)
@@ -73,7 +73,7 @@
 
 // Two gateways keep one customer to one quota: what one admits is reported to the other.
 func ExampleGateway_owners() {
-	actions := [2]*printedActions{{name: "west"}, {name: "east"}}
+	actions := [2]*printingActions{{name: "west"}, {name: "east"}}
 	var gateways [2]*policy.Gateway
 	now := 10.0
 	for i := range gateways {
@@ -102,7 +102,7 @@
 func ExampleNew() {
 	settings := exampleSettings(0, 1)
 	settings.Plans[0].Burst = 0
-	_, err := policy.New(settings, 1, 0, &printedActions{})
+	_, err := policy.New(settings, 1, 0, &printingActions{})
 	var settingErr *policy.SettingError
 	if errors.As(err, &settingErr) {
 		fmt.Println(settingErr.Setting)
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -12,23 +12,23 @@
 
 // reject ends a request that gets no reply from an endpoint, and notes that its customer was rejected, which
 // makes retries of its clients likely.
-func (f *finalReplier) reject(r *request, why Reason) {
+func (f *finalReplier) reject(r *request, reason Reason) {
 	if r.done {
 		return
 	}
 	if r.customer != nil {
 		r.customer.rejectedAt = f.clock.now
 	}
-	f.replyUnserved(r, why)
+	f.rejectOrFail(r, reason)
 }
 
-// replyUnserved gives the final reply to a request that gets none from an endpoint: a rejection if the client
+// rejectOrFail gives the final reply to a request that gets none from an endpoint: a rejection if the client
 // may send it again, a failure otherwise. It cancels what is in flight.
-func (f *finalReplier) replyUnserved(r *request, why Reason) {
-	if r.clientMayRepeat() {
-		f.actions.Reject(r.ID, f.maxRetryAfter, why)
+func (f *finalReplier) rejectOrFail(r *request, reason Reason) {
+	if r.clientMayRetry() {
+		f.actions.Reject(r.ID, f.maxRetryAfter, reason)
 	} else {
-		f.actions.Fail(r.ID, why)
+		f.actions.Fail(r.ID, reason)
 	}
 	f.sender.cancelAll(r)
 	f.finish(r)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -125,43 +125,43 @@
 	return event
 }
 
-// clientTry is one send of a client's request to a gateway.
-type clientTry struct {
-	deadline Seconds
-	earlier  int // tries before this one
+// clientAttempt is one send of a client's request to a gateway.
+type clientAttempt struct {
+	deadline         Seconds
+	previousAttempts int // tries before this one
 }
 
 // fleetSimulation runs a fleetCase.
 type fleetSimulation struct {
 	fleetCase
-	settings  Settings
-	random    *rand.Rand
-	gateways  []*simulatedGateway
-	weights   []float64 // of the gateways in the traffic, summed up
-	list      []Endpoint
-	endpoints map[string]*simulatedEndpoint
-	tries     map[string]clientTry // by request ID
-	events    simulationEvents
-	now       Seconds
-	number    int // of the last event or request
+	settings       Settings
+	random         *rand.Rand
+	gateways       []*simulatedGateway
+	weights        []float64 // of the gateways in the traffic, summed up
+	list           []Endpoint
+	endpoints      map[string]*simulatedEndpoint
+	clientAttempts map[string]clientAttempt // by request ID
+	events         simulationEvents
+	now            Seconds
+	number         int // of the last event or request
 }
 
 // simulateFleet runs a case from simulationStart to simulationEnd.
 func simulateFleet(c fleetCase) *fleetSimulation {
 	c.serviceRate = cmp.Or(c.serviceRate, defaultServiceRate)
 	f := &fleetSimulation{
-		fleetCase: c,
-		settings:  simulationSettings(c.gateways),
-		random:    rand.New(rand.NewPCG(c.seed, 3)),
-		endpoints: map[string]*simulatedEndpoint{},
-		tries:     map[string]clientTry{},
+		fleetCase:      c,
+		settings:       simulationSettings(c.gateways),
+		random:         rand.New(rand.NewPCG(c.seed, 3)),
+		endpoints:      map[string]*simulatedEndpoint{},
+		clientAttempts: map[string]clientAttempt{},
 	}
 	f.addEndpoints()
 	for number := range c.gateways {
 		f.addGateway(number)
 	}
 	f.schedule(restartAt, f.restartEndpoints)
-	f.schedule(simulationStart, f.arrive)
+	f.schedule(simulationStart, f.handleArrival)
 	for f.events[0].at < simulationEnd {
 		event := heap.Pop(&f.events).(simulationEvent)
 		f.now = event.at
@@ -239,25 +239,25 @@
 	}
 }
 
-// arrive sends a new request, and schedules the next one.
-func (f *fleetSimulation) arrive(now Seconds) {
-	f.request(now, clientTry{deadline: now + clientTimeout})
+// handleArrival sends a new request, and schedules the next one.
+func (f *fleetSimulation) handleArrival(now Seconds) {
+	f.request(now, clientAttempt{deadline: now + clientTimeout})
 	rate := f.load * f.serviceRate * float64(f.fleetCase.endpoints)
 	if f.faults && now > restartAt && now < restartAt+burstDuration {
 		rate *= burstFactor
 	}
-	f.schedule(now+f.random.ExpFloat64()/rate, f.arrive)
+	f.schedule(now+f.random.ExpFloat64()/rate, f.handleArrival)
 }
 
 // request sends a request to a gateway, drawn by the weights.
-func (f *fleetSimulation) request(now Seconds, try clientTry) {
+func (f *fleetSimulation) request(now Seconds, try clientAttempt) {
 	drawn, gateway := f.random.Float64()*f.weights[len(f.weights)-1], 0
 	for f.weights[gateway] < drawn {
 		gateway++
 	}
 	f.number++
 	id := fmt.Sprint("q", f.number)
-	f.tries[id] = try
+	f.clientAttempts[id] = try
 	f.gateways[gateway].policy.HandleRequest(now, Request{
 		ID: id, Class: "read", Deadline: try.deadline, GatewayCount: 1, Units: 1,
 	})
@@ -265,14 +265,14 @@
 
 // retry has most clients whose request was rejected send it again, to any gateway, as long as they have time.
 func (f *fleetSimulation) retry(id string) {
-	try := f.tries[id]
-	delete(f.tries, id)
-	if f.random.Float64() > clientRetryRate || try.earlier >= maxClientRetry {
+	try := f.clientAttempts[id]
+	delete(f.clientAttempts, id)
+	if f.random.Float64() > clientRetryRate || try.previousAttempts >= maxClientRetry {
 		return
 	}
 	f.schedule(f.now+0.1+0.3*f.random.Float64(), func(now Seconds) {
 		if now < try.deadline-0.05 {
-			f.request(now, clientTry{deadline: try.deadline, earlier: try.earlier + 1})
+			f.request(now, clientAttempt{deadline: try.deadline, previousAttempts: try.previousAttempts + 1})
 		}
 	})
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -7,8 +7,8 @@
 	timerInterval Seconds = 0.02
 	// timerToken names the one timer of a Gateway.
 	timerToken = 1
-	// sweepInterval is the time between two evictions of what expired.
-	sweepInterval Seconds = customerExpiry / 4
+	// evictionInterval is the time between two evictions of what expired.
+	evictionInterval Seconds = customerExpiry / 4
 	// randomStream is the second half of the seed; any constant will do.
 	randomStream = 0x9e3779b97f4a7c15
 )
@@ -64,7 +64,7 @@
 	owners   *ownerDirectory
 	protocol peerProtocol
 
-	nextSweepAt Seconds // when what expired is evicted next
+	nextEvictionAt Seconds // when what expired is evicted next
 }
 
 // New returns a Gateway at its start, which knows no endpoints yet: HandleEndpoints brings the list. All
@@ -235,7 +235,7 @@
 	}
 	g.recordLoadReport(e, result.Load)
 	if result.Status == Timeout || result.Status == ConnectFailed {
-		g.outliers.recordFailureOfAll(e, errorScore)
+		g.outliers.recordFailureForAllClasses(e, errorScore)
 	}
 	g.dispatcher.dispatchQueued()
 }
@@ -257,10 +257,10 @@
 
 // evictExpired forgets customers and endpoints that are not used any more, from time to time.
 func (g *Gateway) evictExpired() {
-	if g.clock.now <= g.nextSweepAt {
+	if g.clock.now <= g.nextEvictionAt {
 		return
 	}
-	g.nextSweepAt = g.clock.now + sweepInterval
+	g.nextEvictionAt = g.clock.now + evictionInterval
 	g.quota.customers.evictIdle()
 	g.endpoints.evictRemoved()
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -6,8 +6,8 @@
 
 // A gateway of a large fleet learns the utilization and outlier scores of endpoints from its peers' messages, and
 // passes them on.
-func TestGossipIsPassedOn(t *testing.T) {
-	a, ra, ask := asMember(t, ofGateways(100))
+func TestGossipIsForwarded(t *testing.T) {
+	a, ra, ask := newTestMember(t, withGatewayCount(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
 	a.outliers.recordFailure(a.endpoints.byID["s2"], a.classes.byName["pay"].index, 1)
 	a.recordLoadReport(a.endpoints.byID["s1"], &LoadReport{Utilization: 0.6})
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestMergePassesOnNewsOnly(t *testing.T) {
+func TestMergeForwardsNewerUpdatesOnly(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class int
 		at    Seconds
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHealthCheckGoesToTheEndpointLeastRecentlyKnown(t *testing.T) {
+func TestHealthCheckGoesToTheEndpointWithTheOldestReport(t *testing.T) {
 	settings := testSettings()
 	settings.HealthChecks, settings.LoadReportInHealthCheck = true, true
 	clock := &eventClock{now: 100}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -96,8 +96,8 @@
 	return g, r
 }
 
-// singleGateway sets up a gateway without peers.
-func singleGateway(s *Settings) { s.GatewayCount = 1 }
+// withSingleGateway sets up a gateway without peers.
+func withSingleGateway(s *Settings) { s.GatewayCount = 1 }
 
 // sendRequest gives the gateway a request of one customer a plan, with the timeout of its class.
 func sendRequest(g *Gateway, now Seconds, id, class, plan string, units float64) {
@@ -111,14 +111,14 @@
 	})
 }
 
-// pair returns two gateways with their recorders, and a function that runs their timers and delivers all messages.
-func pair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
+// newGatewayPair returns two gateways with their recorders, and a function that runs their timers and delivers all messages.
+func newGatewayPair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
-	return pairOf(t, func(*Settings) {})
+	return newGatewayPairWith(t, func(*Settings) {})
 }
 
-// pairOf is pair with changed settings.
-func pairOf(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
+// newGatewayPairWith is pair with changed settings.
+func newGatewayPairWith(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
 	for i := range 2 {
 		g[i], r[i] = newTestGateway(t, func(s *Settings) { change(s); s.Self = i })
@@ -149,8 +149,8 @@
 	return ids
 }
 
-// asMember returns a gateway, and a function that gives it a request of a customer that another gateway owns.
-func asMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
+// newTestMember returns a gateway, and a function that gives it a request of a customer that another gateway owns.
+func newTestMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
 	name := ""
@@ -169,8 +169,8 @@
 	}
 }
 
-// ofGateways sets the size of the fleet.
-func ofGateways(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
+// withGatewayCount sets the size of the fleet.
+func withGatewayCount(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
 // ownerReply returns the owner's reply to the last report that a gateway has sent, as changed by the caller.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
@@ -190,8 +190,8 @@
 	return last.to, testFormat.encode(message{incarnation: 9, sequence: seq, records: []usageRecord{v}}, 0)
 }
 
-// largeFleet returns one gateway of a fleet of 80, with the endpoints of largeFleetEndpoints.
-func largeFleet(t *testing.T) (*Gateway, *recorder) {
+// newLargeFleetGateway returns one gateway of a fleet of 80, with the endpoints of largeFleetEndpoints.
+func newLargeFleetGateway(t *testing.T) (*Gateway, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
 	s.GatewayCount = 80
@@ -216,8 +216,8 @@
 	g.HandleRequest(now, Request{ID: id, Class: "read", Deadline: now + g.classes.byName["read"].Timeout, GatewayCount: 1, Units: 1})
 }
 
-// asMemberOfParallel is asMember of a plan with two slots.
-func asMemberOfParallel(t *testing.T) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
+// newTestMemberWithSlots is newTestMember for a plan with two slots.
+func newTestMemberWithSlots(t *testing.T) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
-	return asMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
+	return newTestMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
 }
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -49,8 +49,8 @@
 	return r.firstExecution.sentAt + r.class.IdempotencyWindow - clockUncertainty
 }
 
-// mayBeRepeatedAt tells whether the request may be sent at a point in time although it may have executed.
-func (r *request) mayBeRepeatedAt(now Seconds) bool {
+// mayBeRetriedAt tells whether the request may be sent at a point in time although it may have executed.
+func (r *request) mayBeRetriedAt(now Seconds) bool {
 	switch {
 	case !r.mayHaveExecuted(), r.class.Idempotency == Idempotent:
 		return true
@@ -60,9 +60,9 @@
 	return false
 }
 
-// clientMayRepeat tells whether the client may send the request again: no attempt can have executed, or the
+// clientMayRetry tells whether the client may send the request again: no attempt can have executed, or the
 // repeat does no harm wherever it arrives.
-func (r *request) clientMayRepeat() bool {
+func (r *request) clientMayRetry() bool {
 	if !r.mayHaveExecuted() && r.inFlight == 0 {
 		return true
 	}
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -9,7 +9,7 @@
 // Each retry of a request with an idempotency key carries the end of its window, as it may wait for a connection
 // until after that. The window counts from the first attempt that may have executed; one that can't have executed
 // opens none.
-func TestRetriesCarryTheEndOfTheIdempotencyWindow(t *testing.T) {
+func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
 	const window Seconds = 2 // of the class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
 	for name, tc := range map[string]struct {
@@ -34,7 +34,7 @@
 		}, []float64{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, recorded := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, withSingleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a"}}, true)
 			sendRequest(g, 100, "k", tc.class, "wide", 1)
 			tc.events(g)
@@ -53,13 +53,13 @@
 
 // An endpoint list may change the group of the endpoint that may have executed a request. Nothing tells whether
 // its memory of keys moved along, so retries need its group at that time and its group by now.
-func TestEndpointListThatChangesGroupsMovesNoRepeat(t *testing.T) {
+func TestNoRetryOutsideTheDedupGroupAfterAnEndpointMoves(t *testing.T) {
 	for name, moved := range map[string]Endpoint{
 		"to another zone": {ID: "s1", Zone: "b", Cell: 1},
 		"to another cell": {ID: "s1", Zone: "a", Cell: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, recorded := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, withSingleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", Cell: 1}}, true)
 			sendRequest(g, 100, "k", "cell", "wide", 1)
 			g.HandleEndpoints(100.1, []Endpoint{moved, {ID: "s2", Zone: "a", Cell: 1}, {ID: "s3", Zone: moved.Zone, Cell: moved.Cell}}, true)
@@ -79,9 +79,9 @@
 
 // Whatever becomes of the attempts and however late they are written, none goes out that could execute a request
 // a second time, nor a rejection behind one: over all classes, outcomes, scopes and windows.
-func TestNothingExecutesTwice(t *testing.T) {
+func TestNoRequestExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
-		newRepeatScenario(t, seed).run()
+		newRetryScenario(t, seed).run()
 	}
 }
 
@@ -102,8 +102,8 @@
 	return !a.done || a.status != Rejected && a.status != ConnectFailed && a.status != NotSent
 }
 
-// repeatScenario is one request of a random class, at endpoints whose list and outcomes are random, too.
-type repeatScenario struct {
+// retryScenario is one request of a random class, at endpoints whose list and outcomes are random, too.
+type retryScenario struct {
 	t                 *testing.T
 	seed              uint64
 	rng               *rand.Rand
@@ -116,26 +116,26 @@
 	observed          int // actions of the recorder that were looked at
 }
 
-const repeatScenarioRequest = "k"
+const retryScenarioRequest = "k"
 
-func newRepeatScenario(t *testing.T, seed uint64) *repeatScenario {
+func newRetryScenario(t *testing.T, seed uint64) *retryScenario {
 	t.Helper()
-	s := &repeatScenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]dedupGroup{}}
+	s := &retryScenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]dedupGroup{}}
 	s.idempotencyWindow = []Seconds{0.02, clockUncertainty, 0.1, 0.3, 1, 3}[s.rng.IntN(6)]
 	s.gateway, s.recorder = newTestGateway(t, func(settings *Settings) {
 		settings.GatewayCount = 1
 		settings.MaxAttempts = 2 + s.rng.IntN(6)
 		settings.Hedging = s.rng.IntN(2) == 0
-		settings.Classes = repeatScenarioClasses(s.idempotencyWindow)
+		settings.Classes = retryScenarioClasses(s.idempotencyWindow)
 	})
 	s.listEndpoints(100)
 	s.class = s.gateway.settings.Classes[s.rng.IntN(4)]
-	sendRequest(s.gateway, 100, repeatScenarioRequest, s.class.Name, "wide", 1)
+	sendRequest(s.gateway, 100, retryScenarioRequest, s.class.Name, "wide", 1)
 	return s
 }
 
-// repeatScenarioClasses returns a class with an idempotency key for each scope, and one that is not idempotent.
-func repeatScenarioClasses(idempotencyWindow Seconds) []Class {
+// retryScenarioClasses returns a class with an idempotency key for each scope, and one that is not idempotent.
+func retryScenarioClasses(idempotencyWindow Seconds) []Class {
 	classes := []Class{
 		{Name: "all", Idempotency: IdempotencyKey, DedupScope: DedupFleet},
 		{Name: "zone", Idempotency: IdempotencyKey, DedupScope: DedupZone},
@@ -151,7 +151,7 @@
 }
 
 // listEndpoints gives the gateway a list of eight endpoints in random groups, of which some are draining.
-func (s *repeatScenario) listEndpoints(now Seconds) {
+func (s *retryScenario) listEndpoints(now Seconds) {
 	var list []Endpoint
 	for i := range 8 {
 		entry := Endpoint{
@@ -167,7 +167,7 @@
 }
 
 // run plays the request until after its deadline.
-func (s *repeatScenario) run() {
+func (s *retryScenario) run() {
 	s.t.Helper()
 	for now := 100.0; now < 104.5; now += 0.02 {
 		s.observeActions(now)
@@ -177,15 +177,15 @@
 		s.endSomeAttempts(now)
 		s.gateway.HandleTimer(now, 1)
 	}
-	rejections := s.recorder.ofKind("reject", repeatScenarioRequest)
-	failures := s.recorder.ofKind("fail", repeatScenarioRequest)
+	rejections := s.recorder.ofKind("reject", retryScenarioRequest)
+	failures := s.recorder.ofKind("fail", retryScenarioRequest)
 	if n := len(rejections) + len(failures); n != 1 {
 		s.t.Errorf("seed %d: %d final replies", s.seed, n)
 	}
 }
 
 // observeActions carries out and checks what the gateway asked for since the last call.
-func (s *repeatScenario) observeActions(now Seconds) {
+func (s *retryScenario) observeActions(now Seconds) {
 	s.t.Helper()
 	for ; s.observed < len(s.recorder.actions); s.observed++ {
 		switch observed := s.recorder.actions[s.observed]; observed.kind {
@@ -196,7 +196,7 @@
 		case "cancel":
 			if cancelled := s.attempts[observed.attempt]; !cancelled.done {
 				cancelled.end(Cancelled)
-				s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: observed.attempt, Status: Cancelled})
+				s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: observed.attempt, Status: Cancelled})
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 
 // observeSend writes an attempt, at once or somewhat later. As on the network, one that can't be written within
 // its time is not sent.
-func (s *repeatScenario) observeSend(now Seconds, send action) {
+func (s *retryScenario) observeSend(now Seconds, send action) {
 	s.t.Helper()
 	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
 	if s.rng.IntN(2) == 0 {
@@ -212,16 +212,16 @@
 	}
 	if send.writeWithin > 0 && sent.writtenAt > now+send.writeWithin {
 		sent.end(NotSent)
-		s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: len(s.attempts), Status: NotSent})
+		s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: len(s.attempts), Status: NotSent})
 	} else {
-		s.checkRepeat(sent)
+		s.checkRetry(sent)
 	}
 	s.attempts = append(s.attempts, sent)
 }
 
-// checkRepeat fails the test if an attempt could execute the request a second time. The window counts from the
+// checkRetry fails the test if an attempt could execute the request a second time. The window counts from the
 // first attempt that may have executed.
-func (s *repeatScenario) checkRepeat(sent *recordedAttempt) {
+func (s *retryScenario) checkRetry(sent *recordedAttempt) {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
 		if !earlier.mayHaveExecuted() {
@@ -238,7 +238,7 @@
 
 // checkRejection fails the test if the request is rejected, which lets the client send it again, although that
 // could execute it a second time.
-func (s *repeatScenario) checkRejection() {
+func (s *retryScenario) checkRejection() {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
 		if earlier.mayHaveExecuted() && (s.class.Idempotency == NonIdempotent || s.class.DedupScope != DedupFleet) {
@@ -248,19 +248,19 @@
 }
 
 // endSomeAttempts ends attempts that were written, at random and with any outcome but OK.
-func (s *repeatScenario) endSomeAttempts(now Seconds) {
+func (s *retryScenario) endSomeAttempts(now Seconds) {
 	for i, sent := range s.attempts {
 		if !sent.done && now >= sent.writtenAt && s.rng.IntN(10) == 0 {
 			sent.end(AttemptStatus(1 + s.rng.IntN(6)))
-			s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: i, Status: sent.status, Elapsed: now - sent.writtenAt})
+			s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: i, Status: sent.status, Elapsed: now - sent.writtenAt})
 		}
 	}
 }
 
-func TestRetriesWithAKeyStayInScopeAndWindow(t *testing.T) {
+func TestRetriesWithAKeyStayInDedupScopeAndWindow(t *testing.T) {
 	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
 	for seed := range 20 {
-		g, recorded := newTestGateway(t, singleGateway)
+		g, recorded := newTestGateway(t, withSingleGateway)
 		id := fmt.Sprint("k", seed)
 		sendRequest(g, 100, id, "put", "wide", 1)
 		first := recorded.ofKind("send", id)[0].endpoint
@@ -272,7 +272,7 @@
 			}
 		}
 	}
-	g, recorded := newTestGateway(t, singleGateway)
+	g, recorded := newTestGateway(t, withSingleGateway)
 	sendRequest(g, 100, "c", "cell", "wide", 1)
 	first := recorded.ofKind("send", "c")[0].endpoint
 	g.HandleOutcome(100.2, Outcome{RequestID: "c", Endpoint: first, Status: Error, Elapsed: 0.2})
@@ -281,7 +281,7 @@
 			t.Fatalf("retried at %s in another cell", a.endpoint)
 		}
 	}
-	g, recorded = newTestGateway(t, singleGateway)
+	g, recorded = newTestGateway(t, withSingleGateway)
 	sendRequest(g, 100, "t", "any", "wide", 1)
 	first = recorded.ofKind("send", "t")[0].endpoint
 	g.HandleOutcome(100.6, Outcome{RequestID: "t", Endpoint: first, Status: Error, Elapsed: 0.6})
@@ -313,7 +313,7 @@
 }
 
 // A rejection lets the client send the request again, so it must not be given where that could execute it twice.
-func TestClientMayRepeat(t *testing.T) {
+func TestClientMayRetry(t *testing.T) {
 	inFlight := func(r *request) { r.inFlight = 1 }
 	for name, tc := range map[string]struct {
 		class  Class
@@ -333,8 +333,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := &request{class: &class{Class: tc.class}}
 			tc.change(r)
-			if got := r.clientMayRepeat(); got != tc.want {
-				t.Errorf("clientMayRepeat = %v, want %v", got, tc.want)
+			if got := r.clientMayRetry(); got != tc.want {
+				t.Errorf("clientMayRetry = %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -11,7 +11,7 @@
 	for _, pause := range []Seconds{
 		1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry,
 	} {
-		g, r, pump := pair(t)
+		g, r, pump := newGatewayPair(t)
 		var request Request
 		for i := range 100 { // of a customer that g[0] owns, and that comes to g[1] alone
 			request = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
@@ -58,7 +58,7 @@
 }
 
 func TestOwnerCountsAllTrafficOfACustomer(t *testing.T) {
-	g, r, pump := pair(t)
+	g, r, pump := newGatewayPair(t)
 	units, seen := 0, [2]int{}
 	for i := range 500 {
 		now := 100 + float64(i)*0.02
@@ -75,7 +75,7 @@
 }
 
 func TestRestartedOwnerRecoversFromTheNextReports(t *testing.T) {
-	g, r, pump := pair(t)
+	g, r, pump := newGatewayPair(t)
 	owner := g[0].quota.customers.find(Request{Customer: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
 	member, seen := 1-owner, 0
 	for i := range 100 {
@@ -109,7 +109,7 @@
 }
 
 func TestOwnerGrantsWithinRemainingUnits(t *testing.T) {
-	g, r := newTestGateway(t, ofGateways(100))
+	g, r := newTestGateway(t, withGatewayCount(100))
 	granted := 0.0
 	for i := range 30 {
 		report := usageRecord{key: 77, planIndex: 0, wantedUnits: 1, firstWantedUnits: 1}
@@ -130,7 +130,7 @@
 
 // A grant that its member did not use must not stay reserved.
 func TestUnusedGrantIsReturned(t *testing.T) {
-	g, _ := newTestGateway(t, ofGateways(100))
+	g, _ := newTestGateway(t, withGatewayCount(100))
 	report := func(sequence uint16, record usageRecord) {
 		g.HandlePeerMessage(100, 1, encodeRecord(sequence, record))
 	}
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -32,7 +32,7 @@
 
 // A regression: with all messages lost, every gateway granted the whole quota.
 func TestIsolatedGatewayAdmitsItsFractionAlone(t *testing.T) {
-	g, r, send := asMember(t, ofGateways(4))
+	g, r, send := newTestMember(t, withGatewayCount(4))
 	seen := 0
 	for i := range 2500 {
 		now := 100 + float64(i)*0.02
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -26,7 +26,7 @@
 		"60 plans": {1, "p59", func(s *Settings) { s.Plans = plansLike(s.Plans[0], 60) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, r, pump := pairOf(t, tc.change)
+			g, r, pump := newGatewayPairWith(t, tc.change)
 			sent, seen := [2]int{}, [2]int{}
 			for i := range 500 {
 				now := 100 + float64(i)*0.02
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -12,7 +12,7 @@
 	singleFailureScore = 0.1 // added by a lost connection, which may be no fault of the endpoint
 	errorScore         = 0.5 // added by an error, and by a second lost connection in a row
 	repeatedErrorScore = 0.9 // added by errors in a row: they come fast, and so attract further requests
-	silenceScore       = 1.0 // added by an attempt that got no reply for long
+	noReplyScore       = 1.0 // added by an attempt that got no reply for long
 
 	// repeatedErrors is the number of errors in a row from which on each adds repeatedErrorScore.
 	repeatedErrors = 2
@@ -23,8 +23,8 @@
 	// outlierTimeConstant is the time constant with which scores decay.
 	outlierTimeConstant Seconds = 4.0
 
-	// minVoteWeight is the least weight of one attempt in the score, in a large fleet.
-	minVoteWeight = 0.2
+	// minAttemptWeight is the least weight of one attempt in the score, in a large fleet.
+	minAttemptWeight = 0.2
 )
 
 // Ejection of endpoints from all classes.
@@ -55,11 +55,11 @@
 	random *rand.Rand
 	gossip *gossipBuffer
 
-	// voteWeight is the weight of one attempt of this gateway in the score. Where many gateways share what they
+	// attemptWeight is the weight of one attempt of this gateway in the score. Where many gateways share what they
 	// see, each raises and lowers a score by a part, so that it tends to the fraction of attempts without a
 	// reply. If one missing reply were enough, all would leave an overloaded endpoint at once, and overload
 	// the next.
-	voteWeight float64
+	attemptWeight float64
 }
 
 // newOutlierDetector returns the detector of one gateway of a fleet, which draws from random and publishes to
@@ -68,10 +68,10 @@
 	gatewayCount int, clock *eventClock, random *rand.Rand, gossip *gossipBuffer,
 ) *outlierDetector {
 	return &outlierDetector{
-		clock:      clock,
-		random:     random,
-		gossip:     gossip,
-		voteWeight: max(minVoteWeight, min(1, smallFleetSize/float64(gatewayCount))),
+		clock:         clock,
+		random:        random,
+		gossip:        gossip,
+		attemptWeight: max(minAttemptWeight, min(1, smallFleetSize/float64(gatewayCount))),
 	}
 }
 
@@ -98,8 +98,8 @@
 	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 }
 
-// recordFailureOfAll raises the score for all classes.
-func (d *outlierDetector) recordFailureOfAll(e *endpoint, severity float64) {
+// recordFailureForAllClasses raises the score for all classes.
+func (d *outlierDetector) recordFailureForAllClasses(e *endpoint, severity float64) {
 	for classIndex := range e.outlierScores {
 		d.recordFailure(e, classIndex, severity)
 	}
@@ -108,7 +108,7 @@
 // recordSuccess lowers the score for a class.
 func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
-	level := d.score(e, classIndex) * (1 - d.voteWeight)
+	level := d.score(e, classIndex) * (1 - d.attemptWeight)
 	d.setScore(e, classIndex, level)
 	if level > minPublishedScore {
 		d.publishScore(e, classIndex, level)
@@ -120,13 +120,13 @@
 	switch status {
 	case OK:
 		d.recordSuccess(e, classIndex)
-		e.consecutiveConnectFailures, e.consecutiveRejections = 0, 0
+		e.consecutiveConnectionFailures, e.consecutiveRejections = 0, 0
 	case Timeout:
-		d.recordFailure(e, classIndex, min(errorScore, d.voteWeight))
+		d.recordFailure(e, classIndex, min(errorScore, d.attemptWeight))
 	case Error:
 		d.recordError(e, classIndex)
 	case ConnectFailed, Reset:
-		d.recordConnectFailure(e)
+		d.recordConnectionFailure(e)
 	case Rejected:
 		d.recordRejection(e)
 	case Cancelled, NotSent: // say nothing of the endpoint
@@ -142,14 +142,14 @@
 	d.recordFailure(e, classIndex, severity)
 }
 
-// recordConnectFailure takes in a connection that was refused or lost.
-func (d *outlierDetector) recordConnectFailure(e *endpoint) {
-	e.consecutiveConnectFailures++
-	if e.consecutiveConnectFailures < consecutiveFailuresToEject {
-		d.recordFailureOfAll(e, singleFailureScore)
+// recordConnectionFailure takes in a connection that was refused or lost.
+func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
+	e.consecutiveConnectionFailures++
+	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
+		d.recordFailureForAllClasses(e, singleFailureScore)
 		return
 	}
-	d.recordFailureOfAll(e, errorScore)
+	d.recordFailureForAllClasses(e, errorScore)
 	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -12,7 +12,7 @@
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
 	const maxSent = 24
 	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
-		g, r := newTestGateway(t, singleGateway)
+		g, r := newTestGateway(t, withSingleGateway)
 		sent := map[string]int{}
 		for i := range 400 {
 			now := 100 + float64(i)*0.02
@@ -40,8 +40,8 @@
 }
 
 // One lost connection does not mean that the endpoint is broken; two in a row do.
-func TestTwoLostConnectionsEject(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+func TestTwoConsecutiveConnectionFailuresEject(t *testing.T) {
+	g, r := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}}, true)
 	sendRequest(g, 100, "a", "pay", "wide", 1)
 	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: "s1", Status: Reset})
@@ -56,7 +56,7 @@
 
 // Guards against an endpoint that never replies to one class, while it goes on replying to the others.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for _, requestClass := range g.classes.ordered {
 		requestClass.meanLatency, requestClass.successes = 0.05, 100
 	}
@@ -95,8 +95,8 @@
 }
 
 // Guards against one missing reply that, by gossip, made the whole fleet leave an endpoint and overload the next.
-func TestLargeFleetScoresByTheUnansweredFraction(t *testing.T) {
-	g, _ := largeFleet(t)
+func TestLargeFleetScoresByTheTimeoutFraction(t *testing.T) {
+	g, _ := newLargeFleetGateway(t)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
 	attempt := func(now Seconds, id string, status AttemptStatus) {
 		req := &request{Request: Request{ID: id}, class: requestClass}
@@ -143,7 +143,7 @@
 	return detector, newEndpoint(1, 2, 0)
 }
 
-func TestRejectionsInARowDoubleTheBackoff(t *testing.T) {
+func TestConsecutiveRejectionsDoubleTheBackoff(t *testing.T) {
 	detector, e := newTestDetector(1)
 	for _, want := range []Seconds{0.05, 0.1, 0.2, 0.4, 0.8, 0.8} {
 		detector.recordOutcome(e, 0, Rejected)
@@ -169,7 +169,7 @@
 		"two errors in a row":           {1, []AttemptStatus{Error, Error}, [2]float64{0.95, 0}},
 		"an error and a success":        {1, []AttemptStatus{Error, OK}, [2]float64{0, 0}},
 		"a timeout":                     {1, []AttemptStatus{Timeout}, [2]float64{errorScore, 0}},
-		"a timeout in a large fleet":    {100, []AttemptStatus{Timeout}, [2]float64{minVoteWeight, 0}},
+		"a timeout in a large fleet":    {100, []AttemptStatus{Timeout}, [2]float64{minAttemptWeight, 0}},
 		"a lost connection":             {1, []AttemptStatus{Reset}, [2]float64{0.1, 0.1}},
 		"two lost connections in a row": {1, []AttemptStatus{Reset, ConnectFailed}, [2]float64{0.55, 0.55}},
 		"a rejection":                   {1, []AttemptStatus{Rejected}, [2]float64{0, 0}},
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestQuotaAdmitsBurstThenRate(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 12 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
@@ -21,7 +21,7 @@
 
 // A regression: a queue promised the same units to every request in it.
 func TestQueuedRequestsKeepTheirUnits(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", State: Draining}}, true)
 	for i := range 12 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
@@ -33,7 +33,7 @@
 
 // A regression: a customer over its rate spent its quota on requests of low priority, whichever came first.
 func TestLowPriorityLeavesUnitsToHighPriorityWhileOverRate(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 12 {
 		sendRequest(g, 100, fmt.Sprint("low", i), "read", "basic", 1)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,7 +23,7 @@
 	case !r.written && p.clock.now > r.firstWriteBy:
 		return false
 	}
-	return r.mayBeRepeatedAt(p.clock.now)
+	return r.mayBeRetriedAt(p.clock.now)
 }
 
 // inTime tells whether a reply to an attempt sent now is expected while it is useful.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -13,7 +13,7 @@
 		Cancelled:     "fail",
 	} {
 		t.Run(status.String(), func(t *testing.T) {
-			g, recorded := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, withSingleGateway)
 			sendRequest(g, 100, "p", "pay", "wide", 1)
 			first := recorded.ofKind("send", "p")[0]
 			recorded.actions = nil
@@ -28,7 +28,7 @@
 
 func TestTimeoutAtTheDeadlineGivesAFinalReply(t *testing.T) {
 	for class, want := range map[string]string{"read": "reject", "put": "fail", "any": "reject", "pay": "fail"} {
-		g, recorded := newTestGateway(t, singleGateway)
+		g, recorded := newTestGateway(t, withSingleGateway)
 		sendRequest(g, 100, "d", class, "wide", 1)
 		first := recorded.ofKind("send", "d")[0].endpoint
 		recorded.actions = nil
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestConcurrencyLimitOfAPlanIsHeld(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 3 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
@@ -26,7 +26,7 @@
 
 // A regression: a rejection for want of a slot sent clients away for a second, past the objectives of most classes.
 func TestSlotQueueIsBoundedAndEndsWithTheObjective(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 6 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
@@ -47,7 +47,7 @@
 
 // A request takes the place of one with a lower priority that waits, which is rejected at once.
 func TestHighestPriorityWaitsForASlot(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 4 {
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
@@ -63,7 +63,7 @@
 
 // A regression: members reported the end of an attempt in the next batch only, while others waited for the slot.
 func TestFreedSlotIsReportedAtOnce(t *testing.T) {
-	g, r, send := asMemberOfParallel(t)
+	g, r, send := newTestMemberWithSlots(t)
 	c := send(100, "q", 1)
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total++; reply.remaining = 7; reply.inFlight = 1 })
 	g.HandlePeerMessage(100.03, from, data)
@@ -82,7 +82,7 @@
 
 // A member to which no slot is granted asks again, after a pause, and forwards the request on the grant.
 func TestMemberAsksAgainForASlot(t *testing.T) {
-	g, r, send := asMemberOfParallel(t)
+	g, r, send := newTestMemberWithSlots(t)
 	send(100, "q", 1)
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.remaining = 7; reply.inFlight = 2 })
 	g.HandlePeerMessage(100.03, from, data)
@@ -107,7 +107,7 @@
 // A regression: members forwarded by replies half a second old, after which others had taken the slots.
 func TestStaleSlotReportsAreNotSplit(t *testing.T) {
 	for _, age := range []float64{0.05, 0.3} {
-		g, r, send := asMemberOfParallel(t)
+		g, r, send := newTestMemberWithSlots(t)
 		send(100, "first", 1)
 		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total++; reply.remaining = 800; reply.demand = 0 })
 		g.HandlePeerMessage(100.03, from, data)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -8,15 +8,15 @@
 	minCompletedFraction = 0.5
 
 	// A warming endpoint gets from a gateway of a large fleet the fraction minSlowStartShare of its equal part
-	// of the work, and more of it with its capacity, up to slowStartShareRise more.
-	minSlowStartShare  = 0.15
-	slowStartShareRise = 0.65
+	// of the work, and more of it with its capacity, up to slowStartShareSlope more.
+	minSlowStartShare   = 0.15
+	slowStartShareSlope = 0.65
 
 	// maxWarmingInFlight bounds the attempts of this gateway in flight at a warming endpoint.
 	maxWarmingInFlight = 2
 
-	// negligibleWork, in seconds, keeps quotients defined where no work was offered.
-	negligibleWork Seconds = 1e-9
+	// workEpsilon, in seconds, keeps quotients defined where no work was offered.
+	workEpsilon Seconds = 1e-9
 )
 
 // slowStart decides how much work warming endpoints get. An endpoint warms up for some time after its start,
@@ -44,7 +44,7 @@
 	offeredWork     Seconds // of first attempts, decaying with about the duration of a slow start
 	completedWork   Seconds // of successful attempts, decaying likewise
 	meanWork        Seconds // of a first attempt
-	warmedCapacity  float64 // sum of the warm-up fractions of endpoints in service
+	totalCapacity   float64 // sum of the warm-up fractions of endpoints in service
 	warmingCapacity float64 // the same of those that are warming up
 	inServiceCount  float64 // endpoints in service
 }
@@ -108,14 +108,14 @@
 // updateCapacities also counts endpoints that are ejected: if their part went to others, those would get too
 // much.
 func (s *slowStart) updateCapacities(endpoints []*endpoint) {
-	s.warmedCapacity, s.warmingCapacity, s.inServiceCount = 0, 0, 0
+	s.totalCapacity, s.warmingCapacity, s.inServiceCount = 0, 0, 0
 	for _, e := range endpoints {
 		if e.State != InService {
 			continue
 		}
 		fraction := s.warmUpFraction(e)
 		s.inServiceCount++
-		s.warmedCapacity += fraction
+		s.totalCapacity += fraction
 		if fraction < 1 {
 			s.warmingCapacity += fraction
 		}
@@ -156,16 +156,16 @@
 // The less capacity an endpoint has, the more its load varies by chance. As the gateways of a large fleet
 // can't see that, they send it less as long as others have capacity for the rest.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
-	completedFraction := min(max(s.completedWork/max(s.offeredWork, negligibleWork), minCompletedFraction), 1)
-	allowed := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
+	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
+	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
 	if !isLargeFleet(s.gatewayCount) {
-		return allowed
+		return maxShare
 	}
-	capacity := max(s.warmedCapacity, warmUpFraction)
-	cautious := warmUpFraction * (minSlowStartShare + slowStartShareRise*warmUpFraction) / capacity
-	warmingPart := s.warmingCapacity / capacity
-	needed := allowed * (warmingPart * warmingPart) // approaches allowed if most are warming
-	return min(allowed, max(cautious, needed))
+	capacity := max(s.totalCapacity, warmUpFraction)
+	reducedShare := warmUpFraction * (minSlowStartShare + slowStartShareSlope*warmUpFraction) / capacity
+	warmingFraction := s.warmingCapacity / capacity
+	requiredShare := maxShare * (warmingFraction * warmingFraction) // approaches allowed if most are warming
+	return min(maxShare, max(reducedShare, requiredShare))
 }
 
 // creditAvailable tells whether this gateway may send a warming endpoint an attempt.
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestWarmingEndpointKeepsToItsFractionOverAnyWindow(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+func TestWarmingEndpointGetsFewerAttemptsThanWarmOnes(t *testing.T) {
+	g, r := newTestGateway(t, withSingleGateway)
 	request := func(number int, now Seconds) (endpoint string) {
 		id := fmt.Sprint("q", number)
 		sendRequest(g, now, id, "read", "wide", 1)
@@ -36,8 +36,8 @@
 
 // Guards against a standstill in a rollout: once every endpoint had been replaced by a warming one, no work was
 // completed at warm ones any more, so that the part of it that a warming one may have went to 0.
-func TestWarmingEndpointsAloneCarryTheLoad(t *testing.T) {
-	g, r := newTestGateway(t, singleGateway)
+func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
+	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
 		var all []Endpoint
 		for i := range 8 {
@@ -76,7 +76,7 @@
 // are idle: what a warming one got once followed the square of the requests that a gateway sees.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
-		g, r := largeFleet(t)
+		g, r := newLargeFleetGateway(t)
 		list := largeFleetEndpoints()
 		for i := range 30 {
 			list[i].StartedAt = 100 // warming from now on
@@ -113,9 +113,9 @@
 }
 
 // An endpoint that has just started gets less than its part, as chance alone could overload it.
-func TestYoungestEndpointsGetLeast(t *testing.T) {
+func TestNewlyStartedEndpointsGetAReducedShare(t *testing.T) {
 	count := func(class string, age float64) (n int) {
-		g, _ := largeFleet(t)
+		g, _ := newLargeFleetGateway(t)
 		list := largeFleetEndpoints()
 		list[0].StartedAt = 100 - age
 		g.HandleEndpoints(100, list, true)
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -6,7 +6,7 @@
 // What is beyond the quota was admitted at each gateway, or rejected with units left.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
-		g, r, send := asMember(t, ofGateways(100))
+		g, r, send := newTestMember(t, withGatewayCount(100))
 		send(100, "q", 2)
 		if len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) != 0 {
 			t.Fatal("a gateway of a hundred decided alone")
@@ -20,7 +20,7 @@
 }
 
 func TestUnansweredReportFallsBackToTheLocalWindow(t *testing.T) {
-	g, r, send := asMember(t, ofGateways(100))
+	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	now := 100.0
@@ -40,7 +40,7 @@
 
 // A regression: a gateway that stood still itself took its owners for unreachable.
 func TestOwnStandstillCountsAgainstNoPeer(t *testing.T) {
-	g, r, send := asMember(t, ofGateways(100))
+	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
@@ -56,7 +56,7 @@
 
 // A request costs two messages at most, however many gateways there are.
 func TestMessageCountFollowsRequestsNotFleetSize(t *testing.T) {
-	g, r, send := asMember(t, ofGateways(500))
+	g, r, send := newTestMember(t, withGatewayCount(500))
 	for now := 100.0; now < 102; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
@@ -70,7 +70,7 @@
 }
 
 func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
-	g, _, send := asMember(t, nil)
+	g, _, send := newTestMember(t, nil)
 	c := send(100, "q", 1)
 	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owners.owner(c) != 0 {
@@ -84,7 +84,7 @@
 // A regression: peers that seldom exchange messages were taken for unreachable whenever two replies were lost
 // by chance, and a substitute that knew nothing of the customer granted for them.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
-	g, r, send := asMember(t, ofGateways(100))
+	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
 	owner := r.ofKind("send_to_peer", "")[0].to
 	for now := 100.0; now < 100+3*grantTimeout; now += timerInterval / 2 {
