--- a/policy/api.go
+++ b/policy/api.go
@@ -1,39 +1,35 @@
-// Package policy decides, for one gateway of a fleet, which requests are
-// admitted, which endpoint serves each attempt, and when a request is retried,
-// hedged or rejected, so that every customer of a shared backend keeps to its
-// plan across all gateways together.
+// Package policy makes the decisions of one gateway of a fleet: which requests are admitted, which endpoint
+// serves each attempt, and when a request is retried, hedged or rejected. The gateways of a fleet coordinate,
+// so that each customer is held to the quota of its plan across all of them.
 //
-// The package holds no clock, no sockets and no entropy of its own: events come
-// in as method calls that carry the time, the seed is given at the start, and
-// what is to be done goes out through Actions. The same events give the same
-// actions, byte for byte.
+// The package has no clock, no sockets and no source of entropy. Events arrive as method calls that carry the
+// current time, the random seed is a parameter of New, and effects are calls of the Actions interface. The
+// same settings, seed and events produce the same actions, byte for byte.
 //
-// Every customer is hashed on a ring of gateways to one owner, which alone counts
-// the customer's window against the whole quota. The others are its members: they
-// report their counts to the owner in batches, admit from their split of the
-// remaining units it last reported, and fall back to a local window while the
-// owner does not reply.
+// A hash ring of gateways assigns each customer to one gateway, its owner. The owner alone counts the
+// customer's usage over all gateways against the quota. The other gateways are members: they send usage
+// reports to the owner in batches, admit requests from their share of the remaining units that the owner
+// last reported, and fall back to a local window while the owner does not reply.
 //
-// This file is the interface of the package. Gateway dispatches the events.
+// This file declares the types of the package's interface. Gateway handles the events.
 package policy
 
-// Seconds is a span of time, or a point in time counted from the same origin as
-// the now of all events. It is a name for float64, so that sums of times and
-// rates need no conversion; every time in this package has this unit but
-// LoadReport.ServiceTimeMS.
+// Seconds is a duration, or a point in time on the same scale as the now argument of all events. It is an
+// alias of float64, so that arithmetic with times and rates needs no conversion. Every time in this package
+// has this unit except LoadReport.ServiceTimeMS.
 type Seconds = float64
 
-// Idempotency tells whether a class of request may be executed more than once.
+// Idempotency specifies whether requests of a class may be executed more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent     Idempotency = iota // may be executed any number of times
-	IdempotencyKey                    // repeats of a key are dropped by a group of endpoints for a time
+	IdempotencyKey                    // dedup groups of endpoints drop duplicates of a key for a limited time
 	NonIdempotent                     // must not be executed twice
 )
 
-// String returns the name that logs use.
+// String returns the name used in logs.
 func (i Idempotency) String() string {
 	switch i {
 	case Idempotent:
@@ -46,7 +42,8 @@
 	return "unknown"
 }
 
-// DedupScope is the group of endpoints that drops repeats of an idempotency key.
+// DedupScope specifies which endpoints share a record of idempotency keys and so drop each other's
+// duplicates.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -56,7 +53,7 @@
 	DedupCell                    // the endpoints of one cell of a zone
 )
 
-// String returns the name that logs use.
+// String returns the name used in logs.
 func (s DedupScope) String() string {
 	switch s {
 	case DedupFleet:
@@ -69,86 +66,89 @@
 	return "unknown"
 }
 
-// Class describes one class of request.
+// Class is the configuration of a class of requests.
 type Class struct {
 	Name string
-	// LatencyObjective is the time within which a reply earns the full PriorityWeight.
+	// LatencyObjective is the time from arrival within which a reply earns the full PriorityWeight.
 	LatencyObjective Seconds
-	// ObjectiveLatencyMultiple extends the objective by this multiple of the class's mean latency.
+	// ObjectiveLatencyMultiple extends the objective by this multiple of the mean latency of the class.
 	ObjectiveLatencyMultiple float64
-	// Timeout is how long clients wait for a reply.
+	// Timeout is the time that clients wait for a reply.
 	Timeout Seconds
-	// PriorityWeight is the weight of a reply within the objective, at least 0, relative to other classes.
+	// PriorityWeight is the value of a reply within the objective, at least 0, relative to other classes.
 	PriorityWeight float64
 	// LateWeightFraction is the fraction of PriorityWeight that a reply earns after the objective.
 	LateWeightFraction float64
 	Idempotency        Idempotency
-	// DedupScope and IdempotencyWindow tell, of IdempotencyKey, which endpoints drop repeats, and for how long.
+	// DedupScope and IdempotencyWindow apply to IdempotencyKey only: the endpoints that drop duplicates of a
+	// key, and the time for which they do.
 	DedupScope        DedupScope
 	IdempotencyWindow Seconds
 }
 
-// Plan describes the quota that each customer of the plan holds over all gateways.
+// Plan is the quota of each customer of the plan, summed over all gateways.
 type Plan struct {
 	Name string
-	// Rate is the quota in units a second; 0 stands for no such quota.
+	// Rate is the rate at which the quota refills, in units per second; 0 means no quota.
 	Rate float64
-	// Burst is the largest number of units that the quota holds.
+	// Burst is the capacity of the quota in units.
 	Burst float64
-	// MaxConcurrent bounds the attempts in flight; 0 stands for no such bound.
+	// MaxConcurrent is the maximum number of attempts in flight; 0 means no limit.
 	MaxConcurrent int
-	// WeightFactor multiplies the priority weight of the class.
+	// WeightFactor multiplies the PriorityWeight of the class.
 	WeightFactor float64
-	// CeilingRate, in units a second, and CeilingBurst bound what is forwarded in any case; a rate of 0
-	// stands for no ceiling.
+	// CeilingRate, in units per second, and CeilingBurst bound the units that are forwarded regardless of the
+	// quota; a rate of 0 means no ceiling.
 	CeilingRate  float64
 	CeilingBurst float64
 }
 
-// Settings are fixed for the life of a Gateway.
+// Settings configures a Gateway. They do not change during its lifetime.
 type Settings struct {
-	// Self is the number of this gateway, from 0 to GatewayCount-1.
+	// Self is the index of this gateway, from 0 to GatewayCount-1.
 	Self, GatewayCount int
 	Zone               string
 	Classes            []Class
 	Plans              []Plan
 
-	// MaxRequestUnits is the largest number of units of one request; 0 stands for no such bound.
+	// MaxRequestUnits is the maximum number of units of a request; 0 means no limit.
 	MaxRequestUnits int
-	// ActualUnitsInReply tells that units are an estimate until the reply brings the actual ones.
+	// ActualUnitsInReply is set if Request.Units is an estimate and the reply reports the actual units.
 	ActualUnitsInReply bool
-	// PeerMessageRate is how many peer messages a second a gateway can receive.
+	// PeerMessageRate is the number of peer messages per second that a gateway can receive.
 	PeerMessageRate float64
 
-	// Which actions and messages there are.
+	// These enable the peer messages, health checks, cancellation of attempts, hedged requests, and the
+	// retryAfter of rejections.
 	PeerMessages, HealthChecks, Cancellation, Hedging, RetryAfter bool
 
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts is the maximum number of attempts of a request.
 	MaxAttempts int
-	// MaxRetryAfter is the longest Retry-After of a rejection.
+	// MaxRetryAfter is the longest retryAfter of a rejection.
 	MaxRetryAfter Seconds
-	// LoadReportInHealthCheck tells that endpoints report their load in replies to health checks alone.
+	// LoadReportInHealthCheck is set if endpoints report their load only in replies to health checks.
 	LoadReportInHealthCheck bool
 
-	// ReplySlack is how long after the deadline a final reply still counts as given.
+	// ReplySlack is the time after the deadline within which a final reply still counts as on time. It is for
+	// the network side; this package does not use it.
 	ReplySlack Seconds
-	// An endpoint warms up for SlowStartDuration, from the fraction SlowStartMinCapacity of its capacity to
-	// the whole of it.
+	// The capacity of an endpoint rises from the fraction SlowStartMinCapacity at its start to 1 after
+	// SlowStartDuration.
 	SlowStartMinCapacity float64
 	SlowStartDuration    Seconds
-	// An endpoint fails when it gets OverloadMultiple times its capacity within OverloadWindow.
+	// An endpoint fails if it receives OverloadMultiple times its capacity within OverloadWindow.
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
-	// HandshakeCost is the price of a new connection, and CrossZoneCost that of an attempt in another zone, in
-	// the unit of the settings' prices.
+	// CrossZoneCost is the cost of an attempt in another zone and HandshakeCost that of a new connection, both
+	// in the unit of the prices in the settings.
 	CrossZoneCost float64
 	HandshakeCost float64
-	// ConnectionIdleTimeout is how long an idle connection stays open.
+	// ConnectionIdleTimeout is the time after which an idle connection is closed.
 	ConnectionIdleTimeout Seconds
 }
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -158,7 +158,7 @@
 	Removed
 )
 
-// String returns the name that logs use.
+// String returns the name used in logs.
 func (s EndpointState) String() string {
 	switch s {
 	case InService:
@@ -176,39 +176,41 @@
 	ID, Zone string
 	Cell     int
 	State    EndpointState
-	Weight   float64 // of the endpoint list; not used
-	// StartedAt is when its process started, in event time; 0 stands for long ago. A change tells of a restart.
+	Weight   float64 // in the endpoint list; not used by this package
+	// StartedAt is the time at which the endpoint's process started; 0 means long ago. It changes when the
+	// process restarts.
 	StartedAt Seconds
 }
 
-// Request is a client's request, to which this gateway owes one final reply.
+// Request is a client's request. The gateway must give it exactly one final reply.
 type Request struct {
 	ID, Class, Plan, Customer string
-	// Deadline is the point in time at which the client stops waiting.
+	// Deadline is the time at which the client stops waiting.
 	Deadline Seconds
-	// The customer's requests come to GatewayCount gateways in a row, from FirstGateway on.
+	// The customer's requests arrive at GatewayCount gateways with consecutive indexes, starting at
+	// FirstGateway.
 	FirstGateway, GatewayCount int
 	Units                      float64
-	// ClientRetry tells that the client has sent it before.
+	// ClientRetry is set if the client has sent the request before.
 	ClientRetry bool
 }
 
-// AttemptStatus is how an attempt or a health check ended.
+// AttemptStatus is the result of an attempt or a health check.
 type AttemptStatus int
 
-// The ways an attempt ends. Whether it may have executed decides whether a request may be retried.
+// A request is retried depending on whether its attempts may have executed.
 const (
 	OK            AttemptStatus = iota
 	Error                       // the endpoint replied with an error; may have executed
-	Rejected                    // the endpoint rejected it unseen; did not execute
-	Timeout                     // no reply in time; may have executed
-	ConnectFailed               // never reached the endpoint; did not execute
-	Reset                       // the connection broke; may have executed
-	Cancelled                   // given up by this gateway; may have executed
-	NotSent                     // never written; did not execute
+	Rejected                    // the endpoint rejected the attempt without processing it; did not execute
+	Timeout                     // no reply within the timeout; may have executed
+	ConnectFailed               // no connection to the endpoint; did not execute
+	Reset                       // the connection was lost; may have executed
+	Cancelled                   // cancelled by this gateway; may have executed
+	NotSent                     // never written to a connection; did not execute
 )
 
-// String returns the name that logs use.
+// String returns the name used in logs.
 func (s AttemptStatus) String() string {
 	switch s {
 	case OK:
@@ -231,71 +233,72 @@
 	return "unknown"
 }
 
-// LoadReport is what an endpoint reports of its load. Values that were not reported are below 0. Only
-// Utilization is used; the other values are kept for the network side's callers.
+// LoadReport is the load that an endpoint reports. Values that it did not report are negative. This package
+// uses only Utilization; the network side uses the other values.
 type LoadReport struct {
-	InFlight      float64 // requests being served
+	InFlight      float64 // requests in progress
 	Queued        float64 // requests waiting
-	Utilization   float64 // of its processors, 0 to 1
-	ServiceTimeMS float64 // milliseconds a request
+	Utilization   float64 // of the endpoint's processors, 0 to 1
+	ServiceTimeMS float64 // milliseconds per request
 	ServedPerS    float64
 	FailedPerS    float64
 }
 
-// Outcome ends one attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	RequestID, Endpoint string
-	Attempt             int // its index among the request's attempts, from 0
+	Attempt             int // index among the attempts of the request, from 0
 	Status              AttemptStatus
-	RequestDone         bool // the request needs no reply any more
+	RequestDone         bool // the request no longer needs a reply
 	Elapsed             Seconds
-	ActualUnits         float64     // with Settings.ActualUnitsInReply and OK
-	Load                *LoadReport // nil: none came
+	ActualUnits         float64     // only with Settings.ActualUnitsInReply and status OK
+	Load                *LoadReport // nil if none was reported
 }
 
-// HealthCheckResult ends one health check.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Endpoint string
 	Status   AttemptStatus
 	Elapsed  Seconds
-	Load     *LoadReport // nil: none came
+	Load     *LoadReport // nil if none was reported
 }
 
-// Reason tells why the final reply of a request is not a value.
+// Reason is the reason for a final reply that does not come from an endpoint.
 type Reason string
 
-// Why a request is rejected, or fails where nothing can be said of what may have executed.
+// The reasons for rejecting a request, or for failing it where a rejection would wrongly tell the client that
+// it is safe to retry.
 const (
-	QuotaExceeded           Reason = "quota_exceeded"            // its customer is over a quota or a ceiling
-	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // its customer has too many in flight
-	DeadlineTooClose        Reason = "deadline_too_close"        // no reply could come in time
-	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had capacity while one could
+	QuotaExceeded           Reason = "quota_exceeded"            // the customer exceeds its quota or a ceiling
+	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // the customer has too many attempts in flight
+	DeadlineTooClose        Reason = "deadline_too_close"        // a reply is not expected in time to be useful
+	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had free capacity in time
 	AttemptsExhausted       Reason = "attempts_exhausted"        // no further attempt is allowed
-	OwnerUnreachable        Reason = "owner_unreachable"         // the owner's grant did not come in time
+	OwnerUnreachable        Reason = "owner_unreachable"         // no grant from the owner arrived in time
 	UnknownClass            Reason = "unknown_class"
 )
 
-// Broadcast as the addressee of SendToPeer means every other gateway.
+// Broadcast as the gateway argument of SendToPeer addresses all other gateways.
 const Broadcast = -1
 
-// Actions is what a Gateway asks of the network side. Its methods are called only while one of the
-// Gateway's event methods runs, and in the order in which they are to take effect.
+// Actions carries out the decisions of a Gateway on the network. The Gateway calls these methods only from
+// within its event methods, and they must take effect in the order of the calls.
 type Actions interface {
-	// Send starts the request's next attempt. It ends after timeout at the latest, or at the request's deadline
-	// if timeout is 0; with one below 0 it has timed out at once. Its last byte is written within writeWithin or
-	// never; 0 stands for no such bound.
+	// Send starts the next attempt of a request. The attempt times out after timeout, or at the deadline of the
+	// request if timeout is 0; if timeout is negative, it has timed out already. The last byte must be written
+	// within writeWithin, or the attempt is not sent; 0 means no limit.
 	Send(id, endpoint string, timeout, writeWithin Seconds)
-	// Reject gives the final reply that the request did not execute, or may safely be sent again, after
-	// retryAfter.
+	// Reject gives the final reply that the client may safely send the request again after retryAfter, because
+	// the request did not execute or a second execution does no harm.
 	Reject(id string, retryAfter Seconds, reason Reason)
-	// Fail gives the final reply that promises nothing.
+	// Fail gives the final reply that the request failed and may have executed.
 	Fail(id string, reason Reason)
-	// Cancel gives up an attempt that is in flight.
+	// Cancel cancels an attempt in flight.
 	Cancel(id string, attempt int)
-	// SetTimer has HandleTimer called with token after delay.
+	// SetTimer schedules a call of HandleTimer with token after delay.
 	SetTimer(token uint64, delay Seconds)
-	// HealthCheck checks an endpoint; HandleHealthCheck brings the result.
+	// HealthCheck sends a health check to an endpoint. HandleHealthCheck receives the result.
 	HealthCheck(endpoint string)
-	// SendToPeer sends a message to a gateway, or to all with Broadcast. It may be lost.
+	// SendToPeer sends a message to a gateway, or to all with Broadcast. Messages may be lost.
 	SendToPeer(gateway int, data []byte)
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -3,44 +3,45 @@
 import "math/rand/v2"
 
 const (
-	// timerInterval is the time between two timers: how often queues, attempts and reports are looked at.
+	// timerInterval is the time between two timer ticks. Each tick processes queues, attempts in flight and
+	// usage reports.
 	timerInterval Seconds = 0.02
-	// timerToken names the one timer of a Gateway.
+	// timerToken identifies the only timer of a Gateway.
 	timerToken = 1
-	// evictionInterval is the time between two evictions of what expired.
+	// evictionInterval is the time between two evictions of idle customers and removed endpoints.
 	evictionInterval Seconds = customerExpiry / 4
-	// randomStream is the second half of the seed; any constant will do.
+	// randomStream is the second half of the PCG seed, the same for all gateways; its value is arbitrary.
 	randomStream = 0x9e3779b97f4a7c15
 )
 
-// Gateway decides for one gateway of a fleet. It holds the parts that the state of the decisions belongs to,
-// and dispatches each event to them. It is not safe for concurrent use: the caller hands it one event after
-// the other, with times that don't decrease.
+// Gateway makes the decisions of one gateway of a fleet. It owns the components that hold the state and
+// dispatches each event to them. It is not safe for concurrent use: the caller passes events one at a time,
+// with times that never decrease.
 //
-// The parts, each with its own file, and what they own:
+// Each component has its own file:
 //
-//   - The request side: classTable holds the classes with their mean latencies and the detection of client
-//     retries, requestTable the open requests with their attempts. requestAdmitter decides on new requests,
-//     with the quota side. dispatcher sends admitted requests or queues them, by the rules of retryPolicy and
-//     through attemptSender. attemptWatcher acts on silence and hedges. finalReplier rejects and closes
-//     requests.
+//   - The request side: classTable holds the classes with their mean latencies and client retry detectors,
+//     requestTable the open requests with their attempts. requestAdmitter admits new requests together with
+//     the quota side. dispatcher sends admitted requests through attemptSender, or queues them, as
+//     retryPolicy allows. attemptWatcher detects endpoints that do not reply and hedges slow attempts.
+//     finalReplier rejects and closes requests.
 //   - The endpoint side: endpointTable holds the endpoint list, outlierDetector scores the endpoints,
-//     gossipBuffer holds what other gateways are to learn of them, slowStart estimates what warming endpoints
-//     may get, concurrencyLimiter bounds all attempts in flight, healthChecker holds the budget of health
-//     checks. endpointPicker reads them all.
-//   - The quota side: quotaController admits requests. It holds the customers with their quotas, as a member
-//     sees them or, in their ledgers, as their owner; the usageReporter, which reports to the owners through
-//     peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory finds the
-//     owner of a customer.
+//     gossipBuffer holds health updates for other gateways, slowStart limits the attempts at warming
+//     endpoints, concurrencyLimiter limits all attempts in flight, healthChecker limits the rate of health
+//     checks. endpointPicker chooses an endpoint with the help of the others.
+//   - The quota side: quotaController admits requests. It holds the customers with their quotas, from the
+//     view of a member or, in their ledgers, of the owner; the usageReporter, which reports to the owners
+//     through peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory
+//     finds the owner of a customer.
 //
-// In each event the clock is advanced first, then the parts take in what the event says, then the request
-// that it concerns goes on, and at last what waits is tried again: the dispatch queue before the requests
-// that wait for a concurrency slot, and the reports to owners after both. The order decides who gets the last
-// free capacity, and in which order random numbers are drawn, so it is part of the behavior.
+// Each event is processed in this order: the clock advances, the components record the event, the request
+// that it concerns proceeds, and then waiting work is retried: the dispatch queue first, then the requests
+// that wait for a concurrency slot, and then the usage reports. The order determines which request gets the
+// last free capacity and in which order random numbers are drawn, so changing it changes the decisions.
 type Gateway struct {
 	settings Settings
 	actions  Actions
-	random   *rand.Rand // drawn from by picker and outliers, and once by New
+	random   *rand.Rand // used by picker and outliers, and once by New
 	clock    *eventClock
 
 	classes    *classTable
@@ -64,11 +65,11 @@
 	owners   *ownerDirectory
 	protocol peerProtocol
 
-	nextEvictionAt Seconds // when what expired is evicted next
+	nextEvictionAt Seconds // time of the next eviction
 }
 
-// New returns a Gateway at its start, which knows no endpoints yet: HandleEndpoints brings the list. All
-// random numbers derive from seed. The error is ErrNoActions or a SettingError.
+// New returns a Gateway without endpoints; HandleEndpoints provides the list. All random numbers derive from
+// seed. The error is ErrNoActions or a SettingError.
 func New(settings Settings, seed uint64, now Seconds, actions Actions) (*Gateway, error) {
 	if actions == nil {
 		return nil, ErrNoActions
@@ -89,7 +90,7 @@
 	return g, nil
 }
 
-// initEndpointSide makes the parts that know of endpoints.
+// initEndpointSide creates the components that track endpoints.
 func (g *Gateway) initEndpointSide() {
 	settings := g.settings
 	g.slowStart = newSlowStart(settings, g.clock)
@@ -107,7 +108,8 @@
 	}
 }
 
-// initQuotaSide makes the parts that know of customers and peers. It draws the incarnation of this gateway.
+// initQuotaSide creates the components that track customers and peers, and draws the random incarnation that
+// lets peers distinguish this start of the gateway from earlier ones.
 func (g *Gateway) initQuotaSide() {
 	settings := g.settings
 	incarnation := uint8(g.random.Uint32())
@@ -122,7 +124,7 @@
 	}
 }
 
-// initRequestSide makes the parts that know of requests, on top of the other two sides.
+// initRequestSide creates the components that process requests. They depend on the other two sides.
 func (g *Gateway) initRequestSide() {
 	settings := g.settings
 	g.classes = newClassTable(settings.Classes)
@@ -151,7 +153,8 @@
 	g.quota.requests = requestActions{g.dispatcher, g.replies}
 }
 
-// HandleRequest decides on a client's request. One that is open already is ignored.
+// HandleRequest admits, queues or rejects a client's request. A request with the ID of an open request is
+// ignored.
 func (g *Gateway) HandleRequest(now Seconds, incoming Request) {
 	g.clock.advance(now)
 	if g.requests.find(incoming.ID) != nil {
@@ -166,8 +169,8 @@
 	g.admitter.handle(incoming, requestClass)
 }
 
-// HandleStreamStarted notes that an attempt's reply is being streamed to the client, so that the request
-// is not retried any more.
+// HandleStreamStarted records that the reply to a request is being streamed to the client. Such a request can
+// no longer be retried.
 func (g *Gateway) HandleStreamStarted(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil {
@@ -175,7 +178,7 @@
 	}
 }
 
-// HandleClientDisconnected notes that a request needs no reply any more.
+// HandleClientDisconnected records that a request no longer needs a reply.
 func (g *Gateway) HandleClientDisconnected(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil && !r.done {
@@ -183,8 +186,8 @@
 	}
 }
 
-// HandleOutcome takes the end of an attempt: what it tells of the endpoint and of the request, and whether
-// the request is finished or retried.
+// HandleOutcome processes the end of an attempt: it updates what is known of the endpoint and of the request,
+// and then finishes the request or retries it.
 func (g *Gateway) HandleOutcome(now Seconds, outcome Outcome) {
 	g.clock.advance(now)
 	r, a := g.sender.end(outcome)
@@ -200,7 +203,7 @@
 	g.quota.retrySlotWaiters()
 }
 
-// HandlePeerMessage handles a message of another gateway.
+// HandlePeerMessage processes a message from another gateway. Invalid messages are ignored.
 func (g *Gateway) HandlePeerMessage(now Seconds, from int, data []byte) {
 	g.clock.advance(now)
 	received, ok := g.protocol.receive(from, data)
@@ -215,7 +218,8 @@
 	g.quota.reporter.sendDue()
 }
 
-// HandleEndpoints takes the endpoint list: all entries if it is complete, else those that changed.
+// HandleEndpoints updates the endpoint list: it replaces the list if complete is set, and otherwise updates
+// the given entries.
 func (g *Gateway) HandleEndpoints(now Seconds, list []Endpoint, complete bool) {
 	g.clock.advance(now)
 	before := len(g.endpoints.listed)
@@ -226,7 +230,7 @@
 	g.dispatcher.dispatchQueued()
 }
 
-// HandleHealthCheck takes the result of a health check.
+// HandleHealthCheck processes the result of a health check.
 func (g *Gateway) HandleHealthCheck(now Seconds, result HealthCheckResult) {
 	g.clock.advance(now)
 	e := g.endpoints.byID[result.Endpoint]
@@ -240,7 +244,7 @@
 	g.dispatcher.dispatchQueued()
 }
 
-// HandleTimer does what no event brings. A token that is not timerToken is ignored.
+// HandleTimer does the periodic work of a Gateway and schedules the next tick. Unknown tokens are ignored.
 func (g *Gateway) HandleTimer(now Seconds, token uint64) {
 	g.clock.advance(now)
 	if token != timerToken {
@@ -255,7 +259,7 @@
 	g.evictExpired()
 }
 
-// evictExpired forgets customers and endpoints that are not used any more, from time to time.
+// evictExpired removes idle customers and removed endpoints once per evictionInterval.
 func (g *Gateway) evictExpired() {
 	if g.clock.now <= g.nextEvictionAt {
 		return
