--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -1,20 +1,20 @@
 package policy
 
 const (
-	// noReplyLatencyMultiple is how many mean latencies an attempt may take before its endpoint counts as failing for
-	// the class, unless it replies to others.
+	// noReplyLatencyMultiple is the number of mean latencies after which an attempt without a reply counts as a
+	// failure of its endpoint for the class, unless the endpoint replies to later attempts of the class.
 	noReplyLatencyMultiple = 6.0
-	// minNoReplyDuration is the least time without a reply after which an attempt counts as a failure of its endpoint.
+	// minNoReplyDuration is the minimum time without a reply before an attempt counts as such a failure.
 	minNoReplyDuration Seconds = 0.2
-	// hedgeLatencyMultiple is how many mean latencies an attempt may take before it is hedged.
+	// hedgeLatencyMultiple is the number of mean latencies after which an attempt is hedged.
 	hedgeLatencyMultiple = 4.0
-	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, not
-	// even at an endpoint under suspicion.
+	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, even
+	// if its endpoint is a suspected outlier.
 	hedgeObjectiveFraction = 0.4
 )
 
-// attemptWatcher looks, at each timer tick, at the requests that have not ended for what no event reports: an
-// owner that does not grant, an endpoint that does not reply, an attempt to hedge.
+// attemptWatcher checks the open requests at each timer tick for conditions that no event reports: an owner
+// that sends no grant, an endpoint that does not reply, and attempts slow enough to hedge.
 type attemptWatcher struct {
 	clock    *eventClock
 	requests *requestTable
@@ -24,12 +24,11 @@
 	sender   *attemptSender
 	replies  *finalReplier
 	queue    *dispatchQueue
-	// hedging and cancellation tell whether there are hedged requests, and whether attempts can be cancelled.
+	// hedging is set if hedged requests are allowed, cancellation if attempts can be cancelled.
 	hedging, cancellation bool
 }
 
-// watch gives up the requests whose owner did not grant them in time, records the silence of endpoints, and
-// hedges or moves attempts that take long.
+// watch rejects requests whose grant is late, records endpoints that do not reply, and hedges slow attempts.
 func (w *attemptWatcher) watch() {
 	for _, r := range w.requests.open() {
 		if w.rejectOnGrantTimeout(r) {
@@ -42,8 +41,8 @@
 	}
 }
 
-// rejectOnGrantTimeout rejects a request whose owner has not granted it by the last moment at which it
-// could be sent, and reports whether it did.
+// rejectOnGrantTimeout rejects a request that waits for a grant of the owner beyond the last tick at which it
+// could still be sent. It reports whether it rejected the request.
 func (w *attemptWatcher) rejectOnGrantTimeout(r *request) bool {
 	sendBy := min(r.lastUsefulReplyAt()-r.class.meanLatency, r.firstWriteBy)
 	if !r.awaitingOwner || w.clock.now+timerInterval <= sendBy {
@@ -53,8 +52,9 @@
 	return true
 }
 
-// recordNoReply records a failure for each endpoint that has not replied to an attempt for long, and not
-// to any later one of the class either. It does so once an attempt.
+// recordNoReply records a failure for the endpoint of each attempt that has gone without a reply for too
+// long, unless the endpoint has succeeded for the class since the attempt was sent. It records at most one
+// failure per attempt.
 func (w *attemptWatcher) recordNoReply(r *request) {
 	noReplyDuration := max(noReplyLatencyMultiple*r.class.meanLatency, minNoReplyDuration)
 	for i := range r.attempts {
@@ -69,9 +69,9 @@
 	}
 }
 
-// attemptToHedge returns the attempt of the request that has taken so long that another endpoint is to be
-// tried, nil if there is none. That is an attempt at an endpoint under suspicion, or, where hedged
-// requests are possible and no request is queued, any attempt that takes several mean latencies.
+// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. An
+// attempt at a suspected outlier qualifies early; any other attempt qualifies after hedgeLatencyMultiple mean
+// latencies, if hedged requests are allowed and the dispatch queue is empty.
 func (w *attemptWatcher) attemptToHedge(r *request) *attempt {
 	if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 		return nil
@@ -90,12 +90,12 @@
 	return last
 }
 
-// hedge sends a hedged request beside a slow attempt. Where the settings allow no hedged requests, it cancels
-// the slow attempt, whose outcome leads to a retry. It does nothing if no attempt is allowed, or no other
-// endpoint has capacity.
+// hedge sends a hedged request to another endpoint beside a slow attempt. If hedged requests are not allowed,
+// it cancels the slow attempt, whose outcome then leads to a retry. It does nothing if retryPolicy allows no
+// attempt or no other endpoint has capacity.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
-	r.recordPossibleExecution(slow) // the choice of the endpoint depends on it
+	r.recordPossibleExecution(slow) // restricts picker and retry policy to safe endpoints
 	var other *endpoint
 	if w.retries.allowsAttempt(r) {
 		other = w.picker.pick(r)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,25 +1,25 @@
 package policy
 
-// minAttemptTimeout is the least timeout of an attempt, and the least time to write it in.
+// minAttemptTimeout is the minimum timeout of an attempt, and the minimum time allowed for writing it.
 const minAttemptTimeout Seconds = 0.004
 
-// attempt is one send of a request to an endpoint.
+// attempt is one transmission of a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	group           dedupGroup // of the endpoint when the attempt was sent
+	group           dedupGroup // dedup group of the endpoint at sentAt
 	sentAt          Seconds
 	done            bool
 	cancelled       bool // by this gateway
-	noReplyRecorded bool // see attemptWatcher.recordNoReply
+	noReplyRecorded bool // set by attemptWatcher.recordNoReply
 }
 
-// replied tells whether the attempt ended with a reply of the endpoint.
+// replied reports whether the attempt ended with a reply from the endpoint.
 func (s AttemptStatus) replied() bool { return s == OK || s == Error || s == Rejected }
 
-// written tells whether bytes of the attempt may have reached the endpoint.
+// written reports whether any bytes of the attempt may have reached the endpoint.
 func (s AttemptStatus) written() bool { return s != ConnectFailed && s != NotSent }
 
-// mayHaveExecuted tells whether the attempt may have executed.
+// mayHaveExecuted reports whether the endpoint may have executed the attempt.
 func (s AttemptStatus) mayHaveExecuted() bool { return s != Rejected && s.written() }
 
 // attemptSender sends, counts and cancels attempts.
@@ -31,11 +31,12 @@
 	slowStart    *slowStart
 	idleTimeout  Seconds // of connections
 	cancellation bool    // whether attempts can be cancelled
-	// adjustInFlight adds to the count of attempts in flight of the request's customer.
+	// adjustInFlight adds change to the attempts in flight of the request's customer.
 	adjustInFlight func(r *request, change int)
 }
 
-// send sends the request's next attempt to an endpoint. It times out when a reply is no longer useful.
+// send sends the next attempt of a request to an endpoint. The attempt times out once a reply is no longer
+// useful.
 func (s *attemptSender) send(r *request, e *endpoint) {
 	e.observeSend(s.clock.now, r.class.meanLatency)
 	s.start(r, e)
@@ -44,7 +45,7 @@
 	s.actions.Send(r.ID, e.ID, timeout, r.writeWithin(s.clock.now))
 }
 
-// start counts a new attempt as in flight. It is a step of send.
+// start counts a new attempt as in flight. It is the part of send without the transmission.
 func (s *attemptSender) start(r *request, e *endpoint) {
 	e.startAttempt(s.clock.now, s.idleTimeout)
 	s.limiter.startAttempt()
@@ -53,7 +54,7 @@
 	r.attempts = append(r.attempts, attempt{endpoint: e, group: e.dedupGroup(), sentAt: s.clock.now})
 }
 
-// end counts the attempt that ended with an outcome as no longer in flight. It returns nil if no such
+// end counts the attempt that ended with the outcome as no longer in flight. It returns nil, nil if no such
 // attempt is in flight.
 func (s *attemptSender) end(outcome Outcome) (*request, *attempt) {
 	r := s.requests.find(outcome.RequestID)
@@ -72,7 +73,7 @@
 	return r, a
 }
 
-// cancelAll cancels all attempts of a request that are in flight, if attempts can be cancelled.
+// cancelAll cancels the attempts of a request that are in flight, if attempts can be cancelled.
 func (s *attemptSender) cancelAll(r *request) {
 	if !s.cancellation {
 		return
@@ -84,15 +85,16 @@
 	}
 }
 
-// cancel cancels one attempt. Its outcome follows.
+// cancel requests the cancellation of an attempt. The attempt stays in flight until HandleOutcome reports its
+// end.
 func (s *attemptSender) cancel(r *request, index int) {
 	r.attempts[index].cancelled = true
 	s.actions.Cancel(r.ID, index)
 }
 
-// writeWithin is the time within which an attempt that is sent now must be written, 0 for at any time. A
-// repeat may have to wait for a connection, and must not be written after the end of its idempotency
-// window.
+// writeWithin returns the time within which an attempt sent now must be written, or 0 for no limit. A retry
+// with an idempotency key may wait for a connection, but must not be written after the idempotency window,
+// when endpoints no longer drop it as a duplicate.
 func (r *request) writeWithin(now Seconds) Seconds {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return 0
@@ -100,8 +102,7 @@
 	return max(r.idempotencyWindowEnd()-now, minAttemptTimeout)
 }
 
-// recordStatus notes what the end of an attempt tells of the request: whether it was written, and whether
-// it may have executed.
+// recordStatus records whether an attempt was written and whether it may have executed.
 func (r *request) recordStatus(a *attempt, status AttemptStatus) {
 	r.written = r.written || status.written()
 	if status.mayHaveExecuted() {
--- a/policy/class.go
+++ b/policy/class.go
@@ -1,28 +1,29 @@
 package policy
 
 const (
-	// initialLatencyFraction is the mean latency that a class is taken to have before the first reply, as a
-	// fraction of its objective.
+	// initialLatencyFraction is the assumed mean latency of a class before its first reply, as a fraction of
+	// the latency objective.
 	initialLatencyFraction = 0.15
-	// minLatencyGain is the least weight of a new latency in the mean of its class.
+	// minLatencyGain is the minimum weight of a new latency in the mean of its class.
 	minLatencyGain = 0.02
-	// weightEpsilon keeps quotients defined where all priority weights are 0.
+	// weightEpsilon avoids division by zero if all priority weights are 0.
 	weightEpsilon = 1e-9
 )
 
-// class is a class of request with what this gateway has learnt of it.
+// class holds the settings of a class of requests and its statistics at this gateway.
 type class struct {
 	Class
-	index int // its place in the settings
-	// meanLatency is the mean latency of good replies. It also stands for the work of one attempt.
+	index int // position in Settings.Classes
+	// meanLatency is the mean latency of successful attempts, also used as an estimate of the work of an
+	// attempt.
 	meanLatency Seconds
-	successes   int // good replies that meanLatency is made of
+	successes   int // number of latencies in meanLatency
 	// firstAttempts counts the requests that have accrued slow-start credits.
 	firstAttempts float64
 	retryDetector clientRetryDetector
 }
 
-// newClass returns a class as a gateway knows it at the start.
+// newClass returns a class without statistics.
 func newClass(settings Class, index int) *class {
 	return &class{
 		Class:         settings,
@@ -32,27 +33,27 @@
 	}
 }
 
-// recordLatency adds the latency of a good reply to the mean, at first with equal weights and later with a
-// decay.
+// recordLatency adds the latency of a successful attempt to the mean: an arithmetic mean at first, and an
+// exponentially weighted one once the weight of a new latency has fallen to minLatencyGain.
 func (c *class) recordLatency(latency Seconds) {
 	c.successes++
 	c.meanLatency += (latency - c.meanLatency) * max(minLatencyGain, 1/float64(c.successes+1))
 }
 
-// objectiveFrom returns the point in time up to which a reply earns the full weight, for a request sent at
-// start.
+// objectiveFrom returns the time until which a reply to a request that started at start earns the full
+// weight.
 func (c *class) objectiveFrom(start Seconds) Seconds {
 	return start + c.LatencyObjective + c.ObjectiveLatencyMultiple*c.meanLatency
 }
 
-// classTable holds the classes of the settings. They are fixed for the life of a Gateway.
+// classTable holds the classes of the settings, which do not change during the lifetime of a Gateway.
 type classTable struct {
 	byName            map[string]*class
-	ordered           []*class // in the order of the settings, so by class.index
-	maxPriorityWeight float64  // the largest of all classes
+	ordered           []*class // in the order of the settings, indexed by class.index
+	maxPriorityWeight float64  // over all classes
 }
 
-// newClassTable returns the table of the classes in the settings.
+// newClassTable returns a table of the classes in the settings.
 func newClassTable(settings []Class) *classTable {
 	table := &classTable{byName: map[string]*class{}}
 	for index, classSettings := range settings {
@@ -64,8 +65,8 @@
 	return table
 }
 
-// priorityDeficit is how far the weight of a class lies below the largest one, as a fraction of that: 0
-// for the class of the highest priority, towards 1 for those of the lowest.
+// priorityDeficit returns the difference between the largest priority weight and that of the class, as a
+// fraction of the largest: 0 for the classes of the highest priority, and close to 1 for low priorities.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
 	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -1,38 +1,40 @@
 package policy
 
 const (
-	// minRemainingObservations is the number of requests up to which no retry is detected.
+	// minRemainingObservations is the number of observations up to which no request is considered a retry.
 	minRemainingObservations = 10
-	// maxRemainingObservations is the number of requests at which all counts are halved, so that recent ones
-	// prevail.
+	// maxRemainingObservations is the number of observations at which all counts are halved, so that recent
+	// requests dominate.
 	maxRemainingObservations = 128
-	// remainingBins is the number of bins for the remaining time, from 0 to the class's timeout.
+	// remainingBins is the number of histogram bins, which cover remaining times from 0 to the timeout of the
+	// class.
 	remainingBins = 101
-	// firstAttemptFraction is the fraction of requests with about the same remaining time from which on that
-	// is the remaining time of first attempts.
+	// firstAttemptFraction is the minimum fraction of observations near a remaining time for that time to be
+	// typical of first attempts.
 	firstAttemptFraction = 0.4
 )
 
-// clientRetryDetector tells the retries of clients from first attempts, for one class. Clients that keep
-// one deadline over all attempts of a call send the first ones with one of a few remaining times, each of
-// which is common among recent requests, and retries with whatever is left. Where no remaining time is
-// common, as for clients that draw a timeout for each attempt, it detects nothing.
+// clientRetryDetector distinguishes retries of clients from first attempts, for one class. It assumes that a
+// client keeps one deadline for all attempts of a call. First attempts then arrive with one of a few
+// remaining times until the deadline, each frequent among recent requests, while retries arrive with
+// arbitrary smaller ones. If no remaining time is frequent, for example because clients choose a new timeout
+// for each attempt, it detects no retries.
 //
-// It keeps a histogram of the remaining times of recent requests.
+// The detector keeps a histogram of the remaining times of recent requests.
 type clientRetryDetector struct {
-	timeout      Seconds // the remaining time of the last bin
+	timeout      Seconds // remaining time of the last bin
 	histogram    [remainingBins]int
-	observations int // the sum of histogram
-	modeCount    int // the largest countNear of the histogram
+	observations int // sum of histogram
+	modeCount    int // largest countNear of any bin
 }
 
-// newClientRetryDetector returns the detector for a class with a timeout.
+// newClientRetryDetector returns a detector for a class with the given timeout.
 func newClientRetryDetector(timeout Seconds) clientRetryDetector {
 	return clientRetryDetector{timeout: timeout}
 }
 
-// observe counts a request that arrived with the remaining time until its deadline, and tells whether it
-// looks like a retry.
+// observe counts a request with the given time remaining until its deadline, and reports whether it is
+// probably a retry.
 func (d *clientRetryDetector) observe(remaining Seconds) bool {
 	commonCount := firstAttemptFraction * float64(d.observations)
 	nearCount := d.count(remaining)
@@ -40,7 +42,8 @@
 		float64(nearCount) < commonCount && float64(d.modeCount) >= commonCount
 }
 
-// count adds a remaining time to the histogram, and returns how many were about the same, itself included.
+// count adds a remaining time to the histogram, and returns the number of observations near it, including
+// itself.
 func (d *clientRetryDetector) count(remaining Seconds) int {
 	bin := int(min(max(remaining/d.timeout, 0), 1)*(remainingBins-1) + 0.5)
 	d.histogram[bin]++
@@ -53,7 +56,7 @@
 	return nearCount
 }
 
-// countNear sums a bin and its neighbours.
+// countNear returns the sum of a bin and its two neighbors.
 func (d *clientRetryDetector) countNear(bin int) int {
 	sum := 0
 	for i := max(bin-1, 0); i <= min(bin+1, remainingBins-1); i++ {
@@ -74,9 +77,10 @@
 	}
 }
 
-// likelyRetrying tells whether the customer's clients may be retrying: one of its requests was rejected
-// here within the time that clients wait, or it demands more than its rate. Without this, requests inside
-// the quota that are sent with little time left would be rejected.
+// likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected one of its
+// requests within the last timeout, or its demand exceeds its rate. Only then does a short remaining time
+// count as a sign of a retry; otherwise first attempts with short deadlines would be rejected although they
+// are within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
 		c.plan.Rate > 0 && c.demand.at(now)+c.quota.othersDemand > c.plan.Rate
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,22 +1,23 @@
 package policy
 
-// stallThreshold is the time without events after which this gateway itself is taken to have
-// stood still.
+// stallThreshold is the time between two events above which this gateway is assumed to have stalled. Without
+// a stall, the timer causes an event every timerInterval.
 const stallThreshold Seconds = 0.1
 
-// clockUncertainty is how much older than measured what another process said or did may be.
+// clockUncertainty bounds the error in the age of information about other processes. Ages and deadlines that
+// depend on another process are made safe by this margin.
 const clockUncertainty Seconds = 0.05
 
-// eventClock is the time of the event being handled, which all parts of a Gateway share. Only Gateway
-// advances it.
+// eventClock holds the time of the current event. All components of a Gateway share it; only Gateway advances
+// it.
 type eventClock struct {
 	now Seconds
-	// resumedAt is when this gateway last came back from a standstill of its own. Silence that
-	// lies before it tells nothing of others.
+	// resumedAt is the time at which this gateway last resumed after a stall. A missing reply before that time
+	// may be due to the stall and does not count against other processes.
 	resumedAt Seconds
 }
 
-// advance sets the time of the next event, and notes when this gateway itself stood still.
+// advance sets the time of the current event, and detects a stall of this gateway.
 func (c *eventClock) advance(now Seconds) {
 	if now-c.now > stallThreshold {
 		c.resumedAt = now
@@ -24,5 +25,5 @@
 	c.now = now
 }
 
-// since is the time since a point in time, or since this gateway resumed, where that came later.
+// since returns the time elapsed since at, not counting time before the end of the last stall.
 func (c *eventClock) since(at Seconds) Seconds { return c.now - max(at, c.resumedAt) }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// dispatchQueue holds the admitted requests that wait until an endpoint has capacity.
+// dispatchQueue holds the admitted requests that wait for an endpoint with capacity.
 type dispatchQueue struct {
 	requests []*request
 }
@@ -11,8 +11,8 @@
 
 func (q *dispatchQueue) add(r *request) { q.requests = append(q.requests, r) }
 
-// dequeueFunc offers each request to dequeue, those of the highest priority first, and keeps those for which it
-// returns false.
+// dequeueFunc calls dequeue for each request, from the highest to the lowest priority, and removes those for
+// which it returns true.
 func (q *dispatchQueue) dequeueFunc(dequeue func(*request) bool) {
 	if q.isEmpty() {
 		return
@@ -21,7 +21,7 @@
 	q.requests = slices.DeleteFunc(q.requests, dequeue)
 }
 
-// dispatcher sends admitted requests to endpoints, as soon as one has capacity.
+// dispatcher sends admitted requests to endpoints as soon as one has capacity.
 type dispatcher struct {
 	clock   *eventClock
 	queue   dispatchQueue
@@ -31,14 +31,14 @@
 	replies *finalReplier
 }
 
-// requestActions is the requestHandler of quotaController.
+// requestActions implements requestHandler for the quotaController.
 type requestActions struct {
 	*dispatcher
 	*finalReplier
 }
 
-// dispatch sends an admitted request to an endpoint, queues it if none has capacity, or rejects it if no
-// attempt is allowed any more.
+// dispatch sends an admitted request to an endpoint, queues it if no endpoint has capacity, or rejects it if
+// no further attempt is allowed.
 func (d *dispatcher) dispatch(r *request) {
 	if !d.retries.allowsAttempt(r) {
 		d.replies.reject(r, d.retries.rejectionReason(r))
@@ -49,8 +49,8 @@
 	}
 }
 
-// dispatchQueued sends the queued requests for which an endpoint has capacity now, and rejects those that
-// can't be replied to within their objective any more.
+// dispatchQueued sends the queued requests for which an endpoint has capacity, and rejects those that can no
+// longer get a reply within their objective.
 func (d *dispatcher) dispatchQueued() {
 	d.queue.dequeueFunc(func(r *request) bool {
 		if r.done || d.clock.now+r.class.meanLatency > r.objectiveAt || !d.retries.allowsAttempt(r) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// trySend sends a request if an endpoint has capacity for it, and tells whether one had.
+// trySend sends a request if an endpoint has capacity for it, and reports whether it did.
 func (d *dispatcher) trySend(r *request) bool {
 	e := d.picker.pick(r)
 	if e == nil {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// finishOrRetry ends a request whose attempt was the last one needed, and retries it if no other attempt
-// is in flight.
+// finishOrRetry finishes a request after its final outcome. Otherwise it retries the request, unless another
+// attempt is in flight or the reply is being streamed.
 func (d *dispatcher) finishOrRetry(r *request, outcome Outcome) {
 	if r.done || outcome.RequestDone || outcome.Status == OK {
 		d.replies.finish(r)
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -1,6 +1,6 @@
 package policy
 
-// finalReplier gives the final replies to requests that get none from an endpoint, and closes requests.
+// finalReplier gives the final reply to requests that get none from an endpoint, and closes requests.
 type finalReplier struct {
 	clock         *eventClock
 	actions       Actions
@@ -10,8 +10,8 @@
 	maxRetryAfter Seconds
 }
 
-// reject ends a request that gets no reply from an endpoint, and notes that its customer was rejected, which
-// makes retries of its clients likely.
+// reject gives the final reply to a request that gets none from an endpoint. It also records the rejection
+// for the customer, whose clients are now likely to retry.
 func (f *finalReplier) reject(r *request, reason Reason) {
 	if r.done {
 		return
@@ -22,8 +22,8 @@
 	f.rejectOrFail(r, reason)
 }
 
-// rejectOrFail gives the final reply to a request that gets none from an endpoint: a rejection if the client
-// may send it again, a failure otherwise. It cancels what is in flight.
+// rejectOrFail rejects a request if the client may safely send it again, and fails it otherwise. It cancels
+// the attempts in flight and finishes the request.
 func (f *finalReplier) rejectOrFail(r *request, reason Reason) {
 	if r.clientMayRetry() {
 		f.actions.Reject(r.ID, f.maxRetryAfter, reason)
@@ -34,8 +34,8 @@
 	f.finish(r)
 }
 
-// finish notes that a request needs no final reply any more, and forgets it once no attempt is in flight. A
-// request that was never sent is not charged.
+// finish marks a request as needing no final reply, and removes it once no attempt is in flight. It returns
+// the units of a request that was never sent.
 func (f *finalReplier) finish(r *request) {
 	r.done = true
 	if r.charged && len(r.attempts) == 0 {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -1,9 +1,10 @@
 package policy
 
-// smallFleetSize is the number of gateways up to which each sees enough of the traffic to judge every
-// endpoint by itself. The gateways of a larger fleet see little of an endpoint, and many of them act on the
-// same gossip.
+// smallFleetSize is the maximum number of gateways at which each has enough traffic to judge every endpoint
+// by its own attempts. In a larger fleet a gateway depends on gossip, and many gateways act on the same
+// gossip.
 const smallFleetSize = 12
 
-// isLargeFleet tells whether a gateway is one of too many to judge every endpoint by itself.
+// isLargeFleet reports whether the fleet is too large for a gateway to judge every endpoint by its own
+// attempts.
 func isLargeFleet(gatewayCount int) bool { return gatewayCount > smallFleetSize }
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,6 +1,6 @@
 package policy
 
-// dedupGroup is the place of an endpoint among those that drop repeats of an idempotency key together.
+// dedupGroup identifies the zone and cell of an endpoint, which determine whose duplicates it drops.
 type dedupGroup struct {
 	zone string
 	cell int
@@ -8,32 +8,33 @@
 
 func (e *endpoint) dedupGroup() dedupGroup { return dedupGroup{e.Zone, e.Cell} }
 
-// sameDedupGroup tells whether the endpoints of two groups drop each other's repeats.
+// sameDedupGroup reports whether endpoints of the two groups drop each other's duplicates within the scope.
 func sameDedupGroup(scope DedupScope, a, b dedupGroup) bool {
 	return scope == DedupFleet || a.zone == b.zone && (scope == DedupZone || a.cell == b.cell)
 }
 
-// possibleExecution is an attempt that may have executed, as the rules on repeats need to know it. Its zero
-// value stands for none.
+// possibleExecution describes an attempt that may have executed. The zero value means that there is none.
 type possibleExecution struct {
 	endpoint *endpoint
-	group    dedupGroup // of the endpoint when the attempt was sent
+	group    dedupGroup // dedup group of the endpoint at sentAt
 	sentAt   Seconds
 }
 
-// mayHaveExecuted tells whether an attempt that has ended, or is in doubt, may have executed.
+// mayHaveExecuted reports whether any attempt is recorded as possibly executed.
 func (r *request) mayHaveExecuted() bool { return r.firstExecution.endpoint != nil }
 
-// recordPossibleExecution notes that an attempt may have executed, if it is the first one.
+// recordPossibleExecution records that an attempt may have executed, unless an earlier one is recorded
+// already.
 func (r *request) recordPossibleExecution(a *attempt) {
 	if !r.mayHaveExecuted() {
 		r.firstExecution = possibleExecution{endpoint: a.endpoint, group: a.group, sentAt: a.sentAt}
 	}
 }
 
-// deduplicates tells whether an endpoint drops the request if it has executed already, where that is
-// needed. An endpoint list may move the endpoint of the first execution to another group, and nothing
-// tells whether its memory of keys moved along: so both its group then and its group now must agree.
+// deduplicates reports whether the endpoint can be sent the request without a risk of executing it twice. It
+// applies to idempotency keys only; mayBeRetriedAt covers the other classes. An endpoint list update may move
+// the endpoint of the first execution to another group, and it is unknown whether its recorded keys move
+// along, so the endpoint must share both the group at that time and the current one.
 func (r *request) deduplicates(e *endpoint) bool {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return true
@@ -43,13 +44,13 @@
 		sameDedupGroup(scope, r.firstExecution.endpoint.dedupGroup(), group)
 }
 
-// idempotencyWindowEnd is the point in time at which the endpoints that may have executed the request
-// cease to drop its repeats.
+// idempotencyWindowEnd returns the time at which endpoints may stop dropping duplicates of the first
+// execution. It is early by clockUncertainty.
 func (r *request) idempotencyWindowEnd() Seconds {
 	return r.firstExecution.sentAt + r.class.IdempotencyWindow - clockUncertainty
 }
 
-// mayBeRetriedAt tells whether the request may be sent at a point in time although it may have executed.
+// mayBeRetriedAt reports whether the request may be sent at the given time even though it may have executed.
 func (r *request) mayBeRetriedAt(now Seconds) bool {
 	switch {
 	case !r.mayHaveExecuted(), r.class.Idempotency == Idempotent:
@@ -60,8 +61,8 @@
 	return false
 }
 
-// clientMayRetry tells whether the client may send the request again: no attempt can have executed, or the
-// repeat does no harm wherever it arrives.
+// clientMayRetry reports whether the client may safely send the request again: either no attempt can have
+// executed, or a duplicate does no harm at any endpoint.
 func (r *request) clientMayRetry() bool {
 	if !r.mayHaveExecuted() && r.inFlight == 0 {
 		return true
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,78 +5,77 @@
 	"slices"
 )
 
-// firstWriteFraction is the fraction of a request's time until its deadline after which it is given up if
-// nothing of it was written to an endpoint. A rejection that comes late leaves the client no time for a
-// retry.
+// firstWriteFraction is the fraction of the time from arrival to deadline after which a request is rejected
+// if no part of it was written to an endpoint. An early rejection leaves the client time for a retry.
 const firstWriteFraction = 0.45
 
-// request is a client's request from its arrival until it has its final reply and no attempt in flight.
+// request is a client's request from its arrival until it has its final reply and no attempts in flight.
 type request struct {
 	Request
 	class    *class
-	plan     *plan     // nil for a plan that the settings don't know: no quota applies
-	customer *customer // nil without a plan
+	plan     *plan     // nil if the settings have no such plan: no quota applies
+	customer *customer // nil if plan is nil
 
-	// objectiveAt is the point in time up to which a reply earns the full priority weight.
+	// objectiveAt is the time until which a reply earns the full priority weight.
 	objectiveAt Seconds
-	// firstWriteBy is the point in time at which the request is given up if nothing of it was written.
+	// firstWriteBy is the time at which the request is rejected if no part of it was written to an endpoint.
 	firstWriteBy Seconds
-	// priority is the weight that a reply earns per unit of work; queues are ordered by it, highest first.
+	// priority is the weight that a reply earns per second of work. Queues serve the highest priority first.
 	priority float64
-	// priorityDeficit is that of the class; see classTable.priorityDeficit.
+	// priorityDeficit is the classTable.priorityDeficit of the class.
 	priorityDeficit float64
-	// likelyRetry tells that the client has most likely sent the request before.
+	// likelyRetry is set if the client has probably sent the request before.
 	likelyRetry bool
-	// creditsAccrued tells that the request has given the warming endpoints their slow-start credits.
+	// creditsAccrued is set once the request has added its slow-start credits to the warming endpoints.
 	creditsAccrued bool
 
 	attempts []attempt
 	inFlight int // attempts that have not ended
 	// firstExecution is the first attempt that may have executed.
 	firstExecution possibleExecution
-	written        bool // an attempt was written to an endpoint
-	streaming      bool // the reply is being streamed to the client, so nothing is retried any more
-	awaitingOwner  bool // the owner of the customer was asked for a grant
-	charged        bool // its units are charged to the customer
-	done           bool // the final reply was given, or needs not be given any more
+	written        bool // whether any attempt was written to an endpoint
+	streaming      bool // whether the reply is being streamed to the client, which rules out retries
+	awaitingOwner  bool // whether it waits for a grant from the owner of the customer
+	charged        bool // whether its units are charged to the customer
+	done           bool // whether it needs no final reply any more
 }
 
-// lastUsefulReplyAt is the point in time up to which replies are waited for: the objective, and after it the
-// fraction LateWeightFraction of the time left until the deadline.
+// lastUsefulReplyAt returns the time until which a reply is worth waiting for: the objective, plus the
+// fraction LateWeightFraction of the time from the objective to the deadline.
 func (r *request) lastUsefulReplyAt() Seconds {
 	return r.objectiveAt + r.class.LateWeightFraction*max(r.Deadline-r.objectiveAt, 0)
 }
 
-// byPriority orders requests with the highest priority first.
+// byPriority compares requests so that the highest priority sorts first.
 func byPriority(a, b *request) int { return cmp.Compare(b.priority, a.priority) }
 
-// ended tells that nothing is left to be done for the request.
+// ended reports whether the request is done and has no attempts in flight.
 func (r *request) ended() bool { return r.done && r.inFlight == 0 }
 
 // requestTable holds the requests that have not ended.
 type requestTable struct {
 	byID map[string]*request
-	// arrived holds the requests in the order of their arrival. Those that have ended stay in it until the
-	// next call of open.
+	// arrived holds the requests in order of arrival. It keeps requests that have ended until the next call of
+	// open.
 	arrived []*request
 }
 
 // newRequestTable returns an empty table.
 func newRequestTable() *requestTable { return &requestTable{byID: map[string]*request{}} }
 
-// find returns the request, nil if there is none.
+// find returns the request with the ID, or nil if there is none.
 func (t *requestTable) find(id string) *request { return t.byID[id] }
 
-// add holds a request that has just arrived. The caller checks that its ID is not held yet.
+// add adds a request. The caller ensures that the table holds no request with its ID.
 func (t *requestTable) add(r *request) {
 	t.byID[r.ID] = r
 	t.arrived = append(t.arrived, r)
 }
 
-// remove forgets a request that has ended.
+// remove deletes a request that has ended from the index by ID.
 func (t *requestTable) remove(r *request) { delete(t.byID, r.ID) }
 
-// open returns the requests that have not ended, in the order of their arrival.
+// open returns the requests that have not ended, in order of arrival.
 func (t *requestTable) open() []*request {
 	t.arrived = slices.DeleteFunc(t.arrived, (*request).ended)
 	return t.arrived
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,19 +1,18 @@
 package policy
 
-// retryPolicy decides whether an attempt of a request is allowed, and expected to bring a reply in time: the
-// first one as well as retries and hedges.
+// retryPolicy decides whether a request may have another attempt: the first one, a retry or a hedge.
 type retryPolicy struct {
-	maxAttempts int // of one request
+	maxAttempts int // per request
 	clock       *eventClock
 }
 
-// newRetryPolicy returns the policy of the settings, which allows one attempt at least.
+// newRetryPolicy returns the policy for the settings. It allows at least one attempt per request.
 func newRetryPolicy(settings Settings, clock *eventClock) *retryPolicy {
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
 
-// allowsAttempt tells whether the request may have another attempt, as far as that does not depend on the
-// endpoint; see request.deduplicates for what does.
+// allowsAttempt reports whether the request may have another attempt at some endpoint. Which endpoints
+// qualify is checked by request.deduplicates.
 func (p *retryPolicy) allowsAttempt(r *request) bool {
 	switch {
 	case len(r.attempts) >= p.maxAttempts:
@@ -26,12 +25,12 @@
 	return r.mayBeRetriedAt(p.clock.now)
 }
 
-// inTime tells whether a reply to an attempt sent now is expected while it is useful.
+// inTime reports whether the reply to an attempt sent now is expected while it is still useful.
 func (p *retryPolicy) inTime(r *request) bool {
 	return p.clock.now+r.class.meanLatency <= r.lastUsefulReplyAt()
 }
 
-// rejectionReason tells why allowsAttempt does not hold.
+// rejectionReason returns the reason why allowsAttempt returned false.
 func (p *retryPolicy) rejectionReason(r *request) Reason {
 	if len(r.attempts) > 0 && p.inTime(r) {
 		return AttemptsExhausted
