--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -3,38 +3,38 @@
 import "math"
 
 const (
-	// reusableIdleFraction is the fraction of the idle timeout for which an idle connection is counted on: the
-	// endpoint may close it a little early.
+	// reusableIdleFraction is the fraction of the idle timeout for which an idle connection is expected to
+	// remain usable. It is below 1 because an endpoint may close connections early.
 	reusableIdleFraction = 0.4
 
 	// inFlightTimeConstant is the time constant of endpoint.meanInFlight.
 	inFlightTimeConstant Seconds = 1.0
 
 	minLatencyFactor = 0.3
-	maxLatencyFactor = 4.0 // also what a timeout counts as
-	latencyGain      = 0.1 // weight of one reply in latencyFactor
+	maxLatencyFactor = 4.0 // also the ratio that a timeout counts as
+	latencyGain      = 0.1 // weight of a reply in latencyFactor
 	timeoutGain      = 0.15
 )
 
-// endpoint is what this gateway knows of an endpoint.
+// endpoint is the state of an endpoint as known to this gateway.
 type endpoint struct {
 	Endpoint
-	hash   uint16 // identifies it in health updates
-	listed bool   // in the endpoint list, and not removed
+	hash   uint16 // identifies the endpoint in health updates
+	listed bool   // whether it is in the endpoint list and not Removed
 
-	// The attempts of this gateway.
+	// Attempts of this gateway.
 	inFlight        int
 	lastSentAt      Seconds
-	openConnections int     // an estimate by how attempts ended; idle ones are included
-	meanInFlight    float64 // an exponentially decaying mean, as of lastSentAt
-	latencyFactor   float64 // mean of an attempt's latency over the mean latency of its class
+	openConnections int     // estimated from the ends of attempts; includes idle connections
+	meanInFlight    float64 // exponentially decaying mean as of lastSentAt
+	latencyFactor   float64 // mean ratio of an attempt's latency to the mean latency of its class
 
-	// The load as last reported, to this gateway or another.
+	// The last load report, received by this gateway or through gossip.
 	utilization     float64 // 0 to 1
 	utilizationAt   Seconds
-	healthCheckedAt Seconds // when the last health check was sent
+	healthCheckedAt Seconds // time of the last health check sent
 
-	// Outlier detection. The slices are indexed by class.
+	// Outlier detection. Slices are indexed by class.
 	outlierScores                 []outlierScore
 	lastSuccessAt                 []Seconds
 	consecutiveErrors             []int // since the last success
@@ -43,11 +43,11 @@
 	ejectedUntil                  Seconds
 
 	// Slow start.
-	slowStartCredit   float64 // mean attempts that this gateway may send while the endpoint warms up, up to 1
-	slowStartCreditAt Seconds // when it last grew
+	slowStartCredit   float64 // mean attempts that this gateway may send while the endpoint warms up, at most 1
+	slowStartCreditAt Seconds // time of the last accrual
 }
 
-// newEndpoint returns an endpoint as it is known when it is first listed.
+// newEndpoint returns the initial state of a newly listed endpoint.
 func newEndpoint(hash uint16, classCount int, slowStartCredit float64) *endpoint {
 	return &endpoint{
 		hash:              hash,
@@ -60,7 +60,7 @@
 	}
 }
 
-// restart resets what was learnt of the endpoint's earlier process.
+// restart resets the state that was learned about the endpoint's previous process.
 func (e *endpoint) restart(slowStartCredit float64) {
 	e.latencyFactor = 1
 	e.ejectedUntil = 0
@@ -71,13 +71,13 @@
 	clear(e.consecutiveErrors)
 }
 
-// available tells whether the endpoint is in service and not ejected.
+// available reports whether the endpoint is in service and not ejected.
 func (e *endpoint) available(now Seconds) bool {
 	return e.State == InService && now >= e.ejectedUntil
 }
 
-// startAttempt counts an attempt as in flight. idleTimeout is the time after which the endpoint closes idle
-// connections: after a pause that long none is counted on any more.
+// startAttempt counts a new attempt as in flight. After a pause of more than reusableIdleFraction of
+// idleTimeout, it assumes that the idle connections are closed.
 func (e *endpoint) startAttempt(now, idleTimeout Seconds) {
 	if now-e.lastSentAt > reusableIdleFraction*idleTimeout {
 		e.openConnections = e.inFlight
@@ -87,8 +87,7 @@
 	e.lastSentAt = now
 }
 
-// endAttempt counts an attempt as ended. An attempt that ends without a reply also ends
-// its connection.
+// endAttempt counts an attempt as ended. An attempt that ends without a reply also closes its connection.
 func (e *endpoint) endAttempt(replied bool) {
 	e.inFlight--
 	if !replied {
@@ -96,25 +95,25 @@
 	}
 }
 
-// hasIdleConnection tells whether an attempt most likely finds an open connection.
+// hasIdleConnection reports whether an open idle connection is probably available.
 func (e *endpoint) hasIdleConnection(now, idleTimeout Seconds) bool {
 	return e.openConnections > e.inFlight && now-e.lastSentAt <= reusableIdleFraction*idleTimeout
 }
 
-// observeSend adds an attempt of a class with this mean latency to meanInFlight. It is called before
-// startAttempt.
+// observeSend adds an attempt of a class with the given mean latency to meanInFlight. It must be called
+// before startAttempt, which updates lastSentAt.
 func (e *endpoint) observeSend(now, meanLatency Seconds) {
 	expected := min(e.latencyFactor*meanLatency/inFlightTimeConstant, 1)
 	e.meanInFlight = e.meanInFlight*e.inFlightDecay(now) + expected
 }
 
-// inFlightDecay is the factor by which meanInFlight has decayed by now.
+// inFlightDecay returns the factor by which meanInFlight has decayed since lastSentAt.
 func (e *endpoint) inFlightDecay(now Seconds) float64 {
 	return math.Exp((e.lastSentAt - now) / inFlightTimeConstant)
 }
 
-// observeLatency adjusts latencyFactor to the end of an attempt, which took ratio times the mean latency of
-// its class.
+// observeLatency updates latencyFactor from an attempt whose duration was ratio times the mean latency of its
+// class. Only replies and timeouts say something about the latency.
 func (e *endpoint) observeLatency(status AttemptStatus, ratio float64) {
 	switch status {
 	case OK:
@@ -126,12 +125,12 @@
 	}
 }
 
-// setUtilization takes the utilization that the endpoint had at a time.
+// setUtilization records the utilization that the endpoint reported at the given time.
 func (e *endpoint) setUtilization(utilization float64, at Seconds) {
 	e.utilization, e.utilizationAt = utilization, at
 }
 
-// utilizationKnown tells whether the endpoint's load was reported lately.
+// utilizationKnown reports whether the last utilization is recent enough to use.
 func (e *endpoint) utilizationKnown(now Seconds) bool {
 	return now-e.utilizationAt < loadReportExpiry
 }
--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -1,6 +1,6 @@
 package policy
 
-// The events of Gateway that concern endpoints: the endpoint list, health checks and the ends of attempts.
+// This file contains the parts of Gateway's event handling that update endpoints.
 
 // sendHealthCheck sends a health check if one is due.
 func (g *Gateway) sendHealthCheck() {
@@ -9,7 +9,8 @@
 	}
 }
 
-// recordLoadReport takes in an endpoint's load report, if there is one, and publishes it.
+// recordLoadReport records the utilization in a load report, if there is any, and publishes it to other
+// gateways.
 func (g *Gateway) recordLoadReport(e *endpoint, report *LoadReport) {
 	if report == nil || report.Utilization < 0 {
 		return
@@ -20,10 +21,11 @@
 	})
 }
 
-// recordOutcome takes from the end of an attempt what it tells of its endpoint, and of all.
+// recordOutcome updates the endpoint, outlier, slow start and concurrency statistics after an attempt.
 func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
 	e, requestClass := a.endpoint, r.class
-	// A timeout at an endpoint that may be an outlier says nothing of the others.
+	// The concurrency limit covers all endpoints, so a timeout at a suspected outlier does not count against
+	// it.
 	representative := o.Status == OK ||
 		o.Status == Timeout && g.outliers.score(e, requestClass.index) < suspectScore
 	e.observeLatency(o.Status, o.Elapsed/requestClass.meanLatency)
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// minEndpointsConsidered is the least number of endpoints below suspectScore that are compared for an
+	// minEndpointsConsidered is the minimum number of endpoints below suspectScore that are compared for an
 	// attempt.
 	minEndpointsConsidered = 2
-	// minNonIdempotentWarmUp is the fraction of its capacity that an endpoint needs for non-idempotent requests.
+	// minNonIdempotentWarmUp is the fraction of its capacity that a warming endpoint needs to receive
+	// non-idempotent requests.
 	minNonIdempotentWarmUp = 0.35
 )
 
-// The cost of an endpoint is counted in attempts in flight there. These weights are the attempts that other
-// reasons against it count as.
+// The cost of an endpoint is measured in attempts in flight there. Each weight below converts another
+// disadvantage into that unit.
 const (
-	utilizationWeight  = 2.0  // a utilization of 1
-	crossZoneWeight    = 25.0 // a Settings.CrossZoneCost of 1
-	handshakeWeight    = 24.0 // a Settings.HandshakeCost of 1
-	sameEndpointWeight = 4.0  // each earlier attempt of the request there
-	outlierWeight      = 30.0 // multiplies the cost, by the square of the outlier score
-	costJitter         = 0.02 // largest random addition, as a fraction of the cost
+	utilizationWeight  = 2.0  // for a utilization of 1
+	crossZoneWeight    = 25.0 // for a Settings.CrossZoneCost of 1
+	handshakeWeight    = 24.0 // for a Settings.HandshakeCost of 1
+	sameEndpointWeight = 4.0  // for each earlier attempt of the request at the endpoint
+	outlierWeight      = 30.0 // multiplies the cost by 1 + outlierWeight × the square of the outlier score
+	costJitter         = 0.02 // largest random increase, as a fraction of the cost
 )
 
 // endpointPicker chooses the endpoint of an attempt.
@@ -36,11 +37,11 @@
 	gatewayCount                 int
 	zone                         string
 	crossZoneCost, handshakeCost float64 // see Settings
-	idleTimeout                  Seconds // of connections
+	idleTimeout                  Seconds // after which endpoints close idle connections
 }
 
-// pick returns the endpoint for the request's next attempt, or nil if none has capacity. The first call for a
-// request that finds the concurrency limit free accrues its slow-start credits.
+// pick returns the endpoint for the next attempt of a request, or nil if none has capacity. The first call
+// for a request that is below the concurrency limit also accrues its slow-start credits.
 func (p *endpointPicker) pick(r *request) *endpoint {
 	if p.limiter.atLimit(r.class.meanLatency) {
 		return nil
@@ -54,7 +55,7 @@
 	return p.pickCheapest(r)
 }
 
-// pickWarming returns the first warming endpoint that has a credit and may get the request, or nil.
+// pickWarming returns the first warming endpoint that has a credit and may receive the request, or nil.
 func (p *endpointPicker) pickWarming(r *request) *endpoint {
 	for _, e := range p.endpoints.listed {
 		if p.slowStart.warmUpFraction(e) < 1 && e.available(p.clock.now) && p.slowStart.creditAvailable(e) &&
@@ -65,8 +66,9 @@
 	return nil
 }
 
-// allowedOnWarming tells whether a request may go to a warming endpoint. What must not execute twice does not go
-// to an endpoint that may fail under it.
+// allowedOnWarming reports whether a request may be sent to a warming endpoint. Such an endpoint fails under
+// overload, so it receives non-idempotent requests only above minNonIdempotentWarmUp, and keyed requests only
+// if they cannot have executed before.
 func (p *endpointPicker) allowedOnWarming(e *endpoint, r *request) bool {
 	switch r.class.Idempotency {
 	case NonIdempotent:
@@ -78,8 +80,9 @@
 	return true
 }
 
-// pickCheapest compares the eligible endpoints from a random one on, and returns the one of the lowest cost.
-// A gateway of a large fleet compares a few only: else all would choose the same one by the same gossip.
+// pickCheapest returns the endpoint of the lowest cost among the eligible ones, starting at a random one.
+// Gateways of a large fleet compare only a few: if all compared every endpoint, the same gossip would lead
+// them to the same endpoint.
 func (p *endpointPicker) pickCheapest(r *request) *endpoint {
 	listed := p.endpoints.listed
 	remaining := max(minEndpointsConsidered, len(listed)*smallFleetSize/p.gatewayCount)
@@ -102,10 +105,10 @@
 	return cheapest
 }
 
-// eligible tells whether the request may be sent to an endpoint now. It may not if the endpoint is not in
-// service or ejected, might not deduplicate a repeat, is warming up without a credit (or at all, in a large
-// fleet), or has its part of the concurrency limit in flight. A high outlier score excludes no endpoint; it
-// raises the cost.
+// eligible reports whether the request may be sent to the endpoint now. Excluded are endpoints that are not
+// in service or are ejected, that might execute a retry twice, that have reached their share of the
+// concurrency limit, or that are warming up without a credit. In a large fleet all warming endpoints are
+// excluded, because pickWarming handles them. A high outlier score only raises the cost.
 func (p *endpointPicker) eligible(e *endpoint, r *request) bool {
 	if !e.available(p.clock.now) || !r.deduplicates(e) {
 		return false
@@ -117,13 +120,14 @@
 	return float64(e.inFlight) < p.maxInFlight(e)
 }
 
-// maxInFlight is the endpoint's part of the concurrency limit. A slower endpoint gets less, but at least one.
+// maxInFlight returns the endpoint's share of the concurrency limit: an equal share divided by its latency
+// factor, rounded up.
 func (p *endpointPicker) maxInFlight(e *endpoint) float64 {
 	return math.Ceil(p.limiter.limit / float64(len(p.endpoints.listed)) / e.latencyFactor)
 }
 
-// cost is the estimated number of attempts that an attempt at the endpoint competes with, weighted by the
-// latency of the endpoint and its outlier score for the class.
+// cost returns the estimated load that an attempt would compete with at the endpoint, weighted by the latency
+// and the outlier score of the endpoint.
 func (p *endpointPicker) cost(e *endpoint, r *request, score float64) float64 {
 	load := p.estimatedInFlight(e)
 	if e.Zone != p.zone {
@@ -144,9 +148,10 @@
 	return load * e.latencyFactor * (1 + outlierWeight*score*score) * jitter
 }
 
-// estimatedInFlight estimates the attempts in flight at the endpoint from all gateways, with the next one of
-// this gateway. What the others have there is not known: the best guess is that each sends as much as this
-// one does. In a large fleet one gateway tells little of the others, of which only some are counted.
+// estimatedInFlight estimates the attempts in flight at the endpoint from all gateways, including the next
+// attempt of this gateway. The attempts of the other gateways are unknown, so each is assumed to send as much
+// as this one. In a large fleet the traffic of one gateway is a poor sample, so at most smallFleetSize
+// gateways are counted.
 func (p *endpointPicker) estimatedInFlight(e *endpoint) float64 {
 	others := float64(min(p.gatewayCount, smallFleetSize) - 1)
 	return float64(e.inFlight) + 1 + others*e.meanInFlight*e.inFlightDecay(p.clock.now)
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// loadReportExpiry is how long a load report counts.
+// loadReportExpiry is the age at which a load report is no longer used.
 const loadReportExpiry Seconds = 3.0
 
-// endpointTable holds the endpoints of the endpoint list, and those that left it with attempts in flight.
+// endpointTable holds the listed endpoints, and the removed ones that still have attempts in flight.
 type endpointTable struct {
 	classCount    int
 	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
 
 	byID   map[string]*endpoint
-	listed []*endpoint          // those that are listed, ordered by ID
-	byHash map[uint16]*endpoint // nil where several endpoints share a hash
+	listed []*endpoint          // endpoints with listed set, ordered by ID
+	byHash map[uint16]*endpoint // nil value if several endpoints share the hash
 }
 
-// newEndpointTable returns an empty table for a gateway with this number of classes.
+// newEndpointTable returns an empty table for a gateway with classCount classes.
 func newEndpointTable(classCount int, initialCredit func(hash uint16) float64) *endpointTable {
 	return &endpointTable{
 		classCount:    classCount,
@@ -28,7 +28,8 @@
 	}
 }
 
-// apply takes in an endpoint list: all entries if it is complete, else those that changed.
+// apply updates the endpoint list: it replaces the list if complete is set, and otherwise updates the given
+// entries.
 func (t *endpointTable) apply(list []Endpoint, complete bool) {
 	if complete {
 		for _, e := range t.listed {
@@ -60,7 +61,7 @@
 	e.Endpoint, e.listed = entry, entry.State != Removed
 }
 
-// evictRemoved drops the endpoints that are no longer listed and have no attempts in flight.
+// evictRemoved deletes the endpoints that are no longer listed and have no attempts in flight.
 func (t *endpointTable) evictRemoved() {
 	before := len(t.byID)
 	for id, e := range t.byID {
@@ -77,8 +78,8 @@
 	}
 }
 
-// indexByHash makes an endpoint found by its hash. Where two share one, health updates of either are
-// ignored.
+// indexByHash makes the endpoint available in byHash. If several endpoints share a hash, their health updates
+// cannot be told apart, so the entry becomes nil and the updates are ignored.
 func (t *endpointTable) indexByHash(e *endpoint) {
 	if _, shared := t.byHash[e.hash]; shared {
 		t.byHash[e.hash] = nil
@@ -87,7 +88,7 @@
 	t.byHash[e.hash] = e
 }
 
-// meanUtilization is the mean of the utilizations that were reported lately; known is false if there is none.
+// meanUtilization returns the mean of the recently reported utilizations. known is false if there are none.
 func (t *endpointTable) meanUtilization(now Seconds) (mean float64, known bool) {
 	count := 0.0
 	for _, e := range t.listed {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,33 +1,33 @@
 package policy
 
-// loadUpdate in place of a class marks a health update that holds an endpoint's utilization.
+// loadUpdate takes the place of the class in a health update that holds the utilization of an endpoint.
 const loadUpdate = -1
 
 const (
-	// minGossipInterval is how much newer a health update must be than what is known already.
+	// minGossipInterval is the minimum amount by which a health update must be newer than the known state.
 	minGossipInterval Seconds = 0.2
 
-	maxGossip                = 64  // health updates that are held
-	gossipPerMessage         = 6   // health updates of a message, at most
-	gossipExpiry     Seconds = 2.0 // older health updates are not sent
+	maxGossip                = 64  // health updates held in the buffer
+	gossipPerMessage         = 6   // health updates sent per message, at most
+	gossipExpiry     Seconds = 2.0 // age from which on health updates are not sent
 )
 
-// healthUpdate is what gateways tell each other of an endpoint: its outlier score for a class, or its
-// utilization if class is loadUpdate.
+// healthUpdate is the information about an endpoint that gateways exchange: its outlier score for a class, or
+// its utilization if class is loadUpdate.
 type healthUpdate struct {
 	endpointHash uint16
 	class        int
 	value        float64 // 0 to 1
-	at           Seconds // when it was observed
+	at           Seconds // time of the observation
 }
 
-// gossipBuffer holds the health updates that other gateways are sent, newest last. A gateway of a large fleet
-// sees too little of an endpoint itself.
+// gossipBuffer holds the health updates to send to other gateways, oldest first. Updates are shared because a
+// gateway of a large fleet has too little traffic of its own to judge each endpoint.
 type gossipBuffer struct {
 	updates []healthUpdate
 }
 
-// publish adds an update, in place of the oldest one if the buffer is full.
+// publish adds an update, and drops the oldest one if the buffer is full.
 func (b *gossipBuffer) publish(update healthUpdate) {
 	b.updates = append(b.updates, update)
 	if len(b.updates) > maxGossip {
@@ -35,7 +35,7 @@
 	}
 }
 
-// recent returns the newest updates that are still worth sending, at most limit of them, newest first.
+// recent returns the newest unexpired updates, newest first and at most limit.
 func (b *gossipBuffer) recent(limit int, now Seconds) (updates []healthUpdate) {
 	oldest := max(0, len(b.updates)-gossipPerMessage)
 	for i := len(b.updates) - 1; i >= oldest && len(updates) < limit; i-- {
@@ -47,7 +47,7 @@
 	return updates
 }
 
-// merge takes in another gateway's update, and passes it on if it is newer than what is known.
+// merge applies an update from another gateway, and forwards it if it is newer than the known state.
 func (b *gossipBuffer) merge(endpoints *endpointTable, update healthUpdate) {
 	e := endpoints.byHash[update.endpointHash]
 	if e != nil && e.applyUpdate(update) {
@@ -55,10 +55,11 @@
 	}
 }
 
-// applyUpdate takes in another gateway's update, and returns false if it is not newer than what is known.
+// applyUpdate applies an update from another gateway, and reports whether it should be forwarded. It returns
+// false for an update that is not newer than the known state.
 func (e *endpoint) applyUpdate(update healthUpdate) bool {
 	if e.StartedAt > update.at {
-		return false // about an earlier process
+		return false // about a previous process of the endpoint
 	}
 	if update.class == loadUpdate {
 		if update.at < e.utilizationAt+minGossipInterval {
@@ -68,7 +69,7 @@
 		return true
 	}
 	if update.class >= len(e.outlierScores) {
-		return true // of a class that this gateway does not have: passed on unread
+		return true // a class that this gateway does not have: forwarded without being applied
 	}
 	score := &e.outlierScores[update.class]
 	if update.at < score.at+minGossipInterval || update.at < e.lastSuccessAt[update.class] {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,20 +1,20 @@
 package policy
 
 const (
-	// healthCheckInterval is the least time between two load reports of an endpoint, if health checks have to
-	// ask for them.
+	// healthCheckInterval is the minimum age of an endpoint's last load report before a health check requests a
+	// new one.
 	healthCheckInterval Seconds = 1.0
 
-	healthChecksPerRequest = 0.25 // bounds the load that health checks add
+	healthChecksPerRequest = 0.25 // keeps the additional load proportional to the traffic
 	maxHealthCheckCredits  = 2.0
 )
 
-// healthChecker sends health checks where endpoints report their load with these alone.
+// healthChecker schedules health checks if endpoints report their load only in replies to them.
 type healthChecker struct {
 	clock     *eventClock
 	slowStart *slowStart
 	enabled   bool
-	credits   float64 // health checks that may be sent
+	credits   float64 // number of health checks that may be sent
 }
 
 // newHealthChecker returns a checker without credits.
@@ -26,13 +26,14 @@
 	}
 }
 
-// accrueCredit adds the credit that a request brings.
+// accrueCredit adds the credit for one request.
 func (h *healthChecker) accrueCredit() {
 	h.credits = min(h.credits+healthChecksPerRequest, maxHealthCheckCredits)
 }
 
-// next returns the endpoint to check now, or nil: the one whose load was reported or asked for longest ago.
-// Warming endpoints are not checked: they have no capacity for the checks of all gateways.
+// next returns the endpoint to check now, or nil. It selects the endpoint whose last load report or health
+// check is oldest. Warming endpoints are not checked, because the checks of all gateways together could
+// exceed their capacity.
 func (h *healthChecker) next(endpoints []*endpoint) *endpoint {
 	if !h.enabled || h.credits < 1 {
 		return nil
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,65 +5,67 @@
 	"math/rand/v2"
 )
 
-// The levels of outlier scores. A score is the confidence, from 0 to 1, that an endpoint does not reply to a
-// class of request.
+// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class.
+// The constants are thresholds of scores, and amounts by which failures raise a score.
 const (
-	suspectScore       = 0.3 // from here on attempts go elsewhere where they can, and are retried early
-	singleFailureScore = 0.1 // added by a lost connection, which may be no fault of the endpoint
-	errorScore         = 0.5 // added by an error, and by a second lost connection in a row
-	repeatedErrorScore = 0.9 // added by errors in a row: they come fast, and so attract further requests
-	noReplyScore       = 1.0 // added by an attempt that got no reply for long
+	suspectScore       = 0.3 // at least this: attempts prefer other endpoints and are hedged early
+	singleFailureScore = 0.1 // for one lost connection, which may not be the endpoint's fault
+	errorScore         = 0.5 // for an error, and for each further lost connection in a row
+	repeatedErrorScore = 0.9 // for errors in a row: failing fast makes an endpoint look idle
+	noReplyScore       = 1.0 // for an attempt that got no reply for a long time
 
-	// repeatedErrors is the number of errors in a row from which on each adds repeatedErrorScore.
+	// repeatedErrors is the number of errors in a row at which repeatedErrorScore replaces errorScore.
 	repeatedErrors = 2
 
-	// minPublishedScore is the score up to which a success is not published: there is nothing left to correct.
+	// minPublishedScore is the score up to which a success is not published: such a score hardly affects the
+	// cost of the endpoint, so other gateways need no correction.
 	minPublishedScore = singleFailureScore / 2
 
-	// outlierTimeConstant is the time constant with which scores decay.
+	// outlierTimeConstant is the time constant of the decay of scores.
 	outlierTimeConstant Seconds = 4.0
 
-	// minAttemptWeight is the least weight of one attempt in the score, in a large fleet.
+	// minAttemptWeight is the lower bound of attemptWeight.
 	minAttemptWeight = 0.2
 )
 
-// Ejection of endpoints from all classes.
+// Ejection of an endpoint, which applies to all classes.
 const (
-	// consecutiveFailuresToEject is how many attempts in a row lose their connection before the endpoint is
-	// ejected: one tells of a connection, not of its endpoint.
+	// consecutiveFailuresToEject is the number of consecutive lost connections at which an endpoint is ejected.
+	// A single one may be a fault of the connection rather than of the endpoint.
 	consecutiveFailuresToEject = 2
 
-	ejectionPeriod      Seconds = 0.5  // at least, and up to twice as long, drawn at random
-	minRejectionBackoff Seconds = 0.05 // after the first rejection, doubled with each further one in a row
+	ejectionPeriod      Seconds = 0.5  // minimum; multiplied by a random factor from 1 to 2
+	minRejectionBackoff Seconds = 0.05 // after the first rejection, doubled by each further one in a row
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially from its level at a time.
+// outlierScore is a score that decays exponentially from level, its value at the time at.
 type outlierScore struct {
 	level float64
 	at    Seconds
 }
 
-// value is the score at the time now.
+// value returns the score at the time now.
 func (s outlierScore) value(now Seconds) float64 {
 	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
 
-// outlierDetector scores endpoints by the outcome of attempts, and ejects those that fail or reject in a row.
+// outlierDetector scores endpoints by the outcomes of attempts, and ejects those with consecutive lost
+// connections or rejections.
 type outlierDetector struct {
 	clock  *eventClock
 	random *rand.Rand
 	gossip *gossipBuffer
 
-	// attemptWeight is the weight of one attempt of this gateway in the score. Where many gateways share what they
-	// see, each raises and lowers a score by a part, so that it tends to the fraction of attempts without a
-	// reply. If one missing reply were enough, all would leave an overloaded endpoint at once, and overload
-	// the next.
+	// attemptWeight is the weight of one attempt of this gateway in the score. In a large fleet, where many
+	// gateways share their scores, it is below 1, so that the score approaches the fraction of attempts that
+	// get no reply. At weight 1, a single timeout at an overloaded endpoint would make all gateways move to the
+	// next endpoint at once and overload that.
 	attemptWeight float64
 }
 
-// newOutlierDetector returns the detector of one gateway of a fleet, which draws from random and publishes to
-// gossip.
+// newOutlierDetector returns the detector of one gateway of a fleet. It draws random numbers from random and
+// publishes scores to gossip.
 func newOutlierDetector(
 	gatewayCount int, clock *eventClock, random *rand.Rand, gossip *gossipBuffer,
 ) *outlierDetector {
@@ -75,12 +77,12 @@
 	}
 }
 
-// score returns the confidence, from 0 to 1, that the endpoint does not reply to the class.
+// score returns the outlier score of the endpoint for the class.
 func (d *outlierDetector) score(e *endpoint, classIndex int) float64 {
 	return e.outlierScores[classIndex].value(d.clock.now)
 }
 
-// recordFailure raises the score for a class by severity, a fraction of what is missing to 1.
+// recordFailure raises the score for a class by the fraction severity of its distance to 1, and publishes it.
 func (d *outlierDetector) recordFailure(e *endpoint, classIndex int, severity float64) {
 	score := d.score(e, classIndex)
 	level := score + severity*(1-score)
@@ -93,19 +95,19 @@
 	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
 }
 
-// publishScore has other gateways learn the score for a class.
+// publishScore adds the score for a class to the gossip.
 func (d *outlierDetector) publishScore(e *endpoint, classIndex int, level float64) {
 	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 }
 
-// recordFailureForAllClasses raises the score for all classes.
+// recordFailureForAllClasses raises the score for every class.
 func (d *outlierDetector) recordFailureForAllClasses(e *endpoint, severity float64) {
 	for classIndex := range e.outlierScores {
 		d.recordFailure(e, classIndex, severity)
 	}
 }
 
-// recordSuccess lowers the score for a class.
+// recordSuccess lowers the score for a class by attemptWeight, and publishes it if it is significant.
 func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
 	level := d.score(e, classIndex) * (1 - d.attemptWeight)
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordOutcome takes in the end of an attempt.
+// recordOutcome updates scores and ejection after an attempt.
 func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
@@ -129,7 +131,7 @@
 		d.recordConnectionFailure(e)
 	case Rejected:
 		d.recordRejection(e)
-	case Cancelled, NotSent: // say nothing of the endpoint
+	case Cancelled, NotSent: // no information about the endpoint
 	}
 }
 
@@ -142,7 +144,8 @@
 	d.recordFailure(e, classIndex, severity)
 }
 
-// recordConnectionFailure takes in a connection that was refused or lost.
+// recordConnectionFailure records a refused or lost connection. It raises the score for all classes, because
+// a connection serves them all, and ejects the endpoint after consecutiveFailuresToEject in a row.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
@@ -153,7 +156,7 @@
 	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
 }
 
-// recordRejection ejects the endpoint for a time that doubles with each rejection in a row.
+// recordRejection ejects the endpoint for a period that doubles with each consecutive rejection.
 func (d *outlierDetector) recordRejection(e *endpoint) {
 	e.consecutiveRejections++
 	backoff := min(minRejectionBackoff*math.Exp2(float64(e.consecutiveRejections-1)), maxRejectionBackoff)
