--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -2,49 +2,49 @@
 
 import "math"
 
-// The limit is in attempts of this gateway. An endpoint's constants are in attempts of all gateways; each
-// gateway gets its part of them.
+// The limit counts the attempts of this gateway. The per-endpoint constants count the attempts of all
+// gateways; each gateway gets an equal share of them.
 const (
 	initialConcurrencyPerEndpoint = 3.0 // attempts of all gateways
 	minConcurrencyPerEndpoint     = 3.0
 	maxConcurrencyPerEndpoint     = 64.0
 
-	limitIncrease   = 0.1  // attempts that a fast reply adds
-	limitDecrease   = 0.03 // fraction of one endpoint's part that a slow reply takes off
-	timeoutDecrease = 0.15 // fraction of one endpoint's part that a timeout takes off
-	limitReachedGap = 1.5  // attempts below the limit, from which on it counts as reached and may grow
+	limitIncrease   = 0.1  // attempts added by a fast reply
+	limitDecrease   = 0.03 // fraction of one endpoint's share removed by a slow reply
+	timeoutDecrease = 0.15 // fraction of one endpoint's share removed by a timeout
+	limitReachedGap = 1.5  // attempts below the limit at which it counts as reached and may grow
 
-	lowLatencyRatio  = 0.15 // below this mean fraction of the objective replies are fast
-	highLatencyRatio = 0.22 // from this mean fraction of the objective on they are slow
-	lowUtilization   = 0.8  // below this mean utilization endpoints have spare capacity
-	latencyMeanGain  = 0.1  // weight of one attempt in the means of latency
+	lowLatencyRatio  = 0.15 // mean fraction of the latency objective below which replies are fast
+	highLatencyRatio = 0.22 // mean fraction of the latency objective above which replies are slow
+	lowUtilization   = 0.8  // mean utilization below which endpoints have spare capacity
+	latencyMeanGain  = 0.1  // weight of one attempt in meanAttemptDuration and latencyRatio
 
-	// burstDeviations is how many standard deviations above its limit a gateway of a very large fleet may go.
+	// burstDeviations is the burst allowance of a gateway in a very large fleet, in standard deviations.
 	burstDeviations = 4.0
 )
 
-// concurrencyLimiter bounds the attempts in flight at all endpoints together. The limit grows while replies
-// are fast, or endpoints have spare capacity, and shrinks while they are slow.
+// concurrencyLimiter limits the attempts in flight at all endpoints together. The limit grows while replies
+// are fast or endpoints have spare capacity, and shrinks while replies are slow.
 type concurrencyLimiter struct {
 	clock        *eventClock
 	gatewayCount int
 
-	limit float64 // attempts in flight of this gateway
-	// burstAllowance is how far the attempts in flight may exceed the limit, in standard deviations. The limit
-	// is a part of what all gateways together may have in flight, so it bounds a gateway's mean. In a large
-	// fleet some gateways are always busy while others are idle: each may exceed its part by what chance does to
-	// few requests.
+	limit float64 // attempts of this gateway in flight
+	// burstAllowance is the number of standard deviations by which the attempts in flight may exceed the limit.
+	// The limit is a gateway's share of the attempts of all gateways, so it should bound the mean. In a large
+	// fleet the share is a few attempts, and the number in flight varies randomly by about its square root.
+	// Gateways above their share are offset by others below it.
 	burstAllowance      float64
 	endpointsPerGateway float64
 
 	inFlight            int
 	lastSentAt          Seconds
-	latencyRatio        float64 // mean of latency over the objective
-	meanAttemptDuration Seconds // until a reply or timeout
+	latencyRatio        float64 // mean ratio of latency to the latency objective
+	meanAttemptDuration Seconds // mean time until a reply or timeout
 }
 
-// newConcurrencyLimiter returns the limiter of one gateway of a fleet. It has the limit of one endpoint,
-// until resize tells of more.
+// newConcurrencyLimiter returns the limiter of one gateway of a fleet. It has the limit for one endpoint
+// until resize is called.
 func newConcurrencyLimiter(gatewayCount int, clock *eventClock) *concurrencyLimiter {
 	return &concurrencyLimiter{
 		clock:          clock,
@@ -54,15 +54,16 @@
 	}
 }
 
-// resize scales the limit with the number of endpoints.
+// resize scales the limit from before to after endpoints.
 func (l *concurrencyLimiter) resize(before, after int) {
 	l.endpointsPerGateway = float64(after) / float64(l.gatewayCount)
 	l.limit *= float64(max(1, after)) / float64(max(1, before))
 }
 
-// atLimit tells whether an attempt of a class with this mean latency has to wait. If only a part of an
-// attempt is free, the attempt may start as long as replies are fast. While they are slow it waits until the
-// last one is some time ago: if all gateways of a large fleet rounded up, they would overload the endpoints.
+// atLimit reports whether an attempt of a class with the given mean latency must wait. If less than one
+// attempt is free, an attempt may still start while replies are fast. While they are slow, it waits for a
+// time inversely proportional to the free fraction, which keeps the mean within the limit: if all gateways of
+// a large fleet rounded their limit up, they would overload the endpoints.
 func (l *concurrencyLimiter) atLimit(meanLatency Seconds) bool {
 	free := l.limit + l.burstAllowance*math.Sqrt(l.limit) - float64(l.inFlight)
 	if free <= 0 {
@@ -82,12 +83,13 @@
 
 func (l *concurrencyLimiter) endAttempt() { l.inFlight-- }
 
-// observe adjusts the limit to a reply or timeout after this time, of a class with this latency objective.
-// spareCapacity tells that the endpoints are known to have some.
+// observe adjusts the limit after a reply or timeout. elapsed is the duration of the attempt, objective the
+// latency objective of its class, and spareCapacity reports whether the endpoints are known to have spare
+// capacity.
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
-	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit) // one attempt tells of one endpoint among many
+	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit) // one attempt reflects one endpoint only
 	if timedOut && !spareCapacity {
 		l.limit *= 1 - timeoutDecrease*endpointShare
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -3,53 +3,57 @@
 import "math"
 
 const (
-	// minCompletedFraction is the least fraction of the offered work that is taken as completed: a gateway that
-	// has just started has completed nothing.
+	// minCompletedFraction is the lower bound for the estimated fraction of the offered work that was
+	// completed. Without it, a gateway that has just started and has not completed any work would grant no
+	// credits.
 	minCompletedFraction = 0.5
 
-	// A warming endpoint gets from a gateway of a large fleet the fraction minSlowStartShare of its equal part
-	// of the work, and more of it with its capacity, up to slowStartShareSlope more.
+	// A gateway of a large fleet gives a warming endpoint a reduced fraction of its share of the work:
+	// minSlowStartShare + slowStartShareSlope × the warm-up fraction. The fraction is smallest at the start,
+	// because random variation of the load is largest relative to a small capacity. It stays below 1, because
+	// one gateway does not see how much the others send.
 	minSlowStartShare   = 0.15
 	slowStartShareSlope = 0.65
 
-	// maxWarmingInFlight bounds the attempts of this gateway in flight at a warming endpoint.
+	// maxWarmingInFlight is the maximum number of attempts of this gateway in flight at a warming endpoint.
 	maxWarmingInFlight = 2
 
-	// workEpsilon, in seconds, keeps quotients defined where no work was offered.
+	// workEpsilon avoids division by zero if no work was offered.
 	workEpsilon Seconds = 1e-9
 )
 
-// slowStart decides how much work warming endpoints get. An endpoint warms up for some time after its start,
-// during which it has only a fraction of its capacity, and fails if all gateways together send it too much.
+// slowStart limits the work that warming endpoints receive. An endpoint warms up for a period after its
+// start, during which it has only a fraction of its capacity. It fails if all gateways together exceed
+// OverloadMultiple times that capacity within OverloadWindow.
 //
-// Each request brings every warming endpoint a credit: the part of the work that the endpoint may have by
-// its capacity. With a credit of 1, the work of one mean attempt, this gateway may send it one attempt.
-// Gateways begin with different credits, so that their attempts follow each other, and all together send
-// what the credits add up to, whatever each of them sees. That stays within a fraction of what the settings
-// allow, even if most endpoints are warming and demand exceeds their capacity: requests without a credit
-// wait. Retries, of this gateway and of clients, spend credits but bring none, as they are most frequent
-// where endpoints are overloaded.
+// Each request adds a credit to every warming endpoint: the fraction of this gateway's work that the endpoint
+// may receive at its current capacity. At a credit of 1, which stands for the work of one mean attempt, this
+// gateway may send the endpoint one attempt. Gateways start with evenly spread credits, so that their
+// attempts do not coincide. The attempts of all gateways thus add up to the sum of the credits, which stays
+// within the overload limit without coordination. This holds even if most endpoints are warming and demand
+// exceeds their capacity, because requests wait if no endpoint has a credit. Retries of this gateway and of
+// clients spend credits but add none, because retries are most frequent when endpoints are overloaded.
 //
-// Work is measured in seconds of mean latency. Credits are counted in mean attempts.
+// Work is measured in seconds of mean latency, and credits in mean attempts.
 type slowStart struct {
 	clock              *eventClock
 	self, gatewayCount int
 
 	duration         Seconds
-	minCapacity      float64 // fraction of an endpoint's capacity at its start
-	overloadMultiple float64 // of its capacity, within overloadWindow, at which an endpoint fails
+	minCapacity      float64 // fraction of its capacity that an endpoint has at its start
+	overloadMultiple float64 // multiple of its capacity at which an endpoint fails within overloadWindow
 	overloadWindow   Seconds
 
-	estimatedAt     Seconds // when the estimates below were brought up to date
-	offeredWork     Seconds // of first attempts, decaying with about the duration of a slow start
-	completedWork   Seconds // of successful attempts, decaying likewise
-	meanWork        Seconds // of a first attempt
-	totalCapacity   float64 // sum of the warm-up fractions of endpoints in service
-	warmingCapacity float64 // the same of those that are warming up
-	inServiceCount  float64 // endpoints in service
+	estimatedAt     Seconds // time of the last update of the estimates below
+	offeredWork     Seconds // of first attempts; decays over about the slow start duration
+	completedWork   Seconds // of successful attempts; decays like offeredWork
+	meanWork        Seconds // mean work of a first attempt
+	totalCapacity   float64 // sum of the warm-up fractions of all endpoints in service
+	warmingCapacity float64 // sum of the warm-up fractions of the warming endpoints in service
+	inServiceCount  float64 // number of endpoints in service
 }
 
-// newSlowStart returns the slow start of a gateway that has seen no work yet.
+// newSlowStart returns the slow start state of a gateway that has no estimates of work yet.
 func newSlowStart(settings Settings, clock *eventClock) *slowStart {
 	return &slowStart{
 		clock:            clock,
@@ -63,7 +67,7 @@
 	}
 }
 
-// warmUpFraction is the fraction of its capacity that an endpoint has by now, at least.
+// warmUpFraction returns the minimum fraction of its capacity that an endpoint has at its current age.
 func (s *slowStart) warmUpFraction(e *endpoint) float64 {
 	age := s.clock.now - e.StartedAt
 	if e.StartedAt <= 0 || age >= s.duration || s.duration <= 0 {
@@ -72,7 +76,7 @@
 	return s.minCapacity + (1-s.minCapacity)*max(age, 0)/s.duration
 }
 
-// relativeCost is the work of an attempt of a class as a multiple of a mean attempt's.
+// relativeCost returns the work of an attempt of the class as a multiple of the work of a mean attempt.
 func (s *slowStart) relativeCost(requestClass *class) float64 {
 	if s.meanWork <= 0 {
 		return 1
@@ -80,14 +84,14 @@
 	return requestClass.meanLatency / s.meanWork
 }
 
-// initialCredit is the credit that this gateway starts with at an endpoint. The credits of all gateways are
-// spread evenly between 0 and 1.
+// initialCredit returns the credit that this gateway starts with at an endpoint. Multiples of the golden
+// ratio spread the credits of the gateways evenly between 0 and 1, and the hash varies them by endpoint.
 func (s *slowStart) initialCredit(endpointHash uint16) float64 {
 	_, credit := math.Modf(float64(s.self)*math.Phi + float64(endpointHash)/(1<<16))
 	return credit
 }
 
-// updateEstimates brings the estimates of work and of capacity up to date.
+// updateEstimates updates the estimates of work and capacity.
 func (s *slowStart) updateEstimates(classes []*class, endpoints []*endpoint) {
 	decay := math.Exp((s.estimatedAt - s.clock.now) / max(s.duration, demandTimeConstant))
 	s.estimatedAt = s.clock.now
@@ -105,8 +109,8 @@
 	s.meanWork = work / max(attempts, 1)
 }
 
-// updateCapacities also counts endpoints that are ejected: if their part went to others, those would get too
-// much.
+// updateCapacities sums up the capacities of the endpoints in service. Ejected endpoints count too: otherwise
+// the warming endpoints would receive their share as well and could be overloaded.
 func (s *slowStart) updateCapacities(endpoints []*endpoint) {
 	s.totalCapacity, s.warmingCapacity, s.inServiceCount = 0, 0, 0
 	for _, e := range endpoints {
@@ -122,10 +126,11 @@
 	}
 }
 
-// recordSuccess counts the work of a successful attempt.
+// recordSuccess adds the work of a successful attempt to completedWork.
 func (s *slowStart) recordSuccess(requestClass *class) { s.completedWork += requestClass.meanLatency }
 
-// accrueCredits has a request bring its credits, once and unless it is likely a client's retry.
+// accrueCredits adds the credits of a request to the warming endpoints, once per request and not for probable
+// client retries.
 func (s *slowStart) accrueCredits(r *request, endpoints []*endpoint) {
 	if r.creditsAccrued || r.likelyRetry {
 		return
@@ -142,7 +147,7 @@
 
 func (s *slowStart) accrueCredit(e *endpoint, warmUpFraction float64, requestClass *class) {
 	if e.slowStartCredit >= 1 && s.clock.now-e.slowStartCreditAt > s.overloadWindow {
-		e.slowStartCredit = 0 // credits that many gateways could not spend must not be spent all at once
+		e.slowStartCredit = 0 // expired, so that gateways do not all spend old credits at once
 	}
 	if e.slowStartCredit < 1 {
 		credit := s.creditPerRequest(warmUpFraction) * s.relativeCost(requestClass)
@@ -151,10 +156,17 @@
 	}
 }
 
-// creditPerRequest is the part of this gateway's work that a warming endpoint may have. A warm endpoint can
-// do at least what it has completed, so that the settings allow a warming one a multiple of its part of that.
-// The less capacity an endpoint has, the more its load varies by chance. As the gateways of a large fleet
-// can't see that, they send it less as long as others have capacity for the rest.
+// creditPerRequest returns the credit that a request of mean work adds to a warming endpoint: the fraction of
+// this gateway's work that the endpoint may receive.
+//
+// The upper limit maxShare assumes that a warm endpoint has at least the capacity for its equal share of the
+// completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and may receive
+// overloadMultiple times as much before it fails.
+//
+// In a large fleet a gateway does not see the load at an endpoint, which varies randomly around that share.
+// There the endpoint gets only reducedShare while the other endpoints have capacity for the rest. As the
+// fraction of warming capacity grows, requiredShare rises towards maxShare, because fewer warm endpoints are
+// left.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
 	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
@@ -164,17 +176,17 @@
 	capacity := max(s.totalCapacity, warmUpFraction)
 	reducedShare := warmUpFraction * (minSlowStartShare + slowStartShareSlope*warmUpFraction) / capacity
 	warmingFraction := s.warmingCapacity / capacity
-	requiredShare := maxShare * (warmingFraction * warmingFraction) // approaches allowed if most are warming
+	requiredShare := maxShare * (warmingFraction * warmingFraction) // equals maxShare if all capacity is warming
 	return min(maxShare, max(reducedShare, requiredShare))
 }
 
-// creditAvailable tells whether this gateway may send a warming endpoint an attempt.
+// creditAvailable reports whether this gateway may send an attempt to a warming endpoint.
 func (s *slowStart) creditAvailable(e *endpoint) bool {
 	return e.slowStartCredit >= 1 && s.clock.now-e.slowStartCreditAt <= s.overloadWindow &&
 		e.inFlight < maxWarmingInFlight
 }
 
-// spendCredit takes the cost of an attempt off the credit of a warming endpoint.
+// spendCredit deducts the cost of an attempt from the credit of a warming endpoint.
 func (s *slowStart) spendCredit(e *endpoint, requestClass *class) {
 	if s.warmUpFraction(e) < 1 {
 		e.slowStartCredit -= s.relativeCost(requestClass)
