--- a/policy/validate.go
+++ b/policy/validate.go
@@ -5,40 +5,41 @@
 	"fmt"
 )
 
-// The kinds of error that New returns. All but ErrNoActions come in a SettingError.
+// Errors returned by New. All except ErrNoActions are wrapped in a SettingError.
 var (
-	// ErrNoActions tells that New was given no Actions.
-	ErrNoActions = errors.New("policy: no actions given")
-	// ErrMissing tells that a setting is required.
+	// ErrNoActions means that the actions argument of New is nil.
+	ErrNoActions = errors.New("policy: actions must not be nil")
+	// ErrMissing means that a required setting is missing.
 	ErrMissing = errors.New("missing")
-	// ErrOutOfRange tells that the value of a setting is not allowed, by itself or together with another one.
+	// ErrOutOfRange means that a setting is outside its allowed range, which may depend on other settings.
 	ErrOutOfRange = errors.New("out of range")
 )
 
-// SettingError tells which of the Settings is invalid, and why. It wraps ErrMissing or ErrOutOfRange.
+// SettingError reports an invalid field of Settings. It wraps ErrMissing or ErrOutOfRange.
 type SettingError struct {
-	// Setting is the path of the field in Settings, with classes and plans by their names: Plans["basic"].Burst.
+	// Setting is the path of the field in Settings. Classes and plans are identified by name, as in
+	// Plans["basic"].Burst.
 	Setting string
 	Err     error
 }
 
-// Error returns the setting and what is wrong with it.
+// Error returns the path of the field and the reason why it is invalid.
 func (e *SettingError) Error() string { return "policy: setting " + e.Setting + ": " + e.Err.Error() }
 
-// Unwrap returns the kind of error.
+// Unwrap returns the wrapped error.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// missing returns the error for a setting that must be given.
+// missing returns the error for a required setting that is missing.
 func missing(setting, detail string) error {
 	return &SettingError{Setting: setting, Err: fmt.Errorf("%w: %s", ErrMissing, detail)}
 }
 
-// outOfRange returns the error for a setting with a value that is not as wanted.
+// outOfRange returns the error for a setting whose value is not in the range that want describes.
 func outOfRange(setting string, value any, want string) error {
 	return &SettingError{Setting: setting, Err: fmt.Errorf("%w: is %v, want %s", ErrOutOfRange, value, want)}
 }
 
-// validate returns the first error in the settings.
+// validate returns the first error found in the settings.
 func validate(settings Settings) error {
 	switch {
 	case settings.GatewayCount < 1:
@@ -46,7 +47,7 @@
 	case settings.Self < 0 || settings.Self >= settings.GatewayCount:
 		return outOfRange("Self", settings.Self, fmt.Sprintf("0 to %d", settings.GatewayCount-1))
 	case len(settings.Classes) == 0:
-		return missing("Classes", "no classes given")
+		return missing("Classes", "at least one class is required")
 	case len(settings.Plans) > maxPlans:
 		return outOfRange("Plans", len(settings.Plans), fmt.Sprintf("at most %d plans", maxPlans))
 	}
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// isPositive is false for NaN, too.
+// isPositive reports whether the value is above 0. It returns false for NaN.
 func isPositive(value float64) bool { return value > 0 }
 
 func (c Class) validate() error {
