--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -42,7 +42,7 @@
 // ceilingPoolHasCapacity brings the pool up to now and tells whether units fit. No gateway but the primary
 // owner has a pool, also while that one is unreachable and another owns the customer.
 func (c *customer) ceilingPoolHasCapacity(units float64, now Seconds) bool {
-	if !c.primaryHere || c.plan.CeilingRate <= 0 {
+	if !c.isPrimaryOwner || c.plan.CeilingRate <= 0 {
 		return false
 	}
 	c.refillCeilingPool(now)
@@ -76,7 +76,7 @@
 	c.refillCeilingSplit(now)
 	// This burst is rounded differently from that of ceilingSplitSize, for which the tolerance allows.
 	splitFull := c.ceilingSplit.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
-	if !c.primaryHere {
+	if !c.isPrimaryOwner {
 		return splitFull
 	}
 	c.refillCeilingPool(now)
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -11,7 +11,7 @@
 		p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
 		total := 0.0
 		for i := range gateways {
-			c := &customer{plan: p, gatewayCount: gateways, primaryHere: i == 0}
+			c := &customer{plan: p, gatewayCount: gateways, isPrimaryOwner: i == 0}
 			if c.ceilingSplitHasCapacity(1, 0) || c.ceilingPoolHasCapacity(1, 0) {
 				t.Fatalf("gateway %d of %d has capacity at its start", i, gateways)
 			}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -31,9 +31,9 @@
 	// firstGateway and gatewayCount are the gateways in a row that its requests come to. A count of 0 tells
 	// that it is known from reports of others alone.
 	firstGateway, gatewayCount int
-	// primaryOwner is the first of these gateways on the ring, and primaryHere tells that it is this one.
-	primaryOwner int
-	primaryHere  bool
+	// primaryOwner is the first of these gateways on the ring, and isPrimaryOwner tells that it is this one.
+	primaryOwner   int
+	isPrimaryOwner bool
 
 	usedAt     Seconds // of the last request or message
 	rejectedAt Seconds // of the last rejection
@@ -45,15 +45,15 @@
 	inFlight          int
 
 	// The windows.
-	quota        quotaView   // of a member
+	quotaView    quotaView   // of a member
 	ledger       *ledger     // of the owner; nil at a member
-	local        tokenBucket // while the owner does not reply
+	localWindow  tokenBucket // while the owner does not reply
 	ceilingSplit tokenBucket
 	ceilingPool  tokenBucket
 
-	// awaitingOwner holds the requests that wait for the owner's grant, in the order of arrival.
-	awaitingOwner []*request
-	report        reportState
+	// grantWaiters holds the requests that wait for the owner's grant, in the order of arrival.
+	grantWaiters []*request
+	report       reportState
 	// slotWaiters holds the requests that wait for a concurrency slot, in the order of priority. They are
 	// not retried before slotRetryAt.
 	slotWaiters []*request
@@ -66,20 +66,20 @@
 // unacknowledgedUnits returns what was charged here and not counted by the owner yet.
 func (c *customer) unacknowledgedUnits() float64 { return max(c.totalUnits-c.acknowledgedUnits, 0) }
 
-// availableUnits returns what is left of the quota, by the ledger or else by the member's view.
-func (c *customer) availableUnits(byLedger bool, now Seconds) float64 {
-	if byLedger {
+// remainingUnits returns what is left of the quota, by the ledger or else by the member's view.
+func (c *customer) remainingUnits(asOwner bool, now Seconds) float64 {
+	if asOwner {
 		return c.currentLedger(now).window.tokens
 	}
-	return c.remainingAsMember(now)
+	return c.remainingUnitsAsMember(now)
 }
 
-// isPristine tells whether all windows are as full as those of a customer that was never seen, so that
+// allWindowsFull tells whether all windows are as full as those of a customer that was never seen, so that
 // nothing is lost when this one is evicted.
-func (c *customer) isPristine(now Seconds) bool {
+func (c *customer) allWindowsFull(now Seconds) bool {
 	const tolerance = 1e-9 // units
 	if c.plan.Rate > 0 {
-		quotaFull := c.availableUnits(c.ledger != nil, now) >= c.plan.Burst-tolerance
+		quotaFull := c.remainingUnits(c.ledger != nil, now) >= c.plan.Burst-tolerance
 		if !quotaFull || !c.isLocalWindowFull(now) {
 			return false
 		}
@@ -89,7 +89,7 @@
 
 // isIdle tells whether no request, report or reply of the customer is pending.
 func (c *customer) isIdle() bool {
-	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotWaiters) == 0
+	noRequests := c.inFlight == 0 && len(c.grantWaiters) == 0 && len(c.slotWaiters) == 0
 	return noRequests && !c.report.scheduled && !c.report.watched
 }
 
@@ -146,8 +146,8 @@
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
-		key: key, plan: p, primaryOwner: t.self, primaryHere: true, usedAt: now, rejectedAt: math.Inf(-1),
-		quota:        quotaView{window: tokenBucket{tokens: p.Burst, updatedAt: now}},
+		key: key, plan: p, primaryOwner: t.self, isPrimaryOwner: true, usedAt: now, rejectedAt: math.Inf(-1),
+		quotaView:    quotaView{window: tokenBucket{tokens: p.Burst, updatedAt: now}},
 		ceilingSplit: tokenBucket{updatedAt: t.startedAt}, ceilingPool: tokenBucket{updatedAt: t.startedAt},
 	}
 	t.byKey[key] = c
@@ -162,14 +162,14 @@
 		c.firstGateway, c.gatewayCount = 0, t.gatewayCount
 	}
 	c.primaryOwner = t.owners.findPrimaryOwner(c)
-	c.primaryHere = c.primaryOwner == t.self
+	c.isPrimaryOwner = c.primaryOwner == t.self
 }
 
 // evictIdle removes the customers, and the members of ledgers, that were not used for their time of expiry.
 func (t *customerTable) evictIdle() {
 	now := t.clock.now
 	for key, c := range t.byKey {
-		if now-c.usedAt > customerExpiry && c.isIdle() && c.isPristine(now) {
+		if now-c.usedAt > customerExpiry && c.isIdle() && c.allWindowsFull(now) {
 			delete(t.byKey, key)
 		} else if c.ledger != nil {
 			c.ledger.evictMembers(now)
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -40,17 +40,17 @@
 func TestMoveOfOwnershipKeepsTheUnitsLeft(t *testing.T) {
 	const now = Seconds(100)
 	p := &plan{Plan: Plan{Rate: 2, Burst: 8}}
-	c := &customer{plan: p, gatewayCount: 2, primaryHere: true}
-	c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
+	c := &customer{plan: p, gatewayCount: 2, isPrimaryOwner: true}
+	c.quotaView.window = tokenBucket{tokens: 8, updatedAt: now}
 	c.totalUnits, c.acknowledgedUnits = 5, 2
-	if left := c.availableUnits(false, now); left != 5 {
+	if left := c.remainingUnits(false, now); left != 5 {
 		t.Fatalf("a member with 3 units that the owner has not counted sees %v of 8 left, want 5", left)
 	}
-	if left := c.availableUnits(true, now); left != 5 || c.ledger == nil {
+	if left := c.remainingUnits(true, now); left != 5 || c.ledger == nil {
 		t.Fatalf("the ledger starts at %v units, want the 5 of the member", left)
 	}
 	c.ledger.charge(4)
-	if left := c.availableUnits(false, now+1); left != 3 || c.ledger != nil {
+	if left := c.remainingUnits(false, now+1); left != 3 || c.ledger != nil {
 		t.Fatalf("the member sees %v units left, want the 1 of the ledger and 2 of a second's rate", left)
 	}
 	if c.unacknowledgedUnits() != 0 {
@@ -64,7 +64,7 @@
 	clock := &eventClock{now: 100}
 	table := newCustomerTable(s, clock, fixedOwner(2))
 	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // in a member's report
-	if !reported.primaryHere || reported.gatewayCount != 0 {
+	if !reported.isPrimaryOwner || reported.gatewayCount != 0 {
 		t.Fatal("a customer known from reports alone must have this gateway as its owner")
 	}
 	clock.now = 101
@@ -72,7 +72,7 @@
 	if found != reported || len(table.byKey) != 1 {
 		t.Fatal("the customer of a report is not found by its name")
 	}
-	if found.primaryOwner != 2 || found.primaryHere || found.firstGateway != 1 || found.gatewayCount != 3 || found.usedAt != 101 {
+	if found.primaryOwner != 2 || found.isPrimaryOwner || found.firstGateway != 1 || found.gatewayCount != 3 || found.usedAt != 101 {
 		t.Fatalf("located as %+v, want gateway 2 of 1 to 3 as its owner", found)
 	}
 	if table.find(Request{Customer: "x", Plan: "basic", FirstGateway: 0, GatewayCount: 4}).gatewayCount != 3 {
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -6,8 +6,8 @@
 // the next report.
 func (q *quotaController) awaitOwner(r *request) {
 	c := r.customer
-	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
-	if len(c.awaitingOwner) == 1 {
+	c.grantWaiters, r.awaitingOwner = append(c.grantWaiters, r), true
+	if len(c.grantWaiters) == 1 {
 		q.reporter.ask(c)
 	}
 }
@@ -15,8 +15,8 @@
 // settleAwaiting ends the wait of the first count requests: those that fit go on, and the others wait for a
 // concurrency slot or are rejected.
 func (q *quotaController) settleAwaiting(c *customer, count int, fits func(*request) bool, ceilingPaid bool) {
-	settled := c.awaitingOwner[:count]
-	c.awaitingOwner = slices.Clone(c.awaitingOwner[count:])
+	settled := c.grantWaiters[:count]
+	c.grantWaiters = slices.Clone(c.grantWaiters[count:])
 	for _, r := range settled {
 		r.awaitingOwner = false
 		switch {
@@ -38,7 +38,7 @@
 			return
 		}
 		fits := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
-		q.settleAwaiting(c, len(c.awaitingOwner), fits, false)
+		q.settleAwaiting(c, len(c.grantWaiters), fits, false)
 	})
 }
 
@@ -77,31 +77,31 @@
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
-	c.quota.known, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
-	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
+	c.quotaView.known, c.quotaView.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quotaView.othersDemand, c.quotaView.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
 		q.settleAsked(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
-	unasked := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
+	unasked := len(c.grantWaiters) > 0 && c.report.askedCount == 0
 	if grantedTotal > c.totalUnits || unasked { // what is not used is returned
-		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
+		q.reporter.scheduleReport(c, len(c.grantWaiters) > 0)
 	}
 	q.reporter.finishReply(c)
 }
 
 // settleAsked settles the requests whose units the last report asked for, and with a backoff all others too.
 func (q *quotaController) settleAsked(c *customer, reply usageRecord, grantedTotal float64) {
-	asked := min(c.report.askedCount, len(c.awaitingOwner))
+	asked := min(c.report.askedCount, len(c.grantWaiters))
 	c.report.askedCount, c.report.transmissions = 0, 0
-	c.quota.backoffUntil = q.clock.now + reply.backoff
+	c.quotaView.backoffUntil = q.clock.now + reply.backoff
 	fits := func(r *request) bool {
 		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
 	}
 	q.settleAwaiting(c, asked, fits, reply.ceilingPool)
 	if reply.backoff > 0 {
 		none := func(*request) bool { return false }
-		q.settleAwaiting(c, len(c.awaitingOwner), none, false)
+		q.settleAwaiting(c, len(c.grantWaiters), none, false)
 	}
 }
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -59,10 +59,10 @@
 	q, decided, _ := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second")
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
-	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
+	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.grantWaiters) != 0 {
 		t.Fatalf("decided %+v, want both rejected", decided)
 	}
-	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
+	if c.quotaView.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
 		t.Fatal("the owner would be asked again during its backoff")
 	}
 }
@@ -71,7 +71,7 @@
 	clock := &eventClock{now: 100}
 	q, decided, sent := newTestController(clock)
 	c := awaitGrants(q, "q")
-	c.local = tokenBucket{tokens: 2, updatedAt: 100}
+	c.localWindow = tokenBucket{tokens: 2, updatedAt: 100}
 	for range maxReportTransmissions {
 		if len(decided.dispatched) != 0 {
 			t.Fatalf("the local window decided after %d reports, want %d", len(*sent), maxReportTransmissions)
@@ -80,7 +80,7 @@
 		q.retransmit()
 		q.reporter.sendDue()
 	}
-	if len(decided.dispatched) != 1 || len(c.awaitingOwner) != 0 || c.totalUnits != 2 {
+	if len(decided.dispatched) != 1 || len(c.grantWaiters) != 0 || c.totalUnits != 2 {
 		t.Fatalf("decided %+v, want the request dispatched and charged", decided)
 	}
 	if q.protocol.reachable(1) {
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -118,11 +118,11 @@
 // its own part of the rate alone: it may be cut off while others serve the same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
-		window := tokenBucket{tokens: c.remainingAsMember(now), updatedAt: now}
+		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
 		c.ledger = &ledger{window: window, createdAt: now, members: map[int]*member{}}
 	}
 	l, rate := c.ledger, c.plan.Rate
-	if !c.primaryHere && len(l.members) == 0 {
+	if !c.isPrimaryOwner && len(l.members) == 0 {
 		rate /= c.gateways()
 	}
 	l.window.refill(rate, c.plan.Burst, now)
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -168,8 +168,8 @@
 		{"only the first fits", 9, 0, 2},
 		{"one slot at a time", 8, 1, 2},
 	} {
-		c := &customer{plan: &plan{Plan: Plan{Rate: 2, Burst: 8, MaxConcurrent: tc.maxConcurrent}}, primaryHere: true}
-		c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
+		c := &customer{plan: &plan{Plan: Plan{Rate: 2, Burst: 8, MaxConcurrent: tc.maxConcurrent}}, isPrimaryOwner: true}
+		c.quotaView.window = tokenBucket{tokens: 8, updatedAt: now}
 		record := usageRecord{total: 5, wantedUnits: tc.wanted, firstWantedUnits: 2}
 		report := memberReport{usageRecord: record, from: 1, incarnation: 1, receivedAt: now}
 		backoff := func(int) Seconds { return 1 }
--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -12,20 +12,20 @@
 
 // reserveLocal takes units from the local window, and returns false if they don't fit.
 func (c *customer) reserveLocal(units float64, now Seconds) bool {
-	if c.plan.MaxConcurrent > 0 && c.inFlight+c.quota.othersInFlight >= c.plan.MaxConcurrent {
+	if c.plan.MaxConcurrent > 0 && c.inFlight+c.quotaView.othersInFlight >= c.plan.MaxConcurrent {
 		return false
 	}
 	rate, burst := c.localWindowSize()
-	c.local.refill(rate, burst, now)
-	if c.plan.Rate > 0 && units > min(c.local.tokens, c.remainingAsMember(now)) {
+	c.localWindow.refill(rate, burst, now)
+	if c.plan.Rate > 0 && units > min(c.localWindow.tokens, c.remainingUnitsAsMember(now)) {
 		return false
 	}
-	c.local.tokens -= units
+	c.localWindow.tokens -= units
 	return true
 }
 
 // isLocalWindowFull tells whether the local window is filled to its burst.
 func (c *customer) isLocalWindowFull(now Seconds) bool {
 	rate, burst := c.localWindowSize()
-	return c.local.level(rate, burst, now) >= burst
+	return c.localWindow.level(rate, burst, now) >= burst
 }
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -24,31 +24,31 @@
 	backoffUntil Seconds
 }
 
-// remainingAsMember returns the units left of the quota by this member's view. It changes state: a ledger
+// remainingUnitsAsMember returns the units left of the quota by this member's view. It changes state: a ledger
 // that this gateway still holds is given up, see becomeMember.
-func (c *customer) remainingAsMember(now Seconds) float64 {
+func (c *customer) remainingUnitsAsMember(now Seconds) float64 {
 	if c.ledger != nil {
 		c.becomeMember(now)
 	}
-	return c.quota.window.level(c.plan.Rate, c.plan.Burst, now) - c.unacknowledgedUnits()
+	return c.quotaView.window.level(c.plan.Rate, c.plan.Burst, now) - c.unacknowledgedUnits()
 }
 
 // becomeMember gives up the ledger after ownership has moved. Its count is the best start for a member.
 func (c *customer) becomeMember(now Seconds) {
-	c.quota.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
-	c.quota.known = true
+	c.quotaView.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
+	c.quotaView.known = true
 	c.acknowledgedUnits = c.totalUnits
 	c.ledger = nil
 }
 
 // admitAsMember decides on a request at a gateway that is not the customer's owner.
 func (c *customer) admitAsMember(r *request, now Seconds) admission {
-	remaining := c.remainingAsMember(now)
-	age := now - c.quota.window.updatedAt
+	remaining := c.remainingUnitsAsMember(now)
+	age := now - c.quotaView.window.updatedAt
 	switch {
-	case len(c.awaitingOwner) > 0:
+	case len(c.grantWaiters) > 0:
 		return askOwner // after those that wait already
-	case now < c.quota.backoffUntil:
+	case now < c.quotaView.backoffUntil:
 		return rejectRequest
 	case c.slotUncertain(r.plan, age), !c.ceilingSplitHasCapacity(r.Units, now):
 		return askOwner
@@ -59,18 +59,18 @@
 // slotUncertain tells whether only the owner can say if one more attempt keeps to the plan's concurrency
 // limit.
 func (c *customer) slotUncertain(p *plan, age Seconds) bool {
-	return p.MaxConcurrent > 0 && (age > slotFreshness || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
+	return p.MaxConcurrent > 0 && (age > slotFreshness || c.inFlight+c.quotaView.othersInFlight+1 >= p.MaxConcurrent)
 }
 
 // admitFromSplit decides by this member's split of the remaining units, as far as it can tell: the split may
 // be smaller than a request, or the owner's reply of the given age too old.
 func (c *customer) admitFromSplit(r *request, remaining float64, age, now Seconds) admission {
-	p, demand, othersDemand := r.plan, c.demand.at(now), c.quota.othersDemand
+	p, demand, othersDemand := r.plan, c.demand.at(now), c.quotaView.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
 		need += p.unitsForHigherPriority(r.priorityDeficit)
 	}
-	stale := !c.quota.known || age > grantFreshness
+	stale := !c.quotaView.known || age > grantFreshness
 	split := remaining * demand / max(demand+othersDemand, 1e-9)
 	switch {
 	case p.Rate == 0:
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -145,17 +145,17 @@
 // newRecord returns the report on a customer, with the units of the requests that wait for a grant.
 func (u *usageReporter) newRecord(c *customer) usageRecord {
 	now := u.clock.now
-	remaining := c.remainingAsMember(now) // first, as it may change the customer's state
+	remaining := c.remainingUnitsAsMember(now) // first, as it may change the customer's state
 	record := usageRecord{
-		key: c.key, planIndex: c.plan.index, known: c.quota.known, ceilingPool: c.report.gateway == c.primaryOwner,
+		key: c.key, planIndex: c.plan.index, known: c.quotaView.known, ceilingPool: c.report.gateway == c.primaryOwner,
 		total: c.totalUnits, remaining: remaining, demand: c.demand.at(now), inFlight: c.inFlight,
 		unacknowledged: c.unacknowledgedUnits(),
 	}
-	for _, r := range c.awaitingOwner {
+	for _, r := range c.grantWaiters {
 		record.wantedUnits += r.Units
 	}
-	if len(c.awaitingOwner) > 0 {
-		first := c.awaitingOwner[0]
+	if len(c.grantWaiters) > 0 {
+		first := c.grantWaiters[0]
 		record.firstWantedUnits, record.priorityDeficit = first.Units, first.priorityDeficit
 	}
 	return record
@@ -165,7 +165,7 @@
 func (u *usageReporter) awaitReply(c *customer) {
 	now := u.clock.now
 	c.usedAt = now
-	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
+	c.report.scheduled, c.report.askedCount = false, len(c.grantWaiters)
 	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
 		c.report.awaitingSince = now
 	}
@@ -184,7 +184,7 @@
 // stood still does not count.
 func (u *usageReporter) replyOverdue(c *customer) bool {
 	timeout := reportTimeout
-	if len(c.awaitingOwner) > 0 {
+	if len(c.grantWaiters) > 0 {
 		timeout = grantTimeout
 	}
 	return c.report.awaitingSince > 0 && u.clock.since(c.report.awaitingSince) > timeout
@@ -206,7 +206,7 @@
 
 // repeat reports the customer again, to its owner as the reachable gateways are now.
 func (u *usageReporter) repeat(c *customer) {
-	waiting := len(c.awaitingOwner) > 0
+	waiting := len(c.grantWaiters) > 0
 	u.scheduleReport(c, waiting)
 	if waiting {
 		c.report.awaitingSince = u.clock.now
@@ -227,7 +227,7 @@
 
 // finishReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
 func (u *usageReporter) finishReply(c *customer) {
-	if len(c.awaitingOwner) == 0 {
+	if len(c.grantWaiters) == 0 {
 		c.report.awaitingSince, c.report.transmissions = 0, 0
 	} else if c.report.askedCount == 0 {
 		c.report.awaitingSince = u.clock.now
