--- a/policy/api.go
+++ b/policy/api.go
@@ -10,7 +10,7 @@
 //
 // Every customer is hashed on a ring of gateways to one owner, which alone counts
 // the customer's window against the whole quota. The others are its members: they
-// report their counts to the owner in batches, admit from their split of the
+// report their counts to the owner in batches, admit from their share of the
 // remaining units it last reported, and fall back to a local window while the
 // owner does not reply.
 //
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -1,14 +1,14 @@
 package policy
 
 // A ceiling holds whatever is lost, unreachable or restarted. It is therefore divided once and for all: each
-// of the customer's gateways has a fixed split, and the primary owner a pool from which it pays grants. Both
+// of the customer's gateways has a fixed share, and the primary owner a pool from which it pays grants. Both
 // start empty, as a restarted gateway may just have spent its own.
 
-// ceilingPoolFraction is the pool's part of a ceiling; the gateways split the rest evenly.
+// ceilingPoolFraction is the pool's part of a ceiling; the gateways share the rest evenly.
 const ceilingPoolFraction = 0.5
 
-// ceilingSplitSize returns the rate, in units a second, and the burst of this gateway's split of the ceiling.
-func (c *customer) ceilingSplitSize() (rate, burst float64) {
+// ceilingShareSize returns the rate, in units a second, and the burst of this gateway's share of the ceiling.
+func (c *customer) ceilingShareSize() (rate, burst float64) {
 	fraction := (1 - ceilingPoolFraction) / c.gateways()
 	return c.plan.CeilingRate * fraction, c.plan.CeilingBurst * fraction
 }
@@ -18,10 +18,10 @@
 	return c.plan.CeilingRate * ceilingPoolFraction, c.plan.CeilingBurst * ceilingPoolFraction
 }
 
-// refillCeilingSplit brings this gateway's split of the ceiling up to now.
-func (c *customer) refillCeilingSplit(now Seconds) {
-	rate, burst := c.ceilingSplitSize()
-	c.ceilingSplit.refill(rate, burst, now)
+// refillCeilingShare brings this gateway's share of the ceiling up to now.
+func (c *customer) refillCeilingShare(now Seconds) {
+	rate, burst := c.ceilingShareSize()
+	c.ceilingShare.refill(rate, burst, now)
 }
 
 // refillCeilingPool brings the pool up to now. It is for the primary owner alone.
@@ -30,13 +30,13 @@
 	c.ceilingPool.refill(rate, burst, now)
 }
 
-// ceilingSplitHasCapacity brings this gateway's split of the ceiling up to now and tells whether units fit.
-func (c *customer) ceilingSplitHasCapacity(units float64, now Seconds) bool {
+// ceilingShareHasCapacity brings this gateway's share of the ceiling up to now and tells whether units fit.
+func (c *customer) ceilingShareHasCapacity(units float64, now Seconds) bool {
 	if c.plan.CeilingRate <= 0 {
 		return true
 	}
-	c.refillCeilingSplit(now)
-	return units <= c.ceilingSplit.tokens
+	c.refillCeilingShare(now)
+	return units <= c.ceilingShare.tokens
 }
 
 // ceilingPoolHasCapacity brings the pool up to now and tells whether units fit. No gateway but the primary
@@ -49,10 +49,10 @@
 	return units <= c.ceilingPool.tokens
 }
 
-// reserveCeiling takes units from the split, or from the pool where they don't fit into the split.
+// reserveCeiling takes units from the share, or from the pool where they don't fit into the share.
 func (c *customer) reserveCeiling(units float64, now Seconds) {
-	if c.ceilingSplitHasCapacity(units, now) {
-		c.ceilingSplit.tokens -= units
+	if c.ceilingShareHasCapacity(units, now) {
+		c.ceilingShare.tokens -= units
 	} else {
 		c.ceilingPool.tokens -= units
 	}
@@ -67,19 +67,19 @@
 	return true
 }
 
-// isCeilingFull tells whether split and pool are filled to within a tolerance in units.
+// isCeilingFull tells whether share and pool are filled to within a tolerance in units.
 func (c *customer) isCeilingFull(tolerance float64, now Seconds) bool {
 	p := c.plan
 	if p.CeilingRate <= 0 {
 		return true
 	}
-	c.refillCeilingSplit(now)
-	// This burst is rounded differently from that of ceilingSplitSize, for which the tolerance allows.
-	splitFull := c.ceilingSplit.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
+	c.refillCeilingShare(now)
+	// This burst is rounded differently from that of ceilingShareSize, for which the tolerance allows.
+	shareFull := c.ceilingShare.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
 	if !c.isPrimaryOwner {
-		return splitFull
+		return shareFull
 	}
 	c.refillCeilingPool(now)
 	_, poolBurst := c.ceilingPoolSize()
-	return splitFull && c.ceilingPool.tokens >= poolBurst-tolerance
+	return shareFull && c.ceilingPool.tokens >= poolBurst-tolerance
 }
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// Whichever gateways a customer has, their splits and the one pool never exceed the ceiling.
+// Whichever gateways a customer has, their shares and the one pool never exceed the ceiling.
 func TestCeilingPartsAddUpToTheCeiling(t *testing.T) {
 	for _, gateways := range []int{1, 2, 6, 100} {
 		p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
 		total := 0.0
 		for i := range gateways {
 			c := &customer{plan: p, gatewayCount: gateways, isPrimaryOwner: i == 0}
-			if c.ceilingSplitHasCapacity(1, 0) || c.ceilingPoolHasCapacity(1, 0) {
+			if c.ceilingShareHasCapacity(1, 0) || c.ceilingPoolHasCapacity(1, 0) {
 				t.Fatalf("gateway %d of %d has capacity at its start", i, gateways)
 			}
 			if !c.isCeilingFull(1e-9, 1000) {
 				t.Fatalf("gateway %d of %d has not filled its part after 1000 s", i, gateways)
 			}
-			total += c.ceilingSplit.tokens + c.ceilingPool.tokens
+			total += c.ceilingShare.tokens + c.ceilingPool.tokens
 		}
 		if total < p.CeilingBurst-1e-6 || total > p.CeilingBurst+1e-6 {
 			t.Errorf("the parts of %d gateways hold %v units, want %v", gateways, total, p.CeilingBurst)
@@ -26,28 +26,28 @@
 	}
 }
 
-func TestGatewayWithoutThePoolReservesFromItsSplitAlone(t *testing.T) {
+func TestGatewayWithoutThePoolReservesFromItsShareAlone(t *testing.T) {
 	p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
 	c := &customer{plan: p, gatewayCount: 4}
 	if c.reserveCeilingPool(1, 1000) {
 		t.Error("units were reserved from a pool of another gateway")
 	}
-	if !c.ceilingSplitHasCapacity(5, 1000) || c.ceilingSplitHasCapacity(5.1, 1000) {
-		t.Errorf("the split holds %v units, want 5 of a ceiling of 40", c.ceilingSplit.tokens)
+	if !c.ceilingShareHasCapacity(5, 1000) || c.ceilingShareHasCapacity(5.1, 1000) {
+		t.Errorf("the share holds %v units, want 5 of a ceiling of 40", c.ceilingShare.tokens)
 	}
 	c.reserveCeiling(5, 1000)
-	if c.ceilingSplitHasCapacity(0.1, 1000) {
-		t.Errorf("%v units are left of a split that was reserved whole", c.ceilingSplit.tokens)
+	if c.ceilingShareHasCapacity(0.1, 1000) {
+		t.Errorf("%v units are left of a share that was reserved whole", c.ceilingShare.tokens)
 	}
 }
 
-// A restarted gateway may just have spent its split of the ceiling.
-func TestCeilingSplitStartsEmpty(t *testing.T) {
+// A restarted gateway may just have spent its share of the ceiling.
+func TestCeilingShareStartsEmpty(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	sent := func() int { return len(r.ofKind("send", "")) }
 	sendRequest(g, 100, "first", "read", "capped", 4)
 	if sent() != 0 {
-		t.Fatal("units were admitted from an empty split")
+		t.Fatal("units were admitted from an empty share")
 	}
 	for i := range 400 {
 		now := 101 + float64(i)*0.005
@@ -59,7 +59,7 @@
 	}
 }
 
-// The splits and the pool add up to the ceiling, whatever is lost or restarted.
+// The shares and the pool add up to the ceiling, whatever is lost or restarted.
 func TestCeilingHoldsThroughLossAndRestarts(t *testing.T) {
 	const fleet = 6
 	var gateways [fleet]*Gateway
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -48,7 +48,7 @@
 	quotaView    quotaView   // of a member
 	ledger       *ledger     // of the owner; nil at a member
 	localWindow  tokenBucket // while the owner does not reply
-	ceilingSplit tokenBucket
+	ceilingShare tokenBucket
 	ceilingPool  tokenBucket
 
 	// grantWaiters holds the requests that wait for the owner's grant, in the order of arrival.
@@ -141,14 +141,14 @@
 	return c
 }
 
-// add makes a customer with a full quota window. The split of its ceiling starts empty when this gateway
+// add makes a customer with a full quota window. The share of its ceiling starts empty when this gateway
 // does, and has filled since.
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
 		key: key, plan: p, primaryOwner: t.self, isPrimaryOwner: true, usedAt: now, rejectedAt: math.Inf(-1),
 		quotaView:    quotaView{window: tokenBucket{tokens: p.Burst, updatedAt: now}},
-		ceilingSplit: tokenBucket{updatedAt: t.startedAt}, ceilingPool: tokenBucket{updatedAt: t.startedAt},
+		ceilingShare: tokenBucket{updatedAt: t.startedAt}, ceilingPool: tokenBucket{updatedAt: t.startedAt},
 	}
 	t.byKey[key] = c
 	return c
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -21,7 +21,7 @@
 		r.awaitingOwner = false
 		switch {
 		case r.done:
-		case fits(r) && (ceilingPaid || c.ceilingSplitHasCapacity(r.Units, q.clock.now)):
+		case fits(r) && (ceilingPaid || c.ceilingShareHasCapacity(r.Units, q.clock.now)):
 			q.admitNow(r, ceilingPaid)
 		default:
 			q.queueOrReject(r)
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -132,7 +132,7 @@
 // admitAsOwner decides on a request at the customer's owner.
 func (c *customer) admitAsOwner(r *request, now Seconds) admission {
 	if c.ledgerHasCapacity(c.currentLedger(now), r.Units, r.priorityDeficit, now) &&
-		(c.ceilingSplitHasCapacity(r.Units, now) || c.ceilingPoolHasCapacity(r.Units, now)) {
+		(c.ceilingShareHasCapacity(r.Units, now) || c.ceilingPoolHasCapacity(r.Units, now)) {
 		return admitRequest
 	}
 	return rejectRequest
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -33,7 +33,7 @@
 	q.reporter.sendDue()
 }
 
-// admit decides on a request: the owner by its ledger, a member by its split of the remaining units.
+// admit decides on a request: the owner by its ledger, a member by its share of the remaining units.
 func (q *quotaController) admit(r *request) admission {
 	if q.isOwner(r.customer) {
 		return r.customer.admitAsOwner(r, q.clock.now)
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -50,10 +50,10 @@
 		return askOwner // after those that wait already
 	case now < c.quotaView.backoffUntil:
 		return rejectRequest
-	case c.slotUncertain(r.plan, age), !c.ceilingSplitHasCapacity(r.Units, now):
+	case c.slotUncertain(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
 		return askOwner
 	}
-	return c.admitFromSplit(r, remaining, age, now)
+	return c.admitFromShare(r, remaining, age, now)
 }
 
 // slotUncertain tells whether only the owner can say if one more attempt keeps to the plan's concurrency
@@ -62,22 +62,22 @@
 	return p.MaxConcurrent > 0 && (age > slotFreshness || c.inFlight+c.quotaView.othersInFlight+1 >= p.MaxConcurrent)
 }
 
-// admitFromSplit decides by this member's split of the remaining units, as far as it can tell: the split may
+// admitFromShare decides by this member's share of the remaining units, as far as it can tell: the share may
 // be smaller than a request, or the owner's reply of the given age too old.
-func (c *customer) admitFromSplit(r *request, remaining float64, age, now Seconds) admission {
+func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.at(now), c.quotaView.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
 		need += p.unitsForHigherPriority(r.priorityDeficit)
 	}
 	stale := !c.quotaView.known || age > grantFreshness
-	split := remaining * demand / max(demand+othersDemand, 1e-9)
+	share := remaining * demand / max(demand+othersDemand, 1e-9)
 	switch {
 	case p.Rate == 0:
 		return admitRequest
 	case stale && need*float64(c.gatewayCount) <= min(remaining, remaining-(othersDemand-p.Rate)*age):
 		return admitRequest // there is enough even if all gateways of the customer decide the same now
-	case !stale && need <= max(split, remaining-2*othersDemand*(age+clockUncertainty)):
+	case !stale && need <= max(share, remaining-2*othersDemand*(age+clockUncertainty)):
 		return admitRequest
 	case r.Units > remaining && age < minReportInterval:
 		return rejectRequest
--- a/policy/quota_view_test.go
+++ b/policy/quota_view_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // One of 10 gateways, with a tenth of the demand. Of a burst of 40 units that fills at 10 a second 20 were left.
-func TestMemberAdmitsFromItsSplit(t *testing.T) {
+func TestMemberAdmitsFromItsShare(t *testing.T) {
 	const now = Seconds(100)
 	for _, tc := range []struct {
 		name   string
@@ -15,8 +15,8 @@
 		{"within what others can't have taken", 16, 0, func(*customer) {}, admitRequest},
 		{"more than that", 17, 0, func(*customer) {}, askOwner},
 		{"beyond what is left", 21, 0, func(*customer) {}, rejectRequest},
-		{"within its split", 1.5, 0.3, func(*customer) {}, admitRequest},
-		{"beyond its split", 3, 0.3, func(*customer) {}, askOwner},
+		{"within its share", 1.5, 0.3, func(*customer) {}, admitRequest},
+		{"beyond its share", 3, 0.3, func(*customer) {}, askOwner},
 		{"beyond what was left some time ago", 24, 0.3, func(*customer) {}, askOwner},
 		{"with a stale reply, a part for every gateway", 1, 0.6, func(*customer) {}, admitRequest},
 		{"with a stale reply, more than that", 1.5, 0.6, func(*customer) {}, askOwner},
@@ -26,7 +26,7 @@
 		{"behind a request that waits", 1, 0, func(c *customer) { c.grantWaiters = []*request{{}} }, askOwner},
 		{"during a backoff", 1, 0, func(c *customer) { c.quotaView.backoffUntil = now + 0.1 }, rejectRequest},
 		{"after a backoff", 1, 0, func(c *customer) { c.quotaView.backoffUntil = now }, admitRequest},
-		{"with an empty split of the ceiling", 1, 0, func(c *customer) { c.plan.CeilingRate = 1 }, askOwner},
+		{"with an empty share of the ceiling", 1, 0, func(c *customer) { c.plan.CeilingRate = 1 }, askOwner},
 	} {
 		c := &customer{plan: &plan{Plan: Plan{Rate: 10, Burst: 40}}, gatewayCount: 10}
 		c.demand = demandMeter{rate: 4, updatedAt: now}
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A regression: with a hundred gateways a split is smaller than one request and the owner's replies are old.
+// A regression: with a hundred gateways a share is smaller than one request and the owner's replies are old.
 // What is beyond the quota was admitted at each gateway, or rejected with units left.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
