--- a/policy/admission.go
+++ b/policy/admission.go
@@ -98,7 +98,7 @@
 		// does not count as a rejection of the customer.
 		a.replies.replyUnserved(r, DeadlineTooClose)
 	case verdict == askOwner:
-		a.quota.awaitOwner(r)
+		a.quota.awaitGrant(r)
 	default:
 		a.quota.admitNow(r, false)
 	}
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// awaitOwner has the request wait for its owner's grant. Where others of its customer wait already, it joins
+// awaitGrant has the request wait for its owner's grant. Where others of its customer wait already, it joins
 // the next report.
-func (q *quotaController) awaitOwner(r *request) {
+func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.grantWaiters, r.awaitingOwner = append(c.grantWaiters, r), true
 	if len(c.grantWaiters) == 1 {
@@ -12,17 +12,17 @@
 	}
 }
 
-// settleAwaiting ends the wait of the first count requests: those that fit go on, and the others wait for a
+// decideWaiters ends the wait of the first count requests: those that fit go on, and the others wait for a
 // concurrency slot or are rejected.
-func (q *quotaController) settleAwaiting(c *customer, count int, fits func(*request) bool, ceilingPaid bool) {
-	settled := c.grantWaiters[:count]
+func (q *quotaController) decideWaiters(c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool) {
+	decided := c.grantWaiters[:count]
 	c.grantWaiters = slices.Clone(c.grantWaiters[count:])
-	for _, r := range settled {
+	for _, r := range decided {
 		r.awaitingOwner = false
 		switch {
 		case r.done:
-		case fits(r) && (ceilingPaid || c.ceilingShareHasCapacity(r.Units, q.clock.now)):
-			q.admitNow(r, ceilingPaid)
+		case quotaAllows(r) && (ceilingReserved || c.ceilingShareHasCapacity(r.Units, q.clock.now)):
+			q.admitNow(r, ceilingReserved)
 		default:
 			q.queueOrReject(r)
 		}
@@ -37,8 +37,8 @@
 			q.reporter.repeat(c)
 			return
 		}
-		fits := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
-		q.settleAwaiting(c, len(c.grantWaiters), fits, false)
+		quotaAllows := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
+		q.decideWaiters(c, len(c.grantWaiters), quotaAllows, false)
 	})
 }
 
@@ -72,7 +72,7 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply: it renews the view of the quota and settles the requests that the
+// applyGrant handles the owner's reply: it renews the view of the quota and decides the requests that the
 // report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
@@ -81,27 +81,27 @@
 	c.quotaView.othersDemand, c.quotaView.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
-		q.settleAsked(c, reply, grantedTotal)
+		q.decideAskedWaiters(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
-	unasked := len(c.grantWaiters) > 0 && c.report.askedCount == 0
-	if grantedTotal > c.totalUnits || unasked { // what is not used is returned
+	hasUnaskedWaiters := len(c.grantWaiters) > 0 && c.report.askedCount == 0
+	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // what is not used is returned
 		q.reporter.scheduleReport(c, len(c.grantWaiters) > 0)
 	}
 	q.reporter.finishReply(c)
 }
 
-// settleAsked settles the requests whose units the last report asked for, and with a backoff all others too.
-func (q *quotaController) settleAsked(c *customer, reply usageRecord, grantedTotal float64) {
+// decideAskedWaiters decides the requests whose units the last report asked for, and with a backoff all others too.
+func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.grantWaiters))
 	c.report.askedCount, c.report.transmissions = 0, 0
 	c.quotaView.backoffUntil = q.clock.now + reply.backoff
-	fits := func(r *request) bool {
+	quotaAllows := func(r *request) bool {
 		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
 	}
-	q.settleAwaiting(c, asked, fits, reply.ceilingPool)
+	q.decideWaiters(c, asked, quotaAllows, reply.ceilingPool)
 	if reply.backoff > 0 {
-		none := func(*request) bool { return false }
-		q.settleAwaiting(c, len(c.grantWaiters), none, false)
+		denyAll := func(*request) bool { return false }
+		q.decideWaiters(c, len(c.grantWaiters), denyAll, false)
 	}
 }
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -30,7 +30,7 @@
 func awaitGrants(q *quotaController, ids ...string) *customer {
 	c := q.customers.find(Request{Customer: "x", Plan: "basic", GatewayCount: 2})
 	for _, id := range ids {
-		q.awaitOwner(&request{Request: Request{ID: id, Units: 2}, plan: c.plan, customer: c})
+		q.awaitGrant(&request{Request: Request{ID: id, Units: 2}, plan: c.plan, customer: c})
 	}
 	return c
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -42,8 +42,8 @@
 }
 
 // admitNow charges an admitted request, see reserve, and sends it to an endpoint.
-func (q *quotaController) admitNow(r *request, ceilingPaid bool) {
-	q.reserve(r, ceilingPaid)
+func (q *quotaController) admitNow(r *request, ceilingReserved bool) {
+	q.reserve(r, ceilingReserved)
 	q.requests.dispatch(r)
 }
 
@@ -57,14 +57,14 @@
 	}
 }
 
-// reserve charges an admitted request to quota and ceiling. With ceilingPaid the owner has taken it from the
+// reserve charges an admitted request to quota and ceiling. With ceilingReserved the owner has taken it from the
 // ceiling's pool already.
-func (q *quotaController) reserve(r *request, ceilingPaid bool) {
+func (q *quotaController) reserve(r *request, ceilingReserved bool) {
 	c := r.customer
 	if c == nil {
 		return
 	}
-	if !ceilingPaid {
+	if !ceilingReserved {
 		c.reserveCeiling(r.Units, q.clock.now)
 	}
 	r.charged = true
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -113,7 +113,7 @@
 		}
 		c.slotWaiters = slices.Delete(c.slotWaiters, 0, 1)
 		if decision == askOwner {
-			q.awaitOwner(r)
+			q.awaitGrant(r)
 		} else {
 			q.admitNow(r, false)
 		}
