--- a/policy/grants.go
+++ b/policy/grants.go
@@ -8,7 +8,7 @@
 	c := r.customer
 	c.grantWaiters, r.awaitingOwner = append(c.grantWaiters, r), true
 	if len(c.grantWaiters) == 1 {
-		q.reporter.ask(c)
+		q.reporter.askForGrant(c)
 	}
 }
 
@@ -34,7 +34,7 @@
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
-			q.reporter.repeat(c)
+			q.reporter.repeatReport(c)
 			return
 		}
 		quotaAllows := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
@@ -88,7 +88,7 @@
 	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // what is not used is returned
 		q.reporter.scheduleReport(c, len(c.grantWaiters) > 0)
 	}
-	q.reporter.finishReply(c)
+	q.reporter.recordReply(c)
 }
 
 // decideAskedWaiters decides the requests whose units the last report asked for, and with a backoff all others too.
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -25,8 +25,8 @@
 	scheduled bool // is in the batch of gateway
 	gateway   int  // that the last report goes or went to
 	// watched tells that the customer is in usageReporter.watched.
-	watched       bool
-	awaitingSince Seconds // 0: no reply is expected
+	watched            bool
+	awaitingReplySince Seconds // 0: no reply is expected
 	// askedCount is the number of awaiting requests whose units the last report asked for.
 	askedCount int
 	// transmissions is the number of reports sent in a row without a reply.
@@ -92,10 +92,10 @@
 	}
 }
 
-// ask reports the customer at once, as the first of its requests waits for a grant.
-func (u *usageReporter) ask(c *customer) {
-	c.report.transmissions, c.report.awaitingSince = 0, u.clock.now
-	u.expectReply(c)
+// askForGrant reports the customer at once, as the first of its requests waits for a grant.
+func (u *usageReporter) askForGrant(c *customer) {
+	c.report.transmissions, c.report.awaitingReplySince = 0, u.clock.now
+	u.watchForReply(c)
 	u.scheduleReport(c, true)
 	u.sendDue()
 }
@@ -134,7 +134,7 @@
 		taken++
 		if c.report.gateway == gateway && c.report.scheduled {
 			m.records = append(m.records, u.newRecord(c))
-			u.awaitReply(c)
+			u.recordSent(c)
 		}
 	}
 	batch.customers = slices.Delete(batch.customers, 0, taken)
@@ -161,19 +161,19 @@
 	return record
 }
 
-// awaitReply notes that the report was sent, and starts to wait for its reply.
-func (u *usageReporter) awaitReply(c *customer) {
+// recordSent notes that the report was sent, and starts to wait for its reply.
+func (u *usageReporter) recordSent(c *customer) {
 	now := u.clock.now
 	c.usedAt = now
 	c.report.scheduled, c.report.askedCount = false, len(c.grantWaiters)
-	if c.report.awaitingSince == 0 || c.report.askedCount > 0 {
-		c.report.awaitingSince = now
+	if c.report.awaitingReplySince == 0 || c.report.askedCount > 0 {
+		c.report.awaitingReplySince = now
 	}
-	u.expectReply(c)
+	u.watchForReply(c)
 }
 
-// expectReply adds the customer to those whose reply is watched for.
-func (u *usageReporter) expectReply(c *customer) {
+// watchForReply adds the customer to those whose reply is watched for.
+func (u *usageReporter) watchForReply(c *customer) {
 	if !c.report.watched {
 		c.report.watched = true
 		u.watched = append(u.watched, c)
@@ -187,7 +187,7 @@
 	if len(c.grantWaiters) > 0 {
 		timeout = grantTimeout
 	}
-	return c.report.awaitingSince > 0 && u.clock.since(c.report.awaitingSince) > timeout
+	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
 // recordOverdue notes a reply that did not come, and returns true after the last transmission.
@@ -196,7 +196,7 @@
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
 	c.report.transmissions++
-	c.report.awaitingSince, c.report.askedCount = 0, 0
+	c.report.awaitingReplySince, c.report.askedCount = 0, 0
 	if c.report.transmissions < maxReportTransmissions {
 		return false
 	}
@@ -204,12 +204,12 @@
 	return true
 }
 
-// repeat reports the customer again, to its owner as the reachable gateways are now.
-func (u *usageReporter) repeat(c *customer) {
+// repeatReport reports the customer again, to its owner as the reachable gateways are now.
+func (u *usageReporter) repeatReport(c *customer) {
 	waiting := len(c.grantWaiters) > 0
 	u.scheduleReport(c, waiting)
 	if waiting {
-		c.report.awaitingSince = u.clock.now
+		c.report.awaitingReplySince = u.clock.now
 	}
 }
 
@@ -220,17 +220,17 @@
 		if u.replyOverdue(c) {
 			handle(c)
 		}
-		c.report.watched = c.report.awaitingSince > 0
+		c.report.watched = c.report.awaitingReplySince > 0
 	}
 	u.watched = slices.DeleteFunc(u.watched, func(c *customer) bool { return !c.report.watched })
 }
 
-// finishReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
-func (u *usageReporter) finishReply(c *customer) {
+// recordReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
+func (u *usageReporter) recordReply(c *customer) {
 	if len(c.grantWaiters) == 0 {
-		c.report.awaitingSince, c.report.transmissions = 0, 0
+		c.report.awaitingReplySince, c.report.transmissions = 0, 0
 	} else if c.report.askedCount == 0 {
-		c.report.awaitingSince = u.clock.now
-		u.expectReply(c)
+		c.report.awaitingReplySince = u.clock.now
+		u.watchForReply(c)
 	}
 }
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -148,7 +148,7 @@
 	clock := &eventClock{now: 100}
 	u, sent := newTestReporter(clock)
 	for key := range uint32(10) {
-		u.ask(newReportedCustomer(key))
+		u.askForGrant(newReportedCustomer(key))
 	}
 	if len(*sent) != minBatchTokens {
 		t.Fatalf("%d urgent messages are sent at once, the budget holds %d", len(*sent), minBatchTokens)
