--- a/policy/grants.go
+++ b/policy/grants.go
@@ -77,7 +77,7 @@
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
-	c.quotaView.known, c.quotaView.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quotaView.windowKnown, c.quotaView.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quotaView.othersDemand, c.quotaView.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
@@ -97,7 +97,7 @@
 	c.report.askedCount, c.report.transmissions = 0, 0
 	c.quotaView.backoffUntil = q.clock.now + reply.backoff
 	quotaAllows := func(r *request) bool {
-		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
+		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingTolerance()
 	}
 	q.decideWaiters(c, asked, quotaAllows, reply.ceilingPool)
 	if reply.backoff > 0 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -185,7 +185,7 @@
 		t.Fatal("the last message has no report")
 	}
 	asked := report.records[0]
-	v := usageRecord{key: asked.key, planIndex: asked.planIndex, fromOwner: true, known: true, total: asked.total, wantedUnits: asked.wantedUnits}
+	v := usageRecord{key: asked.key, planIndex: asked.planIndex, fromOwner: true, remainingKnown: true, total: asked.total, wantedUnits: asked.wantedUnits}
 	change(&v)
 	return last.to, testFormat.encode(message{incarnation: 9, sequence: seq, records: []usageRecord{v}}, 0)
 }
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -105,7 +105,7 @@
 // addMember starts the count of a member at what no owner has acknowledged. A young ledger, made after a
 // restart or a move, adopts the units left that the member knows of where they are fewer.
 func (l *ledger) addMember(report memberReport) *member {
-	if report.known && report.receivedAt-l.createdAt < youngLedgerAge {
+	if report.remainingKnown && report.receivedAt-l.createdAt < youngLedgerAge {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
 	}
 	m := &member{incarnation: report.incarnation, totalUnits: report.total - report.unacknowledged}
@@ -164,7 +164,7 @@
 	now := report.receivedAt
 	l := c.currentLedger(now)
 	m := l.recordUsage(report, format)
-	reply := usageRecord{key: c.key, planIndex: c.plan.index, fromOwner: true, known: true}
+	reply := usageRecord{key: c.key, planIndex: c.plan.index, fromOwner: true, remainingKnown: true}
 	if report.wantedUnits > 0 {
 		reply.wantedUnits = report.wantedUnits
 		if units := c.grantableUnits(l, report); units > 0 {
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -149,7 +149,7 @@
 // A young ledger adopts the units left that a member reports, as the owner may have restarted.
 func TestNewLedgerTakesRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
-	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{key: 5, known: true, total: 0, remaining: 1}))
+	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{key: 5, remainingKnown: true, total: 0, remaining: 1}))
 	if left := g.quota.customers.byKey[5].currentLedger(104).window.tokens; left > 1 {
 		t.Fatalf("%v units are left after a member reported 1", left)
 	}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -35,9 +35,9 @@
 	planHighOffset        = 17 // present only with more than plansInFlags plans
 	baseRecordSize        = 17
 
-	ownerFlag       = 1 << 7
-	knownFlag       = 1 << 6
-	ceilingPoolFlag = 1 << 5
+	ownerFlag          = 1 << 7
+	remainingKnownFlag = 1 << 6
+	ceilingPoolFlag    = 1 << 5
 )
 
 // The layout of a health update: the endpoint's hash (two bytes), the class, the value and the age.
@@ -93,7 +93,7 @@
 	key              uint32  // 32 bits of the customer's hash
 	planIndex        int     // index of the plan in the settings
 	fromOwner        bool    // the sender is the customer's owner
-	known            bool    // remaining was reported or counted, and is not a guess
+	remainingKnown   bool    // remaining was reported or counted, and is not a guess
 	ceilingPool      bool    // member: the owner is the primary owner; owner: its ceiling pool pays the grant
 	total            float64 // units, in quarters, modulo 16384
 	remaining        float64 // units, in quarters, -64 to 8000
@@ -148,8 +148,8 @@
 	return baseRecordSize
 }
 
-// recordsFit tells whether a message holds this number of records.
-func (f messageFormat) recordsFit(records int) bool {
+// hasRoomForRecords tells whether a message holds this number of records.
+func (f messageFormat) hasRoomForRecords(records int) bool {
 	return headerSize+records*f.recordSize() <= maxMessageSize
 }
 
@@ -165,8 +165,8 @@
 	return float64(steps) / stepsPerUnit * f.unitsPerStep
 }
 
-// roundingSlack is the number of units that a grant may lose by its encoding.
-func (f messageFormat) roundingSlack() float64 { return (f.unitsPerStep-1)/stepsPerUnit + 1e-9 }
+// roundingTolerance is the number of units that a grant may lose by its encoding.
+func (f messageFormat) roundingTolerance() float64 { return (f.unitsPerStep-1)/stepsPerUnit + 1e-9 }
 
 // encode returns the message as it is sent at the time now.
 func (f messageFormat) encode(m message, now Seconds) []byte {
@@ -212,8 +212,8 @@
 	if record.fromOwner {
 		flags |= ownerFlag
 	}
-	if record.known {
-		flags |= knownFlag
+	if record.remainingKnown {
+		flags |= remainingKnownFlag
 	}
 	if record.ceilingPool {
 		flags |= ceilingPoolFlag
@@ -266,7 +266,7 @@
 		key:             binary.BigEndian.Uint32(data[keyOffset:]),
 		planIndex:       int(flags % plansInFlags),
 		fromOwner:       flags&ownerFlag != 0,
-		known:           flags&knownFlag != 0,
+		remainingKnown:  flags&remainingKnownFlag != 0,
 		ceilingPool:     flags&ceilingPoolFlag != 0,
 		total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
 		remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -66,7 +66,7 @@
 				break
 			}
 			want := usageRecord{
-				key: 7, planIndex: plan, known: true, total: 40 * f.unitsPerStep, remaining: -2 * f.unitsPerStep, demand: 9 * f.unitsPerStep, inFlight: 3,
+				key: 7, planIndex: plan, remainingKnown: true, total: 40 * f.unitsPerStep, remaining: -2 * f.unitsPerStep, demand: 9 * f.unitsPerStep, inFlight: 3,
 				unacknowledged: 5 * f.unitsPerStep, wantedUnits: 20 * f.unitsPerStep, firstWantedUnits: 2 * f.unitsPerStep, priorityDeficit: 1,
 			}
 			update := healthUpdate{endpointHash: 9, class: loadUpdate, value: 1, at: 50}
@@ -97,7 +97,7 @@
 		incarnation: 3, sequence: 0x0102,
 		records: []usageRecord{
 			{
-				key: 0x0a0b0c0d, planIndex: 2*plansInFlags + 5, known: true, total: 64.25, remaining: -1, demand: 2.5,
+				key: 0x0a0b0c0d, planIndex: 2*plansInFlags + 5, remainingKnown: true, total: 64.25, remaining: -1, demand: 2.5,
 				inFlight: 258, unacknowledged: 1.75, wantedUnits: 2, firstWantedUnits: 1, priorityDeficit: 1,
 			},
 			{key: 7, fromOwner: true, ceilingPool: true, wantedUnits: 2, backoff: 0.5},
@@ -109,7 +109,7 @@
 	}
 	want := []byte{
 		messageVersion, 3, 0x01, 0x02, 2,
-		0x0a, 0x0b, 0x0c, 0x0d, knownFlag | 5, 0x01, 0x01, 0xff, 0xfc, 0, 10, 1, 2, 7, 8, 4, 255, 2,
+		0x0a, 0x0b, 0x0c, 0x0d, remainingKnownFlag | 5, 0x01, 0x01, 0xff, 0xfc, 0, 10, 1, 2, 7, 8, 4, 255, 2,
 		0, 0, 0, 7, ownerFlag | ceilingPoolFlag, 0, 0, 0, 0, 0, 0, 0, 0, 0, 8, 10, 0, 0,
 		0x09, 0x08, 4, 153, 50,
 		0x07, 0x06, loadUpdateByte, 255, 0,
@@ -146,7 +146,7 @@
 func TestFullMessageKeepsToItsSize(t *testing.T) {
 	for _, format := range []messageFormat{testFormat, {unitsPerStep: 1, widePlan: true}} {
 		full := message{}
-		for format.recordsFit(len(full.records) + 1) {
+		for format.hasRoomForRecords(len(full.records) + 1) {
 			full.records = append(full.records, usageRecord{key: 1})
 		}
 		full.updates = make([]healthUpdate, format.maxUpdates(len(full.records)))
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -1,11 +1,11 @@
 package policy
 
 const (
-	// grantFreshness is the age up to which a reply of the owner is split among the members. With an older
+	// maxReplyAge is the age up to which a reply of the owner is split among the members. With an older
 	// one the owner is asked.
-	grantFreshness Seconds = 0.5
-	// slotFreshness is the same for attempts in flight, which change with every request.
-	slotFreshness Seconds = 0.1
+	maxReplyAge Seconds = 0.5
+	// maxInFlightAge is the same for attempts in flight, which change with every request.
+	maxInFlightAge Seconds = 0.1
 	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority leave to those
 	// of higher priority while their customer is over its rate.
 	lowPriorityReserve = 0.18
@@ -13,8 +13,8 @@
 
 // quotaView is what a member knows of its customer's quota window: the owner's last reply.
 type quotaView struct {
-	// known tells that the owner has replied. Before, the window is taken to be full.
-	known bool
+	// windowKnown tells that the owner has replied. Before, the window is taken to be full.
+	windowKnown bool
 	// window is what the owner had left, since filled by the whole rate.
 	window tokenBucket
 	// othersDemand, in units a second, and othersInFlight are those of all other gateways.
@@ -36,7 +36,7 @@
 // becomeMember gives up the ledger after ownership has moved. Its count is the best start for a member.
 func (c *customer) becomeMember(now Seconds) {
 	c.quotaView.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
-	c.quotaView.known = true
+	c.quotaView.windowKnown = true
 	c.acknowledgedUnits = c.totalUnits
 	c.ledger = nil
 }
@@ -50,16 +50,16 @@
 		return askOwner // after those that wait already
 	case now < c.quotaView.backoffUntil:
 		return rejectRequest
-	case c.slotUncertain(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
+	case c.mustAskForSlot(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
 		return askOwner
 	}
 	return c.admitFromShare(r, remaining, age, now)
 }
 
-// slotUncertain tells whether only the owner can say if one more attempt keeps to the plan's concurrency
+// mustAskForSlot tells whether only the owner can say if one more attempt keeps to the plan's concurrency
 // limit.
-func (c *customer) slotUncertain(p *plan, age Seconds) bool {
-	return p.MaxConcurrent > 0 && (age > slotFreshness || c.inFlight+c.quotaView.othersInFlight+1 >= p.MaxConcurrent)
+func (c *customer) mustAskForSlot(p *plan, age Seconds) bool {
+	return p.MaxConcurrent > 0 && (age > maxInFlightAge || c.inFlight+c.quotaView.othersInFlight+1 >= p.MaxConcurrent)
 }
 
 // admitFromShare decides by this member's share of the remaining units, as far as it can tell: the share may
@@ -70,7 +70,7 @@
 	if demand+othersDemand > p.Rate {
 		need += p.unitsForHigherPriority(r.priorityDeficit)
 	}
-	stale := !c.quotaView.known || age > grantFreshness
+	stale := !c.quotaView.windowKnown || age > maxReplyAge
 	share := remaining * demand / max(demand+othersDemand, 1e-9)
 	switch {
 	case p.Rate == 0:
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -118,7 +118,7 @@
 		g.HandleOutcome(100.04, Outcome{RequestID: "first", Endpoint: first[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.01})
 		g.HandleTimer(100.03+age, 1)
 		send(100.03+age, "next", 1)
-		if forwarded := len(r.ofKind("send", "next")) == 1; forwarded != (age < slotFreshness) {
+		if forwarded := len(r.ofKind("send", "next")) == 1; forwarded != (age < maxInFlightAge) {
 			t.Errorf("with a reply %.2f s old: forwarded is %v", age, forwarded)
 		}
 	}
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -128,7 +128,7 @@
 	batch, taken := &u.batches[gateway], 0
 	m := u.protocol.newMessage()
 	for _, c := range batch.customers {
-		if !u.protocol.format.recordsFit(len(m.records) + 1) {
+		if !u.protocol.format.hasRoomForRecords(len(m.records) + 1) {
 			break
 		}
 		taken++
@@ -147,7 +147,7 @@
 	now := u.clock.now
 	remaining := c.remainingUnitsAsMember(now) // first, as it may change the customer's state
 	record := usageRecord{
-		key: c.key, planIndex: c.plan.index, known: c.quotaView.known, ceilingPool: c.report.gateway == c.primaryOwner,
+		key: c.key, planIndex: c.plan.index, remainingKnown: c.quotaView.windowKnown, ceilingPool: c.report.gateway == c.primaryOwner,
 		total: c.totalUnits, remaining: remaining, demand: c.demand.at(now), inFlight: c.inFlight,
 		unacknowledged: c.unacknowledgedUnits(),
 	}
