--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// admission is the verdict of quota and ceiling on a request.
+// admission is the decision of quota and ceiling on a request.
 type admission int
 
 const (
@@ -11,7 +11,7 @@
 	askOwner // the request waits for a grant of its customer's owner
 )
 
-// String returns the name of the verdict.
+// String returns the name of the decision.
 func (a admission) String() string {
 	switch a {
 	case rejectRequest:
@@ -89,24 +89,24 @@
 // admitOrReject decides on a request that has just arrived: it is sent, waits for its owner or for a
 // concurrency slot, or is rejected.
 func (a *requestAdmitter) admitOrReject(r *request) {
-	verdict := a.admissionOf(r)
+	decision := a.decideAdmission(r)
 	switch {
-	case verdict == rejectRequest:
+	case decision == rejectRequest:
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
 		// A client's retry can arrive with no time left at all. Its client will not retry any more, so this
 		// does not count as a rejection of the customer.
 		a.replies.replyUnserved(r, DeadlineTooClose)
-	case verdict == askOwner:
+	case decision == askOwner:
 		a.quota.awaitGrant(r)
 	default:
 		a.quota.admitNow(r, false)
 	}
 }
 
-// admissionOf asks quota and ceiling of the request's customer. No request overtakes those of its customer
+// decideAdmission asks quota and ceiling of the request's customer. No request overtakes those of its customer
 // that wait for a concurrency slot.
-func (a *requestAdmitter) admissionOf(r *request) admission {
+func (a *requestAdmitter) decideAdmission(r *request) admission {
 	switch {
 	case r.customer == nil:
 		return admitRequest
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -12,12 +12,12 @@
 	updatedAt Seconds
 }
 
-// at returns the units a second asked for, seen from now.
-func (m demandMeter) at(now Seconds) float64 {
+// rateAt returns the units a second asked for, seen from now.
+func (m demandMeter) rateAt(now Seconds) float64 {
 	return m.rate * math.Exp((m.updatedAt-now)/demandTimeConstant)
 }
 
 // record adds the units of one request.
 func (m *demandMeter) record(units float64, now Seconds) {
-	m.rate, m.updatedAt = m.at(now)+units/demandTimeConstant, now
+	m.rate, m.updatedAt = m.rateAt(now)+units/demandTimeConstant, now
 }
--- a/policy/demand_test.go
+++ b/policy/demand_test.go
@@ -13,10 +13,10 @@
 		now += interval
 		meter.record(rate*interval, now)
 	}
-	if got := meter.at(now); math.Abs(got-rate) > rate/100 {
+	if got := meter.rateAt(now); math.Abs(got-rate) > rate/100 {
 		t.Errorf("%v units a second are seen, want about %v", got, rate)
 	}
-	if got := meter.at(now + demandTimeConstant); math.Abs(got-rate/math.E) > rate/100 {
+	if got := meter.rateAt(now + demandTimeConstant); math.Abs(got-rate/math.E) > rate/100 {
 		t.Errorf("%v units a second are seen after one time constant, want about %v", got, rate/math.E)
 	}
 }
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -5,13 +5,13 @@
 // decisions is a requestHandler that records what is decided.
 type decisions struct {
 	dispatched, rejected []string
-	why                  []Reason
+	reasons              []Reason
 }
 
 func (d *decisions) dispatch(r *request) { d.dispatched = append(d.dispatched, r.ID) }
 
 func (d *decisions) reject(r *request, why Reason) {
-	d.rejected, d.why = append(d.rejected, r.ID), append(d.why, why)
+	d.rejected, d.reasons = append(d.rejected, r.ID), append(d.reasons, why)
 }
 
 // newTestController returns the quota side of gateway 0, without a ceiling or other parts, for customers that
@@ -50,7 +50,7 @@
 		t.Fatalf("sent %+v, want a report for the two that came later", *sent)
 	}
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
-	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
+	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.reasons[0] != QuotaExceeded {
 		t.Fatalf("decided %+v, want the second dispatched and the third rejected on a grant of 2 units", decided)
 	}
 }
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -5,8 +5,8 @@
 	memberExpiry Seconds = 8.0
 	// inFlightExpiry is how long a member's reported attempts in flight are believed.
 	inFlightExpiry Seconds = 3.0
-	// youngLedgerAge is the age below which a ledger adopts lower remaining units from reports of members.
-	youngLedgerAge Seconds = 2.0
+	// ledgerRecoveryPeriod is the age below which a ledger adopts lower remaining units from reports of members.
+	ledgerRecoveryPeriod Seconds = 2.0
 	// noGateway is the number of none.
 	noGateway = -1
 )
@@ -58,7 +58,7 @@
 }
 
 // membersDemand returns the units a second that all members together are asked for.
-func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.at(now), 0) }
+func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.rateAt(now), 0) }
 
 // charge takes units from the window, but not below 0. What is below 0 already stays as it is.
 func (l *ledger) charge(units float64) {
@@ -82,7 +82,7 @@
 	}
 	now := report.receivedAt
 	used := format.roundDifference(report.total - m.totalUnits)
-	l.demand = demandMeter{rate: l.membersDemand(now) + report.demand - m.demand.at(now), updatedAt: now}
+	l.demand = demandMeter{rate: l.membersDemand(now) + report.demand - m.demand.rateAt(now), updatedAt: now}
 	*m = member{
 		incarnation: m.incarnation, totalUnits: report.total,
 		demand:   demandMeter{rate: report.demand, updatedAt: now},
@@ -105,7 +105,7 @@
 // addMember starts the count of a member at what no owner has acknowledged. A young ledger, made after a
 // restart or a move, adopts the units left that the member knows of where they are fewer.
 func (l *ledger) addMember(report memberReport) *member {
-	if report.remainingKnown && report.receivedAt-l.createdAt < youngLedgerAge {
+	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
 	}
 	m := &member{incarnation: report.incarnation, totalUnits: report.total - report.unacknowledged}
@@ -149,7 +149,7 @@
 	if p.Rate == 0 {
 		return true
 	}
-	if c.demand.at(now)+l.membersDemand(now) > p.Rate {
+	if c.demand.rateAt(now)+l.membersDemand(now) > p.Rate {
 		units += p.unitsForHigherPriority(priorityDeficit)
 	}
 	return units <= l.window.tokens
@@ -176,7 +176,7 @@
 	}
 	reply.total, reply.remaining = m.totalUnits, l.window.tokens
 	reply.inFlight = c.inFlight + l.inFlight(now, report.from)
-	reply.demand = max(l.membersDemand(now)-m.demand.at(now), 0) + c.demand.at(now)
+	reply.demand = max(l.membersDemand(now)-m.demand.rateAt(now), 0) + c.demand.rateAt(now)
 	return reply
 }
 
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -42,7 +42,7 @@
 // this one if there is none.
 func (d *ownerDirectory) successor(c *customer, accept func(gateway int) bool) int {
 	owner, found := d.ring.successor(c.hash, func(gateway int) bool {
-		return c.receives(gateway, d.gatewayCount) && accept(gateway)
+		return c.isServedBy(gateway, d.gatewayCount) && accept(gateway)
 	})
 	if !found {
 		return d.self
@@ -50,9 +50,9 @@
 	return owner
 }
 
-// receives tells whether the customer's requests come to a gateway, of gatewayCount in the fleet. They come
+// isServedBy tells whether the customer's requests come to a gateway, of gatewayCount in the fleet. They come
 // to several in a row, which may go on from the last gateway to the first.
-func (c *customer) receives(gateway, gatewayCount int) bool {
+func (c *customer) isServedBy(gateway, gatewayCount int) bool {
 	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
 	return distance < c.gatewayCount
 }
--- a/policy/owner_test.go
+++ b/policy/owner_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestCustomerIsReceivedByGatewaysInARow(t *testing.T) {
+func TestCustomerIsServedByConsecutiveGateways(t *testing.T) {
 	c := &customer{firstGateway: 3, gatewayCount: 3}
 	for gateway, want := range []bool{true, false, false, true, true} {
-		if got := c.receives(gateway, 5); got != want {
+		if got := c.isServedBy(gateway, 5); got != want {
 			t.Errorf("received by gateway %d: %t, want %t", gateway, got, want)
 		}
 	}
@@ -18,7 +18,7 @@
 	directory := newOwnerDirectory(settings, func(gateway int) bool { return !unreachable[gateway] })
 	c := &customer{hash: hashName("customer"), firstGateway: 1, gatewayCount: 3}
 	c.primaryOwner = directory.findPrimaryOwner(c)
-	if !c.receives(c.primaryOwner, 5) {
+	if !c.isServedBy(c.primaryOwner, 5) {
 		t.Fatalf("the primary owner is gateway %d, which gets none of the requests", c.primaryOwner)
 	}
 	if owner := directory.owner(c); owner != c.primaryOwner {
@@ -26,7 +26,7 @@
 	}
 	unreachable[c.primaryOwner] = true
 	second := directory.owner(c)
-	if second == c.primaryOwner || !c.receives(second, 5) {
+	if second == c.primaryOwner || !c.isServedBy(second, 5) {
 		t.Errorf("the owner is %d while %d is unreachable", second, c.primaryOwner)
 	}
 	unreachable[1], unreachable[2], unreachable[3] = true, true, true
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -24,9 +24,9 @@
 
 // peer is another gateway as this one sees it.
 type peer struct {
-	// unanswered counts the reports without a reply since the peer's last message.
-	unanswered       int
-	lastUnansweredAt Seconds
+	// unansweredReports counts the reports without a reply since the peer's last message.
+	unansweredReports int
+	lastUnansweredAt  Seconds
 	// incarnation and sequence are those of the newest message that was accepted from the peer.
 	incarnation uint8
 	sequence    uint16
@@ -34,7 +34,7 @@
 
 // reachable tells whether the peer can be expected to reply.
 func (p *peer) reachable(now Seconds) bool {
-	return p.unanswered < maxUnansweredReports || now-p.lastUnansweredAt > unreachablePeriod
+	return p.unansweredReports < maxUnansweredReports || now-p.lastUnansweredAt > unreachablePeriod
 }
 
 // acceptSequence records the number of a message that came in, and returns false if it was overtaken by a
@@ -104,7 +104,7 @@
 	if !sender.acceptSequence(received.incarnation, received.sequence) {
 		return message{}, false
 	}
-	sender.unanswered = 0
+	sender.unansweredReports = 0
 	p.receivedRate = p.receivedRate*math.Exp((p.receivedAt-now)/receivedTimeConstant) + 1
 	p.receivedAt = now
 	return received, true
@@ -117,9 +117,9 @@
 
 // recordUnanswered notes that a report to a gateway got no reply in time.
 func (p *peerProtocol) recordUnanswered(gateway int) {
-	silent := &p.peers[gateway]
-	silent.unanswered++
-	silent.lastUnansweredAt = p.clock.now
+	recipient := &p.peers[gateway]
+	recipient.unansweredReports++
+	recipient.lastUnansweredAt = p.clock.now
 }
 
 // queryBackoff returns how long the given number of members is to ask for nothing after a rejection. They
--- a/policy/peer_test.go
+++ b/policy/peer_test.go
@@ -43,7 +43,7 @@
 	p, _ := newTestProtocol(clock)
 	for range maxUnansweredReports {
 		if !p.reachable(1) {
-			t.Fatalf("unreachable after %d unanswered reports, want %d", p.peers[1].unanswered, maxUnansweredReports)
+			t.Fatalf("unreachable after %d unanswered reports, want %d", p.peers[1].unansweredReports, maxUnansweredReports)
 		}
 		p.recordUnanswered(1)
 	}
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -65,7 +65,7 @@
 // admitFromShare decides by this member's share of the remaining units, as far as it can tell: the share may
 // be smaller than a request, or the owner's reply of the given age too old.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
-	p, demand, othersDemand := r.plan, c.demand.at(now), c.quotaView.othersDemand
+	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quotaView.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
 		need += p.unitsForHigherPriority(r.priorityDeficit)
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -8,9 +8,9 @@
 
 // The number of points of the ring: more points spread customers more evenly, fewer take less memory.
 const (
-	ringPoints    = 512  // points of one gateway
-	minRingPoints = 8    // points of one gateway in the largest fleets
-	maxRingPoints = 8192 // points of all gateways, beyond which each gets fewer
+	pointsPerGateway    = 512  // points of one gateway
+	minPointsPerGateway = 8    // points of one gateway in the largest fleets
+	maxRingPoints       = 8192 // points of all gateways, beyond which each gets fewer
 )
 
 // ringPoint is one of the points of a gateway.
@@ -26,7 +26,7 @@
 
 // newOwnerRing returns the ring of the gateways 0 to gatewayCount-1.
 func newOwnerRing(gatewayCount int) ownerRing {
-	perGateway := min(ringPoints, max(minRingPoints, maxRingPoints/gatewayCount))
+	perGateway := min(pointsPerGateway, max(minPointsPerGateway, maxRingPoints/gatewayCount))
 	points := make([]ringPoint, 0, gatewayCount*perGateway)
 	for gateway := range gatewayCount {
 		for i := range perGateway {
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -148,7 +148,7 @@
 	remaining := c.remainingUnitsAsMember(now) // first, as it may change the customer's state
 	record := usageRecord{
 		key: c.key, planIndex: c.plan.index, remainingKnown: c.quotaView.windowKnown, ceilingPool: c.report.gateway == c.primaryOwner,
-		total: c.totalUnits, remaining: remaining, demand: c.demand.at(now), inFlight: c.inFlight,
+		total: c.totalUnits, remaining: remaining, demand: c.demand.rateAt(now), inFlight: c.inFlight,
 		unacknowledged: c.unacknowledgedUnits(),
 	}
 	for _, r := range c.grantWaiters {
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -72,7 +72,7 @@
 func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
 	g, _, send := asMember(t, nil)
 	c := send(100, "q", 1)
-	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
+	g.protocol.peers[1].unansweredReports, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owners.owner(c) != 0 {
 		t.Fatal("an unreachable owner still owns")
 	}
@@ -95,7 +95,7 @@
 			}
 			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2; reply.remaining = 6 })
 			g.HandlePeerMessage(now, from, data)
-			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unanswered != 0 {
+			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unansweredReports != 0 {
 				t.Fatal("the reply to the third report is not applied")
 			}
 			return
@@ -185,7 +185,7 @@
 				t.Error("the first report is taken for the last attempt")
 			}
 		})
-		if overdue != 1 || u.protocol.peers[1].unanswered != 1 || len(u.watched) != 0 {
+		if overdue != 1 || u.protocol.peers[1].unansweredReports != 1 || len(u.watched) != 0 {
 			t.Errorf("with %d requests waiting %d replies are overdue, want 1", len(tc.waiting), overdue)
 		}
 	}
