--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -79,5 +79,5 @@
 // the quota that are sent with little time left would be rejected.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
-		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quotaView.othersDemand > c.plan.Rate
+		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
 }
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -45,15 +45,15 @@
 	inFlight          int
 
 	// The windows.
-	quotaView    quotaView   // of a member
+	quota        quotaView   // of a member
 	ledger       *ledger     // of the owner; nil at a member
 	localWindow  tokenBucket // while the owner does not reply
 	ceilingShare tokenBucket
 	ceilingPool  tokenBucket
 
-	// grantWaiters holds the requests that wait for the owner's grant, in the order of arrival.
-	grantWaiters []*request
-	report       reportState
+	// awaitingOwner holds the requests that wait for the owner's grant, in the order of arrival.
+	awaitingOwner []*request
+	report        reportState
 	// slotWaiters holds the requests that wait for a concurrency slot, in the order of priority. They are
 	// not retried before slotRetryAt.
 	slotWaiters []*request
@@ -89,7 +89,7 @@
 
 // isIdle tells whether no request, report or reply of the customer is pending.
 func (c *customer) isIdle() bool {
-	noRequests := c.inFlight == 0 && len(c.grantWaiters) == 0 && len(c.slotWaiters) == 0
+	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotWaiters) == 0
 	return noRequests && !c.report.scheduled && !c.report.watched
 }
 
@@ -147,7 +147,7 @@
 	now := t.clock.now
 	c := &customer{
 		key: key, plan: p, primaryOwner: t.self, isPrimaryOwner: true, usedAt: now, rejectedAt: math.Inf(-1),
-		quotaView:    quotaView{window: tokenBucket{tokens: p.Burst, updatedAt: now}},
+		quota:        quotaView{window: tokenBucket{tokens: p.Burst, updatedAt: now}},
 		ceilingShare: tokenBucket{updatedAt: t.startedAt}, ceilingPool: tokenBucket{updatedAt: t.startedAt},
 	}
 	t.byKey[key] = c
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -41,7 +41,7 @@
 	const now = Seconds(100)
 	p := &plan{Plan: Plan{Rate: 2, Burst: 8}}
 	c := &customer{plan: p, gatewayCount: 2, isPrimaryOwner: true}
-	c.quotaView.window = tokenBucket{tokens: 8, updatedAt: now}
+	c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
 	c.totalUnits, c.acknowledgedUnits = 5, 2
 	if left := c.remainingUnits(false, now); left != 5 {
 		t.Fatalf("a member with 3 units that the owner has not counted sees %v of 8 left, want 5", left)
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -6,8 +6,8 @@
 // the next report.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
-	c.grantWaiters, r.awaitingOwner = append(c.grantWaiters, r), true
-	if len(c.grantWaiters) == 1 {
+	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
+	if len(c.awaitingOwner) == 1 {
 		q.reporter.askForGrant(c)
 	}
 }
@@ -15,8 +15,8 @@
 // decideWaiters ends the wait of the first count requests: those that fit go on, and the others wait for a
 // concurrency slot or are rejected.
 func (q *quotaController) decideWaiters(c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool) {
-	decided := c.grantWaiters[:count]
-	c.grantWaiters = slices.Clone(c.grantWaiters[count:])
+	decided := c.awaitingOwner[:count]
+	c.awaitingOwner = slices.Clone(c.awaitingOwner[count:])
 	for _, r := range decided {
 		r.awaitingOwner = false
 		switch {
@@ -38,7 +38,7 @@
 			return
 		}
 		quotaAllows := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
-		q.decideWaiters(c, len(c.grantWaiters), quotaAllows, false)
+		q.decideWaiters(c, len(c.awaitingOwner), quotaAllows, false)
 	})
 }
 
@@ -77,31 +77,31 @@
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
-	c.quotaView.windowKnown, c.quotaView.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
-	c.quotaView.othersDemand, c.quotaView.othersInFlight = reply.demand, reply.inFlight
+	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
 		q.decideAskedWaiters(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
-	hasUnaskedWaiters := len(c.grantWaiters) > 0 && c.report.askedCount == 0
+	hasUnaskedWaiters := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
 	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // what is not used is returned
-		q.reporter.scheduleReport(c, len(c.grantWaiters) > 0)
+		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
 	}
 	q.reporter.recordReply(c)
 }
 
 // decideAskedWaiters decides the requests whose units the last report asked for, and with a backoff all others too.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
-	asked := min(c.report.askedCount, len(c.grantWaiters))
+	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
-	c.quotaView.backoffUntil = q.clock.now + reply.backoff
+	c.quota.backoffUntil = q.clock.now + reply.backoff
 	quotaAllows := func(r *request) bool {
 		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingTolerance()
 	}
 	q.decideWaiters(c, asked, quotaAllows, reply.ceilingPool)
 	if reply.backoff > 0 {
 		denyAll := func(*request) bool { return false }
-		q.decideWaiters(c, len(c.grantWaiters), denyAll, false)
+		q.decideWaiters(c, len(c.awaitingOwner), denyAll, false)
 	}
 }
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -5,13 +5,13 @@
 // decisions is a requestHandler that records what is decided.
 type decisions struct {
 	dispatched, rejected []string
-	reasons              []Reason
+	why                  []Reason
 }
 
 func (d *decisions) dispatch(r *request) { d.dispatched = append(d.dispatched, r.ID) }
 
 func (d *decisions) reject(r *request, why Reason) {
-	d.rejected, d.reasons = append(d.rejected, r.ID), append(d.reasons, why)
+	d.rejected, d.why = append(d.rejected, r.ID), append(d.why, why)
 }
 
 // newTestController returns the quota side of gateway 0, without a ceiling or other parts, for customers that
@@ -50,7 +50,7 @@
 		t.Fatalf("sent %+v, want a report for the two that came later", *sent)
 	}
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
-	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.reasons[0] != QuotaExceeded {
+	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
 		t.Fatalf("decided %+v, want the second dispatched and the third rejected on a grant of 2 units", decided)
 	}
 }
@@ -59,10 +59,10 @@
 	q, decided, _ := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second")
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
-	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.grantWaiters) != 0 {
+	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
 		t.Fatalf("decided %+v, want both rejected", decided)
 	}
-	if c.quotaView.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
+	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
 		t.Fatal("the owner would be asked again during its backoff")
 	}
 }
@@ -80,7 +80,7 @@
 		q.retransmit()
 		q.reporter.sendDue()
 	}
-	if len(decided.dispatched) != 1 || len(c.grantWaiters) != 0 || c.totalUnits != 2 {
+	if len(decided.dispatched) != 1 || len(c.awaitingOwner) != 0 || c.totalUnits != 2 {
 		t.Fatalf("decided %+v, want the request dispatched and charged", decided)
 	}
 	if q.protocol.reachable(1) {
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -169,7 +169,7 @@
 		{"one slot at a time", 8, 1, 2},
 	} {
 		c := &customer{plan: &plan{Plan: Plan{Rate: 2, Burst: 8, MaxConcurrent: tc.maxConcurrent}}, isPrimaryOwner: true}
-		c.quotaView.window = tokenBucket{tokens: 8, updatedAt: now}
+		c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
 		record := usageRecord{total: 5, wantedUnits: tc.wanted, firstWantedUnits: 2}
 		report := memberReport{usageRecord: record, from: 1, incarnation: 1, receivedAt: now}
 		backoff := func(int) Seconds { return 1 }
--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -12,7 +12,7 @@
 
 // reserveLocal takes units from the local window, and returns false if they don't fit.
 func (c *customer) reserveLocal(units float64, now Seconds) bool {
-	if c.plan.MaxConcurrent > 0 && c.inFlight+c.quotaView.othersInFlight >= c.plan.MaxConcurrent {
+	if c.plan.MaxConcurrent > 0 && c.inFlight+c.quota.othersInFlight >= c.plan.MaxConcurrent {
 		return false
 	}
 	rate, burst := c.localWindowSize()
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -16,7 +16,7 @@
 		{gateways: 100, burst: 3}, // the largest request fits
 	} {
 		c := &customer{plan: p, gatewayCount: tc.gateways}
-		c.quotaView.window.tokens = p.Burst
+		c.quota.window.tokens = p.Burst
 		if c.reserveLocal(1, 0) {
 			t.Errorf("%d gateways: an empty window admits a unit", tc.gateways)
 		}
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -11,10 +11,10 @@
 	lowPriorityReserve = 0.18
 )
 
-// quotaView is what a member knows of its customer's quota window: the owner's last reply.
+// quota is what a member knows of its customer's quota window: the owner's last reply.
 type quotaView struct {
-	// windowKnown tells that the owner has replied. Before, the window is taken to be full.
-	windowKnown bool
+	// remainingKnown tells that the owner has replied. Before, the window is taken to be full.
+	remainingKnown bool
 	// window is what the owner had left, since filled by the whole rate.
 	window tokenBucket
 	// othersDemand, in units a second, and othersInFlight are those of all other gateways.
@@ -30,13 +30,13 @@
 	if c.ledger != nil {
 		c.becomeMember(now)
 	}
-	return c.quotaView.window.level(c.plan.Rate, c.plan.Burst, now) - c.unacknowledgedUnits()
+	return c.quota.window.level(c.plan.Rate, c.plan.Burst, now) - c.unacknowledgedUnits()
 }
 
 // becomeMember gives up the ledger after ownership has moved. Its count is the best start for a member.
 func (c *customer) becomeMember(now Seconds) {
-	c.quotaView.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
-	c.quotaView.windowKnown = true
+	c.quota.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
+	c.quota.remainingKnown = true
 	c.acknowledgedUnits = c.totalUnits
 	c.ledger = nil
 }
@@ -44,11 +44,11 @@
 // admitAsMember decides on a request at a gateway that is not the customer's owner.
 func (c *customer) admitAsMember(r *request, now Seconds) admission {
 	remaining := c.remainingUnitsAsMember(now)
-	age := now - c.quotaView.window.updatedAt
+	age := now - c.quota.window.updatedAt
 	switch {
-	case len(c.grantWaiters) > 0:
+	case len(c.awaitingOwner) > 0:
 		return askOwner // after those that wait already
-	case now < c.quotaView.backoffUntil:
+	case now < c.quota.backoffUntil:
 		return rejectRequest
 	case c.mustAskForSlot(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
 		return askOwner
@@ -59,18 +59,18 @@
 // mustAskForSlot tells whether only the owner can say if one more attempt keeps to the plan's concurrency
 // limit.
 func (c *customer) mustAskForSlot(p *plan, age Seconds) bool {
-	return p.MaxConcurrent > 0 && (age > maxInFlightAge || c.inFlight+c.quotaView.othersInFlight+1 >= p.MaxConcurrent)
+	return p.MaxConcurrent > 0 && (age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
 }
 
 // admitFromShare decides by this member's share of the remaining units, as far as it can tell: the share may
 // be smaller than a request, or the owner's reply of the given age too old.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
-	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quotaView.othersDemand
+	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
 	if demand+othersDemand > p.Rate {
 		need += p.unitsForHigherPriority(r.priorityDeficit)
 	}
-	stale := !c.quotaView.windowKnown || age > maxReplyAge
+	stale := !c.quota.remainingKnown || age > maxReplyAge
 	share := remaining * demand / max(demand+othersDemand, 1e-9)
 	switch {
 	case p.Rate == 0:
--- a/policy/quota_view_test.go
+++ b/policy/quota_view_test.go
@@ -20,17 +20,17 @@
 		{"beyond what was left some time ago", 24, 0.3, func(*customer) {}, askOwner},
 		{"with a stale reply, a part for every gateway", 1, 0.6, func(*customer) {}, admitRequest},
 		{"with a stale reply, more than that", 1.5, 0.6, func(*customer) {}, askOwner},
-		{"without a reply so far, a part for every gateway", 2, 0, func(c *customer) { c.quotaView.windowKnown = false }, admitRequest},
-		{"without a reply so far, more than that", 3, 0, func(c *customer) { c.quotaView.windowKnown = false }, askOwner},
-		{"alone", 20, 0, func(c *customer) { c.quotaView.othersDemand = 0 }, admitRequest},
-		{"behind a request that waits", 1, 0, func(c *customer) { c.grantWaiters = []*request{{}} }, askOwner},
-		{"during a backoff", 1, 0, func(c *customer) { c.quotaView.backoffUntil = now + 0.1 }, rejectRequest},
-		{"after a backoff", 1, 0, func(c *customer) { c.quotaView.backoffUntil = now }, admitRequest},
+		{"without a reply so far, a part for every gateway", 2, 0, func(c *customer) { c.quota.remainingKnown = false }, admitRequest},
+		{"without a reply so far, more than that", 3, 0, func(c *customer) { c.quota.remainingKnown = false }, askOwner},
+		{"alone", 20, 0, func(c *customer) { c.quota.othersDemand = 0 }, admitRequest},
+		{"behind a request that waits", 1, 0, func(c *customer) { c.awaitingOwner = []*request{{}} }, askOwner},
+		{"during a backoff", 1, 0, func(c *customer) { c.quota.backoffUntil = now + 0.1 }, rejectRequest},
+		{"after a backoff", 1, 0, func(c *customer) { c.quota.backoffUntil = now }, admitRequest},
 		{"with an empty share of the ceiling", 1, 0, func(c *customer) { c.plan.CeilingRate = 1 }, askOwner},
 	} {
 		c := &customer{plan: &plan{Plan: Plan{Rate: 10, Burst: 40}}, gatewayCount: 10}
 		c.demand = demandMeter{rate: 4, updatedAt: now}
-		c.quotaView = quotaView{windowKnown: true, window: tokenBucket{tokens: 20, updatedAt: now - tc.age}, othersDemand: 36}
+		c.quota = quotaView{remainingKnown: true, window: tokenBucket{tokens: 20, updatedAt: now - tc.age}, othersDemand: 36}
 		tc.change(c)
 		r := &request{Request: Request{Units: tc.units}, plan: c.plan, customer: c}
 		if got := c.admitAsMember(r, now); got != tc.want {
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -45,7 +45,7 @@
 	if c == nil {
 		return
 	}
-	atLimit := c.inFlight+c.quotaView.othersInFlight >= r.plan.MaxConcurrent
+	atLimit := c.inFlight+c.quota.othersInFlight >= r.plan.MaxConcurrent
 	c.inFlight += change
 	if r.plan.MaxConcurrent > 0 {
 		q.reporter.scheduleReport(c, change < 0 && atLimit)
@@ -105,7 +105,7 @@
 // admitWaiters decides on the waiting requests by their priority, until there is no slot or the owner must be
 // asked.
 func (q *quotaController) admitWaiters(c *customer) {
-	for len(c.slotWaiters) > 0 && q.clock.now >= c.slotRetryAt && len(c.grantWaiters) == 0 {
+	for len(c.slotWaiters) > 0 && q.clock.now >= c.slotRetryAt && len(c.awaitingOwner) == 0 {
 		r := c.slotWaiters[0]
 		decision := q.admit(r)
 		if decision == rejectRequest {
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -67,7 +67,7 @@
 	c := send(100, "q", 1)
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total++; reply.remaining = 7; reply.inFlight = 1 })
 	g.HandlePeerMessage(100.03, from, data)
-	if len(r.ofKind("send", "q")) != 1 || c.quotaView.othersInFlight != 1 {
+	if len(r.ofKind("send", "q")) != 1 || c.quota.othersInFlight != 1 {
 		t.Fatalf("not forwarded on a grant: %v", r.actions)
 	}
 	g.HandleTimer(100.06, 1)
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -147,15 +147,15 @@
 	now := u.clock.now
 	remaining := c.remainingUnitsAsMember(now) // first, as it may change the customer's state
 	record := usageRecord{
-		key: c.key, planIndex: c.plan.index, remainingKnown: c.quotaView.windowKnown, ceilingPool: c.report.gateway == c.primaryOwner,
+		key: c.key, planIndex: c.plan.index, remainingKnown: c.quota.remainingKnown, ceilingPool: c.report.gateway == c.primaryOwner,
 		total: c.totalUnits, remaining: remaining, demand: c.demand.rateAt(now), inFlight: c.inFlight,
 		unacknowledged: c.unacknowledgedUnits(),
 	}
-	for _, r := range c.grantWaiters {
+	for _, r := range c.awaitingOwner {
 		record.wantedUnits += r.Units
 	}
-	if len(c.grantWaiters) > 0 {
-		first := c.grantWaiters[0]
+	if len(c.awaitingOwner) > 0 {
+		first := c.awaitingOwner[0]
 		record.firstWantedUnits, record.priorityDeficit = first.Units, first.priorityDeficit
 	}
 	return record
@@ -165,7 +165,7 @@
 func (u *usageReporter) recordSent(c *customer) {
 	now := u.clock.now
 	c.usedAt = now
-	c.report.scheduled, c.report.askedCount = false, len(c.grantWaiters)
+	c.report.scheduled, c.report.askedCount = false, len(c.awaitingOwner)
 	if c.report.awaitingReplySince == 0 || c.report.askedCount > 0 {
 		c.report.awaitingReplySince = now
 	}
@@ -184,7 +184,7 @@
 // stood still does not count.
 func (u *usageReporter) replyOverdue(c *customer) bool {
 	timeout := reportTimeout
-	if len(c.grantWaiters) > 0 {
+	if len(c.awaitingOwner) > 0 {
 		timeout = grantTimeout
 	}
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
@@ -206,7 +206,7 @@
 
 // repeatReport reports the customer again, to its owner as the reachable gateways are now.
 func (u *usageReporter) repeatReport(c *customer) {
-	waiting := len(c.grantWaiters) > 0
+	waiting := len(c.awaitingOwner) > 0
 	u.scheduleReport(c, waiting)
 	if waiting {
 		c.report.awaitingReplySince = u.clock.now
@@ -227,7 +227,7 @@
 
 // recordReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
 func (u *usageReporter) recordReply(c *customer) {
-	if len(c.grantWaiters) == 0 {
+	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.transmissions = 0, 0
 	} else if c.report.askedCount == 0 {
 		c.report.awaitingReplySince = u.clock.now
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -170,7 +170,7 @@
 		clock := &eventClock{now: 100}
 		u, _ := newTestReporter(clock)
 		c := newReportedCustomer(1)
-		c.grantWaiters = tc.waiting
+		c.awaitingOwner = tc.waiting
 		u.scheduleReport(c, false)
 		u.sendDue()
 		clock.now = 100 + tc.timeout - 0.01
