--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A regression: with a hundred gateways a split is smaller than one request and the owner's replies are old.
+// A regression: with a hundred gateways a share is smaller than one request and the owner's replies are old.
 // What is beyond the quota was admitted at each gateway, or rejected with units left.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
@@ -72,7 +72,7 @@
 func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
 	g, _, send := newTestMember(t, nil)
 	c := send(100, "q", 1)
-	g.protocol.peers[1].unanswered, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
+	g.protocol.peers[1].unansweredReports, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owners.owner(c) != 0 {
 		t.Fatal("an unreachable owner still owns")
 	}
@@ -95,7 +95,7 @@
 			}
 			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2; reply.remaining = 6 })
 			g.HandlePeerMessage(now, from, data)
-			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unanswered != 0 {
+			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unansweredReports != 0 {
 				t.Fatal("the reply to the third report is not applied")
 			}
 			return
@@ -148,7 +148,7 @@
 	clock := &eventClock{now: 100}
 	u, sent := newTestReporter(clock)
 	for key := range uint32(10) {
-		u.ask(newReportedCustomer(key))
+		u.askForGrant(newReportedCustomer(key))
 	}
 	if len(*sent) != minBatchTokens {
 		t.Fatalf("%d urgent messages are sent at once, the budget holds %d", len(*sent), minBatchTokens)
@@ -185,7 +185,7 @@
 				t.Error("the first report is taken for the last attempt")
 			}
 		})
-		if overdue != 1 || u.protocol.peers[1].unanswered != 1 || len(u.watched) != 0 {
+		if overdue != 1 || u.protocol.peers[1].unansweredReports != 1 || len(u.watched) != 0 {
 			t.Errorf("with %d requests waiting %d replies are overdue, want 1", len(tc.waiting), overdue)
 		}
 	}
