--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -15,44 +15,44 @@
 
 // arrival bounds when the bytes of one read arrived.
 type arrival struct {
-	first policy.Seconds // the earliest time at which any of them may have arrived
-	last  policy.Seconds // when the last of them had arrived
+	earliest policy.Seconds // the earliest time at which any of them may have arrived
+	lastByte policy.Seconds // when the last of them had arrived
 }
 
-// ofCommand is when a command had arrived completely. endsRead is set where its last byte is the last of the read;
+// commandArrivedAt is when a command had arrived completely. endsRead is set where its last byte is the last of the read;
 // else more bytes came behind it.
-func (a arrival) ofCommand(endsRead bool) policy.Seconds {
-	if endsRead {
-		return a.last
+func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
+	if lastInRead {
+		return a.lastByte
 	}
-	return a.first
+	return a.earliest
 }
 
 // arrivalTracker follows the arrival of the bytes in one connection's buffer. It belongs to the connection's reader.
 type arrivalTracker struct {
 	lastEmptyAt policy.Seconds // when the socket was last known to be empty
-	marks       []arrivalMark  // of the reads whose bytes are in the buffer, oldest first
+	reads       []bufferedRead // of the reads whose bytes are in the buffer, oldest first
 }
 
-// arrivalMark is when the bytes of one read arrived.
-type arrivalMark struct {
+// bufferedRead is when the bytes of one read arrived.
+type bufferedRead struct {
 	end     int // of them, in the buffer
 	arrival arrival
 }
 
 // record notes when the bytes arrived that the last read has added to the buffer, up to end.
 func (t *arrivalTracker) record(end int, arrived arrival) {
-	if n := len(t.marks); n > 0 && t.marks[n-1].end == end || end == 0 {
+	if n := len(t.reads); n > 0 && t.reads[n-1].end == end || end == 0 {
 		return // it has added none
 	}
-	t.marks = append(t.marks, arrivalMark{end, arrived})
+	t.reads = append(t.reads, bufferedRead{end, arrived})
 }
 
-// ofCommandEndingAt is when the command had arrived completely that ends at an offset of the buffer.
-func (t *arrivalTracker) ofCommandEndingAt(end int) policy.Seconds {
-	for _, mark := range t.marks {
+// commandArrivedAt is when the command had arrived completely that ends at an offset of the buffer.
+func (t *arrivalTracker) commandArrivedAt(end int) policy.Seconds {
+	for _, mark := range t.reads {
 		if end <= mark.end {
-			return mark.arrival.ofCommand(end == mark.end)
+			return mark.arrival.commandArrivedAt(end == mark.end)
 		}
 	}
 	return t.lastEmptyAt
@@ -60,31 +60,31 @@
 
 // discard forgets the first n bytes of the buffer.
 func (t *arrivalTracker) discard(n int) {
-	kept := t.marks[:0]
-	for _, mark := range t.marks {
+	kept := t.reads[:0]
+	for _, mark := range t.reads {
 		if mark.end -= n; mark.end > 0 {
 			kept = append(kept, mark)
 		}
 	}
-	t.marks = kept
+	t.reads = kept
 }
 
 // estimate bounds when the bytes of a read arrived, from when the read was started and ended, and whether it filled
 // its space.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
-	read := arrival{first: endedAt, last: endedAt}
+	read := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
 		// The reader was delayed: all may have arrived right after the last read.
-		read.first = t.lastEmptyAt
+		read.earliest = t.lastEmptyAt
 	} else {
-		read.first = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
+		read.earliest = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
-		read.last = max(endedAt-age, t.lastEmptyAt)
+		read.lastByte = max(endedAt-age, t.lastEmptyAt)
 	} else if filled { // what arrived last may still be in the socket
-		read.last = read.first
+		read.lastByte = read.earliest
 	}
-	read.first = min(read.first, read.last)
+	read.earliest = min(read.earliest, read.lastByte)
 	if !filled {
 		t.lastEmptyAt = endedAt
 	}
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -27,10 +27,10 @@
 		lag.SetNextTimerDue(tc.dueAt)
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
 		got := tracker.estimate(raw, &lag, tc.began, tc.ended, tc.filled)
-		if got.first > tc.first || got.first < tc.first-1 || got.last < got.first || got.last > tc.ended {
+		if got.earliest > tc.first || got.earliest < tc.first-1 || got.lastByte < got.earliest || got.lastByte > tc.ended {
 			t.Errorf("%s: got %+v, want the first at %v", name, got, tc.first)
 		}
-		if tc.filled && (got.last != got.first || tracker.lastEmptyAt != tc.emptyAt) {
+		if tc.filled && (got.lastByte != got.earliest || tracker.lastEmptyAt != tc.emptyAt) {
 			t.Errorf("%s: got %+v, the socket empty at %v", name, got, tracker.lastEmptyAt)
 		}
 	}
@@ -43,12 +43,12 @@
 	tracker.record(10, arrival{9, 9}) // a read that added nothing
 	tracker.record(30, arrival{3, 4})
 	for end, want := range map[int]float64{5: 1, 10: 2, 20: 3, 30: 4} {
-		if got := tracker.ofCommandEndingAt(end); got != want {
+		if got := tracker.commandArrivedAt(end); got != want {
 			t.Errorf("at %d: %v, want %v", end, got, want)
 		}
 	}
 	tracker.discard(12)
-	if got := tracker.ofCommandEndingAt(18); got != 4 || len(tracker.marks) != 1 {
-		t.Errorf("after a part was parsed: %v, %d marks", got, len(tracker.marks))
+	if got := tracker.commandArrivedAt(18); got != 4 || len(tracker.reads) != 1 {
+		t.Errorf("after a part was parsed: %v, %d buffered reads", got, len(tracker.reads))
 	}
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -17,20 +17,20 @@
 	// listenerQuietPeriod is how long no connection must come, once the event loop has given the listener a deadline,
 	// for the listener to close.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietWaitsToClose is how many such periods must pass in a row.
-	quietWaitsToClose = 2
+	// quietPeriodsToClose is how many such periods must pass in a row.
+	quietPeriodsToClose = 2
 )
 
 // clientListener accepts the connections of clients and starts their readers. Its goroutine, which Proxy.serve starts,
 // owns it. When the event loop gives the listener a deadline, it accepts what has come before that, closes the
 // listener, notifies the event loop and ends. It also ends with the event loop.
 type clientListener struct {
-	services   *services
-	clients    *clientSet // it uses connSlots alone; the rest belongs to the event loop
-	listener   *net.TCPListener
-	parser     *command.Parser
-	accepted   uint64 // connections so far
-	quietWaits int    // periods after the deadline in which no connection came
+	services     *services
+	clients      *clientSet // it uses connSlots alone; the rest belongs to the event loop
+	listener     *net.TCPListener
+	parser       *command.Parser
+	accepted     uint64 // connections so far
+	quietPeriods int    // periods after the deadline in which no connection came
 
 	// The event loop calls onError with an error of accept, and onEnd when the listener is closed.
 	onError func(error)
@@ -79,7 +79,7 @@
 	case errors.Is(err, net.ErrClosed):
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return l.waitQuietly(time.Since(startedAt))
+		return l.handleAcceptTimeout(time.Since(startedAt))
 	}
 	var rawConn syscall.RawConn
 	if err == nil {
@@ -101,13 +101,13 @@
 	return true
 }
 
-// waitQuietly handles a passed deadline of the listener after a wait. It reports whether to go on, with a new deadline.
-func (l *clientListener) waitQuietly(waited time.Duration) (more bool) {
-	l.quietWaits++
+// handleAcceptTimeout handles a passed deadline of the listener after a wait. It reports whether to go on, with a new deadline.
+func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
+	l.quietPeriods++
 	if waited < listenerQuietPeriod/2 { // accept may have returned without a look, as the deadline had passed already
-		l.quietWaits = 0
+		l.quietPeriods = 0
 	}
-	if l.quietWaits >= quietWaitsToClose {
+	if l.quietPeriods >= quietPeriodsToClose {
 		return false
 	}
 	<-l.clients.connSlots
