--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -80,7 +80,7 @@
 // mustNotStart reports whether the attempt's endpoint is out of service, its request has ended, or its time is over.
 func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
-	settled := a.request != nil && a.request.settled
+	settled := a.request != nil && a.request.done
 	return !inService || settled || runner.services.loop.Now() >= a.expiresAt
 }
 
@@ -143,7 +143,7 @@
 	runner.finish(a, attemptResult{status: status}, runner.services.loop.Now())
 }
 
-// abortUnwritten ends the attempts of a settled request whose commands are not completely written: with the last byte
+// abortUnwritten ends the attempts of a finished request whose commands are not completely written: with the last byte
 // of one, its execution would begin after the request's end.
 func (runner *attemptRunner) abortUnwritten(r *request) {
 	for _, a := range r.attempts {
@@ -207,7 +207,7 @@
 	r := a.request
 	r.inFlight--
 	if result.status == policy.OK {
-		runner.requests.reply(r, result.value, served)
+		runner.requests.reply(r, result.value, noReason)
 	}
 	runner.requests.removeIfDone(r)
 	endpointID := ""
@@ -216,6 +216,6 @@
 	}
 	decider.HandleOutcome(loop.Now(), policy.Outcome{
 		RequestID: r.ID, Endpoint: endpointID, Attempt: a.number, Status: result.status,
-		RequestDone: r.settled, Elapsed: elapsed, Load: result.load,
+		RequestDone: r.done, Elapsed: elapsed, Load: result.load,
 	})
 }
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -65,8 +65,8 @@
 // idle reports whether the client waits for nothing, as far as its commands were handled.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyAtOnce replies to a command that the decision module never sees. Event loop only.
-func (c *clientConn) replyAtOnce(reply []byte, last bool) {
+// replyLocally replies to a command that the decision module never sees. Event loop only.
+func (c *clientConn) replyLocally(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
 	}
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -192,7 +192,7 @@
 			return err
 		}
 		if !shared.inputBudget.Reserve(request.Size) {
-			shared.loop.Post(at, func() { requests.rejectAtOnce(c, request, inputMemoryExhausted) })
+			shared.loop.Post(at, func() { requests.rejectLocally(c, request, inputMemoryExhausted) })
 			return nil
 		}
 		request.CopyArgs()
@@ -213,7 +213,7 @@
 		return false
 	}
 	reply := errorReply(err)
-	r.services.loop.Post(at, func() { r.client.replyAtOnce(reply, false) })
+	r.services.loop.Post(at, func() { r.client.replyLocally(reply, false) })
 	return true
 }
 
@@ -224,7 +224,7 @@
 // close over unread bytes would reset the connection, and might destroy the reply.
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
-	r.services.loop.Post(at, func() { c.replyAtOnce(reply, true) })
+	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
 	closedByClient := r.drainInput(lingerTimeout)
 	r.services.loop.Post(r.services.clock.Now(), func() {
 		c.inputDiscarded = true
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -14,7 +14,7 @@
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit = 2
 		h.decider.onRequest = func(q policy.Request) {
-			h.proxy.requests.reply(h.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), served)
+			h.proxy.requests.reply(h.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), noReason)
 		}
 	})
 	stuck := h.client()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -75,7 +75,7 @@
 	if !d.acceptingStopped {
 		d.stopAccepting()
 	}
-	d.requests.failOpen(shuttingDown)
+	d.requests.failOpenRequests(shuttingDown)
 	d.clients.closeIdle()
 	d.services.loop.After(drainMargin.Seconds()/2, func() {
 		for c := range d.clients.conns {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -426,7 +426,7 @@
 func (h *harness) wantFinalOutcome(want policy.AttemptStatus) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != want || !o.RequestDone {
-		h.t.Errorf("got %+v, want status %v and a settled request", o, want)
+		h.t.Errorf("got %+v, want status %v and a finished request", o, want)
 	}
 }
 
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -22,7 +22,7 @@
 	timer     *eventloop.Timer // fires when the decision module ought to have replied; stopped with the reply
 	attempts  []*attempt       // as many as the settings allow, and one
 	inFlight  int              // attempts whose outcome was not reported yet
-	settled   bool             // it has its final reply, or its client has disconnected
+	done      bool             // it has its final reply, or its client has disconnected
 }
 
 // The reasons for which the proxy itself rejects or fails a request, beside those of the decision module.
@@ -32,7 +32,7 @@
 	tooManyOpenRequests    policy.Reason = "too_many_open_requests"
 	inputMemoryExhausted   policy.Reason = "input_memory_exhausted"
 	noDecision             policy.Reason = "no_decision_in_time"
-	served                 policy.Reason = "" // none: the reply is a value
+	noReason               policy.Reason = "" // none: the reply is a value
 )
 
 // requestTable holds the open requests, and gives each its final reply or its end, once. The event loop owns it.
@@ -54,27 +54,27 @@
 			t.services.inputBudget.Release(parsed.Size)
 		}
 	}()
-	if t.rejectedAtOnce(c, parsed) {
+	if t.rejectIfInadmissible(c, parsed) {
 		return
 	}
 	admitted = true
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// rejectedAtOnce rejects a request that a limit of this process does not allow, and reports whether it did. Where the
+// rejectIfInadmissible rejects a request that a limit of this process does not allow, and reports whether it did. Where the
 // client can't get a reply any more, there is none.
-func (t *requestTable) rejectedAtOnce(c *clientConn, parsed *command.Request) bool {
+func (t *requestTable) rejectIfInadmissible(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
 	case c.closed, c.sendingShutDown:
 	case t.drain.timedOut:
-		t.rejectAtOnce(c, parsed, shuttingDown)
+		t.rejectLocally(c, parsed, shuttingDown)
 	case c.overLimit && c.set.evictToLimit(c):
-		t.rejectAtOnce(c, parsed, connectionLimitReached)
+		t.rejectLocally(c, parsed, connectionLimitReached)
 	case t.byID[parsed.ID] != nil:
-		c.replyAtOnce(redcon.AppendError(nil, "ERR a request of this id is open"), false)
+		c.replyLocally(redcon.AppendError(nil, "ERR a request of this id is open"), false)
 	case maxOpen > 0 && len(t.byID) >= maxOpen:
-		t.rejectAtOnce(c, parsed, tooManyOpenRequests)
+		t.rejectLocally(c, parsed, tooManyOpenRequests)
 	default:
 		return false
 	}
@@ -102,11 +102,11 @@
 func (t *requestTable) expire(r *request) {
 	t.services.warn("no reply from the decision module in time", "id", r.ID)
 	t.fail(r, noDecision)
-	t.notifyGone(r)
+	t.notifyClientGone(r)
 }
 
-// notifyGone notifies the decision module that a request needs no reply any more.
-func (t *requestTable) notifyGone(r *request) {
+// notifyClientGone notifies the decision module that a request needs no reply any more.
+func (t *requestTable) notifyClientGone(r *request) {
 	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
 }
 
@@ -134,10 +134,10 @@
 	t.reply(r, redcon.AppendError(nil, "ERR failed"), why)
 }
 
-// rejectAtOnce rejects a request that the decision module never sees.
-func (t *requestTable) rejectAtOnce(c *clientConn, parsed *command.Request, why policy.Reason) {
+// rejectLocally rejects a request that the decision module never sees.
+func (t *requestTable) rejectLocally(c *clientConn, parsed *command.Request, why policy.Reason) {
 	t.services.warn("request rejected", "id", parsed.ID, "connection", c.number, "reason", string(why))
-	c.replyAtOnce(t.busyReply(t.settings.MaxRetryAfter), false)
+	c.replyLocally(t.busyReply(t.settings.MaxRetryAfter), false)
 }
 
 // busyReply is the reply to a rejected request, with the Retry-After in milliseconds if there is one.
@@ -150,19 +150,19 @@
 
 // reply gives a request its final reply, the first time that it is called for it, and why it is not a value.
 func (t *requestTable) reply(r *request, reply []byte, why policy.Reason) {
-	if r.settled {
+	if r.done {
 		return
 	}
 	r.slot.reply = reply
 	t.trace.completed(r, reply, why)
-	t.settle(r)
+	t.finish(r)
 	r.client.flush()
 }
 
-// settle marks a request as settled, and releases what it holds: attempts in flight use neither its timer nor its
+// finish marks a request as done, and releases what it holds: attempts in flight use neither its timer nor its
 // arguments.
-func (t *requestTable) settle(r *request) {
-	r.settled = true
+func (t *requestTable) finish(r *request) {
+	r.done = true
 	t.attempts.abortUnwritten(r)
 	t.services.loop.Stop(r.timer)
 	t.services.inputBudget.Release(r.Size)
@@ -170,29 +170,29 @@
 	t.removeIfDone(r)
 }
 
-// abandon settles a request whose client has disconnected, and notifies the decision module.
+// abandon finishes a request whose client has disconnected, and notifies the decision module.
 func (t *requestTable) abandon(r *request) {
-	if r.settled {
+	if r.done {
 		return
 	}
 	t.trace.clientGone(r)
-	t.settle(r)
-	t.notifyGone(r)
+	t.finish(r)
+	t.notifyClientGone(r)
 }
 
-// removeIfDone forgets a settled request once the outcomes of all its attempts were reported.
+// removeIfDone forgets a finished request once the outcomes of all its attempts were reported.
 func (t *requestTable) removeIfDone(r *request) {
-	if r.settled && r.inFlight == 0 {
+	if r.done && r.inFlight == 0 {
 		delete(t.byID, r.ID)
 	}
 }
 
-// failOpen fails the requests that have no final reply yet, and notifies the decision module.
-func (t *requestTable) failOpen(why policy.Reason) {
+// failOpenRequests fails the requests that have no final reply yet, and notifies the decision module.
+func (t *requestTable) failOpenRequests(why policy.Reason) {
 	for _, r := range t.byID {
-		if !r.settled {
+		if !r.done {
 			t.fail(r, why)
-			t.notifyGone(r)
+			t.notifyClientGone(r)
 		}
 	}
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -23,8 +23,8 @@
 // replyToPing replies to a health check of this gateway. Event loop only.
 func (c *clientConn) replyToPing() {
 	if !c.set.status.isReady() {
-		c.replyAtOnce(redcon.AppendError(nil, "LOADING no backends known yet"), false)
+		c.replyLocally(redcon.AppendError(nil, "LOADING no backends known yet"), false)
 		return
 	}
-	c.replyAtOnce(redcon.AppendString(nil, "PONG"), false)
+	c.replyLocally(redcon.AppendString(nil, "PONG"), false)
 }
