--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -101,7 +101,7 @@
 	conn, err := s.dial(addr)
 	for first := true; netcalls.IsLocalFault(err) && shared.clock.Now()-startedAt < s.localFaultRetry.Seconds(); first = false {
 		if failed := err; first {
-			shared.loop.Post(shared.clock.Now(), func() { s.descriptors.freeAfter(failed) })
+			shared.loop.Post(shared.clock.Now(), func() { s.descriptors.evictIfExhausted(failed) })
 		}
 		shared.calls.Sleep(netcalls.RetryInterval)
 		conn, err = s.dial(addr)
@@ -146,7 +146,7 @@
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
-	s.descriptors.freeAfter(err)
+	s.descriptors.evictIfExhausted(err)
 	if netcalls.IsLocalFault(err) { // not the endpoint's
 		return policy.NotSent
 	}
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -14,8 +14,8 @@
 	// shutdownTimeout is how long a client may take to close its side of a connection whose sending side this gateway
 	// has shut down.
 	shutdownTimeout = 500 * time.Millisecond
-	// replyInFlight is how long a reply may be on its way, so that a reset of its connection would destroy it.
-	replyInFlight policy.Seconds = 1
+	// replyDeliveryTime is how long a reply may be on its way, so that a reset of its connection would destroy it.
+	replyDeliveryTime policy.Seconds = 1
 )
 
 // pastDeadline is a deadline that has passed: it ends a read at once.
@@ -113,7 +113,7 @@
 // lately only the sending side is shut down, and what still comes is discarded until the client closes too; it repeats
 // on another connection what it had sent meanwhile.
 func (c *clientConn) closeGracefully() {
-	if c.services.loop.Now()-c.lastUsedAt > replyInFlight {
+	if c.services.loop.Now()-c.lastUsedAt > replyDeliveryTime {
 		c.close(c.closeReason, nil)
 		return
 	}
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -44,7 +44,7 @@
 		parser: command.NewParser(p.cfg.Settings.Settings),
 		onError: func(err error) {
 			p.warn("accept failed", "error", err)
-			p.descriptors.freeAfter(err)
+			p.descriptors.evictIfExhausted(err)
 		},
 		onEnd: func() { p.drain.listenerEnded = true },
 	}
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -11,8 +11,8 @@
 // forwarded for a client that has disconnected.
 
 const (
-	// readAheadEvery is how often a reader that waits looks at its socket.
-	readAheadEvery = 10 * time.Millisecond
+	// readAheadInterval is how often a reader that waits looks at its socket.
+	readAheadInterval = 10 * time.Millisecond
 	// maxReadAhead is up to how many unhandled bytes it reads ahead.
 	maxReadAhead = 256 << 10
 	// readAheadBudgetShare is the share of the input budget that is left for others.
@@ -28,8 +28,8 @@
 		return true
 	default:
 	}
-	look := time.NewTicker(readAheadEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(readAheadInterval)
+	defer ticker.Stop()
 	ended := false
 	for {
 		select {
@@ -37,7 +37,7 @@
 			return true
 		case <-c.done:
 			return false
-		case <-look.C:
+		case <-ticker.C:
 		}
 		if !ended {
 			ended = r.readAhead()
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -19,9 +19,9 @@
 const (
 	// maxBadCommands is how many commands of one connection may be bad; it is closed with the last of them.
 	maxBadCommands = 8
-	// lingerTimeout and maxLingerBytes bound the input that is read and discarded behind a malformed command.
-	lingerTimeout  = 2 * time.Second
-	maxLingerBytes = 1 << 20
+	// discardTimeout and maxLingerBytes bound the input that is read and discarded behind a malformed command.
+	discardTimeout    = 2 * time.Second
+	maxDiscardedBytes = 1 << 20
 	// typicalArguments is how many arguments of a command there is space for without an allocation.
 	typicalArguments = 8
 )
@@ -49,17 +49,17 @@
 	services *services
 	parser   *command.Parser
 
-	buffer      readbuf.Buffer
-	arrivals    arrivalTracker
-	badCommands int
-	timed       bool      // a deadline of the client runs
-	deadline    time.Time // of it; zero for none
+	buffer         readbuf.Buffer
+	arrivals       arrivalTracker
+	badCommands    int
+	deadlineActive bool      // a deadline of the client runs
+	deadline       time.Time // of it; zero for none
 }
 
 // run reads until the connection ends.
 func (r *clientReader) run() {
 	defer r.buffer.Free()
-	r.timed = true
+	r.deadlineActive = true
 	r.setDeadline(time.Now().Add(r.client.set.commandTimeout))
 	for r.readOnce() {
 	}
@@ -106,11 +106,11 @@
 // updateDeadline starts the deadline with an unfinished command and ends it with the last complete one.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
-	case unfinished && (used > 0 || !r.timed):
-		r.timed = true
+	case unfinished && (used > 0 || !r.deadlineActive):
+		r.deadlineActive = true
 		r.setDeadline(time.Now().Add(r.client.set.commandTimeout))
-	case !unfinished && r.timed:
-		r.timed = false
+	case !unfinished && r.deadlineActive:
+		r.deadlineActive = false
 		r.setDeadline(time.Time{})
 	}
 }
@@ -121,7 +121,7 @@
 	switch {
 	case timedOut && r.client.pauseRequested.Load():
 		return r.pause(at)
-	case timedOut && r.timed && time.Now().Before(r.deadline):
+	case timedOut && r.deadlineActive && time.Now().Before(r.deadline):
 		r.setDeadline(r.deadline) // the deadline was that of a pause that has ended
 		return true
 	case timedOut:
@@ -145,7 +145,7 @@
 		r.setDeadline(r.deadline)
 		return true
 	}
-	r.drainInput(shutdownTimeout)
+	r.discardRemaining(shutdownTimeout)
 	r.services.loop.Post(r.services.clock.Now(), func() { c.close(c.closeReason, nil) })
 	return false
 }
@@ -225,7 +225,7 @@
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
 	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
-	closedByClient := r.drainInput(lingerTimeout)
+	closedByClient := r.discardRemaining(discardTimeout)
 	r.services.loop.Post(r.services.clock.Now(), func() {
 		c.inputDiscarded = true
 		if closedByClient || c.idle() {
@@ -234,10 +234,10 @@
 	})
 }
 
-// drainInput reads and discards what still comes, for a while. It reports whether the client has closed its side.
-func (r *clientReader) drainInput(timeout time.Duration) (closedByClient bool) {
+// discardRemaining reads and discards what still comes, for a while. It reports whether the client has closed its side.
+func (r *clientReader) discardRemaining(timeout time.Duration) (closedByClient bool) {
 	r.buffer.Free()
 	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // where it fails, so does the read
-	n, err := io.Copy(io.Discard, io.LimitReader(r.client.conn, maxLingerBytes))
-	return n < maxLingerBytes && !errors.Is(err, os.ErrDeadlineExceeded)
+	n, err := io.Copy(io.Discard, io.LimitReader(r.client.conn, maxDiscardedBytes))
+	return n < maxDiscardedBytes && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -72,13 +72,13 @@
 // open is the number of open connections.
 func (s *clientSet) open() int { return len(s.conns) }
 
-// staying is the number of connections that are not about to be closed.
-func (s *clientSet) staying() int { return len(s.conns) - s.closing }
+// notClosing is the number of connections that are not about to be closed.
+func (s *clientSet) notClosing() int { return len(s.conns) - s.closing }
 
 // add adds a connection that the listener has accepted.
 func (s *clientSet) add(c *clientConn) {
 	c.overLimit = s.evictToLimit(c)
-	if c.overLimit && s.staying() >= s.limit+s.overLimitAllowance {
+	if c.overLimit && s.notClosing() >= s.limit+s.overLimitAllowance {
 		s.services.warn("client rejected: too many connections", "open", s.open())
 		c.close(tooManyConnections, nil)
 		return
@@ -110,7 +110,7 @@
 
 // enforceLimit closes idle connections while more are open than the limit.
 func (s *clientSet) enforceLimit() {
-	if s.staying() > s.limit {
+	if s.notClosing() > s.limit {
 		s.evictToLimit(nil)
 	}
 }
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -13,8 +13,8 @@
 	// stallTimeout is how long a client may take nothing of a reply that its socket has no room for. A close under a
 	// reply loses it, so this is long; such a client may be evicted earlier.
 	stallTimeout = 30 * time.Second
-	// stalledAfter is the time without progress after which a client may be evicted.
-	stalledAfter policy.Seconds = 5
+	// evictStalledAfter is the time without progress after which a client may be evicted.
+	evictStalledAfter policy.Seconds = 5
 	// maxKeptOutput is the largest buffer in bytes that is kept for the next reply.
 	maxKeptOutput = 4 * readbuf.Size
 )
@@ -130,7 +130,7 @@
 
 // stalled reports whether the client has taken nothing of its replies for long.
 func (c *clientConn) stalled(now policy.Seconds) bool {
-	return c.writing && now-c.writeProgressAt.Load() > stalledAfter
+	return c.writing && now-c.writeProgressAt.Load() > evictStalledAfter
 }
 
 // openRequestIDs returns the ids of the client's requests that have no final reply yet, and of those whose reply is not
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -66,7 +66,7 @@
 	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + "*1\r\n$60000000\r\n")
 	receive(t, h.decider.requests)
-	c.write(strings.Repeat("x", maxLingerBytes))
+	c.write(strings.Repeat("x", maxDiscardedBytes))
 	h.eventually("enough is read", func() bool {
 		q := h.proxy.requests.byID["a"]
 		return q != nil && q.client.inputDiscarded
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -39,26 +39,26 @@
 // clients again.
 func (g *descriptorGuard) check() {
 	s := g.clients
-	if !g.freeAfter(g.probe()) && s.limit < s.configuredLimit {
+	if !g.evictIfExhausted(g.probe()) && s.limit < s.configuredLimit {
 		s.limit = min(s.configuredLimit, s.limit+max(1, s.configuredLimit/limitRecoveryDivisor))
 	}
 }
 
-// freeAfter reports whether a call failed for want of descriptors. Idle connections are closed then: those to
+// evictIfExhausted reports whether a call failed for want of descriptors. Idle connections are closed then: those to
 // endpoints first, which cost a new dial at most, and clients that wait for no reply, those idle for longest first.
-func (g *descriptorGuard) freeAfter(err error) bool {
+func (g *descriptorGuard) evictIfExhausted(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
 		return false
 	}
 	s := g.clients
-	evictions := max(1, s.staying()/evictionDivisor)
+	evictions := max(1, s.notClosing()/evictionDivisor)
 	g.services.warn("no descriptor left", "clients", s.open(), "backend_connections", g.endpoints.openConns)
 	for range max(1, evictions/2) {
 		if !g.endpoints.evictIdle() {
 			break
 		}
 	}
-	s.limit = max(minClients, min(s.limit, s.staying()-evictions))
+	s.limit = max(minClients, min(s.limit, s.notClosing()-evictions))
 	s.evictToLimit(nil)
 	return true
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -12,11 +12,11 @@
 	// acceptGrace is how long after the signal new connections are accepted. They come for up to 0.4 s after a
 	// planned restart was announced, and what is lost from 0.7 s on counts: the listener closes between the two.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL may follow killDelay after the longest timeout, which counts as maxKillTimeout where it is longer.
-	// By drainMargin before that, all requests have their reply, and by half of it each connection is closed.
-	killDelay      = 700 * time.Millisecond
-	maxKillTimeout = 3 * time.Second
-	drainMargin    = 150 * time.Millisecond
+	// SIGKILL may follow sigkillDelay after the longest timeout, which counts as maxSigkillTimeout where it is longer.
+	// By sigkillMargin before that, all requests have their reply, and by half of it each connection is closed.
+	sigkillDelay      = 700 * time.Millisecond
+	maxSigkillTimeout = 3 * time.Second
+	sigkillMargin     = 150 * time.Millisecond
 )
 
 // drain is a graceful shutdown: it stops accepting connections, closes those that are idle, and after a time fails the
@@ -43,9 +43,9 @@
 	for _, class := range classes {
 		longest = max(longest, class.Timeout)
 	}
-	killAfter := min(eventloop.Duration(longest), maxKillTimeout) + killDelay
+	sigkillAfter := min(eventloop.Duration(longest), maxSigkillTimeout) + sigkillDelay
 	d.services, d.listener, d.clients, d.requests = shared, listener, clients, requests
-	d.acceptGrace, d.timeout = acceptGrace, killAfter-drainMargin
+	d.acceptGrace, d.timeout = acceptGrace, sigkillAfter-sigkillMargin
 }
 
 // start begins the shutdown, on the signal to end.
@@ -77,12 +77,12 @@
 	}
 	d.requests.failOpenRequests(shuttingDown)
 	d.clients.closeIdle()
-	d.services.loop.After(drainMargin.Seconds()/2, func() {
+	d.services.loop.After(sigkillMargin.Seconds()/2, func() {
 		for c := range d.clients.conns {
 			c.shutDownSending()
 		}
 	})
-	d.services.loop.After(drainMargin.Seconds()*3/4, func() {
+	d.services.loop.After(sigkillMargin.Seconds()*3/4, func() {
 		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -47,7 +47,7 @@
 		p.warn("endpoint entry skipped", "error", e.Err)
 	case discovery.WatchEnded:
 		p.warn("watch ended", "error", e.Err, "address", e.Address, "version", e.Version)
-		p.descriptors.freeAfter(e.Err)
+		p.descriptors.evictIfExhausted(e.Err)
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -91,12 +91,12 @@
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
-	p.connectParts()
+	p.connectComponents()
 	return p, nil
 }
 
-// connectParts makes the parts, once the sockets are open, and hands each of them the others that it uses.
-func (p *Proxy) connectParts() {
+// connectComponents makes the parts, once the sockets are open, and hands each of them the others that it uses.
+func (p *Proxy) connectComponents() {
 	shared, configured := &p.services, &p.cfg.Settings
 	p.trace = tracer{services: shared, classes: configured.Classes}
 	p.requests = requestTable{
