--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -191,7 +191,7 @@
 			free := make(chan struct{})
 			h := startProxy(t, testConfig(addr), func(h *harness) {
 				sendEachRequest(0)(h)
-				h.holdDials(free)
+				h.blockDials(free)
 			})
 			h.client().send(lookCommand("a")...)
 			receive(t, h.decider.requests)
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -19,7 +19,7 @@
 func TestDisconnectReachesDecisionModule(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
-	if id := receive(t, h.decider.gone); id != "a" {
+	if id := receive(t, h.decider.clientsGone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	b.write(valueReply)
@@ -30,7 +30,7 @@
 // while they waited. The event loop waits from before the end of the connection until after the attempt, wherever the
 // request waits.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
-	for name, play := range map[string]func(*testing.T, ending){
+	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
 		"only just read":                      disconnectWhileJustRead,
 		"in the socket of a stalled process":  disconnectDuringAStall,
@@ -39,33 +39,33 @@
 		"waiting for a dial":                  disconnectWhileWaitingForADial,
 		"in the socket behind other commands": disconnectBehindOtherCommands,
 	} {
-		for _, how := range []ending{endingClose, endingReset} {
-			t.Run(fmt.Sprintf("%s, %s", name, how), func(t *testing.T) { play(t, how) })
+		for _, how := range []disconnectKind{byClose, byReset} {
+			t.Run(fmt.Sprintf("%s, %s", name, how), func(t *testing.T) { disconnect(t, how) })
 		}
 	}
 }
 
-func disconnectWhileQueuedByPolicy(t *testing.T, how ending) {
+func disconnectWhileQueuedByPolicy(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), nil)
 	c := h.client()
 	h.openRequest(c, "a")
-	h.whileLoopWaits(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
+	h.whileLoopBlocked(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
 		h.proxy.Send("a", "s0", 0, 0)
 	})
 	h.wantNothingSent(conns)
 }
 
-func disconnectWhileJustRead(t *testing.T, how ending) {
+func disconnectWhileJustRead(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c, conn := h.knownClient()
+	c, conn := h.pingedClient()
 	var args [][]byte
 	for _, arg := range lookCommand("a") {
 		args = append(args, []byte(arg))
 	}
 	closed := func() bool { return netcalls.ClosedByPeer(conn.rawConn) }
-	h.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
+	h.whileLoopBlocked(func() { c.disconnect(how) }, closed, func() {
 		request, err := command.NewParser(h.proxy.cfg.Settings.Settings).Parse(args)
 		if err != nil {
 			t.Error(err)
@@ -76,12 +76,12 @@
 	h.wantNothingSent(conns)
 }
 
-func disconnectDuringAStall(t *testing.T, how ending) {
+func disconnectDuringAStall(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), nil)
 	c := h.client()
 	h.openRequest(c, "a")
-	h.whileLoopWaits(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
+	h.whileLoopBlocked(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
 		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // it was only read now
 		h.proxy.loop.After(-1, func() {})
 		h.proxy.Send("a", "s0", 0, 0)
@@ -89,23 +89,23 @@
 	h.wantNothingSent(conns)
 }
 
-func disconnectBetweenAttempts(t *testing.T, how ending) {
+func disconnectBetweenAttempts(t *testing.T, how disconnectKind) {
 	h, c, b, conns := startWithAttempt(t)
 	closed := h.clientClosed("a")
 	b.write("-ERR failed\r\n")
 	receive(t, h.decider.outcomes)
-	h.whileLoopWaits(func() { c.disconnect(how) }, closed, func() {
+	h.whileLoopBlocked(func() { c.disconnect(how) }, closed, func() {
 		h.changeEndpoint(func(restarted *discovery.Endpoint) { restarted.StartedMS = 1 })
 		h.proxy.Send("a", "s0", 0, 0)
 	})
 	h.wantNothingSent(conns)
 }
 
-func disconnectWhileInTheEventQueue(t *testing.T, how ending) {
+func disconnectWhileInTheEventQueue(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
-	c, conn := h.knownClient()
-	h.whileLoopWaits(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
+	c, conn := h.pingedClient()
+	h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
 		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.LagTolerance) // the command has waited for longer than the lag that counts
@@ -113,17 +113,17 @@
 	h.wantNothingSent(conns)
 }
 
-func disconnectWhileWaitingForADial(t *testing.T, how ending) {
+func disconnectWhileWaitingForADial(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	h := startProxy(t, testConfig(addr), func(h *harness) {
 		sendEachRequest(0)(h)
-		h.holdDials(free)
+		h.blockDials(unblock)
 	})
 	c := h.client()
 	h.openRequest(c, "a")
 	closed := h.clientClosed("a")
-	h.whileLoopWaits(func() { close(free) }, h.queued(1), func() {
+	h.whileLoopBlocked(func() { close(unblock) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(closed)
 	})
@@ -131,7 +131,7 @@
 	h.wantNoCommand(receive(t, conns))
 }
 
-func disconnectBehindOtherCommands(t *testing.T, how ending) {
+func disconnectBehindOtherCommands(t *testing.T, how disconnectKind) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), nil)
 	c := h.client()
@@ -145,34 +145,34 @@
 	}
 	closed := h.clientClosed("r0")
 	h.onLoop(func() { h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0) } })
-	if how == endingReset {
+	if how == byReset {
 		c.disconnect(how)
 	} else { // what was sent before a FIN stays readable
 		c.closeWrite()
 	}
 	// With the reply to r0 the next command has its permit.
-	h.whileLoopWaits(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
-	h.awaitGone(conns, fmt.Sprint("r", maxPipelined-1))
+	h.whileLoopBlocked(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
+	h.awaitClientGone(conns, fmt.Sprint("r", maxPipelined-1))
 	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(conns) != 0 || h.proxy.endpoints.openConns != 0 {
 		t.Error("a command was sent")
 	}
 }
 
-// awaitGone waits until the decision module is notified that the client of a request is gone, and holds that no
+// awaitClientGone waits until the decision module is notified that the client of a request is gone, and holds that no
 // connection is made before.
-func (h *harness) awaitGone(conns <-chan *testConn, id string) {
+func (h *harness) awaitClientGone(conns <-chan *testConn, id string) {
 	h.t.Helper()
 	for {
 		select {
 		case <-conns:
 			h.t.Error("a command was sent")
 			return
-		case gone := <-h.decider.gone:
+		case gone := <-h.decider.clientsGone:
 			if gone == id {
 				return
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			h.t.Fatal("the decision module is never notified")
 		}
 	}
@@ -185,8 +185,8 @@
 	return func() bool { return netcalls.ClosedByPeer(open.client.rawConn) }
 }
 
-// knownClient connects a client that has had a reply, and returns both ends of its connection.
-func (h *harness) knownClient() (c *testConn, conn *clientConn) {
+// pingedClient connects a client that has had a reply, and returns both ends of its connection.
+func (h *harness) pingedClient() (c *testConn, conn *clientConn) {
 	h.t.Helper()
 	c = h.client()
 	c.mustPing()
@@ -201,7 +201,7 @@
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
 		h.t.Errorf("got %+v", o)
 	}
-	if got := receive(h.t, h.decider.gone); got != "a" {
+	if got := receive(h.t, h.decider.clientsGone); got != "a" {
 		h.t.Errorf("gone: %q", got)
 	}
 	h.onLoop(func() {
@@ -217,8 +217,8 @@
 	ping := encodeCommand("PING")
 	for _, unread := range []string{"", ping, strings.Repeat(ping, 200)} {
 		for how, disconnect := range map[string]func(*testConn){
-			"closed":      func(c *testConn) { c.disconnect(endingClose) },
-			"reset":       func(c *testConn) { c.disconnect(endingReset) },
+			"closed":      func(c *testConn) { c.disconnect(byClose) },
+			"reset":       func(c *testConn) { c.disconnect(byReset) },
 			"half closed": (*testConn).closeWrite,
 		} {
 			addr, conns := listenEndpoint(t)
@@ -242,7 +242,7 @@
 // that are unread behind open ones fill its socket.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
-	_, available := h.idleUsage()
+	_, available := h.resourceUsage()
 	c := h.client()
 	var all strings.Builder
 	for i := range maxPipelined + 1000 { // some times what a socket takes at first
@@ -263,7 +263,7 @@
 		t.Error(err)
 	}
 	for range maxPipelined {
-		receive(t, h.decider.gone)
+		receive(t, h.decider.clientsGone)
 	}
 	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(h.decider.requests) != 0 {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -10,8 +10,8 @@
 	"reedlead/policy"
 )
 
-// idleUsage is what a proxy holds: its timers, and what is available of its input budget.
-func (h *harness) idleUsage() (timers int, available int64) {
+// resourceUsage is what a proxy holds: its timers, and what is available of its input budget.
+func (h *harness) resourceUsage() (timers int, available int64) {
 	h.onLoop(func() { timers, available = h.proxy.loop.PendingTimers(), h.proxy.inputBudget.Available() })
 	return timers, available
 }
@@ -20,8 +20,8 @@
 // a command get an error and the end, also behind a request that is still open, which has its reply all the same.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
-	for name, tc := range map[string]struct{ before, half string }{
-		"silence": {}, "half": {half: "*4\r\n$8\r\nCALL"}, "header": {half: "*"},
+	for name, tc := range map[string]struct{ before, partial string }{
+		"silence": {}, "half": {partial: "*4\r\n$8\r\nCALL"}, "header": {partial: "*"},
 		"behind another": {encodeCommand("PING"), "*1\r\n$4\r\nPI"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				}
 				h.onLoop(func() { h.proxy.clients.commandTimeout = time.Millisecond })
 			}
-			c.write(tc.half)
+			c.write(tc.partial)
 			c.wantLines(want, "")
 			c.mustClose()
 			h.eventually("the connection is closed", h.allClientsClosed)
@@ -75,7 +75,7 @@
 	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
 		t.Errorf("got %q, then %q", a, b)
 	}
-	if len(h.decider.gone) != 0 {
+	if len(h.decider.clientsGone) != 0 {
 		t.Error("the decision module was notified that the client was gone")
 	}
 }
@@ -134,19 +134,19 @@
 func TestCompletedRequestReleasesResources(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
-	timers, available := h.idleUsage()
+	timers, available := h.resourceUsage()
 	c := h.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.readCommand()
 	var completed *request
 	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
-	if openTimers, less := h.idleUsage(); openTimers != timers+2 || less >= available {
+	if openTimers, less := h.resourceUsage(); openTimers != timers+2 || less >= available {
 		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", openTimers, less, timers, available)
 	}
 	b.write(valueReply)
 	receive(t, h.decider.outcomes)
-	if again, now := h.idleUsage(); again != timers || now != available || completed.Args != nil {
+	if again, now := h.resourceUsage(); again != timers || now != available || completed.Args != nil {
 		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, available, completed.Args)
 	}
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -47,7 +47,7 @@
 			if yields++; yields == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(patience); yields == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); yields == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -83,7 +83,7 @@
 			if where == "socket" {
 				arrived = func() bool { return !netcalls.NoDataPending(h.proxy.requests.byID["a"].attempts[0].conn.rawConn) }
 			}
-			h.whileLoopWaits(func() { b.write(valueReply) }, arrived, func() { h.proxy.Send("a", "s0", 0, 0) })
+			h.whileLoopBlocked(func() { b.write(valueReply) }, arrived, func() { h.proxy.Send("a", "s0", 0, 0) })
 			for {
 				o := receive(t, h.decider.outcomes)
 				if o.Attempt == 0 {
@@ -106,12 +106,12 @@
 func TestNoAttemptAfterDialWhileReplyIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	h := startProxy(t, testConfig(addr, other), func(h *harness) {
 		sendEachRequest(0)(h)
 		h.beforeDial(func(to string) error {
 			if to == other {
-				<-free
+				<-unblock
 			}
 			return nil
 		})
@@ -128,7 +128,7 @@
 	first.conn.writeMu.Lock() // its reader posts the end once it has this
 	b.mustClose()
 	h.eventually("the reader waits", first.conn.unusable.Load)
-	close(free)
+	close(unblock)
 	if o := receive(t, h.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -19,11 +19,11 @@
 	"reedlead/policy"
 )
 
-// patience is how long a test waits for what must come. It decides nothing but when to give up.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must come. It decides nothing but when to give up.
+const testTimeout = 20 * time.Second
 
-// eventsKept is how many events of a kind a fakeDecider, or a listener, keeps for the test.
-const eventsKept = 64
+// eventBufferSize is how many events of a kind a fakeDecider, or a listener, keeps for the test.
+const eventBufferSize = 64
 
 // fakeDecider stands in for the decision module: a test says what it does on a request or an outcome, and receives
 // the events that come to it.
@@ -32,7 +32,7 @@
 	onOutcome    func(policy.Outcome)
 	requests     chan policy.Request
 	outcomes     chan policy.Outcome
-	gone         chan string // ids of requests
+	clientsGone  chan string // ids of requests
 	lists        chan []policy.Endpoint
 	messages     chan peerMessage
 	healthChecks chan policy.HealthCheckResult
@@ -45,9 +45,9 @@
 
 func newFakeDecider() *fakeDecider {
 	return &fakeDecider{
-		requests: make(chan policy.Request, eventsKept), outcomes: make(chan policy.Outcome, eventsKept),
-		gone: make(chan string, eventsKept), lists: make(chan []policy.Endpoint, eventsKept),
-		messages: make(chan peerMessage, eventsKept), healthChecks: make(chan policy.HealthCheckResult, eventsKept),
+		requests: make(chan policy.Request, eventBufferSize), outcomes: make(chan policy.Outcome, eventBufferSize),
+		clientsGone: make(chan string, eventBufferSize), lists: make(chan []policy.Endpoint, eventBufferSize),
+		messages: make(chan peerMessage, eventBufferSize), healthChecks: make(chan policy.HealthCheckResult, eventBufferSize),
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *fakeDecider) HandleClientGone(_ policy.Seconds, id string) { d.gone <- id }
+func (d *fakeDecider) HandleClientGone(_ policy.Seconds, id string) { d.clientsGone <- id }
 
 func (d *fakeDecider) HandleEndpoints(_ policy.Seconds, list []policy.Endpoint, _ bool) {
 	d.lists <- list
@@ -87,7 +87,7 @@
 	select {
 	case element := <-c:
 		return element
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 		panic("unreachable")
 	}
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
@@ -171,14 +171,14 @@
 	p.endpoints.duplicateWindow = 0 // the replies of the tests are alike
 	p.endpoints.writeSlack = 3600
 	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
-	quiet := make(chan struct{})
+	polled := make(chan struct{})
 	if cfg.DiscoveryAddress == unreachableAgent { // it is polled once, so that no event comes of it later
 		p.discovery.After = func(time.Duration) <-chan time.Time {
-			close(quiet)
+			close(polled)
 			return nil
 		}
 	} else {
-		close(quiet)
+		close(polled)
 	}
 	if change != nil {
 		change(h)
@@ -187,7 +187,7 @@
 		defer close(h.ended)
 		p.serve(ctx, h.reloads, h.decider)
 	}()
-	receive(t, quiet)
+	receive(t, polled)
 	t.Cleanup(func() {
 		cancel()
 		h.onLoop(func() {
@@ -213,7 +213,7 @@
 // eventually waits for what comes to hold on the event loop without the test's doing.
 func (h *harness) eventually(what string, holds func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		ok := false
 		if h.onLoop(func() { ok = holds() }); ok {
 			return
@@ -222,9 +222,9 @@
 	h.t.Fatal("never came to: " + what)
 }
 
-// whileLoopWaits has the event loop wait while meanwhile runs, and then until holds. What comes meanwhile is not
+// whileLoopBlocked has the event loop wait while meanwhile runs, and then until holds. What comes meanwhile is not
 // handled before then has run on the event loop.
-func (h *harness) whileLoopWaits(meanwhile func(), holds func() bool, then func()) {
+func (h *harness) whileLoopBlocked(meanwhile func(), holds func() bool, then func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	held := false
@@ -251,7 +251,7 @@
 
 // waitFor waits until something holds, and reports whether it came to.
 func waitFor(holds func() bool) bool {
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -314,10 +314,10 @@
 	h.decider.onRequest = func(q policy.Request) { h.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
 
-// holdDials has dials wait until free is closed.
-func (h *harness) holdDials(free <-chan struct{}) {
+// blockDials has dials wait until free is closed.
+func (h *harness) blockDials(unblock <-chan struct{}) {
 	h.beforeDial(func(string) error {
-		<-free
+		<-unblock
 		return nil
 	})
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -21,7 +21,7 @@
 			h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 			c := h.client()
 			c.mustPing()
-			h.whileLoopWaits(func() { c.send(lookCommand("a")...) }, h.queued(1), func() { end(h) })
+			h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() { end(h) })
 			c.wantLines("-BUSY 500")
 			if name == "shutdown" {
 				c.wantLines("")
@@ -38,14 +38,14 @@
 		h.openRequest(c, "a")
 		h.onLoop(h.proxy.drain.stopAccepting)
 		rejectEachRequest(h)
-		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
+		h.whileLoopBlocked(func() { c.send(lookCommand("b")...) }, h.queued(1), func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 		c.wantLines("-ERR failed", "-BUSY 500", "")
 	})
 	t.Run("at the end of a graceful shutdown", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), nil)
 		c := h.client()
 		h.openRequest(c, "a")
-		h.whileLoopWaits(func() { c.send(lookCommand("b")...) }, h.queued(1), func() {
+		h.whileLoopBlocked(func() { c.send(lookCommand("b")...) }, h.queued(1), func() {
 			h.proxy.drain.stopAccepting()
 			h.proxy.drain.expire()
 		})
@@ -78,7 +78,7 @@
 	t.Run("accepted", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
 		var c *testConn
-		h.whileLoopWaits(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.drain.stopAccepting)
+		h.whileLoopBlocked(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.drain.stopAccepting)
 		c.wantLines("-BUSY 500", "")
 	})
 	t.Run("in the backlog", func(t *testing.T) {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -18,17 +18,17 @@
 	"github.com/tidwall/redcon"
 )
 
-// minSupported is the number of gateways, and of endpoints, that must be supported without a limit.
-const minSupported = 1024
+// largeFleetSize is the number of gateways, and of endpoints, that must be supported without a limit.
+const largeFleetSize = 1024
 
-// largeFleetConfig is the configuration of a gateway in a fleet of minSupported gateways and endpoints, none of which
+// largeFleetConfig is the configuration of a gateway in a fleet of largeFleetSize gateways and endpoints, none of which
 // replies.
 func largeFleetConfig(self int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
 	c.MemoryMB, c.MaxDescriptors = 192, 1024
-	c.Settings.GatewayCount, c.Settings.Self, c.Settings.PeerMessages = minSupported, self, true
+	c.Settings.GatewayCount, c.Settings.Self, c.Settings.PeerMessages = largeFleetSize, self, true
 	c.PeerAddresses, c.PeerListenAddress = peers, peers[self]
-	for i := range minSupported {
+	for i := range largeFleetSize {
 		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, discovery.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i), Zone: "z",
 			Addr: fmt.Sprintf("127.9.%d.%d:6379", i>>8, i&255), State: discovery.StateInService,
@@ -40,10 +40,10 @@
 // largeFleetPeers are the addresses of the gateways of such a fleet. The first and the last, which run, have free ports.
 func largeFleetPeers(t *testing.T) (peers []netip.AddrPort) {
 	t.Helper()
-	for i := range minSupported {
+	for i := range largeFleetSize {
 		peers = append(peers, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 8, byte(i >> 8), byte(i)}), 7946))
 	}
-	for _, i := range []int{0, minSupported - 1} {
+	for _, i := range []int{0, largeFleetSize - 1} {
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(peers[i].Addr(), 0)))
 		if err != nil {
 			t.Fatal(err)
@@ -64,8 +64,8 @@
 	cfg := largeFleetConfig(0, peers)
 	cfg.DiscoveryAddress = address
 	first := startProxy(t, cfg, nil)
-	last := startProxy(t, largeFleetConfig(minSupported-1, peers), nil)
-	if n := len(receive(t, first.decider.lists)); n != minSupported {
+	last := startProxy(t, largeFleetConfig(largeFleetSize-1, peers), nil)
+	if n := len(receive(t, first.decider.lists)); n != largeFleetSize {
 		t.Fatalf("the decision module got %d endpoints", n)
 	}
 	c := first.client()
@@ -76,7 +76,7 @@
 	wantMessagesBetween(t, first, last)
 	first.wantNoDatagramLost()
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=1024,first=1023")
-	if q := receive(t, first.decider.requests); q.GatewayCount != minSupported || q.FirstGateway != minSupported-1 {
+	if q := receive(t, first.decider.requests); q.GatewayCount != largeFleetSize || q.FirstGateway != largeFleetSize-1 {
 		t.Errorf("the decision module got %+v", q)
 	}
 	runtime.GC()
@@ -90,7 +90,7 @@
 func (h *harness) wantLargeLists(watch discoverytest.Poll) {
 	h.t.Helper()
 	list := discovery.List{Version: 7, Full: true}
-	for i := range minSupported {
+	for i := range largeFleetSize {
 		entry := inService(fmt.Sprintf("new-%08x", i), "127.0.0.1:1")
 		entry.Zone = "z"
 		list.Endpoints = append(list.Endpoints, entry)
@@ -100,15 +100,15 @@
 		h.t.Fatal(err)
 	}
 	watch.Write(string(text) + "\n")
-	if n := len(receive(h.t, h.decider.lists)); n != minSupported {
+	if n := len(receive(h.t, h.decider.lists)); n != largeFleetSize {
 		h.t.Errorf("the decision module got %d endpoints", n)
 	}
-	watch.Write(discoverytest.ListJSON(8, false, fmt.Sprintf("new-%08x", minSupported-1), "terminating"))
-	if got := fmt.Sprint(h.nextEndpoints()); got != fmt.Sprintf("[new-%08x draining]", minSupported-1) {
+	watch.Write(discoverytest.ListJSON(8, false, fmt.Sprintf("new-%08x", largeFleetSize-1), "terminating"))
+	if got := fmt.Sprint(h.nextEndpoints()); got != fmt.Sprintf("[new-%08x draining]", largeFleetSize-1) {
 		h.t.Errorf("the decision module got %s", got)
 	}
 	h.onLoop(func() {
-		if n := len(h.proxy.endpoints.byID); n != minSupported {
+		if n := len(h.proxy.endpoints.byID); n != largeFleetSize {
 			h.t.Errorf("%d endpoints are kept", n)
 		}
 	})
@@ -117,12 +117,12 @@
 // wantMessagesBetween holds that messages go both ways between the first gateway and the last.
 func wantMessagesBetween(t *testing.T, first, last *harness) {
 	t.Helper()
-	first.onLoop(func() { first.proxy.SendToPeer(minSupported-1, []byte("there")) })
+	first.onLoop(func() { first.proxy.SendToPeer(largeFleetSize-1, []byte("there")) })
 	if m := receive(t, last.decider.messages); m.from != 0 || m.data != "there" {
 		t.Errorf("the last gateway got %+v", m)
 	}
 	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", peerlink.MaxDatagramSize))) })
-	if m := receive(t, first.decider.messages); m.from != minSupported-1 || len(m.data) != peerlink.MaxDatagramSize {
+	if m := receive(t, first.decider.messages); m.from != largeFleetSize-1 || len(m.data) != peerlink.MaxDatagramSize {
 		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
 	}
 }
@@ -132,7 +132,7 @@
 	h.t.Helper()
 	h.onLoop(func() {
 		before := h.proxy.warnings
-		for i := 1; i < minSupported; i++ {
+		for i := 1; i < largeFleetSize; i++ {
 			h.proxy.SendToPeer(i, []byte("all"))
 		}
 		if h.proxy.warnings != before {
@@ -187,12 +187,12 @@
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
 	first := newRecordedGateway(t, settings, 0)
-	last := newRecordedGateway(t, settings, minSupported-1)
+	last := newRecordedGateway(t, settings, largeFleetSize-1)
 	for i := range 40 { // customers of both; each of them owns some
 		for _, g := range []*recordedGateway{first, last} {
 			g.HandleRequest(100, policy.Request{
 				ID: fmt.Sprint(g.number, "-", i), Class: "look", Plan: "basic", Customer: fmt.Sprintf("%016x", i),
-				Deadline: 102, FirstGateway: minSupported - 1, GatewayCount: 2, Units: 1,
+				Deadline: 102, FirstGateway: largeFleetSize - 1, GatewayCount: 2, Units: 1,
 			})
 		}
 	}
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	var endpoints []policy.Endpoint
-	for i := range minSupported {
+	for i := range largeFleetSize {
 		endpoints = append(endpoints, policy.Endpoint{ID: fmt.Sprint("s", i), Zone: "z"})
 	}
 	g.HandleEndpoints(100, endpoints, true)
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -21,8 +21,8 @@
 }
 
 func newTestConn(t *testing.T, conn net.Conn) *testConn {
-	_ = conn.SetDeadline(time.Now().Add(patience)) // on a closed connection it fails, as reads do
-	t.Cleanup(func() { _ = conn.Close() })         // the test may have closed it
+	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // on a closed connection it fails, as reads do
+	t.Cleanup(func() { _ = conn.Close() })            // the test may have closed it
 	return &testConn{conn, t, bufio.NewReader(conn)}
 }
 
@@ -56,18 +56,18 @@
 	}
 }
 
-// ending is how a client disconnects.
-type ending string
+// disconnectKind is how a client disconnects.
+type disconnectKind string
 
 const (
-	endingClose ending = "closed"
-	endingReset ending = "reset"
+	byClose disconnectKind = "closed"
+	byReset disconnectKind = "reset"
 )
 
 // disconnect ends the connection.
-func (c *testConn) disconnect(how ending) {
+func (c *testConn) disconnect(kind disconnectKind) {
 	c.t.Helper()
-	if how == endingReset {
+	if kind == byReset {
 		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 			c.t.Error(err)
 		}
@@ -180,7 +180,7 @@
 func listenEndpoint(t *testing.T) (addr string, conns chan *testConn) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{})
-	conns = make(chan *testConn, eventsKept)
+	conns = make(chan *testConn, eventBufferSize)
 	go func() {
 		for {
 			conn, err := listener.Accept()
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -21,10 +21,10 @@
 // in time.
 func TestIdempotencyWindowEndsDuringDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	h := startProxy(t, testConfig(addr), func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.01) }
-		h.holdDials(free)
+		h.blockDials(unblock)
 	})
 	c := h.client()
 	c.send(holdCommand("a", "body")...)
@@ -32,7 +32,7 @@
 	windowEnd := 0.0
 	h.onLoop(func() { windowEnd = h.proxy.requests.byID["a"].attempts[0].writeDeadline })
 	waitForClock(h.proxy, windowEnd)
-	close(free)
+	close(unblock)
 	h.wantOutcome(policy.NotSent)
 	b := receive(t, conns)
 	h.eventually("the connection is idle", func() bool { return len(h.proxy.endpoints.byID["s0"].idle) == 1 })
