--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -48,8 +48,8 @@
 	t.reads = append(t.reads, bufferedRead{end, arrived})
 }
 
-// commandArrivedAt is when the command had arrived completely that ends at an offset of the buffer.
-func (t *arrivalTracker) commandArrivedAt(end int) policy.Seconds {
+// commandArrival is when the command had arrived completely that ends at an offset of the buffer.
+func (t *arrivalTracker) commandArrival(end int) policy.Seconds {
 	for _, mark := range t.reads {
 		if end <= mark.end {
 			return mark.arrival.commandArrivedAt(end == mark.end)
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -80,8 +80,8 @@
 // mustNotStart reports whether the attempt's endpoint is out of service, its request has ended, or its time is over.
 func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
-	settled := a.request != nil && a.request.done
-	return !inService || settled || runner.services.loop.Now() >= a.expiresAt
+	done := a.request != nil && a.request.done
+	return !inService || done || runner.services.loop.Now() >= a.expiresAt
 }
 
 // mayBeWritten reports whether an attempt that has waited for a connection may still be written.
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -19,7 +19,7 @@
 func TestDisconnectReachesDecisionModule(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
-	if id := receive(t, h.decider.clientsGone); id != "a" {
+	if id := receive(t, h.decider.gone); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	b.write(valueReply)
@@ -168,7 +168,7 @@
 		case <-conns:
 			h.t.Error("a command was sent")
 			return
-		case gone := <-h.decider.clientsGone:
+		case gone := <-h.decider.gone:
 			if gone == id {
 				return
 			}
@@ -201,7 +201,7 @@
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
 		h.t.Errorf("got %+v", o)
 	}
-	if got := receive(h.t, h.decider.clientsGone); got != "a" {
+	if got := receive(h.t, h.decider.gone); got != "a" {
 		h.t.Errorf("gone: %q", got)
 	}
 	h.onLoop(func() {
@@ -263,7 +263,7 @@
 		t.Error(err)
 	}
 	for range maxPipelined {
-		receive(t, h.decider.clientsGone)
+		receive(t, h.decider.gone)
 	}
 	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(h.decider.requests) != 0 {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -168,7 +168,7 @@
 		if !r.acquirePermit() {
 			return 0, false
 		}
-		if err := r.handleCommand(at, r.arrivals.commandArrivedAt(used+size), args); err != nil {
+		if err := r.handleCommand(at, r.arrivals.commandArrival(used+size), args); err != nil {
 			if !r.replyError(at, err) {
 				return 0, false
 			}
