--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -24,7 +24,7 @@
 }
 
 // Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it. All methods are
-// for functions that the loop runs, and for use before Run; Post, Ended and Lag are safe for concurrent use.
+// for functions that the loop runs, and for use before Run; Post, Ended and StallDetector are safe for concurrent use.
 type Loop struct {
 	clock    Clock
 	events   chan event
@@ -33,7 +33,7 @@
 	timers   timerHeap
 	wake     *time.Timer
 	wakeAt   policy.Seconds // when wake fires; 0: it is not set
-	lag      Lag
+	stalls   StallDetector
 	deferred []func()
 	onPanic  func(cause any, stack []byte)
 
@@ -89,8 +89,8 @@
 // Ended returns a channel that is closed when Run has returned.
 func (l *Loop) Ended() <-chan struct{} { return l.ended }
 
-// Lag returns the record of stalls, for readers of sockets.
-func (l *Loop) Lag() *Lag { return &l.lag }
+// StallDetector returns the record of stalls, for readers of sockets.
+func (l *Loop) StallDetector() *StallDetector { return &l.stalls }
 
 // QueuedEvents returns how many events wait to be handled.
 func (l *Loop) QueuedEvents() int { return len(l.events) }
@@ -144,7 +144,7 @@
 		return
 	}
 	l.wakeAt = l.timers[0].at
-	l.lag.SetNextTimerDue(l.wakeAt)
+	l.stalls.SetNextTimerDue(l.wakeAt)
 	l.wake.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
@@ -153,7 +153,7 @@
 func (l *Loop) runTimers() {
 	now := l.clock.Now()
 	if l.hasStalled(now) {
-		l.lag.recordStall(l.timers[0].at, now)
+		l.stalls.recordStall(l.timers[0].at, now)
 		l.letReadersCatchUp()
 	}
 	for {
@@ -167,7 +167,7 @@
 
 // hasStalled reports whether a timer is so overdue that the process must have stalled.
 func (l *Loop) hasStalled(now policy.Seconds) bool {
-	return len(l.timers) > 0 && now-l.timers[0].at > LagTolerance
+	return len(l.timers) > 0 && now-l.timers[0].at > StallThreshold
 }
 
 // letReadersCatchUp handles what the readers of sockets find after a stall.
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -30,7 +30,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		more, failed := c.WriteNow(raw, b)
+		more, failed := c.TryWrite(raw, b)
 		if failed != nil {
 			return failed
 		}
@@ -47,9 +47,9 @@
 	}
 }
 
-// WriteNow writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
+// TryWrite writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
 // connection.
-func (c *Calls) WriteNow(raw syscall.RawConn, b []byte) (n int, err error) {
+func (c *Calls) TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
 	case closed != nil:
@@ -60,8 +60,8 @@
 	return max(n, 0), err
 }
 
-// ReceiveNow reads what has come on a connection, without waiting; io.EOF at its end.
-func ReceiveNow(raw syscall.RawConn, b []byte) (n int, err error) {
+// TryRead reads what has come on a connection, without waiting; io.EOF at its end.
+func TryRead(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
 	})
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(2 * stall) // the deadline of that write has passed by now
-	if n, err := calls.WriteNow(raw, []byte("x")); n != 1 || err != nil {
+	if n, err := calls.TryWrite(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("a write that does not wait: %d, %v", n, err)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -71,13 +71,13 @@
 
 // estimate bounds when the bytes of a read arrived, from when the read was started and ended, and whether it filled
 // its space.
-func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
+func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{first: endedAt, last: endedAt}
-	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
+	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
 		// The reader was delayed: all may have arrived right after the last read.
 		read.first = t.lastEmptyAt
 	} else {
-		read.first = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
+		read.first = max(lag.OnTimeUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
 		read.last = max(endedAt-age, t.lastEmptyAt)
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -23,7 +23,7 @@
 		"after a stall, new":               {emptyAt: 2.55, dueAt: 2, began: 2.55, ended: 2.6, first: 2.55},
 		"with more behind it":              {emptyAt: 1, began: 1.5, ended: 1.5, filled: true, first: 1},
 	} {
-		var lag eventloop.Lag
+		var lag eventloop.StallDetector
 		lag.SetNextTimerDue(tc.dueAt)
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
 		got := tracker.estimate(raw, &lag, tc.began, tc.ended, tc.filled)
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -42,7 +42,7 @@
 	c.commandWritten.Store(false)
 	c.awaitingReply.Store(true)
 	c.writeStartedAt.Store(startedAt)
-	n, err := shared.calls.WriteNow(c.rawConn, command)
+	n, err := shared.calls.TryWrite(c.rawConn, command)
 	switch {
 	case err != nil:
 		c.close(writeFailed, err)
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -108,7 +108,7 @@
 	h.whileLoopWaits(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.LagTolerance) // the command has waited for longer than the lag that counts
+		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command has waited for longer than the lag that counts
 	})
 	h.wantNothingSent(conns)
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -125,7 +125,7 @@
 	}
 	c.reader = clientReader{
 		client: c, services: shared, parser: l.parser, buffer: readbuf.NewBuffer(shared.inputBudget),
-		arrivals: arrivalTracker{lastEmptyAt: shared.loop.Lag().OnScheduleUntil(at)},
+		arrivals: arrivalTracker{lastEmptyAt: shared.loop.StallDetector().OnTimeUntil(at)},
 	}
 	return c
 }
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -55,7 +55,7 @@
 			return false
 		}
 		at := shared.clock.Now()
-		n, err := netcalls.ReceiveNow(c.rawConn, space)
+		n, err := netcalls.TryRead(c.rawConn, space)
 		if netcalls.IsShortage(err) {
 			return false
 		}
@@ -63,7 +63,7 @@
 			shared.loop.Post(at, func() { c.abandon(peerClosed, err) })
 			return true
 		}
-		arrived := r.arrivals.estimate(c.rawConn, shared.loop.Lag(), at, at, n == len(space))
+		arrived := r.arrivals.estimate(c.rawConn, shared.loop.StallDetector(), at, at, n == len(space))
 		r.buffer.Grow(n)
 		r.arrivals.record(r.buffer.Len(), arrived)
 		if n < len(space) {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -87,7 +87,7 @@
 	var arrived arrival
 	if n > 0 {
 		r.client.hasReceived.Store(true)
-		arrived = r.arrivals.estimate(r.client.rawConn, r.services.loop.Lag(), startedAt, at, n == len(space))
+		arrived = r.arrivals.estimate(r.client.rawConn, r.services.loop.StallDetector(), startedAt, at, n == len(space))
 	}
 	r.buffer.Grow(n)
 	used, ok := r.handleCommands(at, arrived)
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -63,7 +63,7 @@
 	shared.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	pending := c.pipeline.pending
-	n, err := shared.calls.WriteNow(c.rawConn, pending)
+	n, err := shared.calls.TryWrite(c.rawConn, pending)
 	if err != nil {
 		c.abandon(writeFailed, err)
 		return
