--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// DefaultSilenceTimeout is how long a response may be silent. A watch sends a heartbeat, an empty line, every
+	// DefaultReadTimeout is how long a response may be silent. A watch sends a heartbeat, an empty line, every
 	// 2 s. Soon after one that is missing the connection is taken for broken; the agent responds at once, so a
 	// needless poll costs little.
-	DefaultSilenceTimeout = 2500 * time.Millisecond
+	DefaultReadTimeout = 2500 * time.Millisecond
 
-	// pollTimeoutShare is the timeout of a poll as a share of the grace period for attempts on draining endpoints. A
+	// pollRetryShare is the timeout of a poll as a share of the grace period for attempts on draining endpoints. A
 	// change counts as announced once the agent has it, whether or not a watch is open, and the attempts must end
 	// within the grace period from then. So an agent that was down has to be found again within a share of it.
-	pollTimeoutShare   = 0.3
-	defaultGrace       = 250 * time.Millisecond // where the settings name none
-	maxPollTimeout     = 500 * time.Millisecond
-	maxOpenRetries     = 3 // polls that may be open at a time beside the first
-	maxBackoff         = 50 * time.Millisecond
-	minUnusableBackoff = 50 * time.Millisecond
-	maxUnusableBackoff = time.Second // a complete list costs the agent; an unusable one is not polled for more often
-	maxValueSize       = 4 << 20     // bytes of one JSON value
-	targetsPath        = "/api/targets"
-	listQuery          = ""
-	watchQuery         = "?watch=1&after=%d" // of the version after which changes are wanted
+	pollRetryShare       = 0.3
+	defaultDrainGrace    = 250 * time.Millisecond // where the settings name none
+	maxPollRetryInterval = 500 * time.Millisecond
+	maxConcurrentRetries = 3 // polls that may be open at a time beside the first
+	maxBackoff           = 50 * time.Millisecond
+	minUnusableBackoff   = 50 * time.Millisecond
+	maxUnusableBackoff   = time.Second // a complete list costs the agent; an unusable one is not polled for more often
+	maxValueSize         = 4 << 20     // bytes of one JSON value
+	listPath             = "/api/targets"
+	completeListQuery    = ""
+	watchQuery           = "?watch=1&after=%d" // of the version after which changes are wanted
 )
 
 var (
 	// ErrValueTooLong reports a value of more than 4 MiB.
 	ErrValueTooLong = errors.New("list value over 4 MiB")
-	// ErrUnusable reports that a value came, in whole or in part, that can't be used.
-	ErrUnusable = errors.New("unusable list")
+	// ErrUnusableList reports that a value came, in whole or in part, that can't be used.
+	ErrUnusableList = errors.New("unusable list")
 )
 
 // StatusError reports a response with another HTTP status than 200.
@@ -52,11 +52,11 @@
 
 // VersionError reports a change whose version is older than one before it.
 type VersionError struct {
-	Got, After int64
+	Got, Last int64
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("list version %d is older than the last, %d", e.Got, e.After)
+	return fmt.Sprintf("list version %d is older than the last, %d", e.Got, e.Last)
 }
 
 // Event is something that a Client has found: an Update, a SkippedEndpoint or a WatchEnded.
@@ -87,10 +87,10 @@
 
 // Options configure a Client. All fields must be set.
 type Options struct {
-	// PollTimeout is how long a poll may stay without a response until the agent is polled again beside it.
-	PollTimeout time.Duration
-	// SilenceTimeout is how long a response may be silent, or one value of it take.
-	SilenceTimeout time.Duration
+	// PollRetryInterval is how long a poll may stay without a response until the agent is polled again beside it.
+	PollRetryInterval time.Duration
+	// ReadTimeout is how long a response may be silent, or one value of it take.
+	ReadTimeout time.Duration
 	// DialContext connects to the agent.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 	// After and AfterFunc are those of package time, but for tests.
@@ -103,20 +103,20 @@
 // DefaultOptions are those for real time. DialContext and Notify are left to the caller.
 func DefaultOptions(drainGrace time.Duration) Options {
 	return Options{
-		PollTimeout:    PollTimeoutFor(drainGrace),
-		SilenceTimeout: DefaultSilenceTimeout,
-		After:          time.After,
-		AfterFunc:      func(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) },
+		PollRetryInterval: PollRetryIntervalFor(drainGrace),
+		ReadTimeout:       DefaultReadTimeout,
+		After:             time.After,
+		AfterFunc:         func(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) },
 	}
 }
 
-// PollTimeoutFor is how long an agent that does not respond is left alone, by the grace period for attempts on
+// PollRetryIntervalFor is how long an agent that does not respond is left alone, by the grace period for attempts on
 // draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
 // 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
 // before. docs/endings.md adds the waits up.
-func PollTimeoutFor(drainGrace time.Duration) time.Duration {
-	grace := cmp.Or(drainGrace, defaultGrace)
-	return min(time.Duration(grace.Seconds()*pollTimeoutShare*float64(time.Second)), maxPollTimeout)
+func PollRetryIntervalFor(drainGrace time.Duration) time.Duration {
+	grace := cmp.Or(drainGrace, defaultDrainGrace)
+	return min(time.Duration(grace.Seconds()*pollRetryShare*float64(time.Second)), maxPollRetryInterval)
 }
 
 // Client follows the list of one discovery agent at a time. The goroutine of Run owns it, and lends it to
@@ -185,8 +185,8 @@
 // nextBackoff returns the backoff after a watch that ended with an error. An agent that refuses or is silent
 // is polled again soon, but complete lists cost, so unusable ones lengthen the backoff.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
-	backoff := min(c.options.PollTimeout, maxBackoff)
-	if updated || !errors.Is(err, ErrUnusable) {
+	backoff := min(c.options.PollRetryInterval, maxBackoff)
+	if updated || !errors.Is(err, ErrUnusableList) {
 		c.unusableBackoff = minUnusableBackoff
 		return backoff
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 // may never be responded to, so another one is made beside it, and the response to any of them is read.
 func TestSilentAgentIsPolledAgain(t *testing.T) {
 	list := discoverytest.ListJSON(7, false, "x", "in_service")
-	pollOften := func(o *Options) { o.PollTimeout = 75 * time.Millisecond }
+	pollOften := func(o *Options) { o.PollRetryInterval = 75 * time.Millisecond }
 	firstTwo := func(t *testing.T, polls chan discoverytest.Poll) (first, second discoverytest.Poll) {
 		first, second = receive(t, polls), receive(t, polls)
 		select {
@@ -48,7 +48,7 @@
 		address, polls := discoverytest.NewManualAgent(t)
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
-		for range maxOpenRetries { // it outlasts those that came right after it
+		for range maxConcurrentRetries { // it outlasts those that came right after it
 			receive(t, polls)
 		}
 		first.Write(list)
@@ -61,7 +61,7 @@
 // stood. So is a complete list that breaks off.
 func TestSilentWatchIsReopened(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
-	client := runClient(t, address, func(o *Options) { o.SilenceTimeout = 200 * time.Millisecond })
+	client := runClient(t, address, func(o *Options) { o.ReadTimeout = 200 * time.Millisecond })
 	for version := range 3 {
 		watch := receive(t, polls)
 		if want := fmt.Sprintf("/api/targets?watch=1&after=%d", version+4); watch.URI != want {
@@ -97,7 +97,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			backoffs, free := make(chan time.Duration, 64), make(chan time.Time)
 			client := runClient(t, tc.address, func(o *Options) {
-				o.PollTimeout = PollTimeoutFor(200 * time.Millisecond)
+				o.PollRetryInterval = PollRetryIntervalFor(200 * time.Millisecond)
 				o.After = func(d time.Duration) <-chan time.Time { backoffs <- d; return free }
 			})
 			if tc.switchTo != "" {
@@ -239,13 +239,13 @@
 	}
 }
 
-// TestPollTimeoutByDrainGrace guards against a long grace period for draining endpoints that puts off the next poll.
-func TestPollTimeoutByDrainGrace(t *testing.T) {
+// TestPollRetryIntervalByDrainGrace guards against a long grace period for draining endpoints that puts off the next poll.
+func TestPollRetryIntervalByDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: 75 * time.Millisecond, 250 * time.Millisecond: 75 * time.Millisecond,
 		50 * time.Millisecond: 15 * time.Millisecond, time.Second: 300 * time.Millisecond, time.Minute: 500 * time.Millisecond,
 	} {
-		if got := PollTimeoutFor(grace).Round(time.Microsecond); got != want {
+		if got := PollRetryIntervalFor(grace).Round(time.Microsecond); got != want {
 			t.Errorf("grace %v: polled again after %v, want %v", grace, got, want)
 		}
 	}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	r := &runningClient{t: t, updates: make(chan []string, 64), addresses: make(chan string)}
 	options := DefaultOptions(0)
-	options.PollTimeout = time.Hour
+	options.PollRetryInterval = time.Hour
 	options.DialContext = (&net.Dialer{}).DialContext
 	options.Notify = func(e Event) {
 		if update, ok := e.(Update); ok {
@@ -61,7 +61,7 @@
 
 func describe(list List) (entries []string) {
 	for _, e := range list.Endpoints {
-		state, _ := e.State.Policy()
+		state, _ := e.State.PolicyState()
 		entries = append(entries, fmt.Sprint(e.ID, " ", state))
 	}
 	return entries
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -40,8 +40,8 @@
 	StateTerminated  State = "terminated"
 )
 
-// Policy translates the state into the one of the decision module; false if it is not known.
-func (s State) Policy() (state policy.EndpointState, known bool) {
+// PolicyState translates the state into the one of the decision module; false if it is not known.
+func (s State) PolicyState() (state policy.EndpointState, known bool) {
 	switch s {
 	case StateInService:
 		return policy.InService, true
@@ -53,9 +53,9 @@
 	return 0, false
 }
 
-// EndpointState returns the state of an entry that was validated.
-func (e Endpoint) EndpointState() policy.EndpointState {
-	state, _ := e.State.Policy() // Validate has checked that it is known
+// PolicyState returns the state of an entry that was validated.
+func (e Endpoint) PolicyState() policy.EndpointState {
+	state, _ := e.State.PolicyState() // Validate has checked that it is known
 	return state
 }
 
@@ -93,7 +93,7 @@
 	if e.ID == "" {
 		return &EndpointError{e.ID, ErrMissingID}
 	}
-	state, known := e.State.Policy()
+	state, known := e.State.PolicyState()
 	if !known {
 		return &EndpointError{e.ID, fmt.Errorf("%w %q", ErrUnknownState, string(e.State))}
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -15,7 +15,7 @@
 	defer close(group.closed)
 	due := make(chan struct{}, 1)
 	due <- struct{}{}
-	retry := c.options.AfterFunc(c.options.PollTimeout, func() {
+	retry := c.options.AfterFunc(c.options.PollRetryInterval, func() {
 		select {
 		case due <- struct{}{}:
 		default:
@@ -25,7 +25,7 @@
 	for {
 		select {
 		case <-due:
-			retry.Reset(c.options.PollTimeout)
+			retry.Reset(c.options.PollRetryInterval)
 			group.start(ctx)
 		case result := <-group.results:
 			if result.err == nil {
@@ -65,7 +65,7 @@
 // newPollGroup takes the address from the client: a poll that outlives its group must not look at it.
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
-		http: c.http, url: "http://" + c.address + targetsPath + query,
+		http: c.http, url: "http://" + c.address + listPath + query,
 		results: make(chan pollResult), closed: make(chan struct{}),
 	}
 }
@@ -73,7 +73,7 @@
 // start begins another poll, and cancels the oldest one after the first if too many are open.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
-	if oldest := number - maxOpenRetries; oldest > 0 {
+	if oldest := number - maxConcurrentRetries; oldest > 0 {
 		g.cancels[oldest]()
 	}
 	pollContext, cancel := context.WithCancel(ctx)
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -264,7 +264,7 @@
 	rt.agent.fail = func(c *agentConn) { mode.fail(rt.agent, c) }
 	rt.address = rt.agent.listen(t)
 	rt.client = runClient(t, rt.address, func(o *Options) {
-		o.After, o.AfterFunc, o.PollTimeout = rt.clock.After, rt.clock.AfterFunc, PollTimeoutFor(0)
+		o.After, o.AfterFunc, o.PollRetryInterval = rt.clock.After, rt.clock.AfterFunc, PollRetryIntervalFor(0)
 		dial := o.DialContext
 		o.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			rt.dials <- struct{}{}
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -101,8 +101,8 @@
 	return latest
 }
 
-// Forget drops the endpoints that are not listed any more.
-func (s *StartTimes) Forget(listed func(id string) bool) {
+// RemoveUnlisted drops the endpoints that are not listed any more.
+func (s *StartTimes) RemoveUnlisted(listed func(id string) bool) {
 	for id := range s.known {
 		if !listed(id) {
 			delete(s.known, id)
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -97,7 +97,7 @@
 	if got := starts.EventTime("b", 0); got != 0 {
 		t.Errorf("a start of long ago is taken for %v", got)
 	}
-	starts.Forget(func(id string) bool { return id == "b" })
+	starts.RemoveUnlisted(func(id string) bool { return id == "b" })
 	if len(starts.known) != 0 {
 		t.Errorf("%d starts are kept of endpoints that are gone", len(starts.known))
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -51,7 +51,7 @@
 // resynchronize polls the complete list. An entry that can't be used is left out: the rest must not wait for it.
 func (c *Client) resynchronize(ctx context.Context) error {
 	var list List
-	err := c.readResponse(ctx, listQuery, func(values *valueReader) error { return values.decode(&list) })
+	err := c.readResponse(ctx, completeListQuery, func(values *valueReader) error { return values.decode(&list) })
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 // readResponse polls the agent and has read take the JSON values of the response. A response that falls silent
-// is ended. The error wraps ErrUnusable if a value had begun to come.
+// is ended. The error wraps ErrUnusableList if a value had begun to come.
 func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -85,11 +85,11 @@
 		return err
 	}
 	defer func() { _ = body.Close() }() // it was only read
-	silence := c.options.AfterFunc(c.options.SilenceTimeout, cancel)
+	silence := c.options.AfterFunc(c.options.ReadTimeout, cancel)
 	defer silence.Stop()
-	values := newValueReader(body, silence, c.options.SilenceTimeout)
+	values := newValueReader(body, silence, c.options.ReadTimeout)
 	if err = read(values); err != nil && values.inValue {
-		return fmt.Errorf("%w: %w", ErrUnusable, err)
+		return fmt.Errorf("%w: %w", ErrUnusableList, err)
 	}
 	return err
 }
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -91,7 +91,7 @@
 		}
 		moved := e.Addr != entry.Addr || e.StartedMS != entry.StartedMS
 		e.Endpoint = entry
-		e.state = entry.EndpointState()
+		e.state = entry.PolicyState()
 		if moved || e.state != policy.InService {
 			s.retire(e)
 		}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -57,11 +57,11 @@
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
 		endpoints = append(endpoints, policy.Endpoint{
-			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.EndpointState(),
+			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.PolicyState(),
 			Weight: e.Weight, StartedAt: p.startTimes.EventTime(e.ID, e.StartedMS),
 		})
 	}
 	p.endpoints.apply(list)
-	p.startTimes.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
+	p.startTimes.RemoveUnlisted(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
