--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -53,8 +53,8 @@
 	return 0, false
 }
 
-// PolicyState returns the state of an entry that was validated.
-func (e Endpoint) PolicyState() policy.EndpointState {
+// EndpointState returns the state of an entry that was validated.
+func (e Endpoint) EndpointState() policy.EndpointState {
 	state, _ := e.State.PolicyState() // Validate has checked that it is known
 	return state
 }
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -91,7 +91,7 @@
 		}
 		moved := e.Addr != entry.Addr || e.StartedMS != entry.StartedMS
 		e.Endpoint = entry
-		e.state = entry.PolicyState()
+		e.state = entry.EndpointState()
 		if moved || e.state != policy.InService {
 			s.retire(e)
 		}
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -57,7 +57,7 @@
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
 		endpoints = append(endpoints, policy.Endpoint{
-			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.PolicyState(),
+			ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.EndpointState(),
 			Weight: e.Weight, StartedAt: p.startTimes.EventTime(e.ID, e.StartedMS),
 		})
 	}
