--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -62,6 +62,6 @@
 		})
 	}
 	p.endpoints.apply(list)
-	p.startTimes.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
+	p.startTimes.RemoveUnlisted(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
