--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -67,7 +67,7 @@
 		shared.loop.Post(at, func() { shared.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
 		return false, err // what follows can't be assigned to a command
 	}
-	r.buffer.Grow(n)
+	r.buffer.Commit(n)
 	if !r.handleReply(at) {
 		return false, err
 	}
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -20,7 +20,7 @@
 	writeReserveShare                = 0.25
 	maxWriteReserve   policy.Seconds = 0.5
 	// maxKeptCommand is the largest buffer in bytes that is kept for the next command.
-	maxKeptCommand = 4 * readbuf.Size
+	maxKeptCommand = 4 * readbuf.InitialSize
 )
 
 // writeCommand sends the command of an attempt: at once what the socket takes, the rest on a writer goroutine. The last
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -64,7 +64,7 @@
 			return true
 		}
 		arrived := r.arrivals.estimate(c.rawConn, shared.loop.Lag(), at, at, n == len(space))
-		r.buffer.Grow(n)
+		r.buffer.Commit(n)
 		r.arrivals.record(r.buffer.Len(), arrived)
 		if n < len(space) {
 			return false
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -89,7 +89,7 @@
 		r.client.hasReceived.Store(true)
 		arrived = r.arrivals.estimate(r.client.rawConn, r.services.loop.Lag(), startedAt, at, n == len(space))
 	}
-	r.buffer.Grow(n)
+	r.buffer.Commit(n)
 	used, ok := r.handleCommands(at, arrived)
 	if !ok {
 		return false
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -16,7 +16,7 @@
 	// stalledAfter is the time without progress after which a client may be evicted.
 	stalledAfter policy.Seconds = 5
 	// maxKeptOutput is the largest buffer in bytes that is kept for the next reply.
-	maxKeptOutput = 4 * readbuf.Size
+	maxKeptOutput = 4 * readbuf.InitialSize
 )
 
 // flush writes the replies that are due, in the order of their commands. Event loop only.
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// Size is the first size of a buffer in bytes, which takes nothing from the budget. Each read has at least half of it
+// InitialSize is the first size of a buffer in bytes, which takes nothing from the budget. Each read has at least half of it
 // to read into.
-const Size = 4 << 10
+const InitialSize = 4 << 10
 
 // ErrExhausted reports that the budget has no memory left for a buffer. A client gets its text.
 var ErrExhausted = errors.New("no room for more input")
 
-// Budget bounds the bytes that readers and the event loop hold for others, beyond the first Size bytes of each
+// Budget bounds the bytes that readers and the event loop hold for others, beyond the first InitialSize bytes of each
 // connection. It is safe for use by many goroutines.
 type Budget struct {
 	available        atomic.Int64
@@ -52,7 +52,7 @@
 	reserved int // bytes of the budget
 }
 
-// NewBuffer returns an empty buffer that grows beyond Size at the cost of the budget.
+// NewBuffer returns an empty buffer that grows beyond InitialSize at the cost of the budget.
 func NewBuffer(budget *Budget) Buffer { return Buffer{budget: budget} }
 
 // Bytes returns what was read and not discarded yet. It is valid until the next call of another method.
@@ -63,9 +63,9 @@
 
 // Space returns the space to read into, nil if the budget has none left.
 func (b *Buffer) Space() []byte {
-	if cap(b.content)-len(b.content) < Size/2 {
-		size := max(Size, 2*len(b.content)+Size/2)
-		if more := size - Size - b.reserved; more > 0 {
+	if cap(b.content)-len(b.content) < InitialSize/2 {
+		size := max(InitialSize, 2*len(b.content)+InitialSize/2)
+		if more := size - InitialSize - b.reserved; more > 0 {
 			if !b.budget.Reserve(more) {
 				return nil
 			}
@@ -76,13 +76,13 @@
 	return b.content[len(b.content):cap(b.content)]
 }
 
-// Grow notes that n bytes were read into the space.
-func (b *Buffer) Grow(n int) { b.content = b.content[:len(b.content)+n] }
+// Commit notes that n bytes were read into the space.
+func (b *Buffer) Commit(n int) { b.content = b.content[:len(b.content)+n] }
 
 // Discard drops the first n bytes, and frees a buffer that one large value made grow once it is empty.
 func (b *Buffer) Discard(n int) {
 	rest := b.content[n:]
-	if len(rest) == 0 && cap(b.content) > Size {
+	if len(rest) == 0 && cap(b.content) > InitialSize {
 		b.Free()
 		return
 	}
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -14,7 +14,7 @@
 		}
 		part := min(n, len(space))
 		copy(space, bytes.Repeat([]byte{kind}, part))
-		b.Grow(part)
+		b.Commit(part)
 		n -= part
 	}
 	return true
@@ -23,23 +23,23 @@
 // TestBufferGrowthIsBoundedByBudget guards against memory beyond the budget, and against a part of it that is never
 // given back.
 func TestBufferGrowthIsBoundedByBudget(t *testing.T) {
-	const size = 4 * Size
+	const size = 4 * InitialSize
 	budget := NewBudget(size, size/2)
 	one, other := NewBuffer(budget), NewBuffer(budget)
-	if !fill(&one, 'a', Size/2) || budget.Available() != size {
+	if !fill(&one, 'a', InitialSize/2) || budget.Available() != size {
 		t.Errorf("a first read leaves %d of %d bytes", budget.Available(), size)
 	}
-	if !fill(&one, 'b', 2*Size) || budget.Available() >= size {
+	if !fill(&one, 'b', 2*InitialSize) || budget.Available() >= size {
 		t.Errorf("%d bytes in a buffer leave %d of %d", one.Len(), budget.Available(), size)
 	}
-	if fill(&other, 'c', 8*Size) {
+	if fill(&other, 'c', 8*InitialSize) {
 		t.Error("a buffer grows beyond the budget")
 	}
-	if want := append(bytes.Repeat([]byte{'a'}, Size/2), bytes.Repeat([]byte{'b'}, 2*Size)...); !bytes.Equal(one.Bytes(), want) {
+	if want := append(bytes.Repeat([]byte{'a'}, InitialSize/2), bytes.Repeat([]byte{'b'}, 2*InitialSize)...); !bytes.Equal(one.Bytes(), want) {
 		t.Error("the buffer has changed as it grew")
 	}
-	one.Discard(Size / 2)
-	if !bytes.Equal(one.Bytes(), bytes.Repeat([]byte{'b'}, 2*Size)) {
+	one.Discard(InitialSize / 2)
+	if !bytes.Equal(one.Bytes(), bytes.Repeat([]byte{'b'}, 2*InitialSize)) {
 		t.Error("a part that was not discarded has changed")
 	}
 	one.Discard(one.Len())
