--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -40,12 +40,12 @@
 const (
 	MaxIDLength     = 128     // bytes
 	MaxFieldsLength = 1 << 10 // bytes, of all fields together
-	MaxWaitMS       = 600_000 // milliseconds that a client may wait
+	MaxTimeoutMS    = 600_000 // milliseconds that a client may wait
 
 	customerLength     = 16 // hex digits
 	customerNumberBits = 33
 	maxNumber          = 1 << 30 // of a field that the settings do not bound
-	maxQuoted          = 40      // bytes of a client's input that an error quotes
+	maxQuotedBytes     = 40      // bytes of a client's input that an error quotes
 )
 
 var (
@@ -58,11 +58,11 @@
 // that are forwarded to an endpoint.
 type Request struct {
 	policy.Request                // without its deadline
-	Wait           policy.Seconds // how long the client waits for a reply
+	Timeout        policy.Seconds // how long the client waits for a reply
 	Args           [][]byte       // command, customer, id, fields and, of Post, the body
 	Size           int            // bytes of all arguments
 
-	waitValue span // where the value of the field d stands in the fields
+	timeoutValue span // where the value of the field d stands in the fields
 }
 
 // span is a part of a byte string, from start up to end.
@@ -88,7 +88,7 @@
 // holds the time that remains, in whole milliseconds rounded up.
 func (r *Request) AppendTo(b []byte, remaining policy.Seconds) []byte {
 	fields := r.Args[argFields]
-	wait := r.waitValue
+	timeout := r.timeoutValue
 	ms := strconv.AppendInt(make([]byte, 0, 8), max(1, int64(math.Ceil(remaining*1000))), 10)
 	b = redcon.AppendArray(b, len(r.Args))
 	for i, arg := range r.Args {
@@ -97,11 +97,11 @@
 			continue
 		}
 		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(len(fields)-(wait.end-wait.start)+len(ms)), 10)
+		b = strconv.AppendInt(b, int64(len(fields)-(timeout.end-timeout.start)+len(ms)), 10)
 		b = append(b, '\r', '\n')
-		b = append(b, fields[:wait.start]...)
+		b = append(b, fields[:timeout.start]...)
 		b = append(b, ms...)
-		b = append(b, fields[wait.end:]...)
+		b = append(b, fields[timeout.end:]...)
 		b = append(b, '\r', '\n')
 	}
 	return b
@@ -202,14 +202,14 @@
 const (
 	fieldClass fieldSet = 1 << iota
 	fieldPlan
-	fieldWait
+	fieldTimeout
 	fieldIdempotencyKey
 	fieldClientRetry
 	fieldUnits
 	fieldGatewayCount
 	fieldFirstGateway
 
-	requiredFields = fieldClass | fieldPlan | fieldWait | fieldUnits | fieldGatewayCount | fieldFirstGateway
+	requiredFields = fieldClass | fieldPlan | fieldTimeout | fieldUnits | fieldGatewayCount | fieldFirstGateway
 )
 
 // fieldNames are the names of the fields on the wire, in the order of their bits.
@@ -222,7 +222,7 @@
 	for part := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		if !ok || name == "" {
-			return fmt.Errorf("malformed field %.*q", maxQuoted, part)
+			return fmt.Errorf("malformed field %.*q", maxQuotedBytes, part)
 		}
 		if i := slices.Index(fieldNames, name); i >= 0 {
 			field := fieldSet(1) << i
@@ -231,10 +231,10 @@
 			}
 			seen |= field
 			if !p.parseField(request, field, value) {
-				return fmt.Errorf("field %s: invalid value %.*q", name, maxQuoted, value)
+				return fmt.Errorf("field %s: invalid value %.*q", name, maxQuotedBytes, value)
 			}
-			if field == fieldWait {
-				request.waitValue = span{start + len(name) + len("="), start + len(part)}
+			if field == fieldTimeout {
+				request.timeoutValue = span{start + len(name) + len("="), start + len(part)}
 			}
 		}
 		start += len(part) + len(",")
@@ -259,9 +259,9 @@
 		request.Class = class.Name
 	case fieldPlan:
 		request.Plan, ok = p.plans[value]
-	case fieldWait:
-		number, ok = parseDecimal(value, 1, MaxWaitMS)
-		request.Wait = policy.Seconds(number) / 1000
+	case fieldTimeout:
+		number, ok = parseDecimal(value, 1, MaxTimeoutMS)
+		request.Timeout = policy.Seconds(number) / 1000
 	case fieldIdempotencyKey:
 		ok = value != ""
 	case fieldClientRetry:
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -60,18 +60,18 @@
 			return
 		}
 		if request.Units < 1 || request.Units > 6 || request.GatewayCount < 1 || request.GatewayCount > 2 ||
-			request.FirstGateway < 0 || request.FirstGateway > 1 || request.Wait <= 0 ||
-			request.Wait > MaxWaitMS/1000 || request.Class == "" || request.Plan != "basic" {
+			request.FirstGateway < 0 || request.FirstGateway > 1 || request.Timeout <= 0 ||
+			request.Timeout > MaxTimeoutMS/1000 || request.Class == "" || request.Plan != "basic" {
 			t.Fatalf("passed: %+v", request)
 		}
 		request.CopyArgs()
-		sent := request.AppendTo(nil, request.Wait)
+		sent := request.AppendTo(nil, request.Timeout)
 		again, n, err := resp.ParseCommand(sent, nil)
 		if n != len(sent) || err != nil || len(again) != len(args) {
 			t.Fatalf("sent %q: %d, %v", sent, n, err)
 		}
 		read, err := parser.Parse(again)
-		if err != nil || read.Request != request.Request || read.Wait != request.Wait {
+		if err != nil || read.Request != request.Request || read.Timeout != request.Timeout {
 			t.Fatalf("sent %+v, %v; read %+v", read, err, request)
 		}
 	})
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -86,7 +86,7 @@
 	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
 		Request: parsed, client: c, slot: &pipelineSlot{},
-		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Wait,
+		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Timeout,
 	}
 	r.slot.request = r
 	c.pipeline.add(r.slot)
