--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -77,8 +77,8 @@
 // handleReply posts the reply in the buffer if it is complete. It reports whether to go on.
 func (r *backendReader) handleReply(at policy.Seconds) (more bool) {
 	c, content := r.conn, r.buffer.Bytes()
-	size, err := resp.Frame(content)
-	if err == nil && size == 0 && len(content) > resp.MaxFrame {
+	size, err := resp.ReplySize(content)
+	if err == nil && size == 0 && len(content) > resp.MaxMessage {
 		err = resp.ErrOversized
 	}
 	if err != nil {
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -62,7 +62,7 @@
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeSlack = 0.01 })
 	c := h.client()
-	c.send(postCommand("a", strings.Repeat("x", resp.MaxValue))...)
+	c.send(postCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, listener)
 	h.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
 	b.wantNoCommand()
@@ -72,7 +72,7 @@
 // command of which the socket took only a part was not executed, and one that is written in the end is served.
 func TestPartialCommandWrites(t *testing.T) {
 	listener, h := startWithSmallSockets(t, nil)
-	body := strings.Repeat("x", resp.MaxValue)
+	body := strings.Repeat("x", resp.MaxBulkString)
 	post := func(id string) *testConn {
 		c := h.client()
 		c.send(postCommand(id, body)...)
@@ -105,7 +105,7 @@
 		}
 	})
 	c := h.client()
-	c.send(postCommand("a", strings.Repeat("x", resp.MaxValue))...)
+	c.send(postCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, listener)
 	if got := b.readCommand(); len(got) != 5 {
 		t.Fatalf("the endpoint got %q", got)
@@ -124,7 +124,7 @@
 		t.Run(name, func(t *testing.T) {
 			listener, h := startWithSmallSockets(t, nil)
 			c := h.client()
-			c.send(postCommand("a", strings.Repeat("x", resp.MaxValue))...)
+			c.send(postCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 			b := acceptOne(t, listener)
 			h.awaitPartialWrite("a")
 			end(h, c)
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -59,7 +59,7 @@
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.05) }
 	})
 	c := h.client()
-	c.send(holdCommand("a", strings.Repeat("x", resp.MaxValue))...)
+	c.send(holdCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, l)
 	h.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
 	b.wantNoCommand()
@@ -74,7 +74,7 @@
 	})
 	c := h.client()
 	post := func(id string) {
-		c.send(holdCommand(id, strings.Repeat("x", resp.MaxValue))...)
+		c.send(holdCommand(id, strings.Repeat("x", resp.MaxBulkString))...)
 	}
 	var b *testConn
 	var used *attempt
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -32,8 +32,8 @@
 		"-BUSY cpu_share=0.5\r\n":                                     {status: policy.Rejected, utilization: 0.5},
 		"-BUSYNESS\r\n":                                               {status: policy.Error, utilization: noLoad},
 	} {
-		if n, err := resp.Frame([]byte(text)); n != len(text) || err != nil {
-			t.Fatalf("%q: frame gives %d, %v", text, n, err)
+		if n, err := resp.ReplySize([]byte(text)); n != len(text) || err != nil {
+			t.Fatalf("%q: ReplySize gives %d, %v", text, n, err)
 		}
 		got, err := Parse([]byte(text))
 		if want.malformed {
@@ -64,7 +64,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := resp.Frame(b)
+		n, err := resp.ReplySize(b)
 		if n < 0 || n > len(b) || n > 0 && err != nil {
 			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
 		}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -12,29 +12,29 @@
 
 // Bounds on what is read from a socket, in bytes where they are sizes.
 const (
-	// MaxValue is the size of one bulk string.
-	MaxValue = 64 << 10
+	// MaxBulkString is the size of one bulk string.
+	MaxBulkString = 64 << 10
 	// MaxLine is the size of a line of text.
 	MaxLine = 1 << 10
-	// MaxFrame is the size of a whole command or reply: one value, and the shorter ones beside it.
-	MaxFrame = MaxValue + 8*MaxLine
+	// MaxMessage is the size of a whole command or reply: one value, and the shorter ones beside it.
+	MaxMessage = MaxBulkString + 8*MaxLine
 
-	maxElements = 16 // of an array
-	maxDepth    = 4  // of arrays in arrays
-	maxHeader   = 16 // of a type and a length
+	maxElements   = 16 // of an array
+	maxDepth      = 4  // of arrays in arrays
+	maxHeaderLine = 16 // of a type and a length
 )
 
 var (
 	// ErrOversized is the error of a value, or a whole command or reply, beyond its bound.
 	ErrOversized = errors.New("value over 64 KiB")
 
-	errLength    = errors.New("invalid length")
-	errCount     = errors.New("invalid number of elements")
-	errMalformed = errors.New("malformed line")
-	errLongLine  = errors.New("line too long")
-	errValueEnd  = errors.New("value and length differ")
-	errTooDeep   = errors.New("nested too deep")
-	errNumber    = errors.New("malformed number")
+	errLength         = errors.New("invalid length")
+	errCount          = errors.New("invalid number of elements")
+	errMalformed      = errors.New("malformed line")
+	errLongLine       = errors.New("line too long")
+	errLengthMismatch = errors.New("value and length differ")
+	errTooDeep        = errors.New("nested too deep")
+	errNumber         = errors.New("malformed number")
 )
 
 // SyntaxError makes the rest of a client's connection unreadable. Its text is the one that the client gets.
@@ -46,17 +46,17 @@
 // Unwrap returns the cause.
 func (e SyntaxError) Unwrap() error { return e.Cause }
 
-// header reads the line that b starts with: a type and a length, in digits alone. n is the line's size, 0 if it has
+// parseHeader reads the line that b starts with: a type and a length, in digits alone. n is the line's size, 0 if it has
 // not come whole yet. A length of -1 gives null.
-func header(b []byte) (length, n int, null bool, err error) {
-	end := bytes.IndexByte(b[:min(len(b), maxHeader)], '\n')
-	line := b[1:min(len(b), maxHeader)]
+func parseHeader(b []byte) (length, n int, null bool, err error) {
+	end := bytes.IndexByte(b[:min(len(b), maxHeaderLine)], '\n')
+	line := b[1:min(len(b), maxHeaderLine)]
 	if end >= 0 {
 		if end < 2 || b[end-1] != '\r' {
 			return 0, 0, false, errMalformed
 		}
 		line = b[1 : end-1]
-	} else if len(b) >= maxHeader {
+	} else if len(b) >= maxHeaderLine {
 		return 0, 0, false, errLongLine
 	}
 	for i, c := range line {
@@ -87,7 +87,7 @@
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
 	}
-	count, n, null, err := header(b)
+	count, n, null, err := parseHeader(b)
 	switch {
 	case errors.Is(err, errLength) || null || count > maxElements:
 		return nil, 0, errCount
@@ -95,7 +95,7 @@
 		return nil, 0, err
 	}
 	for range count {
-		value, end, err := argument(b, n)
+		value, end, err := parseArgument(b, n)
 		if end == 0 || err != nil {
 			return nil, 0, err
 		}
@@ -105,8 +105,8 @@
 	return args, n, nil
 }
 
-// argument reads the bulk string at an offset of a command. It returns where it ends, 0 if it has not come whole yet.
-func argument(command []byte, offset int) (value []byte, end int, err error) {
+// parseArgument reads the bulk string at an offset of a command. It returns where it ends, 0 if it has not come whole yet.
+func parseArgument(command []byte, offset int) (value []byte, end int, err error) {
 	b := command[offset:]
 	if len(b) == 0 {
 		return nil, 0, nil
@@ -114,18 +114,18 @@
 	if b[0] != '$' {
 		return nil, 0, fmt.Errorf("expected '$', got %q", b[0])
 	}
-	size, start, null, err := header(b)
+	size, start, null, err := parseHeader(b)
 	switch {
 	case err != nil:
 		return nil, 0, err
 	case null:
 		return nil, 0, errLength
-	case size > MaxValue || offset+start+size > MaxFrame:
+	case size > MaxBulkString || offset+start+size > MaxMessage:
 		return nil, 0, ErrOversized
 	case start == 0 || len(b) < start+size+len(lineEnd):
 		return nil, 0, nil
 	case string(b[start+size:start+size+len(lineEnd)]) != lineEnd:
-		return nil, 0, errValueEnd
+		return nil, 0, errLengthMismatch
 	}
 	return b[start : start+size : start+size], offset + start + size + len(lineEnd), nil
 }
@@ -133,46 +133,46 @@
 // lineEnd ends lines and bulk strings.
 const lineEnd = "\r\n"
 
-// Frame returns the size of the reply that b starts with, 0 if it has not come whole yet, or what is wrong with it.
-func Frame(b []byte) (int, error) { return frameAt(b, 0) }
+// ReplySize returns the size of the reply that b starts with, 0 if it has not come whole yet, or what is wrong with it.
+func ReplySize(b []byte) (int, error) { return valueSize(b, 0) }
 
-// frameAt is Frame of a value inside arrays, depth of them.
-func frameAt(b []byte, depth int) (int, error) {
+// valueSize is ReplySize of a value inside arrays, depth of them.
+func valueSize(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
 	switch b[0] {
 	case '+', '-', ':':
-		return frameLine(b)
+		return lineSize(b)
 	case '$':
-		return frameBulk(b)
+		return bulkStringSize(b)
 	case '*':
-		return frameArray(b, depth)
+		return arraySize(b, depth)
 	}
 	return 0, fmt.Errorf("unknown type %q", b[0]) // reported at once: its line may never end
 }
 
-// frameBulk is Frame of a bulk string.
-func frameBulk(b []byte) (int, error) {
-	size, start, null, err := header(b)
+// bulkStringSize is ReplySize of a bulk string.
+func bulkStringSize(b []byte) (int, error) {
+	size, start, null, err := parseHeader(b)
 	switch {
 	case err != nil || start == 0:
 		return 0, err
-	case size > MaxValue:
+	case size > MaxBulkString:
 		return 0, ErrOversized
 	case null:
 		return start, nil
 	case len(b) < start+size+len(lineEnd):
 		return 0, nil
 	case string(b[start+size:start+size+len(lineEnd)]) != lineEnd:
-		return 0, errValueEnd
+		return 0, errLengthMismatch
 	}
 	return start + size + len(lineEnd), nil
 }
 
-// frameArray is Frame of an array.
-func frameArray(b []byte, depth int) (int, error) {
-	count, end, null, err := header(b)
+// arraySize is ReplySize of an array.
+func arraySize(b []byte, depth int) (int, error) {
+	count, end, null, err := parseHeader(b)
 	switch {
 	case err != nil || end == 0:
 		return 0, err
@@ -182,7 +182,7 @@
 		return 0, errTooDeep
 	}
 	for range count {
-		size, err := frameAt(b[end:], depth+1)
+		size, err := valueSize(b[end:], depth+1)
 		if size == 0 || err != nil {
 			return 0, err
 		}
@@ -191,8 +191,8 @@
 	return end, nil
 }
 
-// frameLine is Frame of a line of text or a number.
-func frameLine(b []byte) (int, error) {
+// lineSize is ReplySize of a line of text or a number.
+func lineSize(b []byte) (int, error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxLine+1)], '\n')
 	switch {
 	case end < 0 && len(b) > MaxLine:
