--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -16,14 +16,14 @@
 )
 
 var (
-	// ErrNoValue is an array whose first element is not a value.
-	ErrNoValue = errors.New("no value")
-	// ErrNotAReply is RESP that is no reply at all.
-	ErrNotAReply = errors.New("not a reply")
+	// ErrMissingValue is an array whose first element is not a value.
+	ErrMissingValue = errors.New("no value")
+	// ErrUnexpectedType is RESP that is no reply at all.
+	ErrUnexpectedType = errors.New("not a reply")
 )
 
-// rejectedCode is the code of the error by which an endpoint rejects a request unseen.
-const rejectedCode = "BUSY"
+// rejectionCode is the code of the error by which an endpoint rejects a request unseen.
+const rejectionCode = "BUSY"
 
 // loadReportElement is the index of the load report in the array of a reply.
 const loadReportElement = 2
@@ -50,7 +50,7 @@
 	case redcon.Error:
 		return parseError(string(element.Data)), nil
 	}
-	return Reply{}, ErrNotAReply
+	return Reply{}, ErrUnexpectedType
 }
 
 // parseArray reads a reply with a value.
@@ -61,7 +61,7 @@
 		return true
 	})
 	if len(elements) == 0 || elements[0].Type != redcon.Bulk || elements[0].Data == nil {
-		return Reply{}, ErrNoValue
+		return Reply{}, ErrMissingValue
 	}
 	parsed := Reply{Status: policy.OK, Value: bytes.Clone(elements[0].Raw)}
 	if len(elements) > loadReportElement && elements[loadReportElement].Data != nil {
@@ -73,7 +73,7 @@
 // parseError reads an error or a rejection, whose last field may be a load report.
 func parseError(text string) Reply {
 	parsed := Reply{Status: policy.Error}
-	if code, _, _ := strings.Cut(text, " "); code == rejectedCode {
+	if code, _, _ := strings.Cut(text, " "); code == rejectionCode {
 		parsed.Status = policy.Rejected
 	}
 	parsed.Load = parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:])
@@ -83,7 +83,7 @@
 // Bounds on the figures of a load report: what lies above them is invalid. Utilization is measured, and may come a
 // little above 1.
 const (
-	MaxLoadFigure  = 1e6
+	MaxLoadValue   = 1e6
 	MaxUtilization = 4
 )
 
@@ -93,14 +93,14 @@
 	report, found := settings.EmptyLoadReport, false
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
-		figure, err := strconv.ParseFloat(value, 64)
+		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			continue
 		}
-		if !(figure >= 0 && figure <= MaxLoadFigure) { // not a number either
+		if !(number >= 0 && number <= MaxLoadValue) { // not a number either
 			return nil
 		}
-		settings.SetLoad(&report, name, figure)
+		settings.SetLoad(&report, name, number)
 		found = true
 	}
 	if !found || report.Utilization > MaxUtilization {
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -78,7 +78,7 @@
 				t.Fatalf("%q is served as %q", b[:n], got.Value)
 			}
 		}
-		if load := got.Load; load != nil && !(load.Utilization <= MaxUtilization && load.ServiceTimeMS <= MaxLoadFigure) {
+		if load := got.Load; load != nil && !(load.Utilization <= MaxUtilization && load.ServiceTimeMS <= MaxLoadValue) {
 			t.Fatalf("load %+v", load)
 		}
 	})
