--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -81,7 +81,7 @@
 		services:  services{log: log, calls: calls, clock: eventloop.NewClock()},
 		cfg:       cfg,
 		wallClock: func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
-		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
+		discovery: discovery.DefaultOptions(cfg.Settings.DrainGrace),
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
 	p.startTimes.Sample(p.loop.Now(), p.wallClock())
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -100,7 +100,7 @@
 		if !(number >= 0 && number <= MaxLoadValue) { // not a number either
 			return nil
 		}
-		settings.SetLoad(&report, name, number)
+		settings.SetLoadValue(&report, name, number)
 		found = true
 	}
 	if !found || report.Utilization > MaxUtilization {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -102,9 +102,9 @@
 	DialTimeout time.Duration
 	// MaxOpenRequests bounds the requests without a final reply; 0 stands for no such bound.
 	MaxOpenRequests int
-	// DrainNotice is how long after it is told that an endpoint drains a gateway may still send to it; 0 stands
+	// DrainGrace is how long after it is told that an endpoint drains a gateway may still send to it; 0 stands
 	// for not given.
-	DrainNotice time.Duration
+	DrainGrace time.Duration
 }
 
 // Parse translates the settings. Whether their values make sense is for policy.New to say.
@@ -117,7 +117,7 @@
 		Settings:        wire.policySettings(),
 		DialTimeout:     seconds(wire.Limits.DialTimeoutS),
 		MaxOpenRequests: wire.Limits.MostHeld,
-		DrainNotice:     seconds(wire.Rules.StopSendingS),
+		DrainGrace:      seconds(wire.Rules.StopSendingS),
 	}
 	var err error
 	if s.Classes, err = wire.classes(); err != nil {
@@ -225,8 +225,8 @@
 	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
 }
 
-// SetLoad puts a value into a load report by its name on the wire; unknown names are ignored.
-func SetLoad(report *policy.LoadReport, name string, value float64) {
+// SetLoadValue puts a value into a load report by its name on the wire; unknown names are ignored.
+func SetLoadValue(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "busy_reqs":
 		report.InFlight = value
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -54,7 +54,7 @@
 func TestSetLoadByName(t *testing.T) {
 	l := EmptyLoadReport
 	for i, name := range []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "new"} {
-		SetLoad(&l, name, float64(i))
+		SetLoadValue(&l, name, float64(i))
 	}
 	if l != (policy.LoadReport{InFlight: 0, Queued: 1, Utilization: 2, ServiceTimeMS: 3, ServedPerS: 4, FailedPerS: 5}) {
 		t.Errorf("got %+v", l)
