--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -110,7 +110,7 @@
 			log.Error("configuration not reloaded", "error", err)
 			continue
 		}
-		if cfg.Differs(started) {
+		if cfg.RequiresRestart(started) {
 			log.Warn("only the address of discovery is applied before a restart")
 		}
 		select {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,11 +58,11 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Differs reports whether more differs than what a running gateway takes over from a configuration that is
+// RequiresRestart reports whether more differs than what a running gateway takes over from a configuration that is
 // read again, or than what is new with each start.
-func (c Config) Differs(from Config) bool {
-	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = from.DiscoveryAddress, from.InitialEndpoints, from.Seed
-	return !reflect.DeepEqual(c, from)
+func (c Config) RequiresRestart(started Config) bool {
+	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = started.DiscoveryAddress, started.InitialEndpoints, started.Seed
+	return !reflect.DeepEqual(c, started)
 }
 
 // Read reads the configuration file. The error wraps a *FieldError where the file was read and a field can't
@@ -108,7 +108,7 @@
 		c.MaxDescriptors = defaultMaxDescriptors
 	}
 	c.InitialEndpoints.Full = true
-	for _, step := range []func(*Config) error{f.checkAddresses, f.parseSeed, f.parseSettings, f.checkKnown, f.parsePeers} {
+	for _, step := range []func(*Config) error{f.validateAddresses, f.parseSeed, f.parseSettings, f.validateInitialEndpoints, f.parsePeers} {
 		if err := step(&c); err != nil {
 			return c, err
 		}
@@ -116,8 +116,8 @@
 	return c, nil
 }
 
-// checkAddresses checks that the addresses for clients and of discovery can be parsed.
-func (f *file) checkAddresses(*Config) error {
+// validateAddresses checks that the addresses for clients and of discovery can be parsed.
+func (f *file) validateAddresses(*Config) error {
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
 		return &FieldError{"listen", err}
 	}
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// checkKnown checks the entries of the initial endpoint list.
-func (f *file) checkKnown(c *Config) error {
+// validateInitialEndpoints checks the entries of the initial endpoint list.
+func (f *file) validateInitialEndpoints(c *Config) error {
 	if err := c.InitialEndpoints.Validate(); err != nil {
 		return &FieldError{"known", err}
 	}
