--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -17,7 +17,7 @@
 func (a actions) Send(id, endpoint string, timeout, _ policy.Seconds) {
 	line := a.out.Begin("FORWARD", a.instance).ID("id", id).ID("backend", endpoint)
 	if timeout != 0 {
-		line.Num("withinS", timeout)
+		line.Float("withinS", timeout)
 	}
 	line.End()
 }
@@ -26,7 +26,7 @@
 func (a actions) Reject(id string, retryAfter policy.Seconds, _ policy.Reason) {
 	line := a.out.Begin("BOUNCE", a.instance).ID("id", id)
 	if retryAfter > 0 {
-		line.Num("retryInS", retryAfter)
+		line.Float("retryInS", retryAfter)
 	}
 	line.End()
 }
@@ -43,7 +43,7 @@
 
 // SetTimer implements policy.Actions.
 func (a actions) SetTimer(token uint64, delay policy.Seconds) {
-	a.out.Begin("WAKE_AT", a.instance).Int("mark", int64(token)).Num("offsetS", delay).End()
+	a.out.Begin("WAKE_AT", a.instance).Int("mark", int64(token)).Float("offsetS", delay).End()
 }
 
 // HealthCheck implements policy.Actions.
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -72,7 +72,7 @@
 func (a *adapter) handleLine() error {
 	switch a.line.Name {
 	case "CLOCK":
-		now, err := a.line.Num("timeS")
+		now, err := a.line.Float("timeS")
 		a.now = now
 		return err
 	case "YOUR_TURN":
@@ -95,7 +95,7 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			a.out.Begin("FAULT", instance).Str("msg", fmt.Sprint(cause)).End()
+			a.out.Begin("FAULT", instance).Text("msg", fmt.Sprint(cause)).End()
 		}
 	}()
 	deliver, err := decode(a, instance)
@@ -113,7 +113,7 @@
 	fields := fieldReader{line: &a.line}
 	id, count := fields.int("rosterId"), fields.int("lines")
 	if fields.err == nil && count < 0 {
-		fields.err = a.line.Unreadable("lines", fmt.Sprint(count))
+		fields.err = a.line.InvalidField("lines", fmt.Sprint(count))
 	}
 	if fields.err != nil {
 		return fields.err
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -74,7 +74,7 @@
 		return nil, nil
 	case listComplete, listPersisted, listPartial:
 	default:
-		return nil, a.line.Unreadable("kind", kind)
+		return nil, a.line.InvalidField("kind", kind)
 	}
 	id, err := a.line.Int("rosterId")
 	if err != nil {
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -32,22 +32,22 @@
 }
 
 func (r *fieldReader) optionalInt(name string) int {
-	value, err := r.line.OptInt(name)
+	value, err := r.line.OptionalInt(name)
 	return keepError(r, value, err)
 }
 
 func (r *fieldReader) float(name string) float64 {
-	value, err := r.line.Num(name)
+	value, err := r.line.Float(name)
 	return keepError(r, value, err)
 }
 
 func (r *fieldReader) optionalFloat(name string) float64 {
-	value, err := r.line.OptNum(name)
+	value, err := r.line.OptionalFloat(name)
 	return keepError(r, value, err)
 }
 
 func (r *fieldReader) flag(name string) bool {
-	value, err := r.line.OptBool(name)
+	value, err := r.line.OptionalBool(name)
 	return keepError(r, value, err)
 }
 
@@ -57,7 +57,7 @@
 	text := r.text(name)
 	state, known := endpointStates[text]
 	if !known {
-		return keepError(r, state, r.line.Unreadable(name, text))
+		return keepError(r, state, r.line.InvalidField(name, text))
 	}
 	return state
 }
@@ -71,7 +71,7 @@
 	code := r.int("code")
 	status, known := statusByCode[code]
 	if !known {
-		return keepError(r, status, r.line.Unreadable("code", strconv.Itoa(code)))
+		return keepError(r, status, r.line.InvalidField("code", strconv.Itoa(code)))
 	}
 	return status
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -23,15 +23,15 @@
 	emptyBytes = "-"
 	// endOfReply is the line that ends the reply to a batch.
 	endOfReply = "NEXT\n"
-	// toEndOfLine is the field whose value runs to the end of its line, tabs included.
-	toEndOfLine = "settings"
+	// restOfLineField is the field whose value runs to the end of its line, tabs included.
+	restOfLineField = "settings"
 )
 
 // Errors of lines that can't be read, wrapped with the message and the field.
 var (
-	ErrMalformed  = errors.New("malformed")
-	ErrMissing    = errors.New("is missing")
-	ErrUnreadable = errors.New("cannot be read")
+	ErrMalformed = errors.New("malformed")
+	ErrMissing   = errors.New("is missing")
+	ErrInvalid   = errors.New("cannot be read")
 )
 
 // Line is one message: a name and its fields in the order in which they came.
@@ -46,7 +46,7 @@
 // Reader reads lines.
 type Reader struct {
 	buffered *bufio.Reader
-	long     []byte // holds a line that is longer than the buffer
+	longLine []byte // holds a line that is longer than the buffer
 }
 
 // NewReader returns a Reader on r.
@@ -68,12 +68,12 @@
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return raw, err
 	}
-	r.long = append(r.long[:0], raw...)
+	r.longLine = append(r.longLine[:0], raw...)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		raw, err = r.buffered.ReadSlice('\n')
-		r.long = append(r.long, raw...)
+		r.longLine = append(r.longLine, raw...)
 	}
-	return r.long, err
+	return r.longLine, err
 }
 
 // parse splits a line into its name and fields.
@@ -85,8 +85,8 @@
 		return fmt.Errorf("%w line: no message name", ErrMalformed)
 	}
 	for more {
-		if value, ok := strings.CutPrefix(rest, toEndOfLine+"="); ok {
-			l.fields = append(l.fields, field{toEndOfLine, value})
+		if value, ok := strings.CutPrefix(rest, restOfLineField+"="); ok {
+			l.fields = append(l.fields, field{restOfLineField, value})
 			return nil
 		}
 		var part string
@@ -118,9 +118,9 @@
 	return fmt.Errorf("%s: field %s %w", l.Name, name, ErrMissing)
 }
 
-// Unreadable is the error of a field whose value can't be read.
-func (l *Line) Unreadable(name, value string) error {
-	return fmt.Errorf("%s: field %s %w: %q", l.Name, name, ErrUnreadable, value)
+// InvalidField is the error of a field whose value can't be read.
+func (l *Line) InvalidField(name, value string) error {
+	return fmt.Errorf("%s: field %s %w: %q", l.Name, name, ErrInvalid, value)
 }
 
 // Text returns a required text field.
@@ -137,18 +137,18 @@
 	if !l.Has(name) {
 		return 0, l.missing(name)
 	}
-	return l.OptInt(name)
+	return l.OptionalInt(name)
 }
 
-// OptInt returns a whole number, 0 where it was left off.
-func (l *Line) OptInt(name string) (int, error) {
+// OptionalInt returns a whole number, 0 where it was left off.
+func (l *Line) OptionalInt(name string) (int, error) {
 	v, ok := l.get(name)
 	if !ok {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		return 0, l.Unreadable(name, v)
+		return 0, l.InvalidField(name, v)
 	}
 	return n, nil
 }
@@ -161,40 +161,40 @@
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		return 0, l.Unreadable(name, v)
+		return 0, l.InvalidField(name, v)
 	}
 	return n, nil
 }
 
-// Num returns a required number.
-func (l *Line) Num(name string) (float64, error) {
+// Float returns a required number.
+func (l *Line) Float(name string) (float64, error) {
 	if !l.Has(name) {
 		return 0, l.missing(name)
 	}
-	return l.OptNum(name)
+	return l.OptionalFloat(name)
 }
 
-// OptNum returns a number, 0 where it was left off.
-func (l *Line) OptNum(name string) (float64, error) {
+// OptionalFloat returns a number, 0 where it was left off.
+func (l *Line) OptionalFloat(name string) (float64, error) {
 	v, ok := l.get(name)
 	if !ok {
 		return 0, nil
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > maxNumber {
-		return 0, l.Unreadable(name, v)
+		return 0, l.InvalidField(name, v)
 	}
 	return x, nil
 }
 
-// OptBool returns a bool, false where it was left off.
-func (l *Line) OptBool(name string) (bool, error) {
+// OptionalBool returns a bool, false where it was left off.
+func (l *Line) OptionalBool(name string) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "0" {
 		return false, nil
 	}
 	if v != "1" {
-		return false, l.Unreadable(name, v)
+		return false, l.InvalidField(name, v)
 	}
 	return true, nil
 }
@@ -210,13 +210,13 @@
 	}
 	b, err := hex.DecodeString(v)
 	if err != nil {
-		return nil, l.Unreadable(name, v)
+		return nil, l.InvalidField(name, v)
 	}
 	return b, nil
 }
 
 // Pairs calls do for each name:value of an optional field, and returns whether there is the field.
-func (l *Line) Pairs(name string, do func(name string, value float64)) (bool, error) {
+func (l *Line) Pairs(name string, visit func(name string, value float64)) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
 		return false, nil
@@ -225,9 +225,9 @@
 		key, text, ok := strings.Cut(part, ":")
 		value, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil {
-			return false, l.Unreadable(name, v)
+			return false, l.InvalidField(name, v)
 		}
-		do(key, value)
+		visit(key, value)
 	}
 	return true, nil
 }
@@ -250,44 +250,44 @@
 	return w
 }
 
-// key begins a field.
-func (w *Writer) key(name string) {
+// beginField begins a field.
+func (w *Writer) beginField(name string) {
 	w.line = append(append(append(w.line, '\t'), name...), '=')
 }
 
-var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
+var whitespaceReplacer = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Str adds a text field; line breaks and tabs become blanks.
-func (w *Writer) Str(name, v string) *Writer {
-	w.key(name)
-	w.line = append(w.line, lineBreaks.Replace(v)...)
+// Text adds a text field; line breaks and tabs become blanks.
+func (w *Writer) Text(name, v string) *Writer {
+	w.beginField(name)
+	w.line = append(w.line, whitespaceReplacer.Replace(v)...)
 	return w
 }
 
 // ID adds a field whose text came from the wire and goes back as it was.
 func (w *Writer) ID(name, v string) *Writer {
-	w.key(name)
+	w.beginField(name)
 	w.line = append(w.line, v...)
 	return w
 }
 
 // Int adds a whole number.
 func (w *Writer) Int(name string, v int64) *Writer {
-	w.key(name)
+	w.beginField(name)
 	w.line = strconv.AppendInt(w.line, v, 10)
 	return w
 }
 
-// Num adds a number, to the microsecond.
-func (w *Writer) Num(name string, v float64) *Writer {
-	w.key(name)
+// Float adds a number, to the microsecond.
+func (w *Writer) Float(name string, v float64) *Writer {
+	w.beginField(name)
 	w.line = strconv.AppendFloat(w.line, v, 'f', 6, 64)
 	return w
 }
 
 // Hex adds a field of bytes.
 func (w *Writer) Hex(name string, v []byte) *Writer {
-	w.key(name)
+	w.beginField(name)
 	if len(v) == 0 {
 		w.line = append(w.line, emptyBytes...)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -28,7 +28,7 @@
 	if !errors.Is(err, io.EOF) || len(lines) != 4 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	if at, err := lines[0].Num("timeS"); lines[0].Name != "CLOCK" || at != 8.5 || err != nil {
+	if at, err := lines[0].Float("timeS"); lines[0].Name != "CLOCK" || at != 8.5 || err != nil {
 		t.Errorf("got %+v, %v", lines[0], err)
 	}
 	if text, err := lines[1].Text("settings"); text != "{\"a\":\"b=c\td\"}" || err != nil {
@@ -57,14 +57,14 @@
 	if n, err := l.Uint("big"); n != 1<<63 || err != nil {
 		t.Errorf("Uint: %d, %v", n, err)
 	}
-	if x, err := l.OptNum("x"); x != 1.5 || err != nil {
-		t.Errorf("OptNum: %v, %v", x, err)
+	if x, err := l.OptionalFloat("x"); x != 1.5 || err != nil {
+		t.Errorf("OptionalFloat: %v, %v", x, err)
 	}
-	if yes, err := l.OptBool("yes"); !yes || err != nil {
-		t.Errorf("OptBool: %v, %v", yes, err)
+	if yes, err := l.OptionalBool("yes"); !yes || err != nil {
+		t.Errorf("OptionalBool: %v, %v", yes, err)
 	}
-	if no, err := l.OptBool("no"); no || err != nil {
-		t.Errorf("OptBool: %v, %v", no, err)
+	if no, err := l.OptionalBool("no"); no || err != nil {
+		t.Errorf("OptionalBool: %v, %v", no, err)
 	}
 	if b, err := l.Hex("data"); !bytes.Equal(b, []byte{0, 255}) || err != nil {
 		t.Errorf("Hex: %x, %v", b, err)
@@ -76,14 +76,14 @@
 	if has, err := l.Pairs("load", func(_ string, v float64) { sum += v }); !has || sum != 3.5 || err != nil {
 		t.Errorf("Pairs: %v, %v, %v", has, sum, err)
 	}
-	if n, err := l.OptInt("absent"); n != 0 || err != nil {
+	if n, err := l.OptionalInt("absent"); n != 0 || err != nil {
 		t.Errorf("an optional field that is absent: %d, %v", n, err)
 	}
 	for name, err := range map[string]error{
 		"Int of nothing": second(l.Int("absent")), "Uint of nothing": second(l.Uint("absent")),
-		"Num of nothing": second(l.Num("absent")), "Text of nothing": second(l.Text("absent")),
-		"Int": second(l.Int("bad")), "Uint": second(l.Uint("bad")), "Num": second(l.Num("bad")),
-		"OptBool": second(l.OptBool("bad")), "Hex": second(l.Hex("bad")),
+		"Float of nothing": second(l.Float("absent")), "Text of nothing": second(l.Text("absent")),
+		"Int": second(l.Int("bad")), "Uint": second(l.Uint("bad")), "Float": second(l.Float("bad")),
+		"OptionalBool": second(l.OptionalBool("bad")), "Hex": second(l.Hex("bad")),
 		"Pairs": second(l.Pairs("bad", func(string, float64) {})),
 	} {
 		if err == nil {
@@ -98,7 +98,7 @@
 func TestWriter(t *testing.T) {
 	var b bytes.Buffer
 	w := NewWriter(&b)
-	w.Begin("FORWARD", 3).ID("id", "q1").Str("backend", "10.0.0.1:80").Int("hop", 2).Num("withinS", 0.25).Hex("data", []byte{1, 255}).End()
+	w.Begin("FORWARD", 3).ID("id", "q1").Text("backend", "10.0.0.1:80").Int("hop", 2).Float("withinS", 0.25).Hex("data", []byte{1, 255}).End()
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
