--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -107,12 +107,12 @@
 			return
 		}
 		read += n
-		link := e.proxy.Link(e.near(conn))
+		connection := e.proxy.Connection(e.near(conn))
 		m := deadlineField.FindStringSubmatch(args[3])
 		ms, _ := strconv.Atoi(m[1])
 		run := executedAttempt{timeout: time.Duration(ms) * time.Millisecond, written: time.Now()}
-		if link != nil {
-			if at, ok := link.To.Read.At(read); ok {
+		if connection != nil {
+			if at, ok := connection.ToServer.Read.TimeOfByte(read); ok {
 				run.written = at
 			}
 		}
@@ -139,7 +139,7 @@
 }
 
 // near is the address by which the proxy knows the connection that reaches the endpoint as conn.
-func (e *faultEndpoint) near(conn net.Conn) net.Addr { return e.proxy.From(conn.RemoteAddr()) }
+func (e *faultEndpoint) near(conn net.Conn) net.Addr { return e.proxy.ClientAddr(conn.RemoteAddr()) }
 
 // readCommand reads a command, and returns how many bytes it took.
 func readCommand(r *bufio.Reader) (args []string, n int, err error) {
@@ -194,7 +194,7 @@
 
 // connection sends batches of requests, and reads the replies or disconnects.
 func (c *faultClient) connection(t *testing.T) {
-	dialled := time.Now()
+	dialledAt := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
 		t.Error(err)
@@ -229,7 +229,7 @@
 			}
 			closeQuietly(conn)
 		}
-		link := c.proxy.WaitLink(conn.LocalAddr(), dialled)
+		proxied := c.proxy.WaitConnection(conn.LocalAddr(), dialledAt)
 		ended := false
 		for i := range batch {
 			q := &batch[i]
@@ -243,7 +243,7 @@
 			read += n
 			q.replyEnd = read
 		}
-		c.judge(link, batch, leaves)
+		c.judge(proxied, batch, leaves)
 		if ended || leaves {
 			return
 		}
@@ -263,16 +263,16 @@
 }
 
 // judge checks a batch against the rules.
-func (c *faultClient) judge(link *faultproxy.Link, batch []faultRequest, left bool) {
+func (c *faultClient) judge(connection *faultproxy.Connection, batch []faultRequest, left bool) {
 	w := c.run
 	if left { // what is out may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
 	before := time.Time{} // when the reply before had come
 	for _, q := range batch {
-		came, arrived := link.To.Written.At(q.end)
-		c.judgeAttempts(q, came, arrived, link.To.Written.Ended())
-		if left || link.Broken() || !arrived {
+		came, arrived := connection.ToServer.Written.TimeOfByte(q.end)
+		c.judgeAttempts(q, came, arrived, connection.ToServer.Written.Ended())
+		if left || connection.EndedByProxy() || !arrived {
 			continue
 		}
 		word, _, _ := strings.Cut(q.reply, " ")
@@ -293,7 +293,7 @@
 		if word == "-BUSY" && ran && q.class == "bill" {
 			w.violate("%s: rejected, and it was executed", q.id)
 		}
-		replied, _ := link.From.Read.At(q.replyEnd)
+		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
 		from := came
 		if before.After(from) { // the time behind the replies before it does not count
 			from = before
@@ -344,7 +344,7 @@
 	go w.measureLag(stop)
 	rough := faultproxy.Schedule{
 		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
-		HoldUp: 0.02, HoldFor: 150 * time.Millisecond, EndBytes: 20_000,
+		Stall: 0.02, StallDuration: 150 * time.Millisecond, EndWithinBytes: 20_000,
 	}
 	var endpoints []string
 	for i := range faultEndpoints {
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -14,45 +14,45 @@
 
 // Schedule gives the probability of each fault, of a connection or of a chunk (what one read returned).
 type Schedule struct {
-	Reset     float64       // of a connection: it is reset
-	HalfClose float64       // of a connection: one direction of it ends early
-	EndBytes  int           // a reset or half-close comes within this many bytes
-	Split     float64       // of a chunk: it is written in several parts
-	Delay     float64       // of a chunk: it is delayed
-	MaxDelay  time.Duration // longest delay
-	HoldUp    float64       // of a chunk: it is held up
-	HoldFor   time.Duration // for this time
+	Reset          float64       // of a connection: it is reset
+	HalfClose      float64       // of a connection: one direction of it ends early
+	EndWithinBytes int           // a reset or half-close comes within this many bytes
+	Split          float64       // of a chunk: it is written in several parts
+	Delay          float64       // of a chunk: it is delayed
+	MaxDelay       time.Duration // longest delay
+	Stall          float64       // of a chunk: it is held up
+	StallDuration  time.Duration // for this time
 }
 
-// mark is the time by which a number of bytes had passed.
-type mark struct {
+// progress is the time by which a number of bytes had passed.
+type progress struct {
 	bytes int
 	at    time.Time
 }
 
-// Passage records what passed at one end of a direction. It may be used by several goroutines.
-type Passage struct {
-	mu    sync.Mutex
-	marks []mark
-	ended time.Time
+// Transfer records what passed at one end of a direction. It may be used by several goroutines.
+type Transfer struct {
+	mu      sync.Mutex
+	history []progress
+	ended   time.Time
 }
 
-// pass records that n more bytes passed now.
-func (p *Passage) pass(n int) {
+// recordBytes records that n more bytes passed now.
+func (p *Transfer) recordBytes(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := 0
-	if len(p.marks) > 0 {
-		before = p.marks[len(p.marks)-1].bytes
+	if len(p.history) > 0 {
+		before = p.history[len(p.history)-1].bytes
 	}
-	p.marks = append(p.marks, mark{before + n, time.Now()})
+	p.history = append(p.history, progress{before + n, time.Now()})
 }
 
-// At returns when the first bytes, a number of them, had passed; false if they never did.
-func (p *Passage) At(bytes int) (time.Time, bool) {
+// TimeOfByte returns when the first bytes, a number of them, had passed; false if they never did.
+func (p *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.marks {
+	for _, m := range p.history {
 		if m.bytes >= bytes {
 			return m.at, true
 		}
@@ -61,14 +61,14 @@
 }
 
 // Ended returns when the direction ended, zero if it has not.
-func (p *Passage) Ended() time.Time {
+func (p *Transfer) Ended() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// end records that the direction has ended, the first time that it is called.
-func (p *Passage) end() {
+// recordEnd records that the direction has ended, the first time that it is called.
+func (p *Transfer) recordEnd() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended.IsZero() {
@@ -78,42 +78,42 @@
 
 // Direction is one direction of a connection: what the proxy has read, and what it has written.
 type Direction struct {
-	Read, Written Passage
+	Read, Written Transfer
 }
 
-// Link is one proxied connection. To leads to the server, From back.
-type Link struct {
-	To, From   Direction
-	acceptedAt time.Time
-	mu         sync.Mutex
-	broken     bool
+// Connection is one proxied connection. To leads to the server, From back.
+type Connection struct {
+	ToServer, ToClient Direction
+	acceptedAt         time.Time
+	mu                 sync.Mutex
+	endedByProxy       bool
 }
 
-// Broken tells whether the proxy itself has ended the connection, or a direction of it.
-func (l *Link) Broken() bool {
+// EndedByProxy tells whether the proxy itself has ended the connection, or a direction of it.
+func (l *Connection) EndedByProxy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.broken
+	return l.endedByProxy
 }
 
-// markBroken notes that the proxy itself has ended the connection, or a direction of it.
-func (l *Link) markBroken() {
+// markEndedByProxy notes that the proxy itself has ended the connection, or a direction of it.
+func (l *Connection) markEndedByProxy() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.broken = true
+	l.endedByProxy = true
 }
 
 // Proxy forwards connections to one server. It starts a goroutine for its listener, which ends with Close, and some
 // for each connection, which end with that.
 type Proxy struct {
-	listener net.Listener
-	server   string
-	schedule Schedule
-	mu       sync.Mutex
-	rng      *rand.Rand
-	accepted *sync.Cond          // of mu; signalled for each new link
-	links    map[string]*Link    // the newest by the address of the end that connected
-	near     map[string]net.Addr // that address, by the one from which the server is connected to
+	listener    net.Listener
+	server      string
+	schedule    Schedule
+	mu          sync.Mutex
+	rng         *rand.Rand
+	accepted    *sync.Cond             // of mu; signalled for each new connection
+	connections map[string]*Connection // the newest by the address of the end that connected
+	client      map[string]net.Addr    // that address, by the one from which the server is connected to
 }
 
 // New starts a proxy for a server.
@@ -134,7 +134,7 @@
 	}
 	p := &Proxy{
 		listener: l, server: server, schedule: schedule, rng: rand.New(rand.NewPCG(seed, 1)),
-		links: map[string]*Link{}, near: map[string]net.Addr{},
+		connections: map[string]*Connection{}, client: map[string]net.Addr{},
 	}
 	p.accepted = sync.NewCond(&p.mu)
 	return p, nil
@@ -146,34 +146,34 @@
 // Close ends the listener. Connections go on.
 func (p *Proxy) Close() { _ = p.listener.Close() } // it is gone either way
 
-// Link returns that of the connection which was made from an address, nil if there is none.
-func (p *Proxy) Link(from net.Addr) *Link {
+// Connection returns that of the connection which was made from an address, nil if there is none.
+func (p *Proxy) Connection(clientAddr net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if from == nil {
+	if clientAddr == nil {
 		return nil
 	}
-	return p.links[from.String()]
+	return p.connections[clientAddr.String()]
 }
 
-// WaitLink returns the link of a connection that was made from an address after a time, and waits until the proxy has
+// WaitConnection returns the record of a connection that was made from an address after a time, and waits until the proxy has
 // accepted it. An earlier connection may have had the same address.
-func (p *Proxy) WaitLink(from net.Addr, dialled time.Time) *Link {
+func (p *Proxy) WaitConnection(clientAddr net.Addr, dialledAt time.Time) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		if link := p.links[from.String()]; link != nil && !link.acceptedAt.Before(dialled) {
-			return link
+		if connection := p.connections[clientAddr.String()]; connection != nil && !connection.acceptedAt.Before(dialledAt) {
+			return connection
 		}
 		p.accepted.Wait()
 	}
 }
 
-// From returns the address that a connection was made from, by the one at which it reaches the server.
-func (p *Proxy) From(atServer net.Addr) net.Addr {
+// ClientAddr returns the address that a connection was made from, by the one at which it reaches the server.
+func (p *Proxy) ClientAddr(proxyAddr net.Addr) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.near[atServer.String()]
+	return p.client[proxyAddr.String()]
 }
 
 // accept serves connections until the listener is closed.
@@ -185,79 +185,79 @@
 		}
 		p.mu.Lock()
 		rng := rand.New(rand.NewPCG(p.rng.Uint64(), 2))
-		link := &Link{acceptedAt: time.Now()}
-		p.links[conn.RemoteAddr().String()] = link
+		connection := &Connection{acceptedAt: time.Now()}
+		p.connections[conn.RemoteAddr().String()] = connection
 		p.accepted.Broadcast()
 		p.mu.Unlock()
-		go p.serve(conn.(*net.TCPConn), link, rng)
+		go p.serve(conn.(*net.TCPConn), connection, rng)
 	}
 }
 
 // serve forwards one connection.
-func (p *Proxy) serve(near *net.TCPConn, link *Link, rng *rand.Rand) {
-	defer func() { _ = near.Close() }()
-	far, err := net.Dial("tcp", p.server)
+func (p *Proxy) serve(client *net.TCPConn, connection *Connection, rng *rand.Rand) {
+	defer func() { _ = client.Close() }()
+	serverConn, err := net.Dial("tcp", p.server)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	defer func() { _ = far.Close() }()
+	defer func() { _ = serverConn.Close() }()
 	p.mu.Lock()
-	p.near[far.LocalAddr().String()] = near.RemoteAddr()
+	p.client[serverConn.LocalAddr().String()] = client.RemoteAddr()
 	p.mu.Unlock()
-	end := 1 + rng.IntN(max(1, p.schedule.EndBytes))
-	there := &pipe{schedule: p.schedule, link: link, direction: &link.To, rng: rand.New(rand.NewPCG(rng.Uint64(), 3))}
-	back := &pipe{schedule: p.schedule, link: link, direction: &link.From, rng: rand.New(rand.NewPCG(rng.Uint64(), 4))}
-	ending := there
+	endBytes := 1 + rng.IntN(max(1, p.schedule.EndWithinBytes))
+	toServer := &pipe{schedule: p.schedule, connection: connection, direction: &connection.ToServer, rng: rand.New(rand.NewPCG(rng.Uint64(), 3))}
+	toClient := &pipe{schedule: p.schedule, connection: connection, direction: &connection.ToClient, rng: rand.New(rand.NewPCG(rng.Uint64(), 4))}
+	faulty := toServer
 	if rng.IntN(2) == 0 {
-		ending = back
+		faulty = toClient
 	}
-	switch fate := rng.Float64(); {
-	case fate < p.schedule.Reset:
-		ending.endAt, ending.reset = end, true
-	case fate < p.schedule.Reset+p.schedule.HalfClose:
-		ending.endAt = end
+	switch draw := rng.Float64(); {
+	case draw < p.schedule.Reset:
+		faulty.endAfter, faulty.reset = endBytes, true
+	case draw < p.schedule.Reset+p.schedule.HalfClose:
+		faulty.endAfter = endBytes
 	}
 	var both sync.WaitGroup
-	both.Go(func() { there.copy(near, far.(*net.TCPConn)) })
-	both.Go(func() { back.copy(far.(*net.TCPConn), near) })
+	both.Go(func() { toServer.copy(client, serverConn.(*net.TCPConn)) })
+	both.Go(func() { toClient.copy(serverConn.(*net.TCPConn), client) })
 	both.Wait()
 }
 
 // pipe is one direction.
 type pipe struct {
-	schedule  Schedule
-	link      *Link
-	direction *Direction
-	rng       *rand.Rand
-	endAt     int // bytes after which it ends; 0: never
-	reset     bool
+	schedule   Schedule
+	connection *Connection
+	direction  *Direction
+	rng        *rand.Rand
+	endAfter   int // bytes after which it ends; 0: never
+	reset      bool
 }
 
 const (
-	// chunkQueue is how many chunks may wait to be written. They are read at once, so that it is known when they
+	// maxQueuedChunks is how many chunks may wait to be written. They are read at once, so that it is known when they
 	// came, however long the ones before are held up.
-	chunkQueue = 1 << 12
-	chunkSize  = 16 << 10
+	maxQueuedChunks = 1 << 12
+	chunkSize       = 16 << 10
 )
 
 // copy forwards what comes until it ends, and ends the other side in the same way.
 func (p *pipe) copy(from, to *net.TCPConn) {
-	defer p.direction.Written.end()
-	chunks := make(chan []byte, chunkQueue)
-	var failed error // of the reads; set before chunks is closed
+	defer p.direction.Written.recordEnd()
+	chunks := make(chan []byte, maxQueuedChunks)
+	var readErr error // of the reads; set before chunks is closed
 	go func() {
 		defer close(chunks)
 		for {
 			buf := make([]byte, chunkSize)
 			n, err := from.Read(buf)
 			if n > 0 {
-				p.direction.Read.pass(n)
+				p.direction.Read.recordBytes(n)
 				chunks <- buf[:n]
 			}
 			if err != nil {
-				p.direction.Read.end()
-				failed = err
+				p.direction.Read.recordEnd()
+				readErr = err
 				return
 			}
 		}
@@ -265,7 +265,7 @@
 	if !p.forward(chunks, from, to) {
 		for range chunks { // the reader ends with the connection
 		}
-	} else if errors.Is(failed, io.EOF) {
+	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
 	} else {
 		reset(to)
@@ -276,9 +276,9 @@
 func (p *pipe) forward(chunks <-chan []byte, from, to *net.TCPConn) (all bool) {
 	passed := 0
 	for chunk := range chunks {
-		ended := p.endAt > 0 && passed+len(chunk) >= p.endAt
+		ended := p.endAfter > 0 && passed+len(chunk) >= p.endAfter
 		if ended {
-			chunk = chunk[:p.endAt-passed]
+			chunk = chunk[:p.endAfter-passed]
 		}
 		passed += len(chunk)
 		if p.send(to, chunk) != nil {
@@ -286,7 +286,7 @@
 			return false
 		}
 		if ended {
-			p.link.markBroken()
+			p.connection.markEndedByProxy()
 			if p.reset {
 				reset(from)
 				reset(to)
@@ -304,8 +304,8 @@
 	if p.rng.Float64() < p.schedule.Delay && p.schedule.MaxDelay > 0 {
 		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.MaxDelay))))
 	}
-	if p.rng.Float64() < p.schedule.HoldUp {
-		time.Sleep(p.schedule.HoldFor)
+	if p.rng.Float64() < p.schedule.Stall {
+		time.Sleep(p.schedule.StallDuration)
 	}
 	split := p.rng.Float64() < p.schedule.Split
 	for len(chunk) > 0 {
@@ -315,7 +315,7 @@
 		}
 		n, err := to.Write(part)
 		if n > 0 {
-			p.direction.Written.pass(n)
+			p.direction.Written.recordBytes(n)
 		}
 		if err != nil {
 			return err
