--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -47,7 +47,7 @@
 		p.warn("endpoint entry skipped", "error", e.Err)
 	case discovery.WatchEnded:
 		p.warn("watch ended", "error", e.Err, "address", e.Address, "version", e.Version)
-		p.descriptors.freeAfter(e.Err)
+		p.descriptors.evictIfExhausted(e.Err)
 	}
 }
 
@@ -62,6 +62,6 @@
 		})
 	}
 	p.endpoints.apply(list)
-	p.startTimes.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
+	p.startTimes.RemoveUnlisted(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -81,7 +81,7 @@
 		services:  services{log: log, calls: calls, clock: eventloop.NewClock()},
 		cfg:       cfg,
 		wallClock: func() policy.Seconds { return eventloop.UnixSeconds(time.Now()) },
-		discovery: discovery.DefaultOptions(cfg.Settings.DrainNotice),
+		discovery: discovery.DefaultOptions(cfg.Settings.DrainGrace),
 	}
 	p.loop = eventloop.New(p.clock, p.logPanic)
 	p.startTimes.Sample(p.loop.Now(), p.wallClock())
@@ -91,12 +91,12 @@
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
-	p.connectParts()
+	p.connectComponents()
 	return p, nil
 }
 
-// connectParts makes the parts, once the sockets are open, and hands each of them the others that it uses.
-func (p *Proxy) connectParts() {
+// connectComponents makes the parts, once the sockets are open, and hands each of them the others that it uses.
+func (p *Proxy) connectComponents() {
 	shared, configured := &p.services, &p.cfg.Settings
 	p.trace = tracer{services: shared, classes: configured.Classes}
 	p.requests = requestTable{
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -195,7 +195,7 @@
 				if tc.times > 3 {
 					h.proxy.endpoints.localFaultRetry = time.Millisecond
 				} else {
-					h.proxy.endpoints.localFaultRetry = patience
+					h.proxy.endpoints.localFaultRetry = testTimeout
 				}
 			})
 			h.serve(conns)
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -83,5 +83,5 @@
 // are within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
-		c.plan.Rate > 0 && c.demand.at(now)+c.quota.othersDemand > c.plan.Rate
+		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
 }
