--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards the limit of a fleet that grows: once it went from 37 to 189 endpoints while the limit stayed.
+// Guards against a limit that stays the same when endpoints are added: in a fleet that grew from 37 to 189
+// endpoints, the new capacity was not used.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	g, _ := newTestGateway(t, withSingleGateway)
 	before := g.limiter.limit
@@ -19,33 +20,33 @@
 	}
 	g.HandleEndpoints(102, nil, true)
 	if g.HandleEndpoints(103, more, true); g.limiter.limit <= 0 {
-		t.Fatal("an empty list left no limit")
+		t.Fatal("the limit is not above 0 after an empty endpoint list")
 	}
 }
 
-// Guards against requests that wait while most of the endpoints are idle: a gateway of a large fleet has a limit of
-// few attempts, but may exceed it by what chance does to few requests.
+// Guards against requests that wait while most endpoints are idle: a gateway of a large fleet has a limit of
+// a few attempts and needs the burst allowance when several requests arrive at once.
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
-		t.Fatalf("the limit is %.2f: the test needs one below the requests that follow", g.limiter.limit)
+		t.Fatalf("the limit is %.2f, the test needs one below 3", g.limiter.limit)
 	}
-	g.limiter.latencyRatio = 2 * highLatencyRatio // replies are slow as well
+	g.limiter.latencyRatio = 2 * highLatencyRatio // slow replies must not prevent a burst
 	for i := range 5 {
 		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); n != 5 {
-		t.Fatalf("%d of 5 sent at once", n)
+		t.Fatalf("%d of 5 requests sent at once", n)
 	}
 	for i := range 60 {
 		sendUnlimited(g, 100, fmt.Sprint("more", i))
 	}
 	if n := len(r.ofKind("send", "")); n > 15 {
-		t.Fatalf("%d attempts are in flight, without a bound", n)
+		t.Fatalf("%d attempts are in flight, want at most 15", n)
 	}
 }
 
-// A gateway that sees a good part of all requests does not exceed its limit.
+// A gateway of a small fleet has no burst allowance.
 func TestSmallFleetKeepsToItsLimit(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	g.limiter.latencyRatio = 2 * highLatencyRatio
@@ -69,16 +70,16 @@
 		elapsed       Seconds
 		timedOut      bool
 		spareCapacity bool
-		busy          bool // as many attempts are in flight as the limit holds
-		want          int  // -1: the limit shrinks, 1: it grows
+		busy          bool // whether the attempts in flight reach the limit
+		want          int  // -1 if the limit shrinks, 1 if it grows
 	}{
-		"fast replies at the limit":             {elapsed: 0.05, busy: true, want: 1},
-		"fast replies below the limit":          {elapsed: 0.05, want: 0},
-		"replies between fast and slow":         {elapsed: 0.18, busy: true, want: 0},
-		"slow replies":                          {elapsed: 0.5, busy: true, want: -1},
-		"slow replies of endpoints with spare":  {elapsed: 0.5, spareCapacity: true, busy: true, want: 1},
-		"timeouts":                              {elapsed: 0.18, timedOut: true, busy: true, want: -1},
-		"timeouts at endpoints that have spare": {elapsed: 0.18, timedOut: true, spareCapacity: true, want: 0},
+		"fast replies at the limit":        {elapsed: 0.05, busy: true, want: 1},
+		"fast replies below the limit":     {elapsed: 0.05, want: 0},
+		"replies between fast and slow":    {elapsed: 0.18, busy: true, want: 0},
+		"slow replies":                     {elapsed: 0.5, busy: true, want: -1},
+		"slow replies with spare capacity": {elapsed: 0.5, spareCapacity: true, busy: true, want: 1},
+		"timeouts":                         {elapsed: 0.18, timedOut: true, busy: true, want: -1},
+		"timeouts with spare capacity":     {elapsed: 0.18, timedOut: true, spareCapacity: true, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limiter := newTestLimiter(1, 10)
@@ -113,7 +114,8 @@
 	}
 }
 
-// Guards against many gateways that all round a part of an attempt up while endpoints are slow.
+// Guards against overload by many gateways that each round a fractional limit up to a whole attempt while
+// replies are slow.
 func TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow(t *testing.T) {
 	limiter := newTestLimiter(1, 1)
 	limiter.limit = 0.5
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -8,55 +8,55 @@
 	"math/rand/v2"
 )
 
-// A simulation of a whole fleet with its endpoints and clients, in which some of the endpoints restart and warm
-// up. It shows what all gateways together send to these.
+// This file simulates a fleet of gateways with its endpoints and clients. Some of the endpoints restart and
+// warm up, and the simulation records the attempts that all gateways together send to them.
 
 const (
 	simulationStart Seconds = 100
-	restartAt       Seconds = 104 // when endpoints restart
+	restartAt       Seconds = 104 // time at which endpoints restart
 	simulationEnd   Seconds = 112
 
-	defaultServiceRate          = 20.0 // mean attempts a second that a warm endpoint serves
+	defaultServiceRate          = 20.0 // mean attempts per second of a warm endpoint
 	endpointQueueLength         = 25.0 // attempts; an endpoint rejects further ones
 	networkDelay        Seconds = 0.01
 
-	listDelay       Seconds = 0.5 // the latest that a gateway hears of a restart
+	listDelay       Seconds = 0.5 // maximum time until a gateway learns of a restart
 	faultyListDelay Seconds = 3
 
-	burstDuration       Seconds = 3 // of a fault, from restartAt on
+	burstDuration       Seconds = 3 // with faults, from restartAt
 	burstFactor                 = 2.0
-	gatewayRestartShare         = 0.9 // fraction of the gateways that restart in a fault
-	gatewayRestartDelay Seconds = 4   // the latest, from restartAt on
+	gatewayRestartShare         = 0.9 // fraction of the gateways that restart with faults
+	gatewayRestartDelay Seconds = 4   // maximum, from restartAt
 
 	clientTimeout Seconds = 1.5
 )
 
-// How simulated clients retry.
+// Retries of simulated clients.
 const (
 	clientRetryRate = 0.7 // fraction of the rejected clients that retry
 	maxClientRetry  = 3
 )
 
-// fleetCase describes a simulated fleet.
+// fleetCase configures a simulation.
 type fleetCase struct {
 	gateways, endpoints int
 	restarting          float64 // fraction of the endpoints that restart
-	load                float64 // fraction of the capacity of all endpoints when warm
+	load                float64 // offered load as a fraction of the capacity of all endpoints when warm
 	seed                uint64
-	serviceRate         float64 // mean attempts a second that a warm endpoint serves
-	// faults adds a burst of requests, late endpoint lists and restarts of gateways to the restart of endpoints.
+	serviceRate         float64 // mean attempts per second of a warm endpoint
+	// faults adds a burst of requests, late endpoint lists and restarts of gateways.
 	faults bool
 }
 
-// restartingEndpoints is the number of endpoints that restart.
+// restartingEndpoints returns the number of endpoints that restart.
 func (c fleetCase) restartingEndpoints() int { return int(c.restarting * float64(c.endpoints)) }
 
-// simulatedEndpoint serves one attempt after another, with the least capacity that the settings allow.
+// simulatedEndpoint serves one attempt at a time, with the minimum capacity that the settings guarantee.
 type simulatedEndpoint struct {
 	id          string
-	restartedAt Seconds // 0 if it did not restart
+	restartedAt Seconds // 0 if it has not restarted
 	busyUntil   Seconds
-	sent        []Seconds // when attempts were sent by gateways that knew of its last restart
+	sent        []Seconds // send times of attempts by gateways that knew of its last restart
 }
 
 func (e *simulatedEndpoint) capacity(now Seconds, settings Settings) float64 {
@@ -67,7 +67,7 @@
 	return min(1, settings.SlowStartMinCapacity+(1-settings.SlowStartMinCapacity)*age/settings.SlowStartDuration)
 }
 
-// serve returns how and when an attempt that is sent now ends.
+// serve returns the status and the end time of an attempt that is sent now.
 func (e *simulatedEndpoint) serve(now, timeout Seconds, rate float64, random *rand.Rand) (AttemptStatus, Seconds) {
 	if e.busyUntil > now+endpointQueueLength/rate {
 		return Rejected, now + networkDelay
@@ -92,20 +92,20 @@
 		}
 		if r := float64(count) / bound(from); r > ratio {
 			ratio = r
-			what = fmt.Sprintf("%s got %d attempts from %.2f s on, the bound is %.1f", e.id, count, from-e.restartedAt, bound(from))
+			what = fmt.Sprintf("%s got %d attempts in the window starting %.2f s after its restart, the bound is %.1f", e.id, count, from-e.restartedAt, bound(from))
 		}
 	}
 	return ratio, what
 }
 
-// simulationEvent runs at a time; those of the same time run in the order of their numbers.
+// simulationEvent is a scheduled function. Events of the same time run in the order of their numbers.
 type simulationEvent struct {
 	at     Seconds
 	number int
 	run    func(now Seconds)
 }
 
-// simulationEvents is a heap of events by time.
+// simulationEvents is a heap of events, ordered by time.
 type simulationEvents []simulationEvent
 
 func (h simulationEvents) Len() int { return len(h) }
@@ -125,19 +125,19 @@
 	return event
 }
 
-// clientAttempt is one send of a client's request to a gateway.
+// clientAttempt is one transmission of a client's request to a gateway.
 type clientAttempt struct {
 	deadline         Seconds
-	previousAttempts int // tries before this one
+	previousAttempts int // attempts before this one
 }
 
-// fleetSimulation runs a fleetCase.
+// fleetSimulation is the state of a simulation.
 type fleetSimulation struct {
 	fleetCase
 	settings       Settings
 	random         *rand.Rand
 	gateways       []*simulatedGateway
-	weights        []float64 // of the gateways in the traffic, summed up
+	weights        []float64 // cumulative weights of the gateways in the traffic
 	list           []Endpoint
 	endpoints      map[string]*simulatedEndpoint
 	clientAttempts map[string]clientAttempt // by request ID
@@ -146,7 +146,7 @@
 	number         int // of the last event or request
 }
 
-// simulateFleet runs a case from simulationStart to simulationEnd.
+// simulateFleet runs a simulation from simulationStart to simulationEnd.
 func simulateFleet(c fleetCase) *fleetSimulation {
 	c.serviceRate = cmp.Or(c.serviceRate, defaultServiceRate)
 	f := &fleetSimulation{
@@ -182,7 +182,7 @@
 	return settings
 }
 
-// schedule runs a function at a time.
+// schedule adds an event that calls run.
 func (f *fleetSimulation) schedule(at Seconds, run func(now Seconds)) {
 	f.number++
 	heap.Push(&f.events, simulationEvent{at: at, number: f.number, run: run})
@@ -203,7 +203,7 @@
 	}
 }
 
-// addGateway starts a gateway with a part of the traffic that is drawn at random.
+// addGateway starts a gateway with a random share of the traffic.
 func (f *fleetSimulation) addGateway(number int) {
 	gateway := &simulatedGateway{fleet: f, number: number, attempts: map[string]int{}}
 	gateway.start(simulationStart, f.list)
@@ -216,8 +216,8 @@
 	f.announceRestarts(gateway)
 }
 
-// announceRestarts has a gateway hear of the restart of each endpoint at a time of its own, and restarts the
-// gateway itself in a fault.
+// announceRestarts schedules a random time for each restart at which the gateway learns of it. With faults,
+// it also schedules the restart of most gateways.
 func (f *fleetSimulation) announceRestarts(gateway *simulatedGateway) {
 	delay := listDelay
 	if f.faults {
@@ -239,7 +239,7 @@
 	}
 }
 
-// handleArrival sends a new request, and schedules the next one.
+// handleArrival sends a new request and schedules the next arrival.
 func (f *fleetSimulation) handleArrival(now Seconds) {
 	f.request(now, clientAttempt{deadline: now + clientTimeout})
 	rate := f.load * f.serviceRate * float64(f.fleetCase.endpoints)
@@ -249,7 +249,7 @@
 	f.schedule(now+f.random.ExpFloat64()/rate, f.handleArrival)
 }
 
-// request sends a request to a gateway, drawn by the weights.
+// request sends a request to a random gateway, chosen by weight.
 func (f *fleetSimulation) request(now Seconds, try clientAttempt) {
 	drawn, gateway := f.random.Float64()*f.weights[len(f.weights)-1], 0
 	for f.weights[gateway] < drawn {
@@ -263,7 +263,8 @@
 	})
 }
 
-// retry has most clients whose request was rejected send it again, to any gateway, as long as they have time.
+// retry sends a rejected request to a random gateway again, with the probability clientRetryRate and if
+// enough time is left.
 func (f *fleetSimulation) retry(id string) {
 	try := f.clientAttempts[id]
 	delete(f.clientAttempts, id)
@@ -277,8 +278,8 @@
 	})
 }
 
-// overloadBound is the largest number of attempts that an endpoint may get in the window from a time on: what
-// the settings allow, and what chance adds.
+// overloadBound returns the largest number of attempts that an endpoint may get in a window starting at from:
+// the limit from the settings plus a margin of 2 or 3 standard deviations for random variation.
 func (f *fleetSimulation) overloadBound(e *simulatedEndpoint, from Seconds) float64 {
 	allowed := f.settings.OverloadMultiple * f.serviceRate * e.capacity(from, f.settings) * f.settings.OverloadWindow
 	if allowed < 30 {
@@ -287,8 +288,8 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstOverload returns the largest number of attempts that a warming endpoint got in a window, as a multiple of
-// the bound, and a description of it.
+// worstOverload returns the largest number of attempts that a warming endpoint got in a window, as a multiple
+// of the bound, and a description of that window.
 func (f *fleetSimulation) worstOverload() (ratio float64, what string) {
 	for _, e := range f.endpoints {
 		bound := func(from Seconds) float64 { return f.overloadBound(e, from) }
@@ -299,7 +300,7 @@
 	return ratio, what
 }
 
-// sentToRestarted is the number of attempts sent to the endpoints since their restart.
+// sentToRestarted returns the number of attempts sent to restarted endpoints since their restart.
 func (f *fleetSimulation) sentToRestarted() (sent int) {
 	for _, e := range f.endpoints {
 		if e.restartedAt > 0 {
@@ -314,12 +315,12 @@
 	fleet       *fleetSimulation
 	policy      *Gateway
 	number      int
-	incarnation uint64         // counts its starts
-	attempts    map[string]int // by request, so far
+	incarnation uint64         // number of starts so far
+	attempts    map[string]int // number of attempts sent, by request ID
 	inFlight    int
 }
 
-// start begins the first or a further incarnation of the gateway, which knows nothing of the attempts in flight.
+// start starts or restarts the gateway. A restarted gateway has no knowledge of its attempts in flight.
 func (g *simulatedGateway) start(now Seconds, list []Endpoint) {
 	settings := g.fleet.settings
 	settings.Self = g.number
@@ -333,7 +334,7 @@
 	policy.HandleEndpoints(now, list, true)
 }
 
-// tick calls the timer, less often while there is nothing to do.
+// tick calls HandleTimer, less often while the gateway is idle to save time.
 func (g *simulatedGateway) tick(now Seconds) {
 	g.policy.HandleTimer(now, 1)
 	interval := timerInterval
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// action is one call of Actions. The fields that its kind doesn't have are 0.
+// action is a call of an Actions method. Fields that do not apply to its kind are zero.
 type action struct {
 	kind        string // send, reject, fail, cancel, health_check or send_to_peer
-	id          string // of the request
+	id          string // request ID
 	endpoint    string
-	to          int     // the gateway that a message goes to
-	attempt     int     // which one is cancelled
-	seconds     Seconds // the timeout of a send, the Retry-After of a rejection
+	to          int     // recipient of a message
+	attempt     int     // index of the cancelled attempt
+	seconds     Seconds // timeout of a send, or retryAfter of a rejection
 	writeWithin Seconds
 	data        []byte
 }
 
-// recorder is an Actions that records the calls in their order.
+// recorder implements Actions by recording the calls in order.
 type recorder struct{ actions []action }
 
 func (r *recorder) Send(id, endpoint string, timeout, writeWithin Seconds) {
@@ -47,7 +47,7 @@
 	r.actions = append(r.actions, action{kind: "send_to_peer", to: gateway, data: bytes.Clone(data)})
 }
 
-// ofKind returns the actions of a kind for a request, or for all requests with an id of "".
+// ofKind returns the actions of a kind for a request, or for all requests if id is "".
 func (r *recorder) ofKind(kind, id string) (list []action) {
 	for _, a := range r.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
@@ -57,7 +57,7 @@
 	return list
 }
 
-// testFormat is the format of messages with the settings of the tests.
+// testFormat is the message format that testSettings imply.
 var testFormat = messageFormat{unitsPerStep: 1}
 
 func testSettings() Settings {
@@ -81,7 +81,8 @@
 	}
 }
 
-// newTestGateway returns a gateway at time 100 with three endpoints in three cells of two zones.
+// newTestGateway returns a gateway at time 100 with three endpoints in three cells of two zones. change may
+// be nil.
 func newTestGateway(t *testing.T, change func(*Settings)) (*Gateway, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
@@ -96,10 +97,11 @@
 	return g, r
 }
 
-// withSingleGateway sets up a gateway without peers.
+// withSingleGateway configures a fleet of one gateway.
 func withSingleGateway(s *Settings) { s.GatewayCount = 1 }
 
-// sendRequest gives the gateway a request of one customer a plan, with the timeout of its class.
+// sendRequest passes a request to the gateway, with the timeout of its class. All requests of a plan come
+// from the same customer.
 func sendRequest(g *Gateway, now Seconds, id, class, plan string, units float64) {
 	timeout := 2.0
 	if class != "read" {
@@ -111,13 +113,14 @@
 	})
 }
 
-// newGatewayPair returns two gateways with their recorders, and a function that runs their timers and delivers all messages.
+// newGatewayPair returns two gateways with their recorders, and a function that ticks both and delivers all
+// messages.
 func newGatewayPair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
 	return newGatewayPairWith(t, func(*Settings) {})
 }
 
-// newGatewayPairWith is pair with changed settings.
+// newGatewayPairWith is like newGatewayPair but changes the settings.
 func newGatewayPairWith(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
 	for i := range 2 {
@@ -138,7 +141,8 @@
 	}
 }
 
-// replyToAll has endpoints reply to all that was sent since the last call, and returns the requests.
+// replyToAll delivers a successful outcome for each attempt sent since the last call, and returns the request
+// IDs.
 func replyToAll(g *Gateway, r *recorder, seen *int, now float64) (ids []string) {
 	for ; *seen < len(r.actions); *seen++ {
 		if a := r.actions[*seen]; a.kind == "send" {
@@ -149,7 +153,8 @@
 	return ids
 }
 
-// newTestMember returns a gateway, and a function that gives it a request of a customer that another gateway owns.
+// newTestMember returns a gateway, its recorder, and a function that passes it a request of a customer that
+// another gateway owns.
 func newTestMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -172,7 +177,8 @@
 // withGatewayCount sets the size of the fleet.
 func withGatewayCount(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
-// ownerReply returns the owner's reply to the last report that a gateway has sent, as changed by the caller.
+// ownerReply returns a reply of the owner to the last usage report that the gateway has sent, modified by
+// change.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
 	sent := r.ofKind("send_to_peer", "")
@@ -211,12 +217,13 @@
 	return list
 }
 
-// sendUnlimited gives the gateway a request of the class "read" to which no quota applies.
+// sendUnlimited passes the gateway a request of the class "read" to which no quota applies.
 func sendUnlimited(g *Gateway, now Seconds, id string) {
 	g.HandleRequest(now, Request{ID: id, Class: "read", Deadline: now + g.classes.byName["read"].Timeout, GatewayCount: 1, Units: 1})
 }
 
-// newTestMemberWithSlots is newTestMember for a plan with two slots.
+// newTestMemberWithSlots returns a newTestMember whose plan allows two concurrent attempts, in a fleet of
+// 100.
 func newTestMemberWithSlots(t *testing.T) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	return newTestMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// Guards the bound on what all gateways together send to a warming endpoint, in any window in which it could
-// fail: from one gateway to 900 and from two endpoints to 3,200, that see uneven traffic and hear of the restarts
-// at different times, with one, some and most of the endpoints restarting, and with more asked for than all of
-// them can do; without faults, and with bursts, late lists and gateways that restart. Retries and hedges of the
-// gateways and retries of the clients count; what a gateway sends that has not heard of the restart does not. And
-// the bound must not be kept by sending nothing.
+// Checks that the gateways of a fleet together never exceed the overload limit of a warming endpoint in any
+// window of OverloadWindow. Gateways get uneven traffic and learn of restarts at different times; one, some
+// or most of the endpoints restart; and the load is up to 1.2 times the capacity of all endpoints. With
+// faults, there are also bursts of requests, late endpoint lists and restarts of gateways. Retries and hedges
+// of gateways and retries of clients count. Attempts from gateways that have not learned of a restart do not
+// count. Warming endpoints must also get a minimum number of attempts, so that sending them nothing does not
+// pass.
 func TestFleetKeepsToTheSlowStartBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, endpoints int
@@ -48,7 +49,8 @@
 	}
 }
 
-// simulatedLoads returns the loads that a fleet is simulated with: one alone for the largest, which take long.
+// simulatedLoads returns the loads to simulate for a fleet, as fractions of its capacity. Simulations of the
+// largest fleets are slow, so they get a single load.
 func simulatedLoads(gatewaysTimesEndpoints int, faults bool) []float64 {
 	if faults && gatewaysTimesEndpoints > 5000 || gatewaysTimesEndpoints > 20_000 {
 		return []float64{0.8}
@@ -58,7 +60,7 @@
 
 var largestFleets = flag.Bool("slowstart.largest", false, "simulate slow starts in the largest fleets too, for minutes")
 
-// TestSlowStartInTheLargestFleets does the same with 900 gateways and 3,200 endpoints.
+// TestSlowStartInTheLargestFleets runs the simulation with faults for 900 gateways and 3,200 endpoints.
 func TestSlowStartInTheLargestFleets(t *testing.T) {
 	if !*largestFleets {
 		t.Skip("run with -slowstart.largest")
@@ -73,7 +75,8 @@
 	}
 }
 
-// checkSlowStart holds what the warming endpoints got against the bound, from both sides.
+// checkSlowStart fails the test if a warming endpoint got more attempts than the bound, or all of them
+// together got fewer than a minimum.
 func (f *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
 	ratio, what := f.worstOverload()
@@ -83,10 +86,10 @@
 	t.Logf("load %.1f: %.2f of the bound", f.load, ratio)
 	warming := float64(f.restartingEndpoints())
 	least := 0.05 * f.load * f.serviceRate * warming * (simulationEnd - restartAt)
-	if f.faults || f.fleetCase.gateways < 5 { // a few gateways with little to do have warm endpoints for all of it
+	if f.faults || f.fleetCase.gateways < 5 { // warm endpoints may have enough capacity for the load of a few gateways
 		least = min(least, 1)
 	}
 	if sent := f.sentToRestarted(); float64(sent) < least {
-		t.Errorf("load %.1f: warming endpoints got %d attempts, %.0f at least are wanted", f.load, sent, least)
+		t.Errorf("load %.1f: warming endpoints got %d attempts, want at least %.0f", f.load, sent, least)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -30,12 +30,12 @@
 		}
 	}
 	if warming > warm/2 {
-		t.Fatalf("a warming endpoint got %d attempts, two warm ones %d", warming, warm)
+		t.Fatalf("the warming endpoint got %d attempts, the two warm ones got %d", warming, warm)
 	}
 }
 
-// Guards against a standstill in a rollout: once every endpoint had been replaced by a warming one, no work was
-// completed at warm ones any more, so that the part of it that a warming one may have went to 0.
+// Guards against a deadlock in a rollout that replaces all endpoints: with no completed work left, the share
+// of the warming endpoints fell to 0, and no requests were sent to them.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
@@ -45,7 +45,7 @@
 		}
 		g.HandleEndpoints(now, all, true)
 	}
-	due := map[int][]action{} // by the step in which the reply comes, 0.1 s after the attempt
+	due := map[int][]action{} // by the step of the reply, which comes 0.1 s after the attempt
 	seen := 0
 	sendFor := func(from, until Seconds) (sent int) {
 		for i := int(from * 50); i < int(until*50); i++ {
@@ -62,7 +62,7 @@
 		}
 		return sent
 	}
-	replaceEndpoints(50, "old") // warm long before 100
+	replaceEndpoints(50, "old") // warmed up long before 100
 	if n := sendFor(100, 106); n < 290 {
 		t.Fatalf("%d of 300 requests were sent to warm endpoints", n)
 	}
@@ -72,19 +72,19 @@
 	}
 }
 
-// Guards against warm endpoints that are overloaded while warming ones, which have half of their capacity by then,
-// are idle: what a warming one got once followed the square of the requests that a gateway sees.
+// Guards against warming endpoints that stay idle at gateways with little traffic, while warm endpoints are
+// overloaded: the work sent to them was once proportional to the square of the gateway's request rate.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
 		g, r := newLargeFleetGateway(t)
 		list := largeFleetEndpoints()
 		for i := range 30 {
-			list[i].StartedAt = 100 // warming from now on
+			list[i].StartedAt = 100 // warming up from now on
 		}
 		g.HandleEndpoints(100, list, true)
 		warming, all := 0, 0
 		fraction := 0.0
-		// Again and again around the age at which they have some 0.6 of their capacity.
+		// Each round covers the ages from 5 s to 6 s, at which the endpoints have about 0.6 of their capacity.
 		for round := range 2000 / rate {
 			for i := range rate {
 				now := 105 + float64(i)/float64(rate)
@@ -107,12 +107,13 @@
 		}
 		part := 30 * fraction / (30*fraction + 30)
 		if got := float64(warming) / float64(all); got < 0.4*part || got > 0.9*part {
-			t.Errorf("at %d requests a second warming endpoints get %.3f of all, with %.3f of the capacity", rate, got, part)
+			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, part)
 		}
 	}
 }
 
-// An endpoint that has just started gets less than its part, as chance alone could overload it.
+// In a large fleet an endpoint that has just started gets less work in proportion to its capacity than an
+// older one, because random variation could overload it. It gets no non-idempotent requests.
 func TestNewlyStartedEndpointsGetAReducedShare(t *testing.T) {
 	count := func(class string, age float64) (n int) {
 		g, _ := newLargeFleetGateway(t)
@@ -120,22 +121,22 @@
 		list[0].StartedAt = 100 - age
 		g.HandleEndpoints(100, list, true)
 		g.slowStart.updateEstimates(g.classes.ordered, g.endpoints.listed)
-		g.slowStart.completedWork = 1e9 // more than was offered
+		g.slowStart.completedWork = 1e9 // more than the offered work
 		for range 60000 {
 			req := &request{class: g.classes.byName[class]}
 			g.slowStart.accrueCredits(req, g.endpoints.listed)
 			if e := g.picker.pickWarming(req); e != nil {
-				g.slowStart.spendCredit(e, req.class) // as when it is sent
+				g.slowStart.spendCredit(e, req.class) // as attemptSender.send does
 				n++
 			}
 		}
 		return n
 	}
 	if young, old := float64(count("read", 0.5))/0.24, float64(count("read", 8))/0.84; young > 0.6*old || young == 0 {
-		t.Errorf("for its capacity a young endpoint gets %.0f, an older one %.0f", young, old)
+		t.Errorf("attempts relative to capacity: %.0f at a new endpoint, %.0f at an older one", young, old)
 	}
 	if young, old := count("pay", 0.5), count("pay", 8); young > 0 || old == 0 {
-		t.Errorf("of non-idempotent requests a young endpoint gets %d, an older one %d", young, old)
+		t.Errorf("non-idempotent attempts: %d at a new endpoint, %d at an older one", young, old)
 	}
 }
 
@@ -152,7 +153,7 @@
 		want      float64
 	}{
 		"just started":           {100, 0.2},
-		"starts in the future":   {101, 0.2}, // the clocks of hosts differ
+		"starts in the future":   {101, 0.2}, // clocks of hosts may differ
 		"half-way":               {95, 0.6},
 		"at the end":             {90, 1},
 		"long ago":               {10, 1},
@@ -166,10 +167,11 @@
 	}
 }
 
-// Guards against gateways that all begin with the same credit, and so send to a warming endpoint all at once.
+// Guards against gateways that all start with the same credit and so send to a warming endpoint at the same
+// time.
 func TestInitialCreditsAreSpreadOverTheGateways(t *testing.T) {
 	const gateways = 100
-	var credits [10]int // by tenths
+	var credits [10]int // number of gateways by tenth
 	for self := range gateways {
 		s := newTestSlowStart(gateways)
 		s.self = self
@@ -177,7 +179,7 @@
 	}
 	for tenth, count := range credits {
 		if count < 8 || count > 12 {
-			t.Errorf("%d of 100 gateways begin with a credit from 0.%d on, want 10: %v", count, tenth, credits)
+			t.Errorf("%d of 100 gateways start with a credit of 0.%d to below the next tenth, want about 10: %v", count, tenth, credits)
 		}
 	}
 }
@@ -191,14 +193,14 @@
 	first := &request{class: classes[0]}
 	s.accrueCredits(first, endpoints)
 	credit := warming.slowStartCredit
-	// 0.6 of the capacity, 3 times that is allowed, one of 3 endpoints, half of the work taken as completed.
+	// The credit is 0.6 of the capacity × OverloadMultiple 3 / 3 endpoints × minCompletedFraction 0.5.
 	if math.Abs(credit-0.3) > 1e-9 {
-		t.Fatalf("a request brings a credit of %v, want 0.3", credit)
+		t.Fatalf("a request adds a credit of %v, want 0.3", credit)
 	}
 	s.accrueCredits(first, endpoints)
 	s.accrueCredits(&request{class: classes[0], likelyRetry: true}, endpoints)
 	if warming.slowStartCredit != credit {
-		t.Errorf("retries raise the credit from %v to %v", credit, warming.slowStartCredit)
+		t.Errorf("retries changed the credit from %v to %v", credit, warming.slowStartCredit)
 	}
 	for range 10 {
 		s.accrueCredits(&request{class: classes[0]}, endpoints)
@@ -211,7 +213,8 @@
 	}
 }
 
-// Guards against a burst: credits of many gateways that none could spend for long must not all be spent at once.
+// Guards against bursts: credits that many gateways could not spend for some time must not be spent all at
+// once.
 func TestUnspentCreditsExpire(t *testing.T) {
 	s := newTestSlowStart(1)
 	classes := []*class{newClass(testSettings().Classes[0], 0)}
