--- a/policy/attempt_watcher_test.go
+++ b/policy/attempt_watcher_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A gateway that stood still itself knows nothing of the endpoint: the reply may wait in its own socket, and a
-// hedge would go out beside it.
+// After a stall of the gateway, the reply to an attempt may still be unread in its socket. The gateway must
+// not take the time of the stall for a slow attempt and hedge it.
 func TestNoHedgeAfterOwnStall(t *testing.T) {
 	attempts := func(from, to Seconds, stalled bool) int {
 		g, recorded := newLargeFleetGateway(t)
@@ -17,9 +17,9 @@
 		return len(recorded.ofKind("send", "q"))
 	}
 	if n := attempts(100.3, 100.75, false); n != 2 {
-		t.Fatalf("%d attempts without a standstill: the test proves nothing", n)
+		t.Fatalf("%d attempts without a stall, want 2 for the test to be meaningful", n)
 	}
 	if n := attempts(100.3, 100.75, true); n != 1 {
-		t.Fatalf("%d attempts at the end of the standstill", n)
+		t.Fatalf("%d attempts after a stall, want 1", n)
 	}
 }
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// When clients change their timeout, the new one soon is the time of first attempts, and these are not rejected
-// as retries.
+// When clients change their timeout, first attempts with the new timeout must no longer be rejected as
+// retries once the detector has observed enough of them.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
@@ -24,15 +24,16 @@
 		return sent
 	}
 	if n := send(2000, 2); n != 2000 {
-		t.Fatalf("%d of 2000 sent", n)
+		t.Fatalf("%d of 2000 requests sent", n)
 	}
 	send(maxRemainingObservations, 0.9)
 	if n := send(200, 0.9); n != 200 {
-		t.Errorf("%d of 200 sent, after as many as are counted with the new timeout", n)
+		t.Errorf("%d of 200 requests sent after the detector has adapted to the new timeout", n)
 	}
 }
 
-// A client's retry has what is left of the time of its first attempt. It was served after its objective once.
+// A client's retry has only the time that its first attempt left. If the gateway expects to miss the
+// objective of such a retry, it must reject it instead of serving it late.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	for i := range 40 {
@@ -45,7 +46,7 @@
 		return len(recorded.ofKind("send", id)), len(recorded.ofKind("reject", id))
 	}
 	if sent, _ := send("first", "x", 0.8); sent != 1 {
-		t.Fatal("a first attempt with little time was rejected, of a customer that never was")
+		t.Fatal("a first attempt with a short deadline was rejected although its customer had no rejections")
 	}
 	g.quota.customers.find(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
 	if sent, rejected := send("late", "x", 0.8); sent != 0 || rejected != 1 {
@@ -54,15 +55,15 @@
 	if sent, _ := send("soon", "x", 1.7); sent != 1 {
 		t.Fatal("a retry that can still meet its objective was rejected")
 	}
-	for i := range 4 { // each half a second's worth of the rate, in no time
+	for i := range 4 { // simultaneous requests, each worth half a second of the rate
 		send(fmt.Sprint("many", i), "y", 2)
 	}
 	if sent, _ := send("over", "y", 0.8); sent != 0 {
-		t.Fatal("a retry past its objective was forwarded, of a customer beyond its rate")
+		t.Fatal("a retry past its objective was forwarded for a customer above its rate")
 	}
 }
 
-// observeEach gives a detector the same remaining times over and over.
+// observeEach calls observe for the given remaining times, rounds times over.
 func observeEach(detector *clientRetryDetector, rounds int, remaining ...Seconds) {
 	for range rounds {
 		for _, seconds := range remaining {
@@ -99,12 +100,13 @@
 	}
 }
 
-// A new timeout of the clients becomes the time of first attempts within as many requests as are kept.
+// The detector must accept a new timeout of the clients as that of first attempts after at most
+// maxRemainingObservations requests.
 func TestClientRetryDetectorLearnsANewTimeout(t *testing.T) {
 	detector := newClientRetryDetector(2)
 	observeEach(&detector, 2000, 2)
 	if !detector.observe(0.9) {
-		t.Fatal("the first request with the new timeout is not told from first attempts: the test proves nothing")
+		t.Fatal("the first request with the new timeout is not detected as a retry, which the test needs")
 	}
 	observeEach(&detector, maxRemainingObservations, 0.9)
 	if detector.observe(0.9) {
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// A client's retry may arrive with a few milliseconds left. It was queued until after its deadline once.
+// A client's retry may arrive a few milliseconds before its deadline. Guards against queueing it until after
+// the deadline instead of rejecting it at once.
 func TestRequestTooCloseToItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", State: Draining}}, true)
 	g.HandleRequest(100, Request{ID: "x", Class: "read", Plan: "basic", Customer: "c", Deadline: 100.005, GatewayCount: 1, Units: 1})
 	if len(recorded.ofKind("reject", "x")) != 1 {
-		t.Fatal("no final reply at once")
+		t.Fatal("the request was not rejected at once")
 	}
 }
 
@@ -27,17 +28,18 @@
 	}
 }
 
-// A request of which nothing was written is rejected while the client still has time for a retry.
+// A request that could not be written to an endpoint is rejected after firstWriteFraction of its time, so
+// that the client still has time for a retry.
 func TestUnwrittenRequestIsRejectedEarly(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, nil, true)
 	sendRequest(g, 100, "a", "any", "wide", 1) // objective 3 s, timeout 4 s
 	g.HandleTimer(101.5, 1)
 	if len(recorded.ofKind("reject", "a")) != 0 {
-		t.Error("rejected early")
+		t.Error("rejected before firstWriteFraction of its time")
 	}
 	if g.HandleTimer(101.9, 1); len(recorded.ofKind("reject", "a")) != 1 {
-		t.Error("not rejected before half of its time was over")
+		t.Error("not rejected in the first half of its time")
 	}
 }
 
@@ -59,7 +61,7 @@
 		return ids
 	}
 	want := []string{"high", "first of two", "second of two", "low"}
-	for _, dequeue := range []bool{false, true} { // what is not dequeued is offered again
+	for _, dequeue := range []bool{false, true} { // requests that are not dequeued are offered again
 		if got := offered(dequeue); !slices.Equal(got, want) {
 			t.Errorf("offered %q, want %q", got, want)
 		}
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against a new connection for each attempt: each gateway of a large fleet sent to every endpoint in turn.
+// Guards against a gateway of a large fleet that uses every endpoint in turn, and so needs a new connection
+// for almost every attempt. With a handshake cost it must prefer endpoints with an idle connection.
 func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
 	for _, cost := range []float64{0, 0.08} {
 		s, r := testSettings(), &recorder{}
@@ -34,21 +35,22 @@
 	}
 }
 
-// An attempt without a reply takes its connection with it, and a connection that idles for long is not counted on.
+// An attempt without a reply closes its connection, and endpoints close connections after the idle timeout.
+// Such connections must not count as idle ones.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	g.settings.ConnectionIdleTimeout = 10
 	sendUnlimited(g, 100, "a")
 	e := g.endpoints.byID[r.ofKind("send", "a")[0].endpoint]
 	if e.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("the only connection is in use, and counts as idle")
+		t.Fatal("a connection in use counts as idle")
 	}
 	g.HandleOutcome(100.1, Outcome{RequestID: "a", Endpoint: e.ID, Status: OK, RequestDone: true, Elapsed: 0.1})
 	if !e.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("the connection is idle again, and is not counted on")
+		t.Fatal("the connection does not count as idle after its attempt ended")
 	}
 	if g.clock.now = 100.1 + 10; e.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("a connection is counted on that the endpoint may have closed")
+		t.Fatal("a connection counts as idle after the idle timeout")
 	}
 	g.clock.now = 100.2
 	req := &request{Request: Request{ID: "b"}, class: g.classes.byName["read"]}
@@ -56,11 +58,12 @@
 	g.sender.start(req, e)
 	g.HandleOutcome(100.5, Outcome{RequestID: "b", Endpoint: e.ID, Status: Timeout, RequestDone: true, Elapsed: 0.3})
 	if e.hasIdleConnection(g.clock.now, 10) {
-		t.Fatal("a connection is counted on that was closed with its attempt")
+		t.Fatal("a connection counts as idle after its attempt timed out")
 	}
 }
 
-// newTestPicker returns the picker of a lone gateway in zone "a", of the endpoints near and far in zones "a" and "b".
+// newTestPicker returns the picker of a single gateway in zone "a", with an endpoint near in zone "a" and an
+// endpoint far in zone "b".
 func newTestPicker() (picker *endpointPicker, near, far *endpoint) {
 	clock := &eventClock{now: 100}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -79,7 +82,7 @@
 func TestPickedEndpointByState(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(picker *endpointPicker, near, far *endpoint)
-		want   string // "" for none
+		want   string // "" for no endpoint
 	}{
 		"the zone of the gateway": {func(*endpointPicker, *endpoint, *endpoint) {}, "near"},
 		"draining":                {func(_ *endpointPicker, near, _ *endpoint) { near.State = Draining }, "far"},
@@ -91,8 +94,8 @@
 		"an outlier of another class": {func(_ *endpointPicker, near, _ *endpoint) {
 			near.outlierScores[1] = outlierScore{level: 1, at: 100}
 		}, "near"},
-		"its part of the limit in flight": {func(_ *endpointPicker, near, _ *endpoint) { near.inFlight = 3 }, "far"},
-		"slow":                            {func(_ *endpointPicker, near, _ *endpoint) { near.latencyFactor = 4 }, "far"},
+		"its share of the limit in flight": {func(_ *endpointPicker, near, _ *endpoint) { near.inFlight = 3 }, "far"},
+		"slow":                             {func(_ *endpointPicker, near, _ *endpoint) { near.latencyFactor = 4 }, "far"},
 		"warming, without a credit": {func(_ *endpointPicker, near, _ *endpoint) {
 			near.StartedAt, near.slowStartCredit = 99, 0
 		}, "far"},
--- a/policy/endpoint_table_test.go
+++ b/policy/endpoint_table_test.go
@@ -12,7 +12,7 @@
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
 	if len(g.dispatcher.queue.requests) == 0 {
-		t.Fatal("no request is queued, so the test shows nothing")
+		t.Fatal("no request is queued, which the test needs")
 	}
 	g.HandleEndpoints(100.1, []Endpoint{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
 	before := len(r.actions)
@@ -32,7 +32,7 @@
 		}
 	}
 	if later == 0 {
-		t.Fatal("no queued request was sent, so the test shows nothing")
+		t.Fatal("no queued request was sent to the remaining endpoint")
 	}
 }
 
@@ -65,7 +65,7 @@
 			table := newTestTable(Endpoint{ID: "b"}, Endpoint{ID: "a"})
 			table.apply(tc.update, tc.complete)
 			if got := listedIDs(table); !slices.Equal(got, tc.want) {
-				t.Errorf("listed are %v, want %v", got, tc.want)
+				t.Errorf("listed endpoints are %v, want %v", got, tc.want)
 			}
 		})
 	}
@@ -82,10 +82,10 @@
 	restarted, kept := table.byID["a"], table.byID["b"]
 	if !restarted.available(100) || restarted.openConnections != 0 || restarted.slowStartCredit != 0.5 ||
 		restarted.outlierScores[1] != (outlierScore{}) || restarted.consecutiveErrors[1] != 0 {
-		t.Errorf("a restarted endpoint keeps %+v", restarted)
+		t.Errorf("a restarted endpoint kept old state: %+v", restarted)
 	}
 	if kept.available(100) || kept.openConnections != 3 || kept.consecutiveErrors[1] != 2 {
-		t.Errorf("an endpoint that did not restart lost %+v", kept)
+		t.Errorf("an endpoint that did not restart lost its state: %+v", kept)
 	}
 }
 
@@ -95,21 +95,22 @@
 	table.apply([]Endpoint{{ID: "listed"}}, true)
 	table.evictRemoved()
 	if len(table.byID) != 2 || table.byID["idle"] != nil || len(table.byHash) != 2 {
-		t.Fatalf("kept are %v", table.byID)
+		t.Fatalf("kept endpoints are %v, want busy and listed", table.byID)
 	}
 	table.byID["busy"].endAttempt(true)
 	if table.evictRemoved(); len(table.byID) != 1 || table.byID["listed"] == nil || len(table.byHash) != 1 {
-		t.Fatalf("kept are %v", table.byID)
+		t.Fatalf("kept endpoints are %v, want listed", table.byID)
 	}
 }
 
-// Guards against a health update that is taken for that of another endpoint.
+// Health updates identify an endpoint by its hash. If two endpoints share a hash, an update must not be
+// applied to the wrong one.
 func TestEndpointsWithTheSameHashAreNotIndexed(t *testing.T) {
 	table := newTestTable(Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	table.byID["b"].hash = table.byID["a"].hash
 	table.indexByHash(table.byID["b"])
 	if e := table.byHash[table.byID["a"].hash]; e != nil {
-		t.Fatalf("two endpoints share a hash, and %s is found by it", e.ID)
+		t.Fatalf("byHash returns %s although two endpoints share its hash", e.ID)
 	}
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,11 +7,11 @@
 	"reedlead/policy"
 )
 
-// printingActions is the least that the network side has to do: here it prints what the gateway asks for, and
-// keeps the messages to its peer.
+// printingActions is a minimal Actions implementation. It prints the actions and keeps the messages to its
+// peer.
 type printingActions struct {
 	name     string
-	messages [][]byte // not delivered yet
+	messages [][]byte // not yet delivered
 }
 
 func (p *printingActions) Send(id, endpoint string, _, _ policy.Seconds) {
@@ -31,7 +31,8 @@
 func (p *printingActions) HealthCheck(string)              {}
 func (p *printingActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
 
-// exampleSettings has one class, and one plan with a quota of 3 units that grows by 1 a second.
+// exampleSettings returns settings with one class, and one plan whose quota holds 3 units and refills by 1
+// per second.
 func exampleSettings(self, gatewayCount int) policy.Settings {
 	return policy.Settings{
 		Self: self, GatewayCount: gatewayCount, PeerMessages: gatewayCount > 1, PeerMessageRate: 40,
@@ -43,7 +44,7 @@
 	}
 }
 
-// exampleRequest is a request of two units.
+// exampleRequest returns a request of two units.
 func exampleRequest(now policy.Seconds, id string, gatewayCount int) policy.Request {
 	return policy.Request{
 		ID: id, Class: "read", Plan: "basic", Customer: "ada",
@@ -51,7 +52,7 @@
 	}
 }
 
-// One gateway from its start to a final reply: the quota holds one of two requests.
+// One gateway from its creation to a final reply. The quota suffices for one of two requests.
 func ExampleGateway() {
 	actions := &printingActions{name: "gateway"}
 	gateway, err := policy.New(exampleSettings(0, 1), 42, 10, actions)
@@ -71,7 +72,7 @@
 	// gateway: reject r1, quota_exceeded
 }
 
-// Two gateways keep one customer to one quota: what one admits is reported to the other.
+// Two gateways share the quota of a customer: the usage report of one makes the other reject a request.
 func ExampleGateway_owners() {
 	actions := [2]*printingActions{{name: "west"}, {name: "east"}}
 	var gateways [2]*policy.Gateway
@@ -81,7 +82,7 @@
 		gateways[i].HandleEndpoints(now, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
 	}
 	gateways[0].HandleRequest(now, exampleRequest(now, "first", 2))
-	for range 30 { // 0.6 s, with some messages each way
+	for range 30 { // 0.6 s, enough for messages in both directions
 		now += 0.02
 		for i, gateway := range gateways {
 			gateway.HandleTimer(now, 1)
@@ -98,7 +99,7 @@
 	// east: reject second, quota_exceeded
 }
 
-// Invalid settings come back as an error that names the field.
+// New returns an error that names the invalid field.
 func ExampleNew() {
 	settings := exampleSettings(0, 1)
 	settings.Plans[0].Burst = 0
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -29,7 +29,7 @@
 	g.HandleHealthCheck(100, HealthCheckResult{Endpoint: "none"})
 	g.HandleTimer(100, 77)
 	if len(recorded.actions) != n {
-		t.Fatalf("acted on malformed input: %v", recorded.actions[n:])
+		t.Fatalf("malformed input caused actions: %v", recorded.actions[n:])
 	}
 }
 
@@ -66,7 +66,7 @@
 				t.Errorf("New returned %q, want the setting %s and %q", err, tc.setting, tc.kind)
 			}
 			if !strings.Contains(err.Error(), tc.setting) {
-				t.Errorf("the text %q does not name %s", err, tc.setting)
+				t.Errorf("the error %q does not name %s", err, tc.setting)
 			}
 		})
 	}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A gateway of a large fleet learns the utilization and outlier scores of endpoints from its peers' messages, and
-// passes them on.
+// A gateway of a large fleet learns the utilization and outlier scores of endpoints from the messages of
+// other gateways, and forwards them.
 func TestGossipIsForwarded(t *testing.T) {
 	a, ra, ask := newTestMember(t, withGatewayCount(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
@@ -25,7 +25,7 @@
 	}
 	reply, err := testFormat.decode(rb.ofKind("send_to_peer", "")[0].data, 100)
 	if err != nil || len(reply.updates) != 2 {
-		t.Fatalf("%d updates passed on, want 2 (%v)", len(reply.updates), err)
+		t.Fatalf("%d updates forwarded, want 2 (%v)", len(reply.updates), err)
 	}
 	older := healthUpdate{endpointHash: loaded.hash, class: loadUpdate, value: 0.1, at: loaded.utilizationAt - 1}
 	if b.gossip.merge(b.endpoints, older); loaded.utilization < 0.5 {
@@ -44,13 +44,13 @@
 	}
 	sent := buffer.recent(gossipPerMessage+1, now)
 	if len(sent) != gossipPerMessage || sent[0].endpointHash != 2*maxGossip-1 {
-		t.Errorf("sent are %v, want the newest %d", sent, gossipPerMessage)
+		t.Errorf("recent returned %v, want the newest %d updates", sent, gossipPerMessage)
 	}
 	if sent := buffer.recent(2, now); len(sent) != 2 {
-		t.Errorf("%d updates are sent where 2 fit", len(sent))
+		t.Errorf("recent returned %d updates, want 2", len(sent))
 	}
 	if sent := buffer.recent(gossipPerMessage, now+gossipExpiry); len(sent) != 0 {
-		t.Errorf("expired updates are sent: %v", sent)
+		t.Errorf("recent returned expired updates: %v", sent)
 	}
 }
 
@@ -73,11 +73,11 @@
 			e.lastSuccessAt[1] = 99
 			buffer.merge(table, healthUpdate{endpointHash: e.hash, class: tc.class, value: 0.7, at: tc.at})
 			if passedOn := len(buffer.updates) == 1; passedOn != tc.want {
-				t.Errorf("passed on: %t, want %t", passedOn, tc.want)
+				t.Errorf("forwarded: %t, want %t", passedOn, tc.want)
 			}
 			taken := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
 			if taken != tc.want {
-				t.Errorf("taken in: %t, want %t", taken, tc.want)
+				t.Errorf("applied: %t, want %t", taken, tc.want)
 			}
 		})
 	}
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -24,17 +24,17 @@
 	}
 	for _, want := range []string{"oldest", "older"} {
 		if e := checker.next(table.listed); e == nil || e.ID != want {
-			t.Fatalf("checked is %v, want %s", e, want)
+			t.Fatalf("next returned %v, want %s", e, want)
 		}
 	}
 	clock.now = 200
 	if e := checker.next(table.listed); e != nil {
-		t.Errorf("%s is checked after the credits of many requests are spent", e.ID)
+		t.Errorf("%s is checked after maxHealthCheckCredits are spent", e.ID)
 	}
 }
 
-// Guards against health checks of many gateways that add up at a warming endpoint, beside the attempts that
-// their credits allow.
+// The health checks of all gateways would add up at a warming endpoint, beyond the load that slow start
+// allows it.
 func TestWarmingEndpointsGetNoHealthChecks(t *testing.T) {
 	g, r := newTestGateway(t, func(s *Settings) { s.HealthChecks, s.LoadReportInHealthCheck = true, true })
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", StartedAt: 99}, {ID: "s2", Zone: "a"}}, true)
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Each retry of a request with an idempotency key carries the end of its window, as it may wait for a connection
-// until after that. The window counts from the first attempt that may have executed; one that can't have executed
-// opens none.
+// A retry with an idempotency key may wait for a connection until its window has ended, when endpoints no
+// longer drop duplicates. Each retry therefore carries the time left for writing it. The window starts with
+// the first attempt that may have executed.
 func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
-	const window Seconds = 2 // of the class "put"
+	const window Seconds = 2 // of class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
 	for name, tc := range map[string]struct {
 		class  string
@@ -20,12 +20,12 @@
 		"after a reset": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
 		}, []float64{0, remaining(100.3, 100)}},
-		"after one that can't have executed and one that may have": {"put", func(g *Gateway) {
+		"after a failed connection and an error": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.2, Outcome{RequestID: "k", Attempt: 0, Status: ConnectFailed})
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 1, Status: Error})
 		}, []float64{0, 0, remaining(100.3, 100.2)}},
-		"beside one that is in flight": {"put", func(g *Gateway) {
-			for i := range 13 { // hedged after four mean latencies
+		"hedge": {"put", func(g *Gateway) {
+			for i := range 13 { // hedged after hedgeLatencyMultiple mean latencies
 				g.HandleTimer(100+0.05*float64(i+1), 1)
 			}
 		}, []float64{0, remaining(100.65, 100)}},
@@ -44,15 +44,16 @@
 			}
 			for i, want := range tc.want {
 				if got := sends[i].writeWithin; got < want-1e-9 || got > want+1e-9 {
-					t.Errorf("send %d is to be written within %v, want %v", i, got, want)
+					t.Errorf("send %d has a writeWithin of %v, want %v", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// An endpoint list may change the group of the endpoint that may have executed a request. Nothing tells whether
-// its memory of keys moved along, so retries need its group at that time and its group by now.
+// An endpoint list update may move the endpoint of the first attempt to another dedup group. It is unknown
+// whether the keys recorded there move along, so a retry needs an endpoint that shares both the old group and
+// the new one.
 func TestNoRetryOutsideTheDedupGroupAfterAnEndpointMoves(t *testing.T) {
 	for name, moved := range map[string]Endpoint{
 		"to another zone": {ID: "s1", Zone: "b", Cell: 1},
@@ -68,41 +69,41 @@
 				g.HandleTimer(now, 1)
 			}
 			if sends := recorded.ofKind("send", "k"); len(sends) != 1 {
-				t.Errorf("sent again to %s", sends[1].endpoint)
+				t.Errorf("retried at %s", sends[1].endpoint)
 			}
 			if len(recorded.ofKind("fail", "k")) != 1 {
-				t.Error("no failure was replied")
+				t.Error("the request did not fail")
 			}
 		})
 	}
 }
 
-// Whatever becomes of the attempts and however late they are written, none goes out that could execute a request
-// a second time, nor a rejection behind one: over all classes, outcomes, scopes and windows.
+// Runs random outcomes, write delays and endpoint list updates against all idempotency kinds, scopes and
+// windows. No retry may execute a request a second time, and no rejection may invite the client to do so.
 func TestNoRequestExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
 		newRetryScenario(t, seed).run()
 	}
 }
 
-// recordedAttempt is an attempt as the network made it.
+// recordedAttempt is an attempt as seen on the network.
 type recordedAttempt struct {
 	endpoint  string
-	group     dedupGroup // when it was sent
-	writtenAt Seconds    // when its last byte went out
+	group     dedupGroup // dedup group of the endpoint when the attempt was sent
+	writtenAt Seconds    // time at which the last byte was written
 	status    AttemptStatus
 	done      bool
 }
 
-// end notes the outcome.
+// end records the outcome.
 func (a *recordedAttempt) end(status AttemptStatus) { a.status, a.done = status, true }
 
-// mayHaveExecuted tells whether the attempt may have executed, or may still do so.
+// mayHaveExecuted reports whether the attempt may have executed, or may still do so.
 func (a *recordedAttempt) mayHaveExecuted() bool {
 	return !a.done || a.status != Rejected && a.status != ConnectFailed && a.status != NotSent
 }
 
-// retryScenario is one request of a random class, at endpoints whose list and outcomes are random, too.
+// retryScenario runs one request of a random class against endpoints with random list updates and outcomes.
 type retryScenario struct {
 	t                 *testing.T
 	seed              uint64
@@ -111,9 +112,9 @@
 	gateway           *Gateway
 	recorder          *recorder
 	class             Class
-	groups            map[string]dedupGroup // of the endpoints, by the last list
+	groups            map[string]dedupGroup // by endpoint, as last listed
 	attempts          []*recordedAttempt
-	observed          int // actions of the recorder that were looked at
+	observed          int // number of recorded actions that were processed
 }
 
 const retryScenarioRequest = "k"
@@ -134,7 +135,7 @@
 	return s
 }
 
-// retryScenarioClasses returns a class with an idempotency key for each scope, and one that is not idempotent.
+// retryScenarioClasses returns a class with idempotency keys for each scope, and a non-idempotent class.
 func retryScenarioClasses(idempotencyWindow Seconds) []Class {
 	classes := []Class{
 		{Name: "all", Idempotency: IdempotencyKey, DedupScope: DedupFleet},
@@ -150,7 +151,7 @@
 	return classes
 }
 
-// listEndpoints gives the gateway a list of eight endpoints in random groups, of which some are draining.
+// listEndpoints passes the gateway a list of eight endpoints in random groups, some of them draining.
 func (s *retryScenario) listEndpoints(now Seconds) {
 	var list []Endpoint
 	for i := range 8 {
@@ -166,7 +167,7 @@
 	s.gateway.HandleEndpoints(now, list, true)
 }
 
-// run plays the request until after its deadline.
+// run runs the scenario until after the deadline.
 func (s *retryScenario) run() {
 	s.t.Helper()
 	for now := 100.0; now < 104.5; now += 0.02 {
@@ -180,11 +181,11 @@
 	rejections := s.recorder.ofKind("reject", retryScenarioRequest)
 	failures := s.recorder.ofKind("fail", retryScenarioRequest)
 	if n := len(rejections) + len(failures); n != 1 {
-		s.t.Errorf("seed %d: %d final replies", s.seed, n)
+		s.t.Errorf("seed %d: %d final replies, want 1", s.seed, n)
 	}
 }
 
-// observeActions carries out and checks what the gateway asked for since the last call.
+// observeActions carries out and checks the actions that the gateway requested since the last call.
 func (s *retryScenario) observeActions(now Seconds) {
 	s.t.Helper()
 	for ; s.observed < len(s.recorder.actions); s.observed++ {
@@ -202,8 +203,8 @@
 	}
 }
 
-// observeSend writes an attempt, at once or somewhat later. As on the network, one that can't be written within
-// its time is not sent.
+// observeSend writes an attempt at once or after a random delay. An attempt that cannot be written within its
+// writeWithin is not sent.
 func (s *retryScenario) observeSend(now Seconds, send action) {
 	s.t.Helper()
 	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
@@ -219,7 +220,7 @@
 	s.attempts = append(s.attempts, sent)
 }
 
-// checkRetry fails the test if an attempt could execute the request a second time. The window counts from the
+// checkRetry fails the test if an attempt could execute the request a second time. The window starts with the
 // first attempt that may have executed.
 func (s *retryScenario) checkRetry(sent *recordedAttempt) {
 	s.t.Helper()
@@ -229,25 +230,25 @@
 		}
 		if s.class.Idempotency == NonIdempotent || !sameDedupGroup(s.class.DedupScope, earlier.group, sent.group) ||
 			sent.writtenAt > earlier.writtenAt+s.idempotencyWindow {
-			s.t.Fatalf("seed %d: %+v is sent behind %+v, class %s, window %v",
+			s.t.Fatalf("seed %d: %+v is sent after %+v, class %s, window %v",
 				s.seed, sent, earlier, s.class.Name, s.idempotencyWindow)
 		}
 		return
 	}
 }
 
-// checkRejection fails the test if the request is rejected, which lets the client send it again, although that
-// could execute it a second time.
+// checkRejection fails the test if the gateway rejects the request although a client retry could execute it a
+// second time.
 func (s *retryScenario) checkRejection() {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
 		if earlier.mayHaveExecuted() && (s.class.Idempotency == NonIdempotent || s.class.DedupScope != DedupFleet) {
-			s.t.Fatalf("seed %d: rejected behind %+v, class %s", s.seed, earlier, s.class.Name)
+			s.t.Fatalf("seed %d: rejected after %+v, class %s", s.seed, earlier, s.class.Name)
 		}
 	}
 }
 
-// endSomeAttempts ends attempts that were written, at random and with any outcome but OK.
+// endSomeAttempts ends a random choice of the written attempts, with any status except OK and NotSent.
 func (s *retryScenario) endSomeAttempts(now Seconds) {
 	for i, sent := range s.attempts {
 		if !sent.done && now >= sent.writtenAt && s.rng.IntN(10) == 0 {
@@ -296,11 +297,11 @@
 		other             dedupGroup
 		fleet, zone, cell bool
 	}{
-		"the same cell":              {here, true, true, true},
-		"another cell of the zone":   {dedupGroup{"a", 2}, true, true, false},
-		"a cell of another zone":     {dedupGroup{"b", 2}, true, false, false},
-		"that cell in another zone":  {dedupGroup{"b", 1}, true, false, false},
-		"a zone and cell not listed": {dedupGroup{}, true, false, false},
+		"the same cell":                      {here, true, true, true},
+		"another cell of the zone":           {dedupGroup{"a", 2}, true, true, false},
+		"a cell of another zone":             {dedupGroup{"b", 2}, true, false, false},
+		"the same cell number, another zone": {dedupGroup{"b", 1}, true, false, false},
+		"a zone and cell not listed":         {dedupGroup{}, true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for scope, want := range map[DedupScope]bool{DedupFleet: tc.fleet, DedupZone: tc.zone, DedupCell: tc.cell} {
@@ -312,7 +313,8 @@
 	}
 }
 
-// A rejection lets the client send the request again, so it must not be given where that could execute it twice.
+// A rejection invites the client to retry, so it must not be given if a retry could execute the request
+// twice.
 func TestClientMayRetry(t *testing.T) {
 	inFlight := func(r *request) { r.inFlight = 1 }
 	for name, tc := range map[string]struct {
@@ -327,7 +329,7 @@
 		"key of all endpoints, executed":      {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, executedOnce, true},
 		"key of a zone, executed":             {Class{Idempotency: IdempotencyKey, DedupScope: DedupZone}, executedOnce, false},
 		"key of a cell, in flight":            {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, inFlight, false},
-		"key of a cell, nothing sent to any":  {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
+		"key of a cell, nothing sent":         {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
 		"key of all endpoints, one in flight": {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, inFlight, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against attempts spent on an endpoint that rejects all, or breaks all connections: it is ejected, and
-// tried again later.
+// Attempts must not be wasted on an endpoint that rejects all attempts or breaks all connections. It is
+// ejected, and gets single attempts after each ejection period.
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
 	const maxSent = 24
 	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
@@ -34,12 +34,12 @@
 			g.HandleTimer(now, 1)
 		}
 		if sent["s1"] < 1 || sent["s1"] > maxSent || sent["s2"] < 100 {
-			t.Errorf("all attempts at s1 end with %v: sent are %v", status, sent)
+			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v", status, sent)
 		}
 	}
 }
 
-// One lost connection does not mean that the endpoint is broken; two in a row do.
+// A single lost connection may not be the endpoint's fault, so only two in a row eject the endpoint.
 func TestTwoConsecutiveConnectionFailuresEject(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}}, true)
@@ -54,7 +54,8 @@
 	}
 }
 
-// Guards against an endpoint that never replies to one class, while it goes on replying to the others.
+// An endpoint may stop replying to one class while it serves the others. Only attempts of that class must
+// avoid it.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for _, requestClass := range g.classes.ordered {
@@ -68,13 +69,13 @@
 		g.HandleTimer(now, 1)
 	}
 	if score := g.outliers.score(outlier, g.classes.byName["read"].index); score < 0.9 {
-		t.Fatalf("the score for the silent class is %.2f", score)
+		t.Fatalf("the score for the class without replies is %.2f", score)
 	}
 	if score := g.outliers.score(outlier, g.classes.byName["pay"].index); score > 0 {
 		t.Fatalf("the score for another class is %.2f", score)
 	}
 	if a := r.ofKind("send", "q"); len(a) != 1 || a[0].endpoint == "s1" {
-		t.Fatalf("the silent attempt was not hedged at another endpoint: %v", a)
+		t.Fatalf("the attempt without a reply was not hedged at another endpoint: %v", a)
 	}
 	pays := 0
 	for i := range 40 {
@@ -83,18 +84,19 @@
 			sendRequest(g, 100.5, id, class, "wide", 1)
 			at := r.ofKind("send", id)[0].endpoint
 			if g.HandleOutcome(100.5, Outcome{RequestID: id, Status: OK, RequestDone: true, Elapsed: 0.05}); at == "s1" && class == "read" {
-				t.Fatal("an outlier for a class was sent a request of it")
+				t.Fatal("a request was sent to an outlier for its class")
 			} else if at == "s1" {
 				pays++
 			}
 		}
 	}
 	if pays == 0 {
-		t.Fatal("an outlier for a class gets no requests of the others")
+		t.Fatal("an outlier for one class gets no requests of other classes")
 	}
 }
 
-// Guards against one missing reply that, by gossip, made the whole fleet leave an endpoint and overload the next.
+// Guards against a single timeout that raises the score above suspectScore: through gossip, all gateways
+// would leave the endpoint at once and overload the others.
 func TestLargeFleetScoresByTheTimeoutFraction(t *testing.T) {
 	g, _ := newLargeFleetGateway(t)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
@@ -119,14 +121,14 @@
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
 	if score := g.outliers.score(e, requestClass.index); score >= high || score < suspectScore {
-		t.Fatalf("one reply takes the score from %.2f to %.2f, want a part of it off", high, score)
+		t.Fatalf("one reply lowers the score from %.2f to %.2f, want a partial decrease", high, score)
 	}
 	if len(g.gossip.updates) != 1 || g.gossip.updates[0].value >= high {
 		t.Fatalf("the lower score is not published: %v", g.gossip.updates)
 	}
 }
 
-// The gateways of a small fleet see enough themselves: one reply shows that an endpoint is healthy.
+// A gateway of a small fleet has enough traffic to judge an endpoint, so one success resets the score.
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s1"]
@@ -173,7 +175,7 @@
 		"a lost connection":             {1, []AttemptStatus{Reset}, [2]float64{0.1, 0.1}},
 		"two lost connections in a row": {1, []AttemptStatus{Reset, ConnectFailed}, [2]float64{0.55, 0.55}},
 		"a rejection":                   {1, []AttemptStatus{Rejected}, [2]float64{0, 0}},
-		"attempts without an end":       {1, []AttemptStatus{Cancelled, NotSent}, [2]float64{0, 0}},
+		"cancelled or unsent":           {1, []AttemptStatus{Cancelled, NotSent}, [2]float64{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector, e := newTestDetector(tc.gateways)
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -34,7 +34,7 @@
 		requests[id] = &request{Request: Request{ID: id}}
 		table.add(requests[id])
 	}
-	requests["b"].done, requests["b"].inFlight = true, 1 // still in flight
+	requests["b"].done, requests["b"].inFlight = true, 1 // done, with an attempt in flight
 	requests["c"].done = true
 	table.remove(requests["c"])
 	var ids []string
@@ -45,6 +45,6 @@
 		t.Errorf("open requests are %q, want %q", ids, want)
 	}
 	if table.find("c") != nil || table.find("b") != requests["b"] {
-		t.Error("find does not tell removed requests from others")
+		t.Error("find returned a removed request, or did not return one that is in flight")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -34,13 +34,13 @@
 		recorded.actions = nil
 		g.HandleOutcome(104, Outcome{RequestID: "d", Endpoint: first, Status: Timeout, Elapsed: 4})
 		if len(recorded.ofKind(want, "d")) != 1 || len(recorded.ofKind("send", "d")) != 0 {
-			t.Errorf("%s: want one %s in the same batch, got %v", class, want, recorded.actions)
+			t.Errorf("%s: want one %s and no retry, got %v", class, want, recorded.actions)
 		}
 	}
 }
 
-// openRequest returns a request at time 100 with a deadline of 2 s and an objective of 1 s, whose class takes
-// 0.1 s and earns half of its weight after the objective.
+// openRequest returns a request that arrived at time 100, with its objective at 101 and its deadline at 102.
+// Its class has a mean latency of 0.1 s, and late replies earn half of the weight.
 func openRequest(idempotency Idempotency) *request {
 	settings := Class{
 		LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, LateWeightFraction: 0.5,
@@ -51,30 +51,30 @@
 	return &request{Request: Request{Deadline: 102}, class: requestClass, objectiveAt: 101, firstWriteBy: 100.9}
 }
 
-// executedOnce notes an attempt of the request at time 100 that may have executed.
+// executedOnce adds an attempt that was sent at time 100 and may have executed.
 func executedOnce(r *request) {
 	r.attempts = append(r.attempts, attempt{endpoint: &endpoint{}, sentAt: 100, done: true})
 	r.recordStatus(&r.attempts[0], Reset)
 }
 
 func TestRetryPolicy(t *testing.T) {
-	const lastSend = 101.5 - 0.1 // for a reply up to half of the time between objective and deadline
+	const lastSend = 101.5 - 0.1 // a reply is useful until halfway between objective and deadline
 	for name, tc := range map[string]struct {
 		idempotency Idempotency
 		change      func(*request)
 		now         Seconds
 		want        bool
-		reason      Reason // where it is not allowed
+		reason      Reason // if want is false
 	}{
 		"first attempt":                    {Idempotent, func(*request) {}, 100, true, ""},
-		"first attempt, not written":       {Idempotent, func(*request) {}, 100.91, false, DeadlineTooClose},
-		"written, after the first write":   {Idempotent, func(r *request) { r.written = true }, 100.91, true, ""},
+		"not written by firstWriteBy":      {Idempotent, func(*request) {}, 100.91, false, DeadlineTooClose},
+		"written, after firstWriteBy":      {Idempotent, func(r *request) { r.written = true }, 100.91, true, ""},
 		"too late for a useful reply":      {Idempotent, func(r *request) { r.written = true }, lastSend + 0.01, false, DeadlineTooClose},
 		"all attempts made":                {Idempotent, func(r *request) { r.attempts = make([]attempt, 3) }, 100, false, AttemptsExhausted},
 		"idempotent, executed":             {Idempotent, executedOnce, 101, true, ""},
 		"not idempotent, executed":         {NonIdempotent, executedOnce, 100.1, false, AttemptsExhausted},
-		"key, executed within its window":  {IdempotencyKey, executedOnce, 100.4, true, ""},
-		"key, executed before the window":  {IdempotencyKey, executedOnce, 100.46, false, AttemptsExhausted},
+		"key, executed, within the window": {IdempotencyKey, executedOnce, 100.4, true, ""},
+		"key, executed, window ended":      {IdempotencyKey, executedOnce, 100.46, false, AttemptsExhausted},
 		"not idempotent, never executed":   {NonIdempotent, func(r *request) { r.attempts = make([]attempt, 1) }, 100.1, true, ""},
 		"too late, with attempts to spare": {NonIdempotent, executedOnce, lastSend + 0.01, false, DeadlineTooClose},
 	} {
