--- a/policy/api.go
+++ b/policy/api.go
@@ -103,7 +103,7 @@
 	CeilingBurst float64
 }
 
-// Settings configures a Gateway. They do not change during its lifetime.
+// Settings configures a Gateway and does not change during its lifetime.
 type Settings struct {
 	// Self is the index of this gateway, from 0 to GatewayCount-1.
 	Self, GatewayCount int
@@ -118,8 +118,8 @@
 	// PeerMessageRate is the number of peer messages per second that a gateway can receive.
 	PeerMessageRate float64
 
-	// These enable the peer messages, health checks, cancellation of attempts, hedged requests, and the
-	// retryAfter of rejections.
+	// Each of these enables an optional feature: messages between gateways, health checks, cancellation of
+	// attempts, hedged requests, and the retryAfter of rejections.
 	PeerMessages, HealthChecks, Cancellation, Hedging, RetryAfter bool
 
 	// MaxAttempts is the maximum number of attempts of a request.
@@ -129,8 +129,8 @@
 	// LoadReportInHealthCheck is set if endpoints report their load only in replies to health checks.
 	LoadReportInHealthCheck bool
 
-	// ReplySlack is the time after the deadline within which a final reply still counts as on time. It is for
-	// the network side; this package does not use it.
+	// ReplySlack is the time after the deadline within which a final reply still counts as on time. Only the
+	// network side uses it.
 	ReplySlack Seconds
 	// The capacity of an endpoint rises from the fraction SlowStartMinCapacity at its start to 1 after
 	// SlowStartDuration.
@@ -198,7 +198,8 @@
 // AttemptStatus is the result of an attempt or a health check.
 type AttemptStatus int
 
-// A request is retried depending on whether its attempts may have executed.
+// The statuses of an attempt. Whether the endpoint may have executed the attempt determines whether the
+// request may be retried.
 const (
 	OK            AttemptStatus = iota
 	Error                       // the endpoint replied with an error; may have executed
@@ -234,7 +235,7 @@
 }
 
 // LoadReport is the load that an endpoint reports. Values that it did not report are negative. This package
-// uses only Utilization; the network side uses the other values.
+// uses Utilization only; the network side uses the other values.
 type LoadReport struct {
 	InFlight      float64 // requests in progress
 	Queued        float64 // requests waiting
@@ -263,11 +264,11 @@
 	Load     *LoadReport // nil if none was reported
 }
 
-// Reason is the reason for a final reply that does not come from an endpoint.
+// Reason explains why a request gets a final reply that does not come from an endpoint.
 type Reason string
 
-// The reasons for rejecting a request, or for failing it where a rejection would wrongly tell the client that
-// it is safe to retry.
+// Reasons for rejecting a request. A request that may have executed fails with the same reasons if a retry by
+// the client is not safe.
 const (
 	QuotaExceeded           Reason = "quota_exceeded"            // the customer exceeds its quota or a ceiling
 	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // the customer has too many attempts in flight
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -4,7 +4,8 @@
 	// noReplyLatencyMultiple is the number of mean latencies after which an attempt without a reply counts as a
 	// failure of its endpoint for the class, unless the endpoint replies to later attempts of the class.
 	noReplyLatencyMultiple = 6.0
-	// minNoReplyDuration is the minimum time without a reply before an attempt counts as such a failure.
+	// minNoReplyDuration is the minimum time without a reply after which an attempt counts as a failure, for
+	// classes with short latencies.
 	minNoReplyDuration Seconds = 0.2
 	// hedgeLatencyMultiple is the number of mean latencies after which an attempt is hedged.
 	hedgeLatencyMultiple = 4.0
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -45,7 +45,7 @@
 	s.actions.Send(r.ID, e.ID, timeout, r.writeWithin(s.clock.now))
 }
 
-// start counts a new attempt as in flight. It is the part of send without the transmission.
+// start adds an attempt to the request and counts it as in flight.
 func (s *attemptSender) start(r *request, e *endpoint) {
 	e.startAttempt(s.clock.now, s.idleTimeout)
 	s.limiter.startAttempt()
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -24,7 +24,7 @@
 type clientRetryDetector struct {
 	timeout      Seconds // remaining time of the last bin
 	histogram    [remainingBins]int
-	observations int // sum of histogram
+	observations int // total of all bins
 	modeCount    int // largest countNear of any bin
 }
 
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// halve halves all counts of the histogram.
+// halve divides all counts by 2 and recomputes the totals.
 func (d *clientRetryDetector) halve() {
 	d.observations, d.modeCount = 0, 0
 	for bin := range d.histogram {
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,11 +1,11 @@
 package policy
 
-// stallThreshold is the time between two events above which this gateway is assumed to have stalled. Without
-// a stall, the timer causes an event every timerInterval.
+// stallThreshold is the time between two events above which this gateway is assumed to have stalled. Its
+// timer otherwise causes an event every timerInterval.
 const stallThreshold Seconds = 0.1
 
-// clockUncertainty bounds the error in the age of information about other processes. Ages and deadlines that
-// depend on another process are made safe by this margin.
+// clockUncertainty is the safety margin for the age of anything that another process did or reported, which
+// may be older than measured.
 const clockUncertainty Seconds = 0.05
 
 // eventClock holds the time of the current event. All components of a Gateway share it; only Gateway advances
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -12,14 +12,14 @@
 	limitIncrease   = 0.1  // attempts added by a fast reply
 	limitDecrease   = 0.03 // fraction of one endpoint's share removed by a slow reply
 	timeoutDecrease = 0.15 // fraction of one endpoint's share removed by a timeout
-	limitReachedGap = 1.5  // attempts below the limit at which it counts as reached and may grow
+	limitReachedGap = 1.5  // attempts in flight may be this far below the limit for it to grow
 
-	lowLatencyRatio  = 0.15 // mean fraction of the latency objective below which replies are fast
-	highLatencyRatio = 0.22 // mean fraction of the latency objective above which replies are slow
+	lowLatencyRatio  = 0.15 // latencyRatio below which replies count as fast
+	highLatencyRatio = 0.22 // latencyRatio above which replies count as slow
 	lowUtilization   = 0.8  // mean utilization below which endpoints have spare capacity
 	latencyMeanGain  = 0.1  // weight of one attempt in meanAttemptDuration and latencyRatio
 
-	// burstDeviations is the burst allowance of a gateway in a very large fleet, in standard deviations.
+	// burstDeviations is the upper bound of burstAllowance, which grows with the size of the fleet.
 	burstDeviations = 4.0
 )
 
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A client's retry may arrive a few milliseconds before its deadline. Guards against queueing it until after
-// the deadline instead of rejecting it at once.
+// A client's retry may arrive a few milliseconds before its deadline. It must be rejected at once, not queued
+// until after the deadline.
 func TestRequestTooCloseToItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", State: Draining}}, true)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -26,7 +26,7 @@
 	inFlight        int
 	lastSentAt      Seconds
 	openConnections int     // estimated from the ends of attempts; includes idle connections
-	meanInFlight    float64 // exponentially decaying mean as of lastSentAt
+	meanInFlight    float64 // exponentially weighted mean at the time lastSentAt
 	latencyFactor   float64 // mean ratio of an attempt's latency to the mean latency of its class
 
 	// The last load report, received by this gateway or through gossip.
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -34,7 +34,7 @@
 	f.finish(r)
 }
 
-// finish marks a request as needing no final reply, and removes it once no attempt is in flight. It returns
+// finish marks a request as needing no final reply, and removes it once no attempt is in flight. It refunds
 // the units of a request that was never sent.
 func (f *finalReplier) finish(r *request) {
 	r.done = true
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// HandleClientDisconnected records that a request no longer needs a reply.
+// HandleClientDisconnected finishes a request whose client has disconnected. Its attempts in flight are not
+// cancelled.
 func (g *Gateway) HandleClientDisconnected(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil && !r.done {
@@ -186,8 +187,8 @@
 	}
 }
 
-// HandleOutcome processes the end of an attempt: it updates what is known of the endpoint and of the request,
-// and then finishes the request or retries it.
+// HandleOutcome processes the end of an attempt. It updates the statistics of the endpoint and the class, and
+// then finishes or retries the request.
 func (g *Gateway) HandleOutcome(now Seconds, outcome Outcome) {
 	g.clock.advance(now)
 	r, a := g.sender.end(outcome)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,10 +1,10 @@
 package policy
 
-// loadUpdate takes the place of the class in a health update that holds the utilization of an endpoint.
+// loadUpdate is the class of a health update that holds the utilization of an endpoint instead of a score.
 const loadUpdate = -1
 
 const (
-	// minGossipInterval is the minimum amount by which a health update must be newer than the known state.
+	// minGossipInterval is the minimum difference in age for a health update to replace the known state.
 	minGossipInterval Seconds = 0.2
 
 	maxGossip                = 64  // health updates held in the buffer
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,6 +1,7 @@
 package policy
 
-// dedupGroup identifies the zone and cell of an endpoint, which determine whose duplicates it drops.
+// dedupGroup is the zone and cell of an endpoint. Together with a DedupScope, they determine which endpoints
+// drop each other's duplicates.
 type dedupGroup struct {
 	zone string
 	cell int
@@ -31,10 +32,12 @@
 	}
 }
 
-// deduplicates reports whether the endpoint can be sent the request without a risk of executing it twice. It
-// applies to idempotency keys only; mayBeRetriedAt covers the other classes. An endpoint list update may move
-// the endpoint of the first execution to another group, and it is unknown whether its recorded keys move
-// along, so the endpoint must share both the group at that time and the current one.
+// deduplicates reports whether the endpoint would drop the request as a duplicate if it has executed before.
+// It returns true if no deduplication is needed; mayBeRetriedAt covers the classes without idempotency keys.
+//
+// An endpoint list update may move the endpoint of the first execution to another group. It is unknown
+// whether the keys recorded there move along, so the endpoint must share both the old group and the current
+// one.
 func (r *request) deduplicates(e *endpoint) bool {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return true
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// Runs random outcomes, write delays and endpoint list updates against all idempotency kinds, scopes and
-// windows. No retry may execute a request a second time, and no rejection may invite the client to do so.
+// Runs a request of each class against random outcomes, write delays, windows and endpoint list updates. No
+// attempt may execute the request a second time, and the request must not be rejected if a client retry could
+// do so.
 func TestNoRequestExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
 		newRetryScenario(t, seed).run()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,7 +8,7 @@
 // An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class.
 // The constants are thresholds of scores, and amounts by which failures raise a score.
 const (
-	suspectScore       = 0.3 // at least this: attempts prefer other endpoints and are hedged early
+	suspectScore       = 0.3 // threshold of suspected outliers, at which attempts are hedged early
 	singleFailureScore = 0.1 // for one lost connection, which may not be the endpoint's fault
 	errorScore         = 0.5 // for an error, and for each further lost connection in a row
 	repeatedErrorScore = 0.9 // for errors in a row: failing fast makes an endpoint look idle
@@ -39,13 +39,13 @@
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially from level, its value at the time at.
+// outlierScore is a score that decays exponentially from level, which it had at the time at.
 type outlierScore struct {
 	level float64
 	at    Seconds
 }
 
-// value returns the score at the time now.
+// value returns the decayed score at the time now.
 func (s outlierScore) value(now Seconds) float64 {
 	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Attempts must not be wasted on an endpoint that rejects all attempts or breaks all connections. It is
-// ejected, and gets single attempts after each ejection period.
+// Attempts must not be wasted on an endpoint that rejects all attempts or breaks all connections: it is
+// ejected and retried only after the ejection period.
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
 	const maxSent = 24
 	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -23,8 +23,8 @@
 )
 
 // slowStart limits the work that warming endpoints receive. An endpoint warms up for a period after its
-// start, during which it has only a fraction of its capacity. It fails if all gateways together exceed
-// OverloadMultiple times that capacity within OverloadWindow.
+// start, during which it has only a fraction of its capacity. An endpoint fails if all gateways together
+// exceed OverloadMultiple times that capacity within OverloadWindow.
 //
 // Each request adds a credit to every warming endpoint: the fraction of this gateway's work that the endpoint
 // may receive at its current capacity. At a credit of 1, which stands for the work of one mean attempt, this
@@ -47,7 +47,7 @@
 	estimatedAt     Seconds // time of the last update of the estimates below
 	offeredWork     Seconds // of first attempts; decays over about the slow start duration
 	completedWork   Seconds // of successful attempts; decays like offeredWork
-	meanWork        Seconds // mean work of a first attempt
+	meanWork        Seconds // work of the average first attempt
 	totalCapacity   float64 // sum of the warm-up fractions of all endpoints in service
 	warmingCapacity float64 // sum of the warm-up fractions of the warming endpoints in service
 	inServiceCount  float64 // number of endpoints in service
@@ -110,7 +110,7 @@
 }
 
 // updateCapacities sums up the capacities of the endpoints in service. Ejected endpoints count too: otherwise
-// the warming endpoints would receive their share as well and could be overloaded.
+// the shares of the remaining warming endpoints would grow and could overload them.
 func (s *slowStart) updateCapacities(endpoints []*endpoint) {
 	s.totalCapacity, s.warmingCapacity, s.inServiceCount = 0, 0, 0
 	for _, e := range endpoints {
