--- a/policy/validate.go
+++ b/policy/validate.go
@@ -47,7 +47,7 @@
 	case settings.Self < 0 || settings.Self >= settings.GatewayCount:
 		return outOfRange("Self", settings.Self, fmt.Sprintf("0 to %d", settings.GatewayCount-1))
 	case len(settings.Classes) == 0:
-		return missing("Classes", "at least one class is required")
+		return missing("Classes", "no classes given")
 	case len(settings.Plans) > maxPlans:
 		return outOfRange("Plans", len(settings.Plans), fmt.Sprintf("at most %d plans", maxPlans))
 	}
