--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -70,9 +70,10 @@
 	}
 }
 
-// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. An
-// attempt at a suspected outlier qualifies early; any other attempt qualifies after hedgeLatencyMultiple mean
-// latencies, if hedged requests are allowed and the dispatch queue is empty.
+// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none.
+// After hedgeObjectiveFraction of the objective, an attempt at a suspected outlier qualifies. Any other
+// attempt also needs to have taken hedgeLatencyMultiple mean latencies, and qualifies only if hedged requests
+// are allowed and the dispatch queue is empty.
 func (w *attemptWatcher) attemptToHedge(r *request) *attempt {
 	if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 		return nil
--- a/policy/attempt_watcher_test.go
+++ b/policy/attempt_watcher_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // After a stall of the gateway, the reply to an attempt may still be unread in its socket. The gateway must
-// not take the time of the stall for a slow attempt and hedge it.
+// not treat the attempt as slow and hedge it.
 func TestNoHedgeAfterOwnStall(t *testing.T) {
 	attempts := func(from, to Seconds, stalled bool) int {
 		g, recorded := newLargeFleetGateway(t)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,7 +6,7 @@
 // attempt is one transmission of a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	group           dedupGroup // dedup group of the endpoint at sentAt
+	group           dedupGroup // at sentAt; the endpoint may move later
 	sentAt          Seconds
 	done            bool
 	cancelled       bool // by this gateway
--- a/policy/class.go
+++ b/policy/class.go
@@ -40,8 +40,8 @@
 	c.meanLatency += (latency - c.meanLatency) * max(minLatencyGain, 1/float64(c.successes+1))
 }
 
-// objectiveFrom returns the time until which a reply to a request that started at start earns the full
-// weight.
+// objectiveFrom returns the time until which a reply earns the full weight, for a request that the client
+// first sent at start.
 func (c *class) objectiveFrom(start Seconds) Seconds {
 	return start + c.LatencyObjective + c.ObjectiveLatencyMultiple*c.meanLatency
 }
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -78,9 +78,9 @@
 }
 
 // likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected one of its
-// requests within the last timeout, or its demand exceeds its rate. Only then does a short remaining time
-// count as a sign of a retry; otherwise first attempts with short deadlines would be rejected although they
-// are within the quota.
+// requests less than timeout ago, or its demand exceeds its rate. Only then does a short remaining time count
+// as a sign of a retry; otherwise first attempts with short deadlines would be rejected although they are
+// within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
 		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// The detector must accept a new timeout of the clients as that of first attempts after at most
-// maxRemainingObservations requests.
+// After at most maxRemainingObservations requests with a new client timeout, the detector must treat it as
+// the timeout of first attempts.
 func TestClientRetryDetectorLearnsANewTimeout(t *testing.T) {
 	detector := newClientRetryDetector(2)
 	observeEach(&detector, 2000, 2)
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -29,7 +29,7 @@
 	clock        *eventClock
 	gatewayCount int
 
-	limit float64 // attempts of this gateway in flight
+	limit float64 // of attempts in flight from this gateway
 	// burstAllowance is the number of standard deviations by which the attempts in flight may exceed the limit.
 	// The limit is a gateway's share of the attempts of all gateways, so it should bound the mean. In a large
 	// fleet the share is a few attempts, and the number in flight varies randomly by about its square root.
@@ -83,8 +83,8 @@
 
 func (l *concurrencyLimiter) endAttempt() { l.inFlight-- }
 
-// observe adjusts the limit after a reply or timeout. elapsed is the duration of the attempt, objective the
-// latency objective of its class, and spareCapacity reports whether the endpoints are known to have spare
+// observe adjusts the limit after a reply or timeout. elapsed is the duration of the attempt and objective
+// the latency objective of its class. spareCapacity reports whether the endpoints are known to have spare
 // capacity.
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -23,10 +23,10 @@
 	listDelay       Seconds = 0.5 // maximum time until a gateway learns of a restart
 	faultyListDelay Seconds = 3
 
-	burstDuration       Seconds = 3 // with faults, from restartAt
+	burstDuration       Seconds = 3 // duration of the burst after restartAt, with faults
 	burstFactor                 = 2.0
 	gatewayRestartShare         = 0.9 // fraction of the gateways that restart with faults
-	gatewayRestartDelay Seconds = 4   // maximum, from restartAt
+	gatewayRestartDelay Seconds = 4   // maximum time from restartAt to the restart of a gateway
 
 	clientTimeout Seconds = 1.5
 )
@@ -128,7 +128,7 @@
 // clientAttempt is one transmission of a client's request to a gateway.
 type clientAttempt struct {
 	deadline         Seconds
-	previousAttempts int // attempts before this one
+	previousAttempts int
 }
 
 // fleetSimulation is the state of a simulation.
@@ -143,7 +143,7 @@
 	clientAttempts map[string]clientAttempt // by request ID
 	events         simulationEvents
 	now            Seconds
-	number         int // of the last event or request
+	number         int // number of the last event or request
 }
 
 // simulateFleet runs a simulation from simulationStart to simulationEnd.
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -4,7 +4,8 @@
 const loadUpdate = -1
 
 const (
-	// minGossipInterval is the minimum difference in age for a health update to replace the known state.
+	// minGossipInterval is the minimum time by which a health update must be newer than the known state to
+	// replace it.
 	minGossipInterval Seconds = 0.2
 
 	maxGossip                = 64  // health updates held in the buffer
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -17,7 +17,7 @@
 // possibleExecution describes an attempt that may have executed. The zero value means that there is none.
 type possibleExecution struct {
 	endpoint *endpoint
-	group    dedupGroup // dedup group of the endpoint at sentAt
+	group    dedupGroup // at sentAt; the endpoint may move later
 	sentAt   Seconds
 }
 
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -10,7 +10,7 @@
 // longer drop duplicates. Each retry therefore carries the time left for writing it. The window starts with
 // the first attempt that may have executed.
 func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
-	const window Seconds = 2 // of class "put"
+	const window Seconds = 2 // IdempotencyWindow of class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
 	for name, tc := range map[string]struct {
 		class  string
@@ -90,7 +90,7 @@
 // recordedAttempt is an attempt as seen on the network.
 type recordedAttempt struct {
 	endpoint  string
-	group     dedupGroup // dedup group of the endpoint when the attempt was sent
+	group     dedupGroup // when the attempt was sent; the endpoint may move later
 	writtenAt Seconds    // time at which the last byte was written
 	status    AttemptStatus
 	done      bool
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -144,8 +144,8 @@
 	d.recordFailure(e, classIndex, severity)
 }
 
-// recordConnectionFailure records a refused or lost connection. It raises the score for all classes, because
-// a connection serves them all, and ejects the endpoint after consecutiveFailuresToEject in a row.
+// recordConnectionFailure records a refused or lost connection. It raises the score for all classes, and
+// ejects the endpoint after consecutiveFailuresToEject in a row.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
