--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -119,16 +119,16 @@
 // read.
 func TestUnusableListsBackOff(t *testing.T) {
 	var backoffs []time.Duration
-	took, free := make(chan time.Duration), make(chan time.Time)
+	backoffStarted, free := make(chan time.Duration), make(chan time.Time)
 	agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{"nonsense"} })
 	runClient(t, agent.Address(), func(o *Options) {
-		o.After = func(d time.Duration) <-chan time.Time { took <- d; return free }
+		o.After = func(d time.Duration) <-chan time.Time { backoffStarted <- d; return free }
 	})
 	for range 10 {
-		backoffs = append(backoffs, receive(t, took))
+		backoffs = append(backoffs, receive(t, backoffStarted))
 		free <- time.Time{}
 	}
-	receive(t, took)
+	receive(t, backoffStarted)
 	if !slices.IsSorted(backoffs) || backoffs[9] != maxUnusableBackoff {
 		t.Errorf("backoffs of %v", backoffs)
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestUnusableEntriesNameTheirFault guards the error of an entry that is skipped: it says which fault it has.
-func TestUnusableEntriesNameTheirFault(t *testing.T) {
+// TestEndpointErrorNamesItsCause guards the error of an entry that is skipped: it says which fault it has.
+func TestEndpointErrorNamesItsCause(t *testing.T) {
 	cases := map[string]struct {
 		entry Endpoint
 		want  error
@@ -17,8 +17,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var fault *EndpointError
-			if err := c.entry.Validate(); !errors.As(err, &fault) || !errors.Is(err, c.want) || fault.ID != c.entry.ID {
+			var endpointErr *EndpointError
+			if err := c.entry.Validate(); !errors.As(err, &endpointErr) || !errors.Is(err, c.want) || endpointErr.ID != c.entry.ID {
 				t.Errorf("got %v, want an EndpointError of %q for: %v", err, c.entry.ID, c.want)
 			}
 		})
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -12,7 +12,7 @@
 // The error is that of the last poll once all have failed, or that of ctx, whose end also ends the response.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
-	defer close(group.closed)
+	defer close(group.done)
 	due := make(chan struct{}, 1)
 	due <- struct{}{}
 	retry := c.options.AfterFunc(c.options.PollRetryInterval, func() {
@@ -50,7 +50,7 @@
 	http    *http.Client
 	url     string
 	results chan pollResult
-	closed  chan struct{}        // closed when no result is received any more
+	done    chan struct{}        // closed when no result is received any more
 	cancels []context.CancelFunc // by the number of the poll
 	pending int                  // polls that have not failed
 }
@@ -66,7 +66,7 @@
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
 		http: c.http, url: "http://" + c.address + listPath + query,
-		results: make(chan pollResult), closed: make(chan struct{}),
+		results: make(chan pollResult), done: make(chan struct{}),
 	}
 }
 
@@ -83,7 +83,7 @@
 		body, err := get(pollContext, g.http, g.url)
 		select {
 		case g.results <- pollResult{body, err, number}:
-		case <-g.closed:
+		case <-g.done:
 			cancel()
 			if body != nil {
 				_ = body.Close() // nobody has read it
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -251,8 +251,8 @@
 	maxRecoveryConnections = 50
 	recoverySteps          = 21
 	maxStepsToChange       = 200
-	// stepPause is the real time within which most has come that comes without a step of the clock.
-	stepPause = 10 * time.Millisecond
+	// stepSettleTime is the real time within which most has come that comes without a step of the clock.
+	stepSettleTime = 10 * time.Millisecond
 )
 
 func startRecoveryTest(t *testing.T, mode failureMode) *recoveryTest {
@@ -312,7 +312,7 @@
 			if slices.Equal(update, []string{"x draining"}) {
 				return
 			}
-		case <-time.After(20 * stepPause):
+		case <-time.After(20 * stepSettleTime):
 			if steps++; steps > maxStepsToChange {
 				t.Fatal("the change never came")
 			}
@@ -328,7 +328,7 @@
 	}
 	for range recoverySteps + how.extraSteps {
 		rt.step()
-		time.Sleep(stepPause)
+		time.Sleep(stepSettleTime)
 	}
 	from := rt.clock.time()
 	rt.recover(t, how)
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minClockStep is the difference between two samples of the offset between the clocks above which the wall clock
+	// clockStepThreshold is the difference between two samples of the offset between the clocks above which the wall clock
 	// was stepped between them; less is drift, or the time between the readings of the two clocks.
-	minClockStep policy.Seconds = 0.25
+	clockStepThreshold policy.Seconds = 0.25
 	// maxEpochs is how many epochs are remembered: a start is announced at most some seconds after it happened, and few
 	// steps of the clock come within that.
 	maxEpochs = 16
@@ -26,16 +26,16 @@
 //
 // The zero value is ready for use. It is not safe for concurrent use: the event loop owns it.
 type StartTimes struct {
-	epochs    []wallEpoch // oldest first
-	sampledAt policy.Seconds
-	known     map[string]startTime // by the endpoint's id
+	epochs     []clockEpoch // oldest first
+	sampledAt  policy.Seconds
+	translated map[string]startTime // by the endpoint's id
 }
 
-// wallEpoch is a span between two steps of the wall clock.
-type wallEpoch struct {
-	offset     policy.Seconds // wall clock less event time
-	begunBy    policy.Seconds // event time by which it had begun
-	notBegunBy policy.Seconds // event time by which it had not
+// clockEpoch is a span between two steps of the wall clock.
+type clockEpoch struct {
+	offset        policy.Seconds // wall clock less event time
+	latestStart   policy.Seconds // event time by which it had begun
+	earliestStart policy.Seconds // event time by which it had not
 }
 
 // startTime is the start of an endpoint as discovery gives it, and its translation.
@@ -48,9 +48,9 @@
 func (s *StartTimes) Sample(now, wall policy.Seconds) {
 	offset := wall - now
 	if n := len(s.epochs); n == 0 {
-		s.epochs = append(s.epochs, wallEpoch{offset, now, math.Inf(-1)})
-	} else if last := &s.epochs[n-1]; math.Abs(offset-last.offset) > minClockStep {
-		s.epochs = append(s.epochs, wallEpoch{offset, now, s.sampledAt})
+		s.epochs = append(s.epochs, clockEpoch{offset, now, math.Inf(-1)})
+	} else if last := &s.epochs[n-1]; math.Abs(offset-last.offset) > clockStepThreshold {
+		s.epochs = append(s.epochs, clockEpoch{offset, now, s.sampledAt})
 		s.epochs = s.epochs[max(0, len(s.epochs)-maxEpochs):]
 	} else {
 		last.offset = offset
@@ -64,14 +64,14 @@
 	if unixMS <= 0 {
 		return 0
 	}
-	if known, ok := s.known[id]; ok && known.unixMS == unixMS {
-		return known.at
+	if translated, ok := s.translated[id]; ok && translated.unixMS == unixMS {
+		return translated.at
 	}
 	at := s.fromUnix(float64(unixMS) / 1000)
-	if s.known == nil {
-		s.known = map[string]startTime{}
+	if s.translated == nil {
+		s.translated = map[string]startTime{}
 	}
-	s.known[id] = startTime{unixMS, at}
+	s.translated[id] = startTime{unixMS, at}
 	return at
 }
 
@@ -86,9 +86,9 @@
 		at := unix - epoch.offset
 		until := now + startTolerance
 		if i+1 < len(s.epochs) {
-			until = s.epochs[i+1].begunBy
+			until = s.epochs[i+1].latestStart
 		}
-		if at < epoch.notBegunBy-startTolerance || at > until {
+		if at < epoch.earliestStart-startTolerance || at > until {
 			continue
 		}
 		if at = min(at, now); !found || at > latest {
@@ -103,9 +103,9 @@
 
 // RemoveUnlisted drops the endpoints that are not listed any more.
 func (s *StartTimes) RemoveUnlisted(listed func(id string) bool) {
-	for id := range s.known {
+	for id := range s.translated {
 		if !listed(id) {
-			delete(s.known, id)
+			delete(s.translated, id)
 		}
 	}
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -74,10 +74,10 @@
 
 // want is the start that is to be found. Where the wall clock showed the same time twice, the later one is safe.
 func (tc stepCase) want() float64 {
-	again := tc.startAt - tc.step
-	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && again >= tc.stepAt-1 && again <= listedAt
+	shownAgainAt := tc.startAt - tc.step
+	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && shownAgainAt >= tc.stepAt-1 && shownAgainAt <= listedAt
 	if shownTwice {
-		return again
+		return shownAgainAt
 	}
 	return tc.startAt
 }
@@ -98,8 +98,8 @@
 		t.Errorf("a start of long ago is taken for %v", got)
 	}
 	starts.RemoveUnlisted(func(id string) bool { return id == "b" })
-	if len(starts.known) != 0 {
-		t.Errorf("%d starts are kept of endpoints that are gone", len(starts.known))
+	if len(starts.translated) != 0 {
+		t.Errorf("%d starts are kept of endpoints that are gone", len(starts.translated))
 	}
 }
 
@@ -122,12 +122,12 @@
 func (c *attemptCounter) HealthCheck(string)                    {}
 func (c *attemptCounter) SendToPeer(int, []byte)                {}
 
-// joiningAttempts counts the attempts on an endpoint that joins: in the first 2 s after it is listed, while it warms
+// attemptCounts counts the attempts on an endpoint that joins: in the first 2 s after it is listed, while it warms
 // up, when it is warm, and in the first 2 s after it is listed again, which is after a restart.
-type joiningAttempts struct{ warmingUp, warm, restarted int }
+type attemptCounts struct{ warmingUp, warm, restarted int }
 
 // count adds the attempts of an event at a time.
-func (j *joiningAttempts) count(now float64, attempts int) {
+func (j *attemptCounts) count(now float64, attempts int) {
 	switch {
 	case now >= 10.5 && now < 12.5:
 		j.warmingUp += attempts
@@ -138,8 +138,8 @@
 	}
 }
 
-// joiningPlay is a gateway with an endpoint that joins, under a wall clock that is stepped.
-type joiningPlay struct {
+// slowStartSimulation is a gateway with an endpoint that joins, under a wall clock that is stepped.
+type slowStartSimulation struct {
 	clock   steppedClock
 	gateway *policy.Gateway
 	counter *attemptCounter
@@ -147,11 +147,11 @@
 }
 
 const (
-	playPerSecond = 200 // requests
-	playSeconds   = 45
+	requestsPerSecond = 200 // requests
+	simulatedSeconds  = 45
 )
 
-func newJoiningPlay(t *testing.T, clock steppedClock) *joiningPlay {
+func newSlowStartSimulation(t *testing.T, clock steppedClock) *slowStartSimulation {
 	t.Helper()
 	settings := policy.Settings{
 		GatewayCount: 1, MaxAttempts: 1, SlowStartMinCapacity: 0.15, SlowStartDuration: 14,
@@ -160,7 +160,7 @@
 			{Name: "look", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
 		},
 	}
-	p := &joiningPlay{clock: clock, counter: &attemptCounter{attempts: map[string]int{}}}
+	p := &slowStartSimulation{clock: clock, counter: &attemptCounter{attempts: map[string]int{}}}
 	var err error
 	if p.gateway, err = policy.New(settings, 7, 0, p.counter); err != nil {
 		t.Fatal(err)
@@ -169,10 +169,10 @@
 }
 
 // sample has the start times follow the clocks.
-func (p *joiningPlay) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
+func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
 
 // list applies a change of the endpoint list: entries by their id, with their start in event time or 0.
-func (p *joiningPlay) list(now float64, entries map[string]float64) {
+func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
 	p.sample(now)
 	var endpoints []policy.Endpoint
 	for id, startAt := range entries {
@@ -186,7 +186,7 @@
 }
 
 // request plays request number i, whose attempts succeed, and returns how many of them went to the joining endpoint.
-func (p *joiningPlay) request(now float64, i int) (attempts int) {
+func (p *slowStartSimulation) request(now float64, i int) (attempts int) {
 	before := p.counter.attempts["new"]
 	p.gateway.HandleRequest(now, policy.Request{
 		ID: fmt.Sprint("q", i), Class: "look", Deadline: now + 2, GatewayCount: 1, Units: 1,
@@ -202,20 +202,20 @@
 	return attempts
 }
 
-// attemptsOnJoining plays an endpoint that joins at 10, is listed at 10.5 and restarts at 40.
-func attemptsOnJoining(t *testing.T, clock steppedClock) (attempts joiningAttempts) {
+// simulateSlowStart plays an endpoint that joins at 10, is listed at 10.5 and restarts at 40.
+func simulateSlowStart(t *testing.T, clock steppedClock) (attempts attemptCounts) {
 	t.Helper()
-	p := newJoiningPlay(t, clock)
+	p := newSlowStartSimulation(t, clock)
 	p.list(0, map[string]float64{"a": 0, "b": 0, "c": 0})
-	for i := range playSeconds * playPerSecond {
-		now := float64(i) / playPerSecond
+	for i := range simulatedSeconds * requestsPerSecond {
+		now := float64(i) / requestsPerSecond
 		switch i {
-		case 10.5 * playPerSecond:
+		case 10.5 * requestsPerSecond:
 			p.list(now, map[string]float64{"new": 10})
-		case 40.5 * playPerSecond:
+		case 40.5 * requestsPerSecond:
 			p.list(now, map[string]float64{"new": 40})
 		}
-		if i%playPerSecond == 0 {
+		if i%requestsPerSecond == 0 {
 			p.sample(now)
 		}
 		attempts.count(now, p.request(now, i))
@@ -226,14 +226,14 @@
 // TestSlowStartAcrossClockSteps guards against endpoints that are not spared, or spared for good, as the wall clock was
 // stepped: what a joining endpoint gets is the same within a third, whatever the step and whenever it came.
 func TestSlowStartAcrossClockSteps(t *testing.T) {
-	want := attemptsOnJoining(t, steppedClock{start: 1e9})
+	want := simulateSlowStart(t, steppedClock{start: 1e9})
 	if want.warmingUp == 0 || want.warm < 2*want.warmingUp {
 		t.Fatalf("no step: %+v", want)
 	}
 	near := func(n, want int) bool { return 3*n >= 2*want && 3*n <= 4*want }
 	for _, step := range []float64{-3600, -5, 5, 3600} {
 		for _, stepAt := range []float64{9.2, 10.2, 11, 20, 40.2} {
-			got := attemptsOnJoining(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
+			got := simulateSlowStart(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
 			if !near(got.warmingUp, want.warmingUp) || !near(got.warm, want.warm) || !near(got.restarted, want.restarted) {
 				t.Errorf("step of %v at %v: attempts of %+v; %+v without", step, stepAt, got, want)
 			}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -85,9 +85,9 @@
 		return err
 	}
 	defer func() { _ = body.Close() }() // it was only read
-	silence := c.options.AfterFunc(c.options.ReadTimeout, cancel)
-	defer silence.Stop()
-	values := newValueReader(body, silence, c.options.ReadTimeout)
+	readTimer := c.options.AfterFunc(c.options.ReadTimeout, cancel)
+	defer readTimer.Stop()
+	values := newValueReader(body, readTimer, c.options.ReadTimeout)
 	if err = read(values); err != nil && values.inValue {
 		return fmt.Errorf("%w: %w", ErrUnusableList, err)
 	}
@@ -98,17 +98,17 @@
 // heartbeat of a watch, put off the end of a silent response. It bounds what a value may take, in bytes and in time:
 // one that trickles in would keep the next change from being polled for.
 type valueReader struct {
-	source    io.Reader
-	decoder   *json.Decoder
-	silence   Timer // ends the response
-	timeout   time.Duration
-	remaining int  // bytes that the value may still take
-	inValue   bool // a value has begun to come
+	source         io.Reader
+	decoder        *json.Decoder
+	readTimer      Timer // ends the response
+	timeout        time.Duration
+	remainingBytes int  // bytes that the value may still take
+	inValue        bool // a value has begun to come
 }
 
-// newValueReader returns a reader of the values of a response, which silence ends when its timeout has passed.
-func newValueReader(source io.Reader, silence Timer, timeout time.Duration) *valueReader {
-	r := &valueReader{source: source, silence: silence, timeout: timeout, remaining: maxValueSize}
+// newValueReader returns a reader of the values of a response, which readTimer ends when its timeout has passed.
+func newValueReader(source io.Reader, readTimer Timer, timeout time.Duration) *valueReader {
+	r := &valueReader{source: source, readTimer: readTimer, timeout: timeout, remainingBytes: maxValueSize}
 	r.decoder = json.NewDecoder(r)
 	return r
 }
@@ -117,10 +117,10 @@
 func (r *valueReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	if n > 0 && !r.inValue {
-		r.silence.Reset(r.timeout)
+		r.readTimer.Reset(r.timeout)
 		r.inValue = len(bytes.TrimSpace(p[:n])) > 0
 	}
-	if r.remaining -= n; r.remaining < 0 {
+	if r.remainingBytes -= n; r.remainingBytes < 0 {
 		return 0, ErrValueTooLong
 	}
 	return n, err
@@ -131,8 +131,8 @@
 
 // endValue has the next value begin. The start of it may have been read with the one before.
 func (r *valueReader) endValue() {
-	r.silence.Reset(r.timeout)
-	r.remaining = maxValueSize
+	r.readTimer.Reset(r.timeout)
+	r.remainingBytes = maxValueSize
 	buffered, _ := io.ReadAll(r.decoder.Buffered()) // from memory: it can't fail
 	r.inValue = len(bytes.TrimSpace(buffered)) > 0
 }
