--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -23,10 +23,10 @@
 
 // retryAtStart is RetryAtStart with a clock.
 func retryAtStart[T any](ctx context.Context, sleep func(time.Duration), now func() time.Time, call func() (T, error)) (T, error) {
-	for until := now().Add(startRetryTimeout); ; sleep(RetryInterval) {
-		made, err := call()
-		if err == nil || !IsTransient(err) || ctx.Err() != nil || !now().Before(until) {
-			return made, err
+	for giveUpAt := now().Add(startRetryTimeout); ; sleep(RetryInterval) {
+		result, err := call()
+		if err == nil || !IsTransient(err) || ctx.Err() != nil || !now().Before(giveUpAt) {
+			return result, err
 		}
 	}
 }
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -12,17 +12,17 @@
 // Reads, writes and looks at sockets that do not wait. The event loop makes them on connections whose deadlines belong
 // to other goroutines.
 
-// writeSlice is how long one write waits before it is looked at whether the other end has taken anything.
-const writeSlice = time.Second
+// progressCheckInterval is how long one write waits before it is looked at whether the other end has taken anything.
+const progressCheckInterval = time.Second
 
-// WriteAll writes all of b, for as long as the other end takes some of it within each stall timeout; progressed is
+// WriteAll writes all of b, for as long as the other end takes some of it within each stallTimeout; onProgress is
 // called when it has. No deadline outlives it. A deadline that has passed while this process stood still is no stall:
 // the socket is written once more before that is returned, as an error that is os.ErrDeadlineExceeded.
-func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stall time.Duration, progressed func()) error {
+func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // it fails on a closed connection alone
 	lastProgress := time.Now()
 	for {
-		_ = conn.SetWriteDeadline(time.Now().Add(min(writeSlice, stall))) // where it fails, so does the write
+		_ = conn.SetWriteDeadline(time.Now().Add(min(progressCheckInterval, stallTimeout))) // where it fails, so does the write
 		n, err := conn.Write(b)
 		if b = b[n:]; err == nil {
 			return nil
@@ -30,18 +30,18 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		more, failed := c.TryWrite(raw, b)
-		if failed != nil {
-			return failed
+		extra, tryErr := c.TryWrite(raw, b)
+		if tryErr != nil {
+			return tryErr
 		}
-		b = b[more:]
+		b = b[extra:]
 		switch {
 		case len(b) == 0:
 			return nil
-		case n+more > 0:
+		case n+extra > 0:
 			lastProgress = time.Now()
-			progressed()
-		case time.Since(lastProgress) >= stall:
+			onProgress()
+		case time.Since(lastProgress) >= stallTimeout:
 			return err
 		}
 	}
@@ -50,10 +50,10 @@
 // TryWrite writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
 // connection.
 func (c *Calls) TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
-	closed := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
+	controlErr := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
-	case closed != nil:
-		return 0, closed
+	case controlErr != nil:
+		return 0, controlErr
 	case IsShortage(err):
 		return 0, nil
 	}
@@ -62,12 +62,12 @@
 
 // TryRead reads what has come on a connection, without waiting; io.EOF at its end.
 func TryRead(raw syscall.RawConn, b []byte) (n int, err error) {
-	closed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
 	})
 	switch {
-	case closed != nil:
-		return 0, closed
+	case controlErr != nil:
+		return 0, controlErr
 	case err == nil && n == 0:
 		return 0, io.EOF
 	}
@@ -76,12 +76,12 @@
 
 // NoDataPending reports whether a connection is open and no byte waits on it.
 func NoDataPending(raw syscall.RawConn) bool {
-	var one [1]byte
+	var buf [1]byte
 	var err error
-	closed := raw.Control(func(fd uintptr) {
-		_, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	controlErr := raw.Control(func(fd uintptr) {
+		_, _, err = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return closed == nil && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
+	return controlErr == nil && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
 }
 
 // The states of a connection that its other end has closed, as the kernel numbers them (tcp_states.h).
@@ -98,7 +98,7 @@
 // ClosedByPeer reports whether the other end has closed a connection, or reset it, also while bytes that it has sent
 // before are unread here.
 func ClosedByPeer(raw syscall.RawConn) (closed bool) {
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		if err != nil {
 			return
@@ -108,5 +108,5 @@
 			closed = true
 		}
 	})
-	return failed == nil && closed // it fails on a connection that this side has closed
+	return controlErr == nil && closed // it fails on a connection that this side has closed
 }
