--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -15,8 +15,8 @@
 const (
 	// MaxDatagramSize is the longest datagram in bytes.
 	MaxDatagramSize = 256
-	// queueSize is how many datagrams may wait to be sent, beside one for each gateway: all may be due at once.
-	queueSize = 64
+	// extraQueueSize is how many datagrams may wait to be sent, beside one for each gateway: all may be due at once.
+	extraQueueSize = 64
 )
 
 // ErrQueueFull reports a datagram that is lost, as too many wait to be sent.
@@ -57,11 +57,11 @@
 
 // Link is a socket for datagrams of the other gateways.
 type Link struct {
-	conn  *net.UDPConn
-	calls *netcalls.Calls
-	peers []netip.AddrPort // by number
-	all   netip.AddrPort   // reaches all of them; may be invalid
-	queue chan datagram
+	conn      *net.UDPConn
+	calls     *netcalls.Calls
+	peers     []netip.AddrPort // by number
+	broadcast netip.AddrPort   // reaches all of them; may be invalid
+	queue     chan datagram
 }
 
 // datagram is one that waits to be sent.
@@ -72,8 +72,8 @@
 
 // New returns a link over a socket to the gateways with some addresses, by their numbers, and starts the
 // goroutine that sends; Close ends it and closes the socket.
-func New(conn *net.UDPConn, calls *netcalls.Calls, peers []netip.AddrPort, all netip.AddrPort) *Link {
-	link := &Link{conn: conn, calls: calls, peers: peers, all: all, queue: make(chan datagram, queueSize+len(peers))}
+func New(conn *net.UDPConn, calls *netcalls.Calls, peers []netip.AddrPort, broadcast netip.AddrPort) *Link {
+	link := &Link{conn: conn, calls: calls, peers: peers, broadcast: broadcast, queue: make(chan datagram, extraQueueSize+len(peers))}
 	go link.sendQueued()
 	return link
 }
@@ -90,7 +90,7 @@
 // Send queues a datagram to a gateway, or to all with policy.Broadcast. It does not block. The error is
 // ErrQueueFull, an *UnknownPeerError or an *UnsendableError.
 func (l *Link) Send(gateway int, data []byte) error {
-	to := l.all
+	to := l.broadcast
 	if gateway != policy.Broadcast {
 		if gateway < 0 || gateway >= len(l.peers) {
 			return &UnknownPeerError{gateway}
--- a/internal/peerlink/link_test.go
+++ b/internal/peerlink/link_test.go
@@ -41,7 +41,7 @@
 	for ; err == nil; err = link.Send(0, make([]byte, MaxDatagramSize)) {
 		sent++
 	}
-	if capacity := queueSize + len(peers); !errors.Is(err, ErrQueueFull) || sent < capacity || sent > capacity+2 {
+	if capacity := extraQueueSize + len(peers); !errors.Is(err, ErrQueueFull) || sent < capacity || sent > capacity+2 {
 		t.Errorf("%v after %d datagrams", err, sent)
 	}
 }
