--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -11,10 +11,10 @@
 
 const (
 	queueSize = 1024
-	// After a stall the loop sleeps for readerYield, so that the readers of sockets run, until one such pause brings no
-	// event, and maxReaderYields times at most.
-	readerYield     = 200 * time.Microsecond
-	maxReaderYields = 10
+	// After a stall the loop sleeps for readerPause, so that the readers of sockets run, until one such pause brings no
+	// event, and maxReaderPauses times at most.
+	readerPause     = 200 * time.Microsecond
+	maxReaderPauses = 10
 )
 
 // event is something that happened outside the loop, with the time at which it did.
@@ -26,19 +26,19 @@
 // Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it. All methods are
 // for functions that the loop runs, and for use before Run; Post, Ended and StallDetector are safe for concurrent use.
 type Loop struct {
-	clock    Clock
-	events   chan event
-	ended    chan struct{} // closed when Run has returned
-	now      policy.Seconds
-	timers   timerHeap
-	wake     *time.Timer
-	wakeAt   policy.Seconds // when wake fires; 0: it is not set
-	stalls   StallDetector
-	deferred []func()
-	onPanic  func(cause any, stack []byte)
-
-	// YieldToReaders lets the readers of sockets run for a moment. It may be replaced before Run.
-	YieldToReaders func()
+	clock     Clock
+	events    chan event
+	ended     chan struct{} // closed when Run has returned
+	now       policy.Seconds
+	timers    timerHeap
+	wakeTimer *time.Timer
+	wakeAt    policy.Seconds // when wakeTimer fires; 0: it is not set
+	stalls    StallDetector
+	deferred  []func()
+	onPanic   func(cause any, stack []byte)
+
+	// PauseForReaders lets the readers of sockets run for a moment. It may be replaced before Run.
+	PauseForReaders func()
 }
 
 // New returns a loop whose event time is that of a clock. onPanic is called on the loop with the cause of a
@@ -47,8 +47,8 @@
 	return &Loop{
 		clock: clock, now: clock.Now(), onPanic: onPanic,
 		events: make(chan event, queueSize), ended: make(chan struct{}),
-		wake:           time.NewTimer(time.Hour),
-		YieldToReaders: func() { time.Sleep(readerYield) },
+		wakeTimer:       time.NewTimer(time.Hour),
+		PauseForReaders: func() { time.Sleep(readerPause) },
 	}
 }
 
@@ -57,11 +57,11 @@
 func (l *Loop) Run(finished func() bool, shutdown <-chan struct{}, onShutdown func()) {
 	defer close(l.ended)
 	for !finished() {
-		l.setWake()
+		l.resetWakeTimer()
 		select {
 		case e := <-l.events:
 			l.handle(e)
-		case <-l.wake.C:
+		case <-l.wakeTimer.C:
 			l.wakeAt = 0
 			l.runTimers()
 		case <-shutdown:
@@ -118,17 +118,17 @@
 // handle runs one event and what it deferred.
 func (l *Loop) handle(e event) {
 	l.AdvanceTo(e.at)
-	l.guard(e.run)
+	l.runRecovered(e.run)
 	for len(l.deferred) > 0 {
 		run := l.deferred[0]
 		l.deferred = l.deferred[1:]
-		l.guard(run)
+		l.runRecovered(run)
 	}
 	l.deferred = nil
 }
 
-// guard runs a function. A panic costs the event, not the process.
-func (l *Loop) guard(run func()) {
+// runRecovered runs a function. A panic costs the event, not the process.
+func (l *Loop) runRecovered(run func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			l.onPanic(cause, debug.Stack())
@@ -137,15 +137,15 @@
 	run()
 }
 
-// setWake sets the one system timer to the first timer, unless it fires before that anyway, and publishes when that
+// resetWakeTimer sets the one system timer to the first timer, unless it fires before that anyway, and publishes when that
 // timer is due.
-func (l *Loop) setWake() {
+func (l *Loop) resetWakeTimer() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
 	}
 	l.wakeAt = l.timers[0].at
 	l.stalls.SetNextTimerDue(l.wakeAt)
-	l.wake.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
+	l.wakeTimer.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
 // runTimers runs the timers that are due. Queued events go first: a hedge must not be sent, nor an attempt time out,
@@ -161,7 +161,7 @@
 		if len(l.timers) == 0 || l.timers[0].at > now {
 			return
 		}
-		l.handle(event{now, l.timers.next().run})
+		l.handle(event{now, l.timers.popFirst().run})
 	}
 }
 
@@ -172,8 +172,8 @@
 
 // letReadersCatchUp handles what the readers of sockets find after a stall.
 func (l *Loop) letReadersCatchUp() {
-	for yields := range maxReaderYields {
-		if l.YieldToReaders(); len(l.events) == 0 && yields > 0 {
+	for pauses := range maxReaderPauses {
+		if l.PauseForReaders(); len(l.events) == 0 && pauses > 0 {
 			return
 		}
 		l.handleQueued()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -32,12 +32,12 @@
 	var times []float64
 	note := func() { times = append(times, loop.Now()) }
 	finish := runLoop(t, loop, nil, nil)
-	late := clock.Now() + 5
-	loop.Post(late, note)
+	later := clock.Now() + 5
+	loop.Post(later, note)
 	loop.Post(0, note)
 	finish()
-	if !slices.Equal(times, []float64{late, late}) {
-		t.Errorf("times of %v, want %v twice", times, late)
+	if !slices.Equal(times, []float64{later, later}) {
+		t.Errorf("times of %v, want %v twice", times, later)
 	}
 }
 
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -62,5 +62,5 @@
 	}
 }
 
-// next takes the timer that is due first off the heap.
-func (h *timerHeap) next() *Timer { return heap.Pop(h).(*Timer) }
+// popFirst takes the timer that is due first off the heap.
+func (h *timerHeap) popFirst() *Timer { return heap.Pop(h).(*Timer) }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -43,7 +43,7 @@
 	h.eventually("the reader waits", a.conn.unusable.Load)
 	h.onLoop(func() {
 		yields := 0
-		h.proxy.loop.YieldToReaders = func() {
+		h.proxy.loop.PauseForReaders = func() {
 			if yields++; yields == 2 { // it needs no more than that
 				a.conn.writeMu.Unlock()
 			}
