--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -67,7 +67,7 @@
 		shared.loop.Post(at, func() { shared.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
 		return false, err // what follows can't be assigned to a command
 	}
-	r.buffer.Grow(n)
+	r.buffer.Commit(n)
 	if !r.handleReply(at) {
 		return false, err
 	}
@@ -77,8 +77,8 @@
 // handleReply posts the reply in the buffer if it is complete. It reports whether to go on.
 func (r *backendReader) handleReply(at policy.Seconds) (more bool) {
 	c, content := r.conn, r.buffer.Bytes()
-	size, err := resp.Frame(content)
-	if err == nil && size == 0 && len(content) > resp.MaxFrame {
+	size, err := resp.ReplySize(content)
+	if err == nil && size == 0 && len(content) > resp.MaxMessage {
 		err = resp.ErrOversized
 	}
 	if err != nil {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -197,7 +197,7 @@
 				if tc.times > 3 {
 					h.proxy.endpoints.localFaultRetryTimeout = time.Millisecond
 				} else {
-					h.proxy.endpoints.localFaultRetryTimeout = patience
+					h.proxy.endpoints.localFaultRetryTimeout = testTimeout
 				}
 			})
 			h.replyToEachCommand(conns)
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// awaitOwner has the request wait for its owner's grant. Where others of its customer wait already, it joins
+// awaitGrant has the request wait for its owner's grant. Where others of its customer wait already, it joins
 // the next report.
-func (q *quotaController) awaitOwner(r *request) {
+func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
 	if len(c.awaitingOwner) == 1 {
-		q.reporter.ask(c)
+		q.reporter.askForGrant(c)
 	}
 }
 
-// settleAwaiting ends the wait of the first count requests: those that fit go on, and the others wait for a
+// decideWaiters ends the wait of the first count requests: those that fit go on, and the others wait for a
 // concurrency slot or are rejected.
-func (q *quotaController) settleAwaiting(c *customer, count int, fits func(*request) bool, ceilingPaid bool) {
-	settled := c.awaitingOwner[:count]
+func (q *quotaController) decideWaiters(c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool) {
+	decided := c.awaitingOwner[:count]
 	c.awaitingOwner = slices.Clone(c.awaitingOwner[count:])
-	for _, r := range settled {
+	for _, r := range decided {
 		r.awaitingOwner = false
 		switch {
 		case r.done:
-		case fits(r) && (ceilingPaid || c.ceilingSplitHasCapacity(r.Units, q.clock.now)):
-			q.admitNow(r, ceilingPaid)
+		case quotaAllows(r) && (ceilingReserved || c.ceilingShareHasCapacity(r.Units, q.clock.now)):
+			q.admitNow(r, ceilingReserved)
 		default:
 			q.queueOrReject(r)
 		}
@@ -34,11 +34,11 @@
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
-			q.reporter.repeat(c)
+			q.reporter.repeatReport(c)
 			return
 		}
-		fits := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
-		q.settleAwaiting(c, len(c.awaitingOwner), fits, false)
+		quotaAllows := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
+		q.decideWaiters(c, len(c.awaitingOwner), quotaAllows, false)
 	})
 }
 
@@ -72,36 +72,36 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply: it renews the view of the quota and settles the requests that the
+// applyGrant handles the owner's reply: it renews the view of the quota and decides the requests that the
 // report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The owner has counted or reserved units up to this total of ours.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
-	c.quota.known, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
-		q.settleAsked(c, reply, grantedTotal)
+		q.decideAskedWaiters(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
-	unasked := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
-	if grantedTotal > c.totalUnits || unasked { // what is not used is returned
+	hasUnaskedWaiters := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
+	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // what is not used is returned
 		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
 	}
-	q.reporter.finishReply(c)
+	q.reporter.recordReply(c)
 }
 
-// settleAsked settles the requests whose units the last report asked for, and with a backoff all others too.
-func (q *quotaController) settleAsked(c *customer, reply usageRecord, grantedTotal float64) {
+// decideAskedWaiters decides the requests whose units the last report asked for, and with a backoff all others too.
+func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
 	c.quota.backoffUntil = q.clock.now + reply.backoff
-	fits := func(r *request) bool {
-		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
+	quotaAllows := func(r *request) bool {
+		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingTolerance()
 	}
-	q.settleAwaiting(c, asked, fits, reply.ceilingPool)
+	q.decideWaiters(c, asked, quotaAllows, reply.ceilingPool)
 	if reply.backoff > 0 {
-		none := func(*request) bool { return false }
-		q.settleAwaiting(c, len(c.awaitingOwner), none, false)
+		denyAll := func(*request) bool { return false }
+		q.decideWaiters(c, len(c.awaitingOwner), denyAll, false)
 	}
 }
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -30,7 +30,7 @@
 func awaitGrants(q *quotaController, ids ...string) *customer {
 	c := q.customers.find(Request{Customer: "x", Plan: "basic", GatewayCount: 2})
 	for _, id := range ids {
-		q.awaitOwner(&request{Request: Request{ID: id, Units: 2}, plan: c.plan, customer: c})
+		q.awaitGrant(&request{Request: Request{ID: id, Units: 2}, plan: c.plan, customer: c})
 	}
 	return c
 }
@@ -71,7 +71,7 @@
 	clock := &eventClock{now: 100}
 	q, decided, sent := newTestController(clock)
 	c := awaitGrants(q, "q")
-	c.local = tokenBucket{tokens: 2, updatedAt: 100}
+	c.localWindow = tokenBucket{tokens: 2, updatedAt: 100}
 	for range maxReportTransmissions {
 		if len(decided.dispatched) != 0 {
 			t.Fatalf("the local window decided after %d reports, want %d", len(*sent), maxReportTransmissions)
