--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// admission is the decision of quota and ceiling on a request.
+// admission is the decision of a customer's quota and ceiling on a request.
 type admission int
 
 const (
 	rejectRequest admission = iota
 	admitRequest
-	askOwner // the request waits for a grant of its customer's owner
+	askOwner // the request waits for a grant from its customer's owner
 )
 
-// String returns the name of the decision.
+// String implements fmt.Stringer.
 func (a admission) String() string {
 	switch a {
 	case rejectRequest:
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("admission(%d)", int(a))
 }
 
-// requestAdmitter takes in the requests of clients and decides which of them are admitted.
+// requestAdmitter registers incoming requests and admits, queues or rejects them.
 type requestAdmitter struct {
 	clock    *eventClock
 	classes  *classTable
@@ -32,19 +32,19 @@
 	quota    *quotaController
 	retries  *retryPolicy
 	replies  *finalReplier
-	// actualUnitsInReply tells that replies bring the actual units of their requests.
+	// actualUnitsInReply is set if endpoint replies state the units that a request actually used.
 	actualUnitsInReply bool
 }
 
-// handle takes in a request that arrives now.
+// handle registers a request that has just arrived, and admits, queues or rejects it.
 func (a *requestAdmitter) handle(incoming Request, requestClass *class) {
 	r := a.newRequest(incoming, requestClass)
 	a.requests.add(r)
 	a.admitOrReject(r)
 }
 
-// newRequest returns the state of a request that arrives now, counted into the demand of its customer and the
-// retry detection of its class.
+// newRequest creates the state of a request that has just arrived. It adds the request to the demand of its
+// customer and to the client-retry detector of its class.
 func (a *requestAdmitter) newRequest(incoming Request, requestClass *class) *request {
 	now := a.clock.now
 	remaining := incoming.Deadline - now
@@ -63,8 +63,9 @@
 	return r
 }
 
-// objectiveOf returns the point in time up to which a reply earns the full priority weight. For a detected
-// retry that counts from the client's first attempt, which is taken to have had the class's timeout.
+// objectiveOf returns the time up to which a reply earns the full priority weight. For a detected client
+// retry, the latency objective starts with the client's first attempt. That attempt is assumed to have been
+// sent one class timeout before the deadline.
 func objectiveOf(incoming Request, requestClass *class, now Seconds, retryDetected bool) Seconds {
 	objectiveAt := requestClass.objectiveFrom(now)
 	if retryDetected {
@@ -73,8 +74,9 @@
 	return min(objectiveAt, incoming.Deadline)
 }
 
-// priorityAt returns the weight that a reply earns per unit of work, lower if the reply is expected after the
-// objective. Work and weight both grow with the units of the request, so these cancel out.
+// priorityAt returns the priority weight that a reply earns per unit of work, reduced if the reply is
+// expected after the latency objective. Work and weight are both proportional to the request's units, so the
+// units cancel out.
 func (r *request) priorityAt(now Seconds) float64 {
 	weightFactor := 1.0
 	if r.plan != nil {
@@ -86,16 +88,16 @@
 	return r.class.PriorityWeight * weightFactor
 }
 
-// admitOrReject decides on a request that has just arrived: it is sent, waits for its owner or for a
-// concurrency slot, or is rejected.
+// admitOrReject decides on a request that has just arrived: it dispatches the request, queues it until the
+// owner grants it or a concurrency slot becomes free, or rejects it.
 func (a *requestAdmitter) admitOrReject(r *request) {
 	decision := a.decideAdmission(r)
 	switch {
 	case decision == rejectRequest:
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
-		// A client's retry can arrive with no time left at all. Its client will not retry any more, so this
-		// does not count as a rejection of the customer.
+		// A client's retry can arrive too late to be sent. This is not recorded as a rejection of the
+		// customer, which would make client retries likely: the client has no time left for another one.
 		a.replies.rejectOrFail(r, DeadlineTooClose)
 	case decision == askOwner:
 		a.quota.awaitGrant(r)
@@ -104,8 +106,8 @@
 	}
 }
 
-// decideAdmission asks quota and ceiling of the request's customer. No request overtakes those of its customer
-// that wait for a concurrency slot.
+// decideAdmission checks the quota and ceiling of the request's customer. It rejects the request if others of
+// the customer wait for a concurrency slot, so that it queues behind them instead of overtaking them.
 func (a *requestAdmitter) decideAdmission(r *request) admission {
 	switch {
 	case r.customer == nil:
@@ -116,8 +118,8 @@
 	return a.quota.admit(r)
 }
 
-// chargeActualUnits replaces the estimate of a request's units, which its customer was charged, by the actual
-// ones that its reply brought.
+// chargeActualUnits corrects the charge for a request, which is an estimate, to the actual units stated in
+// the reply.
 func (a *requestAdmitter) chargeActualUnits(r *request, outcome Outcome) {
 	if outcome.Status == OK && a.actualUnitsInReply && r.charged && outcome.ActualUnits > 0 {
 		a.quota.charge(r.customer, outcome.ActualUnits-r.Units)
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -1,36 +1,39 @@
 package policy
 
-// A ceiling holds whatever is lost, unreachable or restarted. It is therefore divided once and for all: each
-// of the customer's gateways has a fixed share, and the primary owner a pool from which it pays grants. Both
-// start empty, as a restarted gateway may just have spent its own.
+// A ceiling must hold even if messages are lost or gateways are unreachable or restarted. It is therefore
+// divided statically: each of the customer's gateways has a fixed share, and the primary owner also has a
+// pool from which it grants units. Share and pool start empty, because a gateway may have used them up just
+// before it restarted.
 
-// ceilingPoolFraction is the pool's part of a ceiling; the gateways share the rest evenly.
+// ceilingPoolFraction is the fraction of a ceiling that forms the pool. The gateways share the rest equally.
 const ceilingPoolFraction = 0.5
 
-// ceilingShareSize returns the rate, in units a second, and the burst of this gateway's share of the ceiling.
+// ceilingShareSize returns the rate, in units per second, and the burst of this gateway's share of the
+// ceiling.
 func (c *customer) ceilingShareSize() (rate, burst float64) {
 	fraction := (1 - ceilingPoolFraction) / c.gateways()
 	return c.plan.CeilingRate * fraction, c.plan.CeilingBurst * fraction
 }
 
-// ceilingPoolSize returns the rate, in units a second, and the burst of the primary owner's pool.
+// ceilingPoolSize returns the rate, in units per second, and the burst of the primary owner's pool.
 func (c *customer) ceilingPoolSize() (rate, burst float64) {
 	return c.plan.CeilingRate * ceilingPoolFraction, c.plan.CeilingBurst * ceilingPoolFraction
 }
 
-// refillCeilingShare brings this gateway's share of the ceiling up to now.
+// refillCeilingShare refills this gateway's share of the ceiling up to now.
 func (c *customer) refillCeilingShare(now Seconds) {
 	rate, burst := c.ceilingShareSize()
 	c.ceilingShare.refill(rate, burst, now)
 }
 
-// refillCeilingPool brings the pool up to now. It is for the primary owner alone.
+// refillCeilingPool refills the pool up to now. Only the primary owner may call it.
 func (c *customer) refillCeilingPool(now Seconds) {
 	rate, burst := c.ceilingPoolSize()
 	c.ceilingPool.refill(rate, burst, now)
 }
 
-// ceilingShareHasCapacity brings this gateway's share of the ceiling up to now and tells whether units fit.
+// ceilingShareHasCapacity refills this gateway's share of the ceiling and reports whether it holds the given
+// units. Without a ceiling it returns true.
 func (c *customer) ceilingShareHasCapacity(units float64, now Seconds) bool {
 	if c.plan.CeilingRate <= 0 {
 		return true
@@ -39,8 +42,8 @@
 	return units <= c.ceilingShare.tokens
 }
 
-// ceilingPoolHasCapacity brings the pool up to now and tells whether units fit. No gateway but the primary
-// owner has a pool, also while that one is unreachable and another owns the customer.
+// ceilingPoolHasCapacity refills the pool and reports whether it holds the given units. Only the primary
+// owner has a pool: a gateway that owns the customer while the primary owner is unreachable has none.
 func (c *customer) ceilingPoolHasCapacity(units float64, now Seconds) bool {
 	if !c.isPrimaryOwner || c.plan.CeilingRate <= 0 {
 		return false
@@ -49,7 +52,7 @@
 	return units <= c.ceilingPool.tokens
 }
 
-// reserveCeiling takes units from the share, or from the pool where they don't fit into the share.
+// reserveCeiling takes units from the share, or from the pool if the share holds too few.
 func (c *customer) reserveCeiling(units float64, now Seconds) {
 	if c.ceilingShareHasCapacity(units, now) {
 		c.ceilingShare.tokens -= units
@@ -58,7 +61,7 @@
 	}
 }
 
-// reserveCeilingPool takes units from the pool, and returns false if they don't fit.
+// reserveCeilingPool takes units from the pool, or returns false if it holds too few.
 func (c *customer) reserveCeilingPool(units float64, now Seconds) bool {
 	if !c.ceilingPoolHasCapacity(units, now) {
 		return false
@@ -67,14 +70,15 @@
 	return true
 }
 
-// isCeilingFull tells whether share and pool are filled to within a tolerance in units.
+// isCeilingFull reports whether the share and, at the primary owner, the pool are full. They may each lack up
+// to tolerance units.
 func (c *customer) isCeilingFull(tolerance float64, now Seconds) bool {
 	p := c.plan
 	if p.CeilingRate <= 0 {
 		return true
 	}
 	c.refillCeilingShare(now)
-	// This burst is rounded differently from that of ceilingShareSize, for which the tolerance allows.
+	// The tolerance covers the rounding difference between this expression and ceilingShareSize.
 	shareFull := c.ceilingShare.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
 	if !c.isPrimaryOwner {
 		return shareFull
