--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,71 +2,73 @@
 
 import "math"
 
-// customerExpiry is the time without use after which a customer is evicted. It is longer than memberExpiry,
-// at any owner: a member that has evicted a customer counts it from 0 again, which an owner that remembered
-// the earlier count would take for units that are returned.
+// customerExpiry is the time without use after which a customer is evicted. It must exceed memberExpiry: a
+// member that evicts a customer later restarts its count at 0. An owner that still held the earlier count
+// would take the difference for returned units.
 const customerExpiry Seconds = 10.0
 
-// plan is a Plan with what all its customers have in common.
+// plan is a Plan together with the values that all its customers share.
 type plan struct {
 	Plan
-	index           int     // in Settings.Plans; names the plan in messages
+	index           int     // in Settings.Plans; identifies the plan in peer messages
 	maxRequestUnits float64 // Settings.MaxRequestUnits
 }
 
-// unitsForHigherPriority returns the units that a request leaves to requests of higher priority while its
-// customer is over its rate.
+// unitsForHigherPriority returns the units that a request must leave for requests of higher priority while
+// its customer is over its rate.
 func (p *plan) unitsForHigherPriority(priorityDeficit float64) float64 {
 	return priorityDeficit * lowPriorityReserve * p.Burst
 }
 
-// customer is the state that this gateway keeps of one customer, as its owner or as a member. Further
-// methods stand with what they work on: ledger.go (owner), quota_view.go (member), local_window.go,
-// ceiling.go, owner.go and client_retry.go.
+// customer is the state that this gateway keeps for one customer, as its owner or as a member. More methods
+// are defined in ledger.go (owner), quota_view.go (member), local_window.go, ceiling.go, owner.go and
+// client_retry.go.
 type customer struct {
-	key  uint32 // the upper half of hash; names the customer in messages
-	hash uint64 // its point on the ring
+	key  uint32 // upper half of hash; identifies the customer in peer messages
+	hash uint64 // position on the ring
 	plan *plan
 
-	// firstGateway and gatewayCount are the gateways in a row that its requests come to. A count of 0 tells
-	// that it is known from reports of others alone.
+	// firstGateway and gatewayCount give the consecutive gateways that receive the customer's requests.
+	// gatewayCount is 0 while the customer is known only from reports of other gateways.
 	firstGateway, gatewayCount int
-	// primaryOwner is the first of these gateways on the ring, and isPrimaryOwner tells that it is this one.
+	// primaryOwner is the first of these gateways on the ring. isPrimaryOwner is set if it is this gateway.
 	primaryOwner   int
 	isPrimaryOwner bool
 
-	usedAt     Seconds // of the last request or message
-	rejectedAt Seconds // of the last rejection
+	usedAt     Seconds // time of the last request or usage report
+	rejectedAt Seconds // time of the last rejection
 
-	// The counts of this gateway alone.
+	// Counts of this gateway only.
 	totalUnits        float64 // units charged since the customer became known
-	acknowledgedUnits float64 // of totalUnits, that the owner has counted
+	acknowledgedUnits float64 // the part of totalUnits that the owner has counted
 	demand            demandMeter
 	inFlight          int
 
-	// The windows.
-	quota        quotaView   // of a member
-	ledger       *ledger     // of the owner; nil at a member
-	localWindow  tokenBucket // while the owner does not reply
+	// The quota and ceiling limits.
+	quota        quotaView   // at a member
+	ledger       *ledger     // at the owner; nil at a member
+	localWindow  tokenBucket // used while the owner does not reply
 	ceilingShare tokenBucket
 	ceilingPool  tokenBucket
 
-	// awaitingOwner holds the requests that wait for the owner's grant, in the order of arrival.
+	// awaitingOwner holds the requests that wait for a grant from the owner, in order of arrival.
 	awaitingOwner []*request
 	report        reportState
-	// slotWaiters holds the requests that wait for a concurrency slot, in the order of priority. They are
-	// not retried before slotRetryAt.
+	// slotWaiters holds the requests that wait for a concurrency slot, highest priority first. Admission is
+	// not tried again before slotRetryAt.
 	slotWaiters []*request
 	slotRetryAt Seconds
 }
 
-// gateways returns how many gateways the customer's requests come to, as a divisor of its quota.
+// gateways returns the number of gateways that receive the customer's requests, at least 1, as a divisor of
+// its quota.
 func (c *customer) gateways() float64 { return float64(max(c.gatewayCount, 1)) }
 
-// unacknowledgedUnits returns what was charged here and not counted by the owner yet.
+// unacknowledgedUnits returns the units charged at this gateway that the owner has not counted yet.
 func (c *customer) unacknowledgedUnits() float64 { return max(c.totalUnits-c.acknowledgedUnits, 0) }
 
-// remainingUnits returns what is left of the quota, by the ledger or else by the member's view.
+// remainingUnits returns the units left of the quota: in the ledger if asOwner is set, otherwise in the
+// member's view.
 func (c *customer) remainingUnits(asOwner bool, now Seconds) float64 {
 	if asOwner {
 		return c.currentLedger(now).window.tokens
@@ -74,8 +76,8 @@
 	return c.remainingUnitsAsMember(now)
 }
 
-// allWindowsFull tells whether all windows are as full as those of a customer that was never seen, so that
-// nothing is lost when this one is evicted.
+// allWindowsFull reports whether the customer's quota, local window and ceiling are as full as those of a new
+// customer, so that evicting it loses no usage.
 func (c *customer) allWindowsFull(now Seconds) bool {
 	const tolerance = 1e-9 // units
 	if c.plan.Rate > 0 {
@@ -87,13 +89,13 @@
 	return c.isCeilingFull(tolerance, now)
 }
 
-// isIdle tells whether no request, report or reply of the customer is pending.
+// isIdle reports whether the customer has no pending request, report or reply.
 func (c *customer) isIdle() bool {
 	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotWaiters) == 0
 	return noRequests && !c.report.scheduled && !c.report.watched
 }
 
-// customerTable holds the customers that this gateway knows, and the plans.
+// customerTable holds the plans and the customers that this gateway knows.
 type customerTable struct {
 	clock              *eventClock
 	self, gatewayCount int
@@ -104,15 +106,15 @@
 	plansByIndex       []*plan
 }
 
-// ownerFinder finds the gateway that counts a customer against its whole quota.
+// ownerFinder finds the owner of a customer: the gateway that counts its usage against the whole quota.
 type ownerFinder interface {
-	// owner returns the owner among the gateways that are reachable now.
+	// owner returns the owner among the gateways that are currently reachable.
 	owner(c *customer) int
-	// findPrimaryOwner returns the owner while all gateways are reachable.
+	// findPrimaryOwner returns the gateway that owns the customer while all gateways are reachable.
 	findPrimaryOwner(c *customer) int
 }
 
-// newCustomerTable returns a table without customers.
+// newCustomerTable returns a table with the plans of the settings and no customers.
 func newCustomerTable(s Settings, clock *eventClock, owners ownerFinder) customerTable {
 	t := customerTable{
 		clock: clock, self: s.Self, gatewayCount: s.GatewayCount, owners: owners, startedAt: clock.now,
@@ -126,7 +128,7 @@
 	return t
 }
 
-// find returns the customer of a request, which is added if it is new.
+// find returns the customer of a request, and adds it to the table if it is new.
 func (t *customerTable) find(r Request) *customer {
 	hash := hashName(r.Customer)
 	key := uint32(hash >> 32)
@@ -141,8 +143,8 @@
 	return c
 }
 
-// add makes a customer with a full quota window. The share of its ceiling starts empty when this gateway
-// does, and has filled since.
+// add creates a customer with a full quota window. Its share and pool of the ceiling are treated as empty at
+// this gateway's start and refilled since.
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
@@ -154,8 +156,8 @@
 	return c
 }
 
-// setGateways records which gateways a customer's requests come to, and so which is its primary owner.
-// Invalid values stand for all gateways.
+// setGateways records which gateways receive a customer's requests, and determines its primary owner. An
+// invalid gatewayCount stands for all gateways.
 func (t *customerTable) setGateways(c *customer, hash uint64, firstGateway, gatewayCount int) {
 	c.hash, c.firstGateway, c.gatewayCount = hash, firstGateway, gatewayCount
 	if c.gatewayCount <= 0 || c.gatewayCount > t.gatewayCount {
@@ -165,7 +167,8 @@
 	c.isPrimaryOwner = c.primaryOwner == t.self
 }
 
-// evictIdle removes the customers, and the members of ledgers, that were not used for their time of expiry.
+// evictIdle removes the idle customers with full windows that were not used for customerExpiry, and the
+// expired members in the ledgers of the others.
 func (t *customerTable) evictIdle() {
 	now := t.clock.now
 	for key, c := range t.byKey {
