--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// awaitGrant has the request wait for its owner's grant. Where others of its customer wait already, it joins
-// the next report.
+// awaitGrant queues the request until its customer's owner grants it, and asks the owner at once. If other
+// requests of the customer wait already, the next report asks for all of them.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
@@ -12,9 +12,12 @@
 	}
 }
 
-// decideWaiters ends the wait of the first count requests: those that fit go on, and the others wait for a
-// concurrency slot or are rejected.
-func (q *quotaController) decideWaiters(c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool) {
+// decideWaiters decides the first count requests that wait for the owner. It admits those for which
+// quotaAllows returns true, and queues the others for a concurrency slot or rejects them. Unless
+// ceilingReserved is set, an admitted request must also fit into this gateway's share of the ceiling.
+func (q *quotaController) decideWaiters(
+	c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool,
+) {
 	decided := c.awaitingOwner[:count]
 	c.awaitingOwner = slices.Clone(c.awaitingOwner[count:])
 	for _, r := range decided {
@@ -29,8 +32,9 @@
 	}
 }
 
-// retransmit repeats the reports without a reply. After several in a row their owner is unreachable, and the
-// report goes to the gateway after it on the ring; after the last, the local window decides.
+// retransmit repeats the reports whose reply is overdue. After maxUnansweredReports in a row, the owner
+// counts as unreachable and the report goes to the next gateway on the ring. After maxReportTransmissions,
+// the local window decides the waiting requests.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
@@ -42,8 +46,8 @@
 	})
 }
 
-// handleRecords replies to the reports in a message of another gateway, all in one message, and applies its
-// replies to reports of this one.
+// handleRecords handles the usage records of a message from another gateway. It replies to all reports in one
+// message, and applies the replies to reports of this gateway.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
@@ -62,7 +66,7 @@
 	q.protocol.send(from, replies)
 }
 
-// replyToReport returns the owner's reply to a member's report.
+// replyToReport applies a member's report at the owner and returns the reply.
 func (q *quotaController) replyToReport(report memberReport) usageRecord {
 	c := q.customers.byKey[report.key]
 	if c == nil {
@@ -72,10 +76,10 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply: it renews the view of the quota and decides the requests that the
-// report asked for.
+// applyGrant handles the owner's reply to a report: it updates the view of the quota and decides the requests
+// that the report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
-	// The owner has counted or reserved units up to this total of ours.
+	// The total up to which the owner has counted or reserved units for this gateway.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
 	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
@@ -85,13 +89,14 @@
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
 	hasUnaskedWaiters := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
-	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // what is not used is returned
+	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // to return unused units, or to ask for the others
 		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
 	}
 	q.reporter.recordReply(c)
 }
 
-// decideAskedWaiters decides the requests whose units the last report asked for, and with a backoff all others too.
+// decideAskedWaiters decides the requests whose units the last report asked for. If the reply has a backoff,
+// it denies all other waiting requests.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -1,34 +1,35 @@
 package policy
 
 const (
-	// memberExpiry is the time without a report after which a member is taken to ask for nothing, and evicted.
+	// memberExpiry is the time without a report after which a member is considered inactive and evicted.
 	memberExpiry Seconds = 8.0
-	// inFlightExpiry is how long a member's reported attempts in flight are believed.
+	// inFlightExpiry is the time without a report after which a member's attempts in flight are ignored.
 	inFlightExpiry Seconds = 3.0
-	// ledgerRecoveryPeriod is the age below which a ledger adopts lower remaining units from reports of members.
+	// ledgerRecoveryPeriod is the age up to which a ledger adopts lower remaining units from members' reports.
 	ledgerRecoveryPeriod Seconds = 2.0
-	// noGateway is the number of none.
+	// noGateway is passed to ledger.inFlight to exclude no member.
 	noGateway = -1
 )
 
-// ledger is the owner's count of a customer against the whole quota, over all gateways.
+// ledger is the owner's account of a customer's usage at all gateways, counted against the whole quota.
 type ledger struct {
-	window    tokenBucket // the units left; below 0 where gateways together have overdrawn them
+	window    tokenBucket // remaining units; below 0 if grants and local admissions exceeded the quota
 	createdAt Seconds
-	demand    demandMeter // of all members
+	demand    demandMeter // total of all members
 	members   map[int]*member
 }
 
-// member is another gateway that reports its requests of a customer to the owner.
+// member is another gateway that reports its requests of the customer to the owner.
 type member struct {
 	incarnation uint8
-	totalUnits  float64 // last reported, with the units granted since
+	totalUnits  float64 // last reported count plus the units granted since
 	demand      demandMeter
 	inFlight    int
 	reportedAt  Seconds
 }
 
-// inFlight returns the attempts in flight at all members except one, or noGateway.
+// inFlight returns the number of attempts in flight at all members but the gateway except, which may be
+// noGateway. Members without a report for inFlightExpiry count as 0.
 func (l *ledger) inFlight(now Seconds, except int) (sum int) {
 	for gateway, m := range l.members {
 		if gateway != except && now-m.reportedAt < inFlightExpiry {
@@ -38,7 +39,7 @@
 	return sum
 }
 
-// reportingMembers counts the members that have reported lately.
+// reportingMembers returns the number of members that have reported within memberExpiry.
 func (l *ledger) reportingMembers(now Seconds) (count int) {
 	for _, m := range l.members {
 		if now-m.reportedAt < memberExpiry {
@@ -57,15 +58,16 @@
 	}
 }
 
-// membersDemand returns the units a second that all members together are asked for.
+// membersDemand returns the total demand at all members in units per second.
 func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.rateAt(now), 0) }
 
-// charge takes units from the window, but not below 0. What is below 0 already stays as it is.
+// charge takes units from the window, but does not lower its level below 0. A level that is already negative
+// stays unchanged. Negative units are returned to the window.
 func (l *ledger) charge(units float64) {
 	l.window.tokens = max(l.window.tokens-units, min(l.window.tokens, 0))
 }
 
-// memberReport is a member's record as the owner has received it.
+// memberReport is a usage record that the owner has received from a member.
 type memberReport struct {
 	usageRecord
 	from        int
@@ -73,8 +75,8 @@
 	receivedAt  Seconds
 }
 
-// recordUsage charges what a member used beyond what the ledger knew of, and returns the member. A grant that
-// it did not use is returned thereby.
+// recordUsage charges the units that a member used since the total known to the ledger, and returns the
+// member. That total includes grants, so unused granted units are returned to the window.
 func (l *ledger) recordUsage(report memberReport, format messageFormat) *member {
 	m := l.findMember(report)
 	if m == nil {
@@ -92,8 +94,9 @@
 	return m
 }
 
-// findMember returns the member that a report comes from, or nil if its count may have started anew since:
-// the gateway has restarted, or has been silent for so long that it may have evicted the customer.
+// findMember returns the member that sent a report. It returns nil for a new member, and for one whose count
+// may have restarted since its last report: because the gateway restarted, or because so much time has passed
+// that it may have evicted the customer.
 func (l *ledger) findMember(report memberReport) *member {
 	m := l.members[report.from]
 	if m == nil || report.receivedAt-m.reportedAt > memberExpiry || m.incarnation != report.incarnation {
@@ -102,8 +105,9 @@
 	return m
 }
 
-// addMember starts the count of a member at what no owner has acknowledged. A young ledger, made after a
-// restart or a move, adopts the units left that the member knows of where they are fewer.
+// addMember adds the member that sent a report, with the part of its total that an owner has acknowledged. A
+// ledger within ledgerRecoveryPeriod, created after a restart of the owner or a change of ownership, adopts
+// the member's remaining units if they are lower than its own.
 func (l *ledger) addMember(report memberReport) *member {
 	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
@@ -113,9 +117,9 @@
 	return m
 }
 
-// currentLedger returns the ledger, brought up to now. A gateway that has just become the owner starts it
-// with what it knew as a member. A substitute for the primary owner without a report so far fills it with
-// its own part of the rate alone: it may be cut off while others serve the same customer.
+// currentLedger returns the ledger, refilled up to now. A gateway that has just become the owner creates it
+// from its view as a member. A substitute for the primary owner that no member reports to refills it only at
+// its own fraction of the rate: it may be partitioned from gateways that admit requests of the same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
@@ -138,9 +142,9 @@
 	return rejectRequest
 }
 
-// ledgerHasCapacity tells whether units fit into the whole quota and the concurrency limit. While the
-// customer asks for more than its rate, requests of lower priority must leave units to those of higher
-// priority.
+// ledgerHasCapacity reports whether the quota has the given units left and the concurrency limit has a free
+// slot. While the customer's demand exceeds its rate, requests of lower priority must leave units for those
+// of higher priority.
 func (c *customer) ledgerHasCapacity(l *ledger, units, priorityDeficit float64, now Seconds) bool {
 	p := c.plan
 	if p.MaxConcurrent > 0 && c.inFlight+l.inFlight(now, noGateway) >= p.MaxConcurrent {
@@ -155,9 +159,10 @@
 	return units <= l.window.tokens
 }
 
-// applyUsageReport is the owner's side of a report: it applies the member's counts, grants what it asks for,
-// and returns the reply. Granted units are reserved at once, as the next report shows which of them were
-// used. backoff tells for how long the given number of members is to ask for nothing after a rejection.
+// applyUsageReport handles a member's report at the owner: it records the member's usage, grants units if the
+// report asks for them, and returns the reply. Granted units are reserved immediately; the member's next
+// report shows how many of them it used. backoff returns the time for which rejected members must not ask
+// again, given the number of reporting members.
 func (c *customer) applyUsageReport(
 	report memberReport, format messageFormat, backoff func(members int) Seconds,
 ) usageRecord {
@@ -180,8 +185,9 @@
 	return reply
 }
 
-// grantableUnits returns the units that a report can be granted: those of all its waiting requests, else
-// those of the first, else 0. With a concurrency limit it is one request at a time.
+// grantableUnits returns the units to grant for a report: those of all waiting requests if the quota allows
+// them, otherwise those of the first request, otherwise 0. With a concurrency limit, it considers the first
+// request only, because a grant reserves one slot.
 func (c *customer) grantableUnits(l *ledger, report memberReport) float64 {
 	candidates := []float64{report.wantedUnits, report.firstWantedUnits}
 	if c.plan.MaxConcurrent > 0 {
@@ -195,7 +201,7 @@
 	return 0
 }
 
-// grant reserves units, and a concurrency slot, for a member.
+// grant reserves units and one concurrency slot for a member.
 func (l *ledger) grant(m *member, units float64) {
 	l.window.tokens -= units
 	m.totalUnits += units
