--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -7,9 +7,9 @@
 	"math"
 )
 
-// The layout of a peer message: a header, then usage records, then health updates, each of a fixed size. All
-// numbers are big-endian. The header holds the version, the sender's incarnation, the sequence number (two
-// bytes) and the number of records; the health updates take what is left of the message.
+// The layout of a peer message: a header, usage records and health updates, each of a fixed size. All numbers
+// are big-endian. The header holds the version, the sender's incarnation, the sequence number (two bytes) and
+// the number of usage records. The rest of the message after the records consists of health updates.
 const (
 	messageVersion = 2
 	maxMessageSize = 256 // bytes
@@ -17,22 +17,22 @@
 
 	incarnationOffset = 1
 	sequenceOffset    = 2
-	countOffset       = 4 // of the number of records
+	countOffset       = 4 // number of usage records
 )
 
-// The layout of a usage record: the offsets of its fields, in bytes.
+// The layout of a usage record: the offsets of its fields in bytes.
 const (
 	keyOffset             = 0
-	flagsOffset           = 4 // three flags in the high bits, the low bits of the plan's index in the others
+	flagsOffset           = 4 // three flags in the high bits, the low bits of the plan index in the rest
 	totalOffset           = 5
 	remainingOffset       = 7
 	demandOffset          = 9
 	inFlightOffset        = 11
 	unacknowledgedOffset  = 13
 	wantedOffset          = 14
-	firstWantedOffset     = 15 // an owner's record has the backoff in this place
+	firstWantedOffset     = 15 // in an owner's record: the backoff
 	priorityDeficitOffset = 16
-	planHighOffset        = 17 // present only with more than plansInFlags plans
+	planHighOffset        = 17 // high bits of the plan index; present only with more than plansInFlags plans
 	baseRecordSize        = 17
 
 	ownerFlag          = 1 << 7
@@ -40,70 +40,74 @@
 	ceilingPoolFlag    = 1 << 5
 )
 
-// The layout of a health update: the endpoint's hash (two bytes), the class, the value and the age.
+// The layout of a health update: the endpoint's hash (two bytes), the class, the value and the age. The
+// offsets are in bytes.
 const (
 	updateClassOffset = 2
 	updateValueOffset = 3
 	updateAgeOffset   = 4
 	updateSize        = 5 // bytes
 
-	loadUpdateByte = 255 // in place of a class: a load update; classes from this index on are not published
+	// loadUpdateByte marks a load update in the class byte. Outlier scores of classes with this index or above
+	// are not sent.
+	loadUpdateByte = 255
 )
 
-// The steps in which fractional values are written.
+// The resolution of fractional values on the wire.
 const (
-	stepsPerUnit          = 4             // units and rates are written in quarters
+	stepsPerUnit          = 4             // units and rates are sent in quarters
 	backoffStep   Seconds = 0.05          // of usageRecord.backoff
-	updateAgeStep Seconds = 0.02          // of a health update's age
-	maxByte               = math.MaxUint8 // stands for a fraction of 1
+	updateAgeStep Seconds = 0.02          // of the age of a health update
+	maxByte               = math.MaxUint8 // represents the fraction 1
 )
 
-// The largest values that the fields of a record hold. Units are scaled so that those of the settings fit.
+// The largest values that are encoded in a record. Units are scaled so that the values of the settings fit.
 const (
-	maxRequestSteps = 48.0    // wire units of one request; a record may ask for several requests
+	maxRequestSteps = 48.0    // wire units of one request; wantedUnits may be the sum of several requests
 	maxWindowSteps  = 7500.0  // wire units of one quota window
-	maxRateSteps    = 15000.0 // wire units a second of one quota
+	maxRateSteps    = 15000.0 // wire units per second of one quota
 
 	minRemainingSteps = -256.0 // quarters of a wire unit
 	maxRemainingSteps = 32000.0
 
-	plansInFlags = 32   // plans that the flags byte tells apart
-	maxPlans     = 8192 // with the further byte of a wide record
+	plansInFlags = 32   // plans that the flags byte can distinguish
+	maxPlans     = 8192 // plans that a record with planHighOffset can distinguish
 )
 
-// The reasons for which a message is not decoded.
+// Errors that messageFormat.decode returns.
 var (
-	errMessageVersion = errors.New("peer message of another version")
-	errMessageLength  = errors.New("peer message of invalid length")
+	errMessageVersion = errors.New("unsupported peer message version")
+	errMessageLength  = errors.New("invalid peer message length")
 )
 
-// message is what one gateway sends to another.
+// message is a message from one gateway to another.
 type message struct {
 	incarnation uint8  // of the sending process
-	sequence    uint16 // increases with each message of an incarnation, and wraps around
+	sequence    uint16 // increases with each message of an incarnation and wraps around
 	records     []usageRecord
 	updates     []healthUpdate
 }
 
-// usageRecord is what two gateways exchange about one customer. In a member's record to the owner, total is
-// the member's own count, demand the demand at the member, and remaining the units that the owner last
-// reported to it. In an owner's record, total is the member's count as the owner has acknowledged or reserved
-// it, demand the demand at all other gateways, and remaining what is left of the whole quota.
+// usageRecord is the part of a message that concerns one customer. A member sends it as a report and the
+// owner sends it back as a reply. In a report, total is the member's own count, demand is the demand at the
+// member, and remaining is the member's estimate of the remaining units. In a reply, total is the member's
+// count as acknowledged or reserved by the owner, demand is the demand at all other gateways, and remaining
+// is what is left of the whole quota.
 type usageRecord struct {
-	key              uint32  // 32 bits of the customer's hash
+	key              uint32  // upper 32 bits of the customer's hash
 	planIndex        int     // index of the plan in the settings
 	fromOwner        bool    // the sender is the customer's owner
-	remainingKnown   bool    // remaining was reported or counted, and is not a guess
-	ceilingPool      bool    // member: the owner is the primary owner; owner: its ceiling pool pays the grant
+	remainingKnown   bool    // remaining is based on a report or a ledger instead of an assumption
+	ceilingPool      bool    // report: the owner is the primary owner; reply: the ceiling pool covers the grant
 	total            float64 // units, in quarters, modulo 16384
 	remaining        float64 // units, in quarters, -64 to 8000
-	demand           float64 // units a second, in quarters, up to 16383.75
+	demand           float64 // units per second, in quarters, up to 16383.75
 	inFlight         int     // attempts in flight, up to 65535
-	unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; members only
-	wantedUnits      float64 // units of waiting requests, up to 63.75; owner: copied from the member's record
-	firstWantedUnits float64 // units of the first waiting request, up to 63.75; members only
-	priorityDeficit  float64 // of the first waiting request, 0 to 1; members only
-	backoff          Seconds // time before which a retry is pointless, up to 12.75; owners only
+	unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; reports only
+	wantedUnits      float64 // units of all waiting requests, up to 63.75; a reply repeats those of the report
+	firstWantedUnits float64 // units of the first waiting request, up to 63.75; reports only
+	priorityDeficit  float64 // of the first waiting request, 0 to 1; reports only
+	backoff          Seconds // time for which the member must not ask again, up to 12.75; replies only
 }
 
 // scale returns the record with all units multiplied by factor.
@@ -117,14 +121,14 @@
 	return r
 }
 
-// messageFormat encodes and decodes peer messages. It follows from the settings, which all gateways share, so
-// that all of a fleet use the same one.
+// messageFormat encodes and decodes peer messages. It is derived from the settings, which all gateways of a
+// fleet share, so all of them use the same format.
 type messageFormat struct {
-	unitsPerStep float64 // units in one unit on the wire, at least 1
-	widePlan     bool    // records have a further byte for the plan
+	unitsPerStep float64 // units per wire unit, at least 1
+	widePlan     bool    // records have an additional byte for the plan index
 }
 
-// newMessageFormat returns the format that holds the largest values the settings allow.
+// newMessageFormat returns the format whose units are large enough for the values that the settings allow.
 func newMessageFormat(settings Settings) messageFormat {
 	format := messageFormat{unitsPerStep: 1, widePlan: len(settings.Plans) > plansInFlags}
 	largestBurst := 0.0
@@ -134,13 +138,13 @@
 	}
 	largestRequest := float64(settings.MaxRequestUnits)
 	if largestRequest <= 0 {
-		largestRequest = largestBurst // no larger request is ever within its quota
+		largestRequest = largestBurst // a larger request always exceeds its quota
 	}
 	format.unitsPerStep = max(format.unitsPerStep, largestRequest/maxRequestSteps, largestBurst/maxWindowSteps)
 	return format
 }
 
-// recordSize is the size of one record in bytes.
+// recordSize returns the size of a usage record in bytes.
 func (f messageFormat) recordSize() int {
 	if f.widePlan {
 		return baseRecordSize + 1
@@ -148,27 +152,27 @@
 	return baseRecordSize
 }
 
-// hasRoomForRecords tells whether a message holds this number of records.
+// hasRoomForRecords reports whether a message can hold the given number of records.
 func (f messageFormat) hasRoomForRecords(records int) bool {
 	return headerSize+records*f.recordSize() <= maxMessageSize
 }
 
-// maxUpdates returns how many health updates fit into a message with this number of records.
+// maxUpdates returns the number of health updates that fit into a message with the given number of records.
 func (f messageFormat) maxUpdates(records int) int {
 	return (maxMessageSize - headerSize - records*f.recordSize()) / updateSize
 }
 
-// roundDifference rounds the difference of two counts, of which one has been encoded, to wire steps. It
-// undoes the wrap-around of usageRecord.total.
+// roundDifference rounds the difference of two totals, one of them decoded from a message, to the resolution
+// of the wire format. It also undoes the wraparound of usageRecord.total.
 func (f messageFormat) roundDifference(units float64) float64 {
 	steps := int16(int64(math.Floor(units/f.unitsPerStep*stepsPerUnit + 0.5)))
 	return float64(steps) / stepsPerUnit * f.unitsPerStep
 }
 
-// roundingTolerance is the number of units that a grant may lose by its encoding.
+// roundingTolerance returns the number of units that a grant may lose when it is encoded.
 func (f messageFormat) roundingTolerance() float64 { return (f.unitsPerStep-1)/stepsPerUnit + 1e-9 }
 
-// encode returns the message as it is sent at the time now.
+// encode returns the encoded form of a message that is sent at now.
 func (f messageFormat) encode(m message, now Seconds) []byte {
 	data := make([]byte, 0, maxMessageSize)
 	data = append(data, messageVersion, m.incarnation)
@@ -221,7 +225,8 @@
 	return flags
 }
 
-// appendUpdate writes the update with its age, as gateways do not share a clock.
+// appendUpdate appends a health update. It encodes the age of the update because gateways do not share a
+// clock.
 func appendUpdate(data []byte, update healthUpdate, now Seconds) []byte {
 	data = binary.BigEndian.AppendUint16(data, update.endpointHash)
 	return append(data,
@@ -230,7 +235,7 @@
 		clampToByte((now-update.at)/updateAgeStep))
 }
 
-// decode returns the message of data, which was received at the time now.
+// decode decodes a message that was received at now.
 func (f messageFormat) decode(data []byte, now Seconds) (message, error) {
 	if len(data) < headerSize || len(data) > maxMessageSize {
 		return message{}, fmt.Errorf("%w: %d bytes", errMessageLength, len(data))
@@ -287,7 +292,8 @@
 	return record.scale(f.unitsPerStep)
 }
 
-// decodeUpdate decodes the health update at the start of data.
+// decodeUpdate decodes the health update at the start of data. It derives the time of observation from now
+// and the encoded age.
 func decodeUpdate(data []byte, now Seconds) healthUpdate {
 	classIndex := int(data[updateClassOffset])
 	if classIndex == loadUpdateByte {
