--- a/policy/owner.go
+++ b/policy/owner.go
@@ -1,16 +1,16 @@
 package policy
 
-// ownerDirectory tells which gateway owns a customer: the one that counts the customer's window against the
-// whole quota. All gateways of a fleet agree on it as long as they can reach the same peers.
+// ownerDirectory determines which gateway owns a customer, that is, counts the customer's usage against the
+// whole quota. Gateways that can reach the same peers determine the same owner.
 type ownerDirectory struct {
 	self, gatewayCount int
-	peerMessages       bool // without these each gateway owns all its customers
+	peerMessages       bool // if false, each gateway owns all its customers
 	ring               ownerRing
-	reachable          func(gateway int) bool // tells whether a gateway is this one or a peer that replies
+	reachable          func(gateway int) bool // true for this gateway and for peers that reply
 }
 
-// newOwnerDirectory returns the directory of a gateway. reachable tells whether a gateway is this one or a
-// peer that replies.
+// newOwnerDirectory returns the directory of a gateway. reachable must return true for this gateway and for
+// peers that reply.
 func newOwnerDirectory(settings Settings, reachable func(gateway int) bool) *ownerDirectory {
 	return &ownerDirectory{
 		self:         settings.Self,
@@ -21,8 +21,8 @@
 	}
 }
 
-// owner returns the gateway that counts the customer now: its primary owner, or the next one on the ring if
-// that is unreachable.
+// owner returns the current owner of the customer: its primary owner or, while that is unreachable, the next
+// reachable gateway on the ring.
 func (d *ownerDirectory) owner(c *customer) int {
 	switch {
 	case !d.peerMessages || c.gatewayCount == 1:
@@ -33,13 +33,13 @@
 	return d.successor(c, d.reachable)
 }
 
-// findPrimaryOwner returns the customer's owner while all gateways are reachable.
+// findPrimaryOwner returns the gateway that owns the customer while all gateways are reachable.
 func (d *ownerDirectory) findPrimaryOwner(c *customer) int {
 	return d.successor(c, func(int) bool { return true })
 }
 
-// successor returns the first accepted gateway on the ring of those that receive the customer's requests, or
-// this one if there is none.
+// successor returns the first gateway on the ring, starting at the customer's hash, that receives the
+// customer's requests and is accepted. If there is none, it returns this gateway.
 func (d *ownerDirectory) successor(c *customer, accept func(gateway int) bool) int {
 	owner, found := d.ring.successor(c.hash, func(gateway int) bool {
 		return c.isServedBy(gateway, d.gatewayCount) && accept(gateway)
@@ -50,8 +50,8 @@
 	return owner
 }
 
-// isServedBy tells whether the customer's requests come to a gateway, of gatewayCount in the fleet. They come
-// to several in a row, which may go on from the last gateway to the first.
+// isServedBy reports whether a gateway receives the customer's requests, in a fleet of gatewayCount gateways.
+// The gateways that receive them are consecutive and may wrap around from the last gateway to the first.
 func (c *customer) isServedBy(gateway, gatewayCount int) bool {
 	distance := (gateway - c.firstGateway + gatewayCount) % gatewayCount
 	return distance < c.gatewayCount
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -6,66 +6,68 @@
 )
 
 const (
-	// maxUnansweredReports is how many reports in a row a peer leaves unanswered before it counts as
-	// unreachable. Two may be lost by chance.
+	// maxUnansweredReports is the number of consecutive reports without a reply after which a peer counts as
+	// unreachable. Two reports or replies may be lost by chance.
 	maxUnansweredReports = 3
-	// unreachablePeriod is how long an unreachable peer is left out before it is tried again.
+	// unreachablePeriod is the time after the last unanswered report until an unreachable peer is tried again.
 	unreachablePeriod Seconds = 1.0
-	// unboundedMessageRate stands for a Settings.PeerMessageRate of 0, which bounds nothing.
+	// unboundedMessageRate, in messages per second, is used if Settings.PeerMessageRate sets no limit.
 	unboundedMessageRate = 1e6
-	// receivedTimeConstant is the time in which a received message loses all but 1/e of its weight.
+	// receivedTimeConstant is the time in which the weight of a received message decays to 1/e.
 	receivedTimeConstant Seconds = 1.0
-	// ownerQueryFraction is the part of Settings.PeerMessageRate that members may use to ask again after the
-	// owner has rejected their requests.
+	// ownerQueryFraction is the fraction of Settings.PeerMessageRate that members may use to ask the owner
+	// again after a rejection.
 	ownerQueryFraction = 0.5
-	// maxBackoffLoad bounds the load of received messages, in multiples of that part, that lengthens backoffs.
+	// maxBackoffLoad is the largest factor by which the rate of received messages lengthens a backoff. The
+	// factor is that rate divided by the rate available to owner queries.
 	maxBackoffLoad = 3
 )
 
-// peer is another gateway as this one sees it.
+// peer is the state that this gateway keeps for another gateway.
 type peer struct {
 	// unansweredReports counts the reports without a reply since the peer's last message.
 	unansweredReports int
 	lastUnansweredAt  Seconds
-	// incarnation and sequence are those of the newest message that was accepted from the peer.
+	// incarnation and sequence identify the newest message accepted from the peer.
 	incarnation uint8
 	sequence    uint16
 }
 
-// reachable tells whether the peer can be expected to reply.
+// reachable reports whether the peer is expected to reply.
 func (p *peer) reachable(now Seconds) bool {
 	return p.unansweredReports < maxUnansweredReports || now-p.lastUnansweredAt > unreachablePeriod
 }
 
-// acceptSequence records the number of a message that came in, and returns false if it was overtaken by a
-// newer one of the same incarnation, or is a duplicate.
+// acceptSequence records the sequence number of a received message. It returns false if the message is a
+// duplicate or was overtaken by a newer message of the same incarnation.
 func (p *peer) acceptSequence(incarnation uint8, sequence uint16) bool {
 	sameIncarnation := incarnation == p.incarnation && p.sequence != 0
-	if sameIncarnation && int16(sequence-p.sequence) <= 0 { // the difference is right across a wraparound
+	if sameIncarnation && int16(sequence-p.sequence) <= 0 { // the signed difference handles a wraparound
 		return false
 	}
 	p.incarnation, p.sequence = incarnation, sequence
 	return true
 }
 
-// peerProtocol numbers the messages to other gateways, accepts theirs in order, and knows which of the
-// gateways are reachable. What the records say is not its concern.
+// peerProtocol numbers the messages to other gateways, drops received messages that are duplicated or out of
+// order, and tracks which gateways are reachable. It does not interpret usage records.
 type peerProtocol struct {
 	clock       *eventClock
 	self        int
-	messageRate float64 // messages a second that a gateway can receive
+	messageRate float64 // messages per second that a gateway can receive
 	format      messageFormat
 	incarnation uint8
-	sequence    uint16 // of the last message
-	// receivedRate is the decaying average of messages a second that come in, at receivedAt.
+	sequence    uint16 // of the last message that was created
+	// receivedRate is the exponentially decaying average of messages received per second, as of receivedAt.
 	receivedRate float64
 	receivedAt   Seconds
 	peers        []peer
-	gossip       *gossipBuffer // the health updates to send along
+	gossip       *gossipBuffer // the health updates that messages carry
 	sendToPeer   func(gateway int, data []byte)
 }
 
-// newPeerProtocol returns the protocol of a gateway whose start the incarnation tells from earlier ones.
+// newPeerProtocol returns the protocol of a gateway. The incarnation distinguishes this run of the gateway
+// from earlier ones.
 func newPeerProtocol(
 	s Settings, clock *eventClock, incarnation uint8,
 	gossip *gossipBuffer, sendToPeer func(gateway int, data []byte),
@@ -84,7 +86,8 @@
 	return message{incarnation: p.incarnation, sequence: p.sequence}
 }
 
-// send sends a message, with gossip in the space left. A message without records is dropped.
+// send sends a message, with health updates in the space after its records. A message without records is
+// dropped.
 func (p *peerProtocol) send(gateway int, m message) {
 	if len(m.records) == 0 {
 		return
@@ -93,7 +96,8 @@
 	p.sendToPeer(gateway, p.format.encode(m, p.clock.now))
 }
 
-// receive decodes a message, and returns false if it is malformed, a duplicate, or overtaken by a newer one.
+// receive decodes a message from another gateway. It returns false if the sender is invalid or the message is
+// malformed, a duplicate, or overtaken by a newer one.
 func (p *peerProtocol) receive(from int, data []byte) (message, bool) {
 	now := p.clock.now
 	received, err := p.format.decode(data, now)
@@ -110,20 +114,21 @@
 	return received, true
 }
 
-// reachable tells whether a gateway can be expected to reply.
+// reachable reports whether a gateway is this one or a peer that is expected to reply.
 func (p *peerProtocol) reachable(gateway int) bool {
 	return gateway == p.self || p.peers[gateway].reachable(p.clock.now)
 }
 
-// recordUnanswered notes that a report to a gateway got no reply in time.
+// recordUnanswered records that a gateway did not reply to a report in time.
 func (p *peerProtocol) recordUnanswered(gateway int) {
 	recipient := &p.peers[gateway]
 	recipient.unansweredReports++
 	recipient.lastUnansweredAt = p.clock.now
 }
 
-// queryBackoff returns how long the given number of members is to ask for nothing after a rejection. They
-// share a part of what this gateway can receive, the less the more messages come in.
+// queryBackoff returns the time for which members must not ask again after a rejection, given their number.
+// The members share ownerQueryFraction of the messages that this gateway can receive. The backoff grows with
+// the rate of received messages.
 func (p *peerProtocol) queryBackoff(members int) Seconds {
 	queryRate := max(p.messageRate*ownerQueryFraction, 1)
 	return float64(members) / queryRate * min(p.receivedRate/queryRate, maxBackoffLoad)
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// The number of points of the ring: more points spread customers more evenly, fewer take less memory.
+// The number of points on the ring. More points spread customers more evenly; fewer points use less memory.
 const (
-	pointsPerGateway    = 512  // points of one gateway
-	minPointsPerGateway = 8    // points of one gateway in the largest fleets
-	maxRingPoints       = 8192 // points of all gateways, beyond which each gets fewer
+	pointsPerGateway    = 512  // per gateway
+	minPointsPerGateway = 8    // per gateway in the largest fleets
+	maxRingPoints       = 8192 // in total; with more gateways than this allows, each gets fewer points
 )
 
-// ringPoint is one of the points of a gateway.
+// ringPoint is one of the positions of a gateway on the ring.
 type ringPoint struct {
 	hash    uint64
 	gateway int
 }
 
-// ownerRing is a consistent-hash ring of gateway numbers. All gateways of a fleet compute the same one.
+// ownerRing is a consistent-hash ring of gateway numbers. It depends only on the number of gateways, so all
+// gateways of a fleet compute the same ring.
 type ownerRing struct {
 	points []ringPoint // sorted by hash
 }
@@ -40,7 +41,8 @@
 	return ownerRing{points: points}
 }
 
-// successor returns the first gateway from the hash on that is accepted, and false if none is.
+// successor returns the first accepted gateway on the ring, starting at hash. found is false if no gateway is
+// accepted.
 func (r ownerRing) successor(hash uint64, accept func(gateway int) bool) (gateway int, found bool) {
 	compareHash := func(point ringPoint, hash uint64) int { return cmp.Compare(point.hash, hash) }
 	first, _ := slices.BinarySearchFunc(r.points, hash, compareHash)
@@ -53,7 +55,7 @@
 	return 0, false
 }
 
-// mixBits spreads the bits of x over the whole result (the finalizer of splitmix64).
+// mixBits spreads each bit of x over the whole result. It is the finalizer of splitmix64.
 func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
