--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,14 +1,14 @@
 package policy
 
-// requestHandler carries out what is decided on a request.
+// requestHandler dispatches and rejects requests as the quotaController decides.
 type requestHandler interface {
 	// dispatch sends an admitted request to an endpoint.
 	dispatch(r *request)
 	reject(r *request, why Reason)
 }
 
-// quotaController keeps the customers to the quotas, concurrency limits and ceilings of their plans, together
-// with the other gateways. It is the owner of some customers and a member of the others.
+// quotaController enforces the quotas, concurrency limits and ceilings of the customers' plans together with
+// the other gateways. This gateway is the owner of some customers and a member for the others.
 type quotaController struct {
 	clock     *eventClock
 	self      int
@@ -22,18 +22,18 @@
 	requests  requestHandler
 }
 
-// isOwner tells whether this gateway is the customer's owner now.
+// isOwner reports whether this gateway is currently the customer's owner.
 func (q *quotaController) isOwner(c *customer) bool { return q.owners.owner(c) == q.self }
 
-// handleTimer does what no event brings: it looks after reports without a reply and requests without a slot,
-// and sends the reports that are due.
+// handleTimer repeats overdue reports, decides again on requests that wait for a concurrency slot, and sends
+// the reports that are due.
 func (q *quotaController) handleTimer() {
 	q.retransmit()
 	q.retrySlotWaiters()
 	q.reporter.sendDue()
 }
 
-// admit decides on a request: the owner by its ledger, a member by its share of the remaining units.
+// admit decides on a request: an owner by its ledger, a member by its share of the remaining units.
 func (q *quotaController) admit(r *request) admission {
 	if q.isOwner(r.customer) {
 		return r.customer.admitAsOwner(r, q.clock.now)
@@ -41,14 +41,14 @@
 	return r.customer.admitAsMember(r, q.clock.now)
 }
 
-// admitNow charges an admitted request, see reserve, and sends it to an endpoint.
+// admitNow charges an admitted request and dispatches it. See reserve for ceilingReserved.
 func (q *quotaController) admitNow(r *request, ceilingReserved bool) {
 	q.reserve(r, ceilingReserved)
 	q.requests.dispatch(r)
 }
 
-// queueOrReject has a request that is not admitted wait for a concurrency slot, or rejects it if that is not
-// worthwhile.
+// queueOrReject queues a request that was not admitted for a concurrency slot, or rejects it if it can't be
+// served in time that way.
 func (q *quotaController) queueOrReject(r *request) {
 	if q.worthQueueing(r) {
 		q.queueForSlot(r)
@@ -57,8 +57,8 @@
 	}
 }
 
-// reserve charges an admitted request to quota and ceiling. With ceilingReserved the owner has taken it from the
-// ceiling's pool already.
+// reserve charges an admitted request to its customer's quota and ceiling. If ceilingReserved is set, the
+// owner has already taken the units from the ceiling pool.
 func (q *quotaController) reserve(r *request, ceilingReserved bool) {
 	c := r.customer
 	if c == nil {
@@ -71,7 +71,8 @@
 	q.charge(c, r.Units)
 }
 
-// charge counts units, which are below 0 when they are returned, and has them reported to the owner.
+// charge adds units to the customer's usage and schedules a report to the owner. Negative units are returned
+// to the quota.
 func (q *quotaController) charge(c *customer, units float64) {
 	if q.isOwner(c) {
 		c.currentLedger(q.clock.now).charge(units)
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -1,31 +1,33 @@
 package policy
 
 const (
-	// maxReplyAge is the age up to which a reply of the owner is split among the members. With an older
-	// one the owner is asked.
+	// maxReplyAge is the age of the owner's last reply up to which a member admits requests from its share of
+	// the remaining units. After that, it admits a request itself only if all gateways could admit the same.
 	maxReplyAge Seconds = 0.5
-	// maxInFlightAge is the same for attempts in flight, which change with every request.
+	// maxInFlightAge is the age up to which a member relies on the attempts in flight in the owner's last
+	// reply. It is shorter than maxReplyAge because their number changes with every request.
 	maxInFlightAge Seconds = 0.1
-	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority leave to those
-	// of higher priority while their customer is over its rate.
+	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority must leave for
+	// those of higher priority while their customer is over its rate.
 	lowPriorityReserve = 0.18
 )
 
-// quota is what a member knows of its customer's quota window: the owner's last reply.
+// quotaView is a member's view of the customer's quota, based on the owner's last reply.
 type quotaView struct {
-	// remainingKnown tells that the owner has replied. Before, the window is taken to be full.
+	// remainingKnown is set once the window is based on a reply or a ledger. Until then, it is assumed to be
+	// full.
 	remainingKnown bool
-	// window is what the owner had left, since filled by the whole rate.
+	// window holds the remaining units that the owner reported, refilled at the whole rate since then.
 	window tokenBucket
-	// othersDemand, in units a second, and othersInFlight are those of all other gateways.
+	// othersDemand, in units per second, and othersInFlight are totals of all other gateways.
 	othersDemand   float64
 	othersInFlight int
-	// backoffUntil is when the owner may be asked again.
+	// backoffUntil is the time from which the owner may be asked again.
 	backoffUntil Seconds
 }
 
-// remainingUnitsAsMember returns the units left of the quota by this member's view. It changes state: a ledger
-// that this gateway still holds is given up, see becomeMember.
+// remainingUnitsAsMember returns the units left of the quota in this member's view. It first converts a
+// ledger that this gateway still holds to a view; see becomeMember.
 func (c *customer) remainingUnitsAsMember(now Seconds) float64 {
 	if c.ledger != nil {
 		c.becomeMember(now)
@@ -33,7 +35,8 @@
 	return c.quota.window.level(c.plan.Rate, c.plan.Burst, now) - c.unacknowledgedUnits()
 }
 
-// becomeMember gives up the ledger after ownership has moved. Its count is the best start for a member.
+// becomeMember replaces the ledger by a member's view after ownership has moved to another gateway. The view
+// starts with the remaining units of the ledger, which are more recent than any earlier reply.
 func (c *customer) becomeMember(now Seconds) {
 	c.quota.window = tokenBucket{tokens: c.currentLedger(now).window.tokens, updatedAt: now}
 	c.quota.remainingKnown = true
@@ -47,7 +50,7 @@
 	age := now - c.quota.window.updatedAt
 	switch {
 	case len(c.awaitingOwner) > 0:
-		return askOwner // after those that wait already
+		return askOwner // join the requests that already wait
 	case now < c.quota.backoffUntil:
 		return rejectRequest
 	case c.mustAskForSlot(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
@@ -56,14 +59,16 @@
 	return c.admitFromShare(r, remaining, age, now)
 }
 
-// mustAskForSlot tells whether only the owner can say if one more attempt keeps to the plan's concurrency
-// limit.
+// mustAskForSlot reports whether only the owner can decide if another attempt stays within the plan's
+// concurrency limit. age is the age of the owner's last reply.
 func (c *customer) mustAskForSlot(p *plan, age Seconds) bool {
-	return p.MaxConcurrent > 0 && (age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
+	return p.MaxConcurrent > 0 &&
+		(age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
 }
 
-// admitFromShare decides by this member's share of the remaining units, as far as it can tell: the share may
-// be smaller than a request, or the owner's reply of the given age too old.
+// admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
+// its part of the total demand. It asks the owner if the share is too small for the request, or if the
+// owner's last reply, of the given age, is too old.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
@@ -76,7 +81,7 @@
 	case p.Rate == 0:
 		return admitRequest
 	case stale && need*float64(c.gatewayCount) <= min(remaining, remaining-(othersDemand-p.Rate)*age):
-		return admitRequest // there is enough even if all gateways of the customer decide the same now
+		return admitRequest // enough even if all gateways of the customer admit the same now
 	case !stale && need <= max(share, remaining-2*othersDemand*(age+clockUncertainty)):
 		return admitRequest
 	case r.Units > remaining && age < minReportInterval:
