--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -1,16 +1,18 @@
 package policy
 
-// The local window decides while the owner does not reply. It counts this gateway alone, against its part of
-// the rate alone, as the other gateways may go on serving the same customer.
+// The local window decides on requests while the owner does not reply. It counts only this gateway's
+// requests, against this gateway's fraction of the rate, because other gateways may still admit requests of
+// the same customer.
 
-// localWindowSize returns the part of the quota that the local window fills with: its rate, in units a
-// second, and its burst, into which the largest request fits.
+// localWindowSize returns the rate, in units per second, and the burst of the local window. The burst is
+// large enough for the largest request.
 func (c *customer) localWindowSize() (rate, burst float64) {
 	gateways := c.gateways()
 	return c.plan.Rate / gateways, max(c.plan.Burst/gateways, c.plan.maxRequestUnits)
 }
 
-// reserveLocal takes units from the local window, and returns false if they don't fit.
+// reserveLocal takes units from the local window. It returns false if the local window or the member's view
+// has too few units left, or if the concurrency limit is reached.
 func (c *customer) reserveLocal(units float64, now Seconds) bool {
 	if c.plan.MaxConcurrent > 0 && c.inFlight+c.quota.othersInFlight >= c.plan.MaxConcurrent {
 		return false
@@ -24,7 +26,7 @@
 	return true
 }
 
-// isLocalWindowFull tells whether the local window is filled to its burst.
+// isLocalWindowFull reports whether the local window is filled up to its burst.
 func (c *customer) isLocalWindowFull(now Seconds) bool {
 	rate, burst := c.localWindowSize()
 	return c.localWindow.level(rate, burst, now) >= burst
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// slotQueue holds the customers with requests that wait for a concurrency slot: for one of the attempts in
-// flight, which their plans bound, to end. The requests themselves stand at the customer.
+// slotQueue holds the customers with requests that wait for a concurrency slot. A slot becomes free when one
+// of the customer's attempts in flight ends. The requests themselves are in customer.slotWaiters.
 type slotQueue struct {
 	customers []*customer
 }
 
-// add queues a request by its priority. No more may wait than may be in flight: if there are, the one of the
-// lowest priority is removed and returned, else nil.
+// add queues a request in order of priority. No more requests of a customer may wait than may be in flight:
+// if the queue exceeds this bound, add removes and returns the request of lowest priority.
 func (q *slotQueue) add(r *request) (displaced *request) {
 	c := r.customer
 	if len(c.slotWaiters) == 0 {
@@ -26,7 +26,7 @@
 	return displaced
 }
 
-// retry calls handle for each customer with waiting requests, and drops those that have none left.
+// retry calls handle for each customer with waiting requests, and removes the customers that have none left.
 func (q *slotQueue) retry(handle func(*customer)) {
 	customers := q.customers
 	q.customers = nil
@@ -38,8 +38,9 @@
 	}
 }
 
-// adjustInFlight adds to the count of the customer's attempts in flight. With a concurrency limit the
-// change is reported to the owner, urgently where others may wait for the slot that has become free.
+// adjustInFlight adds change to the number of the customer's attempts in flight. With a concurrency limit, it
+// schedules a report to the owner. The report is urgent if a slot became free at the limit, because requests
+// at other gateways may wait for it.
 func (q *quotaController) adjustInFlight(r *request, change int) {
 	c := r.customer
 	if c == nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// worthQueueing tells whether a request that finds no concurrency slot should wait for one: its units are
-// left in the quota, and there is time until its latency objective.
+// worthQueueing reports whether a request that was not admitted should wait for a concurrency slot: the quota
+// has enough units left, and a reply is still possible within the latency objective.
 func (q *quotaController) worthQueueing(r *request) bool {
 	c := r.customer
 	if c == nil || r.plan.MaxConcurrent == 0 {
@@ -67,8 +68,8 @@
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
-// queueForSlot has a request wait for a concurrency slot. A member asks the owner again after half the time
-// in which a slot can be expected to become free.
+// queueForSlot queues a request for a concurrency slot. A member asks the owner again after half the expected
+// time until a slot becomes free.
 func (q *quotaController) queueForSlot(r *request) {
 	c := r.customer
 	if !q.isOwner(c) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// retrySlotWaiters retries all requests that wait for a concurrency slot.
+// retrySlotWaiters decides again on all requests that wait for a concurrency slot.
 func (q *quotaController) retrySlotWaiters() {
 	q.slots.retry(func(c *customer) {
 		q.rejectLateWaiters(c)
@@ -88,7 +89,8 @@
 	})
 }
 
-// rejectLateWaiters rejects what can't wait any more.
+// rejectLateWaiters removes the waiting requests that are done, and rejects those that can no longer be
+// served in time or within the quota.
 func (q *quotaController) rejectLateWaiters(c *customer) {
 	c.slotWaiters = slices.DeleteFunc(c.slotWaiters, func(r *request) bool {
 		if r.done {
@@ -102,8 +104,8 @@
 	})
 }
 
-// admitWaiters decides on the waiting requests by their priority, until there is no slot or the owner must be
-// asked.
+// admitWaiters admits the waiting requests in order of priority until there is no free slot or the owner must
+// be asked.
 func (q *quotaController) admitWaiters(c *customer) {
 	for len(c.slotWaiters) > 0 && q.clock.now >= c.slotRetryAt && len(c.awaitingOwner) == 0 {
 		r := c.slotWaiters[0]
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -1,18 +1,18 @@
 package policy
 
-// tokenBucket fills evenly with time, up to a burst. Rate and burst are given at each call, as they differ
-// with the part of a quota that the holder of the bucket may use at that time. Tokens may be taken below 0.
+// tokenBucket refills at a constant rate up to a burst. Rate and burst are parameters of each call because
+// the fraction of a quota that a bucket stands for may change. The number of tokens may be negative.
 type tokenBucket struct {
 	tokens    float64 // at updatedAt
 	updatedAt Seconds
 }
 
-// level returns the tokens that the bucket holds at now, and leaves it as it is.
+// level returns the number of tokens at now, without changing the bucket.
 func (b tokenBucket) level(rate, burst float64, now Seconds) float64 {
 	return min(burst, b.tokens+rate*(now-b.updatedAt))
 }
 
-// refill brings the bucket up to now.
+// refill adds the tokens accrued since updatedAt.
 func (b *tokenBucket) refill(rate, burst float64, now Seconds) {
 	b.tokens, b.updatedAt = b.level(rate, burst, now), now
 }
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -3,59 +3,60 @@
 import "slices"
 
 const (
-	// minReportInterval is the least time between two batches of reports to one owner.
+	// minReportInterval is the minimum time between two batches to one owner. Urgent batches ignore it.
 	minReportInterval Seconds = 0.1
-	// reportFraction is the part of Settings.PeerMessageRate that a gateway's own reports may take. All
-	// gateways receive about as much as all send; the rest is left to replies.
+	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. In
+	// the whole fleet, as many messages are received as are sent, so the rest is left for replies.
 	reportFraction = 0.45
-	// minUrgentTokens and minBatchTokens are how many messages the budget must hold before an urgent batch
-	// is sent, or any other. Either takes one.
+	// minUrgentTokens and minBatchTokens are the numbers of messages that the budget must hold before an
+	// urgent or another batch is sent. Each batch uses one message.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
-	// grantTimeout is how long a request waits for a grant before the report is repeated.
+	// grantTimeout is the time without a reply after which a report that requests wait for is repeated.
 	grantTimeout Seconds = 0.08
-	// reportTimeout is the same for reports that no request waits for.
+	// reportTimeout is the time without a reply after which any other report is repeated.
 	reportTimeout Seconds = 0.3
-	// maxReportTransmissions is the number of reports without a reply after which the local window decides.
+	// maxReportTransmissions is the number of consecutive reports without a reply after which the local window
+	// decides.
 	maxReportTransmissions = 4
 )
 
-// reportState is where a customer stands in the exchange of reports with its owner.
+// reportState is the state of a customer's reports to its owner.
 type reportState struct {
-	scheduled bool // is in the batch of gateway
-	gateway   int  // that the last report goes or went to
-	// watched tells that the customer is in usageReporter.watched.
+	scheduled bool // the customer is in the batch for gateway
+	gateway   int  // destination of the scheduled or last report
+	// watched is set while the customer is in usageReporter.watched.
 	watched            bool
 	awaitingReplySince Seconds // 0: no reply is expected
-	// askedCount is the number of awaiting requests whose units the last report asked for.
+	// askedCount is the number of waiting requests whose units the last report asked for.
 	askedCount int
-	// transmissions is the number of reports sent in a row without a reply.
+	// transmissions is the number of consecutive reports without a reply.
 	transmissions int
 }
 
-// reportBatch holds the customers that the next message to a gateway reports on.
+// reportBatch holds the customers to report on in the next message to a gateway.
 type reportBatch struct {
 	customers []*customer
-	pending   bool // is on the list of batches to send
-	// urgent tells that a request or a free concurrency slot waits for it.
+	pending   bool // the gateway is in usageReporter.pending
+	// urgent is set if a request waits for a grant, or for a slot that this gateway has freed.
 	urgent bool
 	sentAt Seconds
 }
 
-// usageReporter is the member's side of the exchange: it reports customers to their owners in batches, within
-// a budget of messages, and watches for the replies.
+// usageReporter reports the usage of customers to their owners. It sends reports in batches within a message
+// budget, and detects overdue replies.
 type usageReporter struct {
 	clock    *eventClock
 	self     int
 	protocol *peerProtocol
 	owners   ownerFinder
-	budget   tokenBucket // reports that may be sent
+	budget   tokenBucket // messages that may be sent
 	batches  []reportBatch
 	pending  []int       // gateways whose batches are not empty
-	watched  []*customer // customers whose reply is watched for
+	watched  []*customer // customers for which a reply is expected
 }
 
-// newUsageReporter returns a reporter with nothing to report.
+// newUsageReporter returns a reporter with no reports scheduled and a budget of minBatchTokens messages.
 func newUsageReporter(
 	s Settings, clock *eventClock, protocol *peerProtocol, owners ownerFinder,
 ) usageReporter {
@@ -66,8 +67,8 @@
 	}
 }
 
-// scheduleReport has the customer reported to its owner, at once if urgent. At the owner itself there is
-// nothing to report.
+// scheduleReport adds the customer to the next batch for its owner, and marks the batch as urgent if urgent
+// is set. If this gateway is the owner, it only acknowledges the customer's units.
 func (u *usageReporter) scheduleReport(c *customer, urgent bool) {
 	owner := u.owners.owner(c)
 	if owner == u.self {
@@ -80,8 +81,8 @@
 	u.batches[owner].urgent = u.batches[owner].urgent || urgent
 }
 
-// addToBatch adds the customer to the batch of a gateway. A stale entry in another gateway's batch is skipped
-// when that is sent.
+// addToBatch adds the customer to the batch for a gateway. If the customer is still in the batch for an
+// earlier owner, sendBatch skips that entry.
 func (u *usageReporter) addToBatch(c *customer, gateway int) {
 	c.report.scheduled, c.report.gateway = true, gateway
 	batch := &u.batches[gateway]
@@ -92,7 +93,7 @@
 	}
 }
 
-// askForGrant reports the customer at once, as the first of its requests waits for a grant.
+// askForGrant reports the customer immediately, because the first of its requests waits for a grant.
 func (u *usageReporter) askForGrant(c *customer) {
 	c.report.transmissions, c.report.awaitingReplySince = 0, u.clock.now
 	u.watchForReply(c)
@@ -100,7 +101,7 @@
 	u.sendDue()
 }
 
-// sendDue sends the batches that are due, as far as the budget holds.
+// sendDue sends the batches that are due, as far as the budget allows.
 func (u *usageReporter) sendDue() {
 	rate := u.protocol.messageRate * reportFraction
 	u.budget.refill(rate, max(minBatchTokens, rate*minReportInterval*2), u.clock.now)
@@ -115,7 +116,7 @@
 	})
 }
 
-// isDue tells whether a batch can be sent now.
+// isDue reports whether a batch may be sent now.
 func (u *usageReporter) isDue(batch *reportBatch) bool {
 	if batch.urgent && u.budget.tokens >= minUrgentTokens {
 		return true
@@ -123,7 +124,7 @@
 	return u.budget.tokens >= minBatchTokens && u.clock.now-batch.sentAt >= minReportInterval
 }
 
-// sendBatch sends one message with as many customers of a batch as it holds.
+// sendBatch sends one message with as many customers of the batch as fit into it.
 func (u *usageReporter) sendBatch(gateway int) {
 	batch, taken := &u.batches[gateway], 0
 	m := u.protocol.newMessage()
@@ -142,12 +143,13 @@
 	u.protocol.send(gateway, m)
 }
 
-// newRecord returns the report on a customer, with the units of the requests that wait for a grant.
+// newRecord returns a report on the customer that asks for the units of all requests that wait for a grant.
 func (u *usageReporter) newRecord(c *customer) usageRecord {
 	now := u.clock.now
-	remaining := c.remainingUnitsAsMember(now) // first, as it may change the customer's state
+	remaining := c.remainingUnitsAsMember(now) // first, because it may change the customer's state
 	record := usageRecord{
-		key: c.key, planIndex: c.plan.index, remainingKnown: c.quota.remainingKnown, ceilingPool: c.report.gateway == c.primaryOwner,
+		key: c.key, planIndex: c.plan.index,
+		remainingKnown: c.quota.remainingKnown, ceilingPool: c.report.gateway == c.primaryOwner,
 		total: c.totalUnits, remaining: remaining, demand: c.demand.rateAt(now), inFlight: c.inFlight,
 		unacknowledged: c.unacknowledgedUnits(),
 	}
@@ -161,7 +163,7 @@
 	return record
 }
 
-// recordSent notes that the report was sent, and starts to wait for its reply.
+// recordSent records that the customer's report was sent, and starts the wait for the reply.
 func (u *usageReporter) recordSent(c *customer) {
 	now := u.clock.now
 	c.usedAt = now
@@ -172,7 +174,7 @@
 	u.watchForReply(c)
 }
 
-// watchForReply adds the customer to those whose reply is watched for.
+// watchForReply adds the customer to those for which overdue replies are detected.
 func (u *usageReporter) watchForReply(c *customer) {
 	if !c.report.watched {
 		c.report.watched = true
@@ -180,8 +182,8 @@
 	}
 }
 
-// replyOverdue tells whether the customer's reply did not come in time. Time in which this gateway itself
-// stood still does not count.
+// replyOverdue reports whether the owner's reply is overdue. Time in which this gateway itself stood still
+// does not count.
 func (u *usageReporter) replyOverdue(c *customer) bool {
 	timeout := reportTimeout
 	if len(c.awaitingOwner) > 0 {
@@ -190,9 +192,10 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue notes a reply that did not come, and returns true after the last transmission.
+// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report is
+// not repeated any more.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
-	if !c.report.scheduled { // the report was sent
+	if !c.report.scheduled { // a report still in a batch was not sent
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
 	c.report.transmissions++
@@ -204,7 +207,7 @@
 	return true
 }
 
-// repeatReport reports the customer again, to its owner as the reachable gateways are now.
+// repeatReport schedules another report on the customer, to the gateway that is its owner now.
 func (u *usageReporter) repeatReport(c *customer) {
 	waiting := len(c.awaitingOwner) > 0
 	u.scheduleReport(c, waiting)
@@ -213,8 +216,8 @@
 	}
 }
 
-// forEachOverdue calls handle for the customers whose reply did not come in time, and drops those that no
-// reply is expected for any more.
+// forEachOverdue calls handle for each customer whose reply is overdue. It stops watching the customers for
+// which no reply is expected any more.
 func (u *usageReporter) forEachOverdue(handle func(*customer)) {
 	for _, c := range u.watched {
 		if u.replyOverdue(c) {
@@ -225,7 +228,8 @@
 	u.watched = slices.DeleteFunc(u.watched, func(c *customer) bool { return !c.report.watched })
 }
 
-// recordReply ends the wait for a reply that came, or starts it anew for requests that came after the report.
+// recordReply ends the wait for a reply that has arrived. If requests that arrived after the report wait for
+// a grant, it starts a new wait.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.transmissions = 0, 0
