--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -14,7 +14,7 @@
 	errEndsWithinBatch = errors.New("input ended within a batch")
 	errOutsideBatch    = errors.New("outside a batch")
 	errUnknownMessage  = errors.New("unknown message")
-	errListEndsEarly   = errors.New("the list ends early")
+	errTruncatedList   = errors.New("the list ends early")
 )
 
 // adapter is what one process holds: its gateways by their instance, and the numbered endpoint lists.
@@ -41,14 +41,14 @@
 		if err != nil {
 			return err
 		}
-		if err := a.batch(); err != nil {
+		if err := a.handleBatch(); err != nil {
 			return err
 		}
 	}
 }
 
-// batch handles the lines from CLOCK, which has been read, to YOUR_TURN.
-func (a *adapter) batch() error {
+// handleBatch handles the lines from CLOCK, which has been read, to YOUR_TURN.
+func (a *adapter) handleBatch() error {
 	if a.line.Name != "CLOCK" {
 		return fmt.Errorf("%s: %w", a.line.Name, errOutsideBatch)
 	}
@@ -94,8 +94,8 @@
 		return err
 	}
 	defer func() {
-		if cause := recover(); cause != nil {
-			a.out.Begin("FAULT", instance).Text("msg", fmt.Sprint(cause)).End()
+		if panicked := recover(); panicked != nil {
+			a.out.Begin("FAULT", instance).Text("msg", fmt.Sprint(panicked)).End()
 		}
 	}()
 	deliver, err := decode(a, instance)
@@ -134,7 +134,7 @@
 func (a *adapter) readEntry() (policy.Endpoint, error) {
 	err := a.in.Next(&a.line)
 	if errors.Is(err, io.EOF) {
-		return policy.Endpoint{}, fmt.Errorf("ITEM: %w", errListEndsEarly)
+		return policy.Endpoint{}, fmt.Errorf("ITEM: %w", errTruncatedList)
 	}
 	if err != nil {
 		return policy.Endpoint{}, err
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -15,22 +15,22 @@
 
 // decoders are those of all events, by the name of the message.
 var decoders = map[string]decoder{
-	"ENLIST":       startGateway,
-	"DOWN":         stopGateway,
+	"ENLIST":       decodeGatewayStart,
+	"DOWN":         decodeGatewayStop,
 	"PEERS_KNOWN":  decodeEndpoints,
 	"REQUEST":      decodeRequest,
 	"FLOWING":      decodeStreamStarted,
 	"VERDICT":      decodeOutcome,
-	"HANGUP":       decodeClientGone,
+	"HANGUP":       decodeClientDisconnected,
 	"ALARM":        decodeTimer,
 	"CHECK_RESULT": decodeHealthCheck,
 	"DATAGRAM":     decodePeerMessage,
-	"TALLY_BACK":   ignore,
+	"TALLY_BACK":   ignoreEvent,
 }
 
-func ignore(*adapter, int) (delivery, error) { return nil, nil }
+func ignoreEvent(*adapter, int) (delivery, error) { return nil, nil }
 
-func startGateway(a *adapter, instance int) (delivery, error) {
+func decodeGatewayStart(a *adapter, instance int) (delivery, error) {
 	seed, err := a.line.Uint("entropy")
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	return nil, nil
 }
 
-func stopGateway(a *adapter, instance int) (delivery, error) {
+func decodeGatewayStop(a *adapter, instance int) (delivery, error) {
 	delete(a.gateways, instance)
 	return nil, nil
 }
@@ -113,7 +113,7 @@
 	return func(g *policy.Gateway) { g.HandleOutcome(a.now, outcome) }, fields.err
 }
 
-func decodeClientGone(a *adapter, _ int) (delivery, error) {
+func decodeClientDisconnected(a *adapter, _ int) (delivery, error) {
 	id, err := a.line.Text("id")
 	return func(g *policy.Gateway) { g.HandleClientGone(a.now, id) }, err
 }
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -79,8 +79,8 @@
 // loadReport returns nil where none came.
 func (r *fieldReader) loadReport() *policy.LoadReport {
 	report := settings.EmptyLoadReport
-	came, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
-	if !keepError(r, came, err) {
+	found, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
+	if !keepError(r, found, err) {
 		return nil
 	}
 	return &report
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,8 +13,8 @@
 	`"profiles":[{"name":"read","aimS":1,"deadlineS":2,"effect":"retryable","worth":1,"unknown":[1]}],` +
 	`"packages":[{"name":"basic","unitsPerS":2,"peakUnits":8,"pays":1,"excessCost":1}],"later":{"x":1}}`
 
-// start is a batch that starts instance i and gives it a list.
-func start(i int) string {
+// startBatch is a batch that starts instance i and gives it a list.
+func startBatch(i int) string {
 	return fmt.Sprintf("CLOCK\ttimeS=10\nENLIST\ti=%d\tentropy=7\tsettings="+settingsText+"\n", i, i) +
 		"REGISTER\trosterId=0\tlines=1\nITEM\tbackend=10.0.0.1:80\thall=a\tflavor=k\tunitGroup=0\tstatus=U\tshare=1\n" +
 		fmt.Sprintf("PEERS_KNOWN\ti=%d\trosterId=0\tkind=Persisted\trevision=1\nYOUR_TURN\n", i)
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("REQUEST\ti=%d\tid=%s\tbase=0\ttier=basic\tdropDeadS=12\tnEntries=2\tcostUnits=1\tkind=read\tholder=key:x\tnew=1\n", i, id)
 }
 
-func play(t *testing.T, in string) (string, error) {
+func runAdapter(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(strings.NewReader(in), &out)
@@ -32,7 +32,7 @@
 }
 
 func TestEachBatchGetsAReply(t *testing.T) {
-	out, err := play(t, "CLOCK\ttimeS=9\nYOUR_TURN\n"+start(0)+"CLOCK\ttimeS=10.1\n"+requestLine(0, "a")+"YOUR_TURN\n"+
+	out, err := runAdapter(t, "CLOCK\ttimeS=9\nYOUR_TURN\n"+startBatch(0)+"CLOCK\ttimeS=10.1\n"+requestLine(0, "a")+"YOUR_TURN\n"+
 		"CLOCK\ttimeS=10.2\nVERDICT\ti=0\tid=a\tbackend=10.0.0.1:80\tterminal=1\tspentS=0.1\tcode=200\thop=0\tload=cpu_share:0.5,new:3\n"+
 		"VERDICT\ti=0\tid=gone\tbackend=10.0.0.1:80\tcode=504\thop=0\nHANGUP\ti=0\tid=a\nALARM\ti=0\tmark=9\n"+
 		"DATAGRAM\ti=0\tsender=1\tdata=0102\nDATAGRAM\ti=0\tsender=1\tdata=-\nALARM\ti=5\tmark=1\nYOUR_TURN\n"+
@@ -65,40 +65,40 @@
 		"input ended within a batch":                "",
 		"ITEM: the list ends early":                 "REGISTER\trosterId=0\tlines=1\n",
 	} {
-		_, err := play(t, "CLOCK\ttimeS=1\n"+in)
+		_, err := runAdapter(t, "CLOCK\ttimeS=1\n"+in)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
-	if _, err := play(t, requestLine(0, "a")); err == nil {
+	if _, err := runAdapter(t, requestLine(0, "a")); err == nil {
 		t.Error("an event outside a batch was taken")
 	}
-	if _, err := play(t, ""); err != nil {
+	if _, err := runAdapter(t, ""); err != nil {
 		t.Errorf("the end of the input is no error: %v", err)
 	}
 }
 
 // The same events give the same actions, however instances are spread over processes.
 func TestInstancesShareNothing(t *testing.T) {
-	var day, first strings.Builder
-	day.WriteString(start(0))
-	first.WriteString(start(0))
-	day.WriteString(start(1))
+	var bothInput, aloneInput strings.Builder
+	bothInput.WriteString(startBatch(0))
+	aloneInput.WriteString(startBatch(0))
+	bothInput.WriteString(startBatch(1))
 	for b := range 50 {
 		clock := fmt.Sprintf("CLOCK\ttimeS=%g\n", 10.1+float64(b)*0.02)
-		mine := requestLine(0, fmt.Sprint("m", b)) + "ALARM\ti=0\tmark=1\n"
-		day.WriteString(clock + requestLine(1, fmt.Sprint("o", b)) + mine + "ALARM\ti=1\tmark=1\nYOUR_TURN\n")
-		first.WriteString(clock + mine + "YOUR_TURN\n")
+		instance0Events := requestLine(0, fmt.Sprint("m", b)) + "ALARM\ti=0\tmark=1\n"
+		bothInput.WriteString(clock + requestLine(1, fmt.Sprint("o", b)) + instance0Events + "ALARM\ti=1\tmark=1\nYOUR_TURN\n")
+		aloneInput.WriteString(clock + instance0Events + "YOUR_TURN\n")
 	}
-	both, err := play(t, day.String())
+	both, err := runAdapter(t, bothInput.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	alone, err := play(t, first.String())
+	alone, err := runAdapter(t, aloneInput.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	pick := func(s string) (kept []string) {
+	actionsOfInstance0 := func(s string) (kept []string) {
 		for line := range strings.Lines(s) {
 			if strings.Contains(line, "\ti=0\t") {
 				kept = append(kept, line)
@@ -106,7 +106,7 @@
 		}
 		return kept
 	}
-	a, b := pick(both), pick(alone)
+	a, b := actionsOfInstance0(both), actionsOfInstance0(alone)
 	if len(a) < 50 || strings.Join(a, "") != strings.Join(b, "") {
 		t.Fatalf("instance 0 acts otherwise beside another: %d and %d actions", len(a), len(b))
 	}
@@ -117,7 +117,7 @@
 		return func(*policy.Gateway) { panic("broken\tmodule") }, nil
 	}
 	defer delete(decoders, "BOOM")
-	out, err := play(t, start(0)+"CLOCK\ttimeS=11\nBOOM\ti=0\nYOUR_TURN\n")
+	out, err := runAdapter(t, startBatch(0)+"CLOCK\ttimeS=11\nBOOM\ti=0\nYOUR_TURN\n")
 	if err != nil || !strings.Contains(out, "FAULT\ti=0\tmsg=broken module\nNEXT\n") {
 		t.Fatalf("want a FAULT with the text, got %v\n%s", err, out)
 	}
