--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -23,10 +23,10 @@
 
 // Errors of the list.
 var (
-	errMalformedLine = errors.New("want a test's name, the cause and the issue, with bars between them")
-	errUnknownTest   = errors.New("there is no test")
-	errListedTwice   = errors.New("is listed twice")
-	errTooMany       = errors.New("too many tests are listed")
+	errMalformedEntry = errors.New("want a test's name, the cause and the issue, with bars between them")
+	errUnknownTest    = errors.New("there is no test")
+	errDuplicateTest  = errors.New("is listed twice")
+	errTooMany        = errors.New("too many tests are listed")
 )
 
 func main() {
@@ -91,14 +91,14 @@
 		number := i + 1
 		match := entryFormat.FindStringSubmatch(line)
 		if match == nil {
-			return nil, fmt.Errorf("line %d: %w", number, errMalformedLine)
+			return nil, fmt.Errorf("line %d: %w", number, errMalformedEntry)
 		}
 		entry := knownRed{test: match[1], cause: match[2], issue: match[3]}
 		if !slices.Contains(tests, entry.test) {
 			return nil, fmt.Errorf("line %d: %w %s", number, errUnknownTest, entry.test)
 		}
 		if slices.ContainsFunc(entries, func(e knownRed) bool { return e.test == entry.test }) {
-			return nil, fmt.Errorf("line %d: %s %w", number, entry.test, errListedTwice)
+			return nil, fmt.Errorf("line %d: %s %w", number, entry.test, errDuplicateTest)
 		}
 		entries = append(entries, entry)
 	}
