--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// maxLine is the longest line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // attempt is one whose command was wholly written.
 type attempt struct {
@@ -45,16 +45,16 @@
 
 // audit holds the counts over all logs.
 type audit struct {
-	attempts       int
-	retries        int // attempts that are not the first of their request
-	keyedRetries   int // of them those that an idempotency key covers
-	forGoneClients int // attempts whose client had disconnected
-	longestForGone float64
-	leastWindow    float64 // the least time that was left of an idempotency window at a retry
-	violations     []string
+	attempts                int
+	retries                 int // attempts that are not the first of their request
+	keyedRetries            int // of them those that an idempotency key covers
+	attemptsAfterDisconnect int // attempts whose client had disconnected
+	maxAgeAfterDisconnect   float64
+	minWindowLeft           float64 // the least time that was left of an idempotency window at a retry
+	violations              []string
 }
 
-func newAudit() *audit { return &audit{leastWindow: math.Inf(1)} }
+func newAudit() *audit { return &audit{minWindowLeft: math.Inf(1)} }
 
 // readFile replays the log of one gateway.
 func (a *audit) readFile(path string) error {
@@ -70,10 +70,10 @@
 func (a *audit) read(name string, log io.Reader) error {
 	histories := map[string]*requestHistory{}
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		e := parseEvent(lines.Text())
-		if e.kind == otherLine {
+		if e.kind == otherEvent {
 			continue
 		}
 		history := histories[e.requestID]
@@ -92,7 +92,7 @@
 	case attemptSent:
 		a.checkAttempt(name, &attempt{event: e}, history)
 	case attemptEnded:
-		history.end(e)
+		history.recordEnd(e)
 	case requestCompleted:
 		history.completed = true
 		if e.rejection {
@@ -100,12 +100,12 @@
 		}
 	case clientDisconnected:
 		history.completed = true
-	case otherLine:
+	case otherEvent:
 	}
 }
 
-// end notes how an attempt ended.
-func (h *requestHistory) end(e event) {
+// recordEnd notes how an attempt ended.
+func (h *requestHistory) recordEnd(e event) {
 	for _, sent := range h.attempts {
 		if sent.attempt == e.attempt && !sent.ended {
 			sent.ended, sent.result, sent.endedAt = true, e.status, e.at
@@ -116,12 +116,12 @@
 // checkAttempt counts an attempt and checks it against all before it.
 func (a *audit) checkAttempt(name string, next *attempt, history *requestHistory) {
 	a.attempts++
-	if next.clientHadGone {
-		a.forGoneClients++
-		a.longestForGone = max(a.longestForGone, next.writeStarted-next.arrived)
+	if next.clientClosed {
+		a.attemptsAfterDisconnect++
+		a.maxAgeAfterDisconnect = max(a.maxAgeAfterDisconnect, next.writeStarted-next.arrived)
 	}
 	if history.completed {
-		a.violate(name, next.requestID, "attempt %d was sent after the final reply", next.attempt)
+		a.addViolation(name, next.requestID, "attempt %d was sent after the final reply", next.attempt)
 	}
 	if len(history.attempts) > 0 {
 		a.retries++
@@ -133,9 +133,9 @@
 		return
 	}
 	first := history.attempts[i]
-	if why := a.checkRepeat(first, next); why != "" {
-		a.violate(name, next.requestID, "attempt %d at %.3f to %s after attempt %d at %.3f to %s: %s",
-			next.attempt, next.at, next.endpoint, first.attempt, first.at, first.endpoint, why)
+	if problem := a.checkRepeat(first, next); problem != "" {
+		a.addViolation(name, next.requestID, "attempt %d at %.3f to %s after attempt %d at %.3f to %s: %s",
+			next.attempt, next.at, next.endpoint, first.attempt, first.at, first.endpoint, problem)
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	left := first.at + first.window - next.at
 	a.keyedRetries++
-	a.leastWindow = min(a.leastWindow, left)
+	a.minWindowLeft = min(a.minWindowLeft, left)
 	if left < 0 {
 		return fmt.Sprintf("%.3f s after the idempotency window", -left)
 	}
@@ -159,32 +159,32 @@
 // checkRejection checks a rejection, which promises that nothing has executed or that a repeat does no harm.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
-		harmless := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
-		if harmless || sent.knownNotExecuted(e.at) {
+		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
+		if safeToRepeat || sent.knownNotExecuted(e.at) {
 			continue
 		}
-		a.violate(name, e.requestID, "rejected at %.3f, though attempt %d may have executed", e.at, sent.attempt)
+		a.addViolation(name, e.requestID, "rejected at %.3f, though attempt %d may have executed", e.at, sent.attempt)
 		return
 	}
 }
 
-func (a *audit) violate(name, requestID, format string, args ...any) {
+func (a *audit) addViolation(name, requestID, format string, args ...any) {
 	a.violations = append(a.violations, name+" "+requestID+": "+fmt.Sprintf(format, args...))
 }
 
 // report is the counts, and then the violations, a line each.
 func (a *audit) report() string {
 	var out strings.Builder
-	say := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
-	say("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
+	writeLine := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
+	writeLine("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
 	if a.keyedRetries > 0 {
-		say("least time left of an idempotency window: %.3f s", a.leastWindow)
+		writeLine("least time left of an idempotency window: %.3f s", a.minWindowLeft)
 	}
-	say("attempts for disconnected clients: %d, %.3f s after the request had arrived at most",
-		a.forGoneClients, a.longestForGone)
-	say("violations: %d", len(a.violations))
+	writeLine("attempts for disconnected clients: %d, %.3f s after the request had arrived at most",
+		a.attemptsAfterDisconnect, a.maxAgeAfterDisconnect)
+	writeLine("violations: %d", len(a.violations))
 	for _, violation := range a.violations {
-		say("%s", violation)
+		writeLine("%s", violation)
 	}
 	return out.String()
 }
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -9,7 +9,7 @@
 type eventKind int
 
 const (
-	otherLine eventKind = iota
+	otherEvent eventKind = iota
 	attemptSent
 	attemptEnded
 	requestCompleted
@@ -27,15 +27,15 @@
 	status  string // of attemptEnded, by the names of the present version
 
 	// Of attemptSent.
-	idempotency   idempotency
-	dedupScope    string  // "all", "zone" or "cell"
-	window        float64 // in which repeats of a key are dropped
-	endpoint      string
-	zone, cell    string
-	arrived       float64 // when the request's last byte had come
-	writeStarted  float64
-	clientHadGone bool
-	rejection     bool // of requestCompleted: the reply promises that nothing was executed
+	idempotency  idempotency
+	dedupScope   string  // "all", "zone" or "cell"
+	window       float64 // in which repeats of a key are dropped
+	endpoint     string
+	zone, cell   string
+	arrived      float64 // when the request's last byte had come
+	writeStarted float64
+	clientClosed bool
+	rejection    bool // of requestCompleted: the reply promises that nothing was executed
 }
 
 // idempotency is that of a request's class.
@@ -50,11 +50,11 @@
 // rejectedStatus is the status of an attempt that the endpoint rejected unseen.
 const rejectedStatus = "rejected"
 
-// busyReply is the kind of the reply that rejects a request.
-const busyReply = "BUS"
+// rejectionReply is the kind of the reply that rejects a request.
+const rejectionReply = "BUS"
 
-// messages are the messages of the trace: the present ones and, behind them, those of the version before.
-var messages = map[string]eventKind{
+// kindByMessage are the kindByMessage of the trace: the present ones and, behind them, those of the version before.
+var kindByMessage = map[string]eventKind{
 	"attempt sent": attemptSent, "attempt ended": attemptEnded,
 	"request completed": requestCompleted, "client disconnected": clientDisconnected,
 
@@ -62,8 +62,8 @@
 	"answered": requestCompleted, "gone": clientDisconnected,
 }
 
-// earlierValues are values of the version before, by those of the present one.
-var earlierValues = map[string]string{
+// presentValues are values of the version before, by those of the present one.
+var presentValues = map[string]string{
 	"safe": string(idempotent), "keyed": string(idempotencyKey), "unsafe": string(nonIdempotent),
 	"full": rejectedStatus,
 }
@@ -71,9 +71,9 @@
 // parseEvent reads a line of the log. Lines that are not of the trace give otherLine.
 func parseEvent(line string) event {
 	values := parseLine(line)
-	kind := messages[values["msg"]]
+	kind := kindByMessage[values["msg"]]
 	if values["level"] != "DEBUG" || values["id"] == "" {
-		kind = otherLine
+		kind = otherEvent
 	}
 	return event{
 		kind: kind, requestID: values["id"], at: values.number("at"),
@@ -83,10 +83,10 @@
 		window:      values.number("idempotency_window", "ttl"),
 		endpoint:    values.text("endpoint", "backend"),
 		zone:        values.text("zone"), cell: values.text("cell"),
-		arrived:       values.number("arrived", "read"),
-		writeStarted:  values.number("write_started", "from"),
-		clientHadGone: values.text("client_closed", "left") == "true",
-		rejection:     values.text("reply", "word") == busyReply,
+		arrived:      values.number("arrived", "read"),
+		writeStarted: values.number("write_started", "from"),
+		clientClosed: values.text("client_closed", "left") == "true",
+		rejection:    values.text("reply", "word") == rejectionReply,
 	}
 }
 
@@ -97,7 +97,7 @@
 func (v logValues) text(keys ...string) string {
 	for _, key := range keys {
 		if value, ok := v[key]; ok {
-			if present, earlier := earlierValues[value]; earlier {
+			if present, isEarlier := presentValues[value]; isEarlier {
 				return present
 			}
 			return value
