--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against violations that the audit misses, and against false ones, in the lines of both versions.
-func TestAttemptsThatMustNotExecuteAgain(t *testing.T) {
+func TestAuditReportsViolations(t *testing.T) {
 	for version, f := range formats {
 		for name, tc := range map[string]struct{ log, want string }{
 			"one attempt":                  {f.sentLine(), ""},
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// largestExcess returns by how much the timeout of an attempt was longer than what its client had left, at most.
-func (e *hangingEndpoint) largestExcess(sent time.Time, deadline time.Duration) (excess time.Duration, attempts int) {
+// maxTimeoutExcess returns by how much the timeout of an attempt was longer than what its client had left, at most.
+func (e *hangingEndpoint) maxTimeoutExcess(sent time.Time, deadline time.Duration) (excess time.Duration, attempts int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, a := range e.attempts {
@@ -72,9 +72,9 @@
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
-// TestTimeCountsFromTheArrivalBehindOpenCommands guards against attempts with more time than is left: the deadline of
+// TestDeadlineCountsFromArrivalBehindOpenRequests guards against attempts with more time than is left: the deadline of
 // a command that lies in the socket behind open ones comes closer meanwhile.
-func TestTimeCountsFromTheArrivalBehindOpenCommands(t *testing.T) {
+func TestDeadlineCountsFromArrivalBehindOpenRequests(t *testing.T) {
 	t.Parallel()
 	for _, commands := range []int{60, 400} {
 		t.Run(fmt.Sprint(commands, " commands"), func(t *testing.T) {
@@ -97,7 +97,7 @@
 			if took := time.Since(sent); took > deadline+replySlack {
 				t.Errorf("the last reply came after %v", took)
 			}
-			excess, attempts := endpoint.largestExcess(sent, deadline)
+			excess, attempts := endpoint.maxTimeoutExcess(sent, deadline)
 			if attempts == 0 || excess > timeoutSlack {
 				t.Errorf("%d attempts had %v more than the client had left", attempts, excess)
 			}
@@ -105,24 +105,24 @@
 	}
 }
 
-// standstill is how long the tests suspend the whole process.
-const standstill = 600 * time.Millisecond
+// suspension is how long the tests suspend the whole process.
+const suspension = 600 * time.Millisecond
 
-// TestTimeCountsFromTheArrivalAfterAStandstill guards against the same where the whole process was suspended with a
+// TestDeadlineCountsFromArrivalAfterSuspension guards against the same where the whole process was suspended with a
 // request in its socket, alone, behind another one, or in pieces.
-func TestTimeCountsFromTheArrivalAfterAStandstill(t *testing.T) {
+func TestDeadlineCountsFromArrivalAfterSuspension(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
-		for _, before := range []int{0, 1} {
-			t.Run(fmt.Sprintf("%v behind %d", deadline, before), func(t *testing.T) {
-				checkArrivalAfterStandstill(t, deadline, before)
+		for _, requestsAhead := range []int{0, 1} {
+			t.Run(fmt.Sprintf("%v behind %d", deadline, requestsAhead), func(t *testing.T) {
+				checkArrivalAfterSuspension(t, deadline, requestsAhead)
 			})
 		}
 	}
 }
 
-// checkArrivalAfterStandstill suspends the process, sends a request behind a number of others, and resumes it.
-func checkArrivalAfterStandstill(t *testing.T, deadline time.Duration, before int) {
+// checkArrivalAfterSuspension suspends the process, sends a request behind a number of others, and resumes it.
+func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
 	p := startProgram(t, programConfig{endpoints: []string{endpoint.addr}, classes: arrivalClass})
@@ -134,16 +134,16 @@
 	}
 	p.suspend()
 	sent := time.Now()
-	for i := range before + 1 {
+	for i := range requestsAhead + 1 {
 		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
 	}
-	if before > 0 { // and a command that comes late, so that the last arrival says little of the others
-		time.Sleep(standstill - 50*time.Millisecond)
+	if requestsAhead > 0 { // and a command that comes late, so that the last arrival says little of the others
+		time.Sleep(suspension - 50*time.Millisecond)
 		writeText(conn, pingCommand)
 	}
-	time.Sleep(time.Until(sent.Add(standstill)))
+	time.Sleep(time.Until(sent.Add(suspension)))
 	p.signal(syscall.SIGCONT)
-	for i := range before + 1 {
+	for i := range requestsAhead + 1 {
 		if line, _, err := readReply(r); err != nil {
 			t.Fatalf("reply %d: %q, %v", i, line, err)
 		}
@@ -151,8 +151,8 @@
 	if took := time.Since(sent); took > deadline+replySlack {
 		t.Errorf("replied after %v", took)
 	}
-	excess, attempts := endpoint.largestExcess(sent, deadline)
-	if excess > timeoutSlack || deadline < standstill && attempts > 0 {
+	excess, attempts := endpoint.maxTimeoutExcess(sent, deadline)
+	if excess > timeoutSlack || deadline < suspension && attempts > 0 {
 		t.Errorf("%d attempts, with %v more than the client had left", attempts, excess)
 	}
 }
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// asProgram is the environment variable that has the test binary run as a gateway; its value limits the descriptors.
-const asProgram = "REEDLEAD_TEST_DESCRIPTORS"
+// descriptorLimitEnv is the environment variable that has the test binary run as a gateway; its value limits the descriptors.
+const descriptorLimitEnv = "REEDLEAD_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if text := os.Getenv(asProgram); text != "" {
+	if text := os.Getenv(descriptorLimitEnv); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err == nil {
 			err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
@@ -36,44 +36,44 @@
 	os.Exit(m.Run())
 }
 
-// output keeps what a program logs.
-type output struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// logBuffer keeps what a program logs.
+type logBuffer struct {
+	mu      sync.Mutex
+	content bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *logBuffer) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.b.Write(p)
+	return o.content.Write(p)
 }
 
-func (o *output) has(text string) bool {
+func (o *logBuffer) has(text string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return strings.Contains(o.b.String(), text)
+	return strings.Contains(o.content.String(), text)
 }
 
 // count is how often a text was logged.
-func (o *output) count(text string) int {
+func (o *logBuffer) count(text string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return bytes.Count(o.b.Bytes(), []byte(text))
+	return bytes.Count(o.content.Bytes(), []byte(text))
 }
 
 // tail is the end of what was logged.
-func (o *output) tail() string {
-	const most = 4000
+func (o *logBuffer) tail() string {
+	const maxTailBytes = 4000
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.b.Bytes()
-	return string(b[max(0, len(b)-most):])
+	content := o.content.Bytes()
+	return string(content[max(0, len(content)-maxTailBytes):])
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not reached: " + what)
 		}
@@ -82,8 +82,8 @@
 
 // Few descriptors are less than what idle clients take, and as many as the configuration says or far fewer.
 const (
-	fewDescriptors  = 72
-	manyIdleClients = 150
+	descriptorLimit = 72
+	idleClientCount = 150
 	reconnectPause  = 5 * time.Millisecond
 )
 
@@ -91,8 +91,8 @@
 // discovery, endpoints, peers and its configuration when they are back: with as many descriptors as it is configured
 // for, and with far fewer. Meanwhile they come again as soon as they are closed.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	for _, configured := range []int{fewDescriptors, 1024} {
-		t.Run(fmt.Sprintf("%d of %d", fewDescriptors, configured), func(t *testing.T) {
+	for _, configured := range []int{descriptorLimit, 1024} {
+		t.Run(fmt.Sprintf("%d of %d", descriptorLimit, configured), func(t *testing.T) {
 			checkIdleClientsLeaveDescriptors(t, configured)
 		})
 	}
@@ -100,7 +100,7 @@
 
 func checkIdleClientsLeaveDescriptors(t *testing.T, configured int) {
 	t.Helper()
-	agents := newSilentAgents(t, serveEndpoint(t))
+	agents := newHangingAgents(t, serveEndpoint(t))
 	first, second := agents.start("first"), agents.start("second")
 	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -114,13 +114,13 @@
 		}
 	}
 	writeConfig(first)
-	p := launch(t, path, fewDescriptors)
-	idle := keepIdleClients(t, listen)
-	eventually(t, "clients fill what they may", func() bool { return len(idle) > fewDescriptors })
-	if configured > fewDescriptors {
+	p := launch(t, path, descriptorLimit)
+	idle := startIdleClients(t, listen)
+	eventually(t, "clients fill what they may", func() bool { return len(idle) > descriptorLimit })
+	if configured > descriptorLimit {
 		eventually(t, "no descriptor is left", func() bool { return p.log.has("no descriptor left") })
 	}
-	close(agents.up)
+	close(agents.released)
 	eventually(t, "the agent is polled", func() bool { return len(agents.polled) > 0 })
 	eventually(t, "a request is served", func() bool { return requestOnce(listen) == "$1\r\n" })
 	writeConfig(second)
@@ -142,23 +142,23 @@
 	}
 }
 
-// silentAgents are discovery agents that hang until up is closed, and list one endpoint then.
-type silentAgents struct {
+// hangingAgents are discovery agents that hang until up is closed, and list one endpoint then.
+type hangingAgents struct {
 	t        *testing.T
 	endpoint string
-	up       chan struct{}
+	released chan struct{}
 	polled   chan string // by the agent's name
 }
 
-func newSilentAgents(t *testing.T, endpoint string) *silentAgents {
-	return &silentAgents{t: t, endpoint: endpoint, up: make(chan struct{}), polled: make(chan string, 4096)}
+func newHangingAgents(t *testing.T, endpoint string) *hangingAgents {
+	return &hangingAgents{t: t, endpoint: endpoint, released: make(chan struct{}), polled: make(chan string, 4096)}
 }
 
 // start starts an agent and returns its address.
-func (a *silentAgents) start(name string) (addr string) {
+func (a *hangingAgents) start(name string) (addr string) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-a.up:
+		case <-a.released:
 		case <-r.Context().Done():
 			return
 		}
@@ -175,16 +175,16 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// keepIdleClients has many clients connect, get one reply, and idle until they are closed; then they connect again. A
+// startIdleClients has many clients connect, get one reply, and idle until they are closed; then they connect again. A
 // word comes on the channel for each reply.
-func keepIdleClients(t *testing.T, addr string) <-chan struct{} {
+func startIdleClients(t *testing.T, addr string) <-chan struct{} {
 	idle := make(chan struct{}, 4096)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	for range manyIdleClients {
+	for range idleClientCount {
 		go func() {
 			for {
-				idleOnce(addr, idle, stop)
+				connectAndIdle(addr, idle, stop)
 				select {
 				case <-stop:
 					return
@@ -196,8 +196,8 @@
 	return idle
 }
 
-// idleOnce connects once, and idles until the connection is closed or stop is.
-func idleOnce(addr string, idle chan<- struct{}, stop <-chan struct{}) {
+// connectAndIdle connects once, and idles until the connection is closed or stop is.
+func connectAndIdle(addr string, idle chan<- struct{}, stop <-chan struct{}) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
@@ -232,7 +232,7 @@
 		return ""
 	}
 	defer closeQuietly(conn)
-	limitTime(conn, patience/4)
+	setTimeout(conn, testTimeout/4)
 	requestCount++
 	writeText(conn, requestCommand(fmt.Sprintf("q%07d", requestCount), 20_000))
 	line, _ := bufio.NewReader(conn).ReadString('\n')
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -201,7 +201,7 @@
 		return
 	}
 	defer closeQuietly(conn)
-	limitTime(conn, patience)
+	setTimeout(conn, testTimeout)
 	r := bufio.NewReader(conn)
 	sent, read := 0, 0
 	for range 1 + c.rng.IntN(4) {
--- a/cmd/reedlead/log_test.go
+++ b/cmd/reedlead/log_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestLogWithoutReaderEndsNoProcess guards against a process that is ended by SIGPIPE as the reader of its log
+// TestClosedLogPipeDoesNotEndProcess guards against a process that is ended by SIGPIPE as the reader of its log
 // goes away.
-func TestLogWithoutReaderEndsNoProcess(t *testing.T) {
+func TestClosedLogPipeDoesNotEndProcess(t *testing.T) {
 	t.Parallel()
 	read, write, err := os.Pipe()
 	if err != nil {
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -21,7 +21,7 @@
 
 // Guards against a start that hangs or panics on a configuration that can't be used: the error must be
 // one plain line.
-func TestBadConfigurationIsOneLine(t *testing.T) {
+func TestInvalidConfigurationGivesOneLineError(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "EDGE_CONFIG names no configuration file",
 		"{":                            "unexpected end of JSON input",
@@ -57,35 +57,35 @@
 			t.Fatal(err)
 		}
 	}
-	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan config.Config, 2)
+	signals, done, reloads := make(chan os.Signal), make(chan struct{}), make(chan config.Config, 2)
 	defer close(done)
 	logged, w := io.Pipe()
-	go reloadOnSignal(hup, done, path, config.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
+	go reloadOnSignal(signals, done, path, config.Config{}, reloads, slog.New(slog.NewTextHandler(w, nil)))
 	lines := bufio.NewReader(logged)
 	write(`{"listen":`)
-	hup <- syscall.SIGHUP
+	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "level=ERROR") || !strings.Contains(got, "unexpected end") {
 		t.Errorf("logged %q", got)
 	}
 	write(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"balancers":1,` +
 		`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`)
-	hup <- syscall.SIGHUP
+	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "only the address of discovery") {
 		t.Errorf("logged %q", got)
 	}
-	if cfg := <-to; cfg.DiscoveryAddress != "127.0.0.1:2" || len(to) > 0 {
-		t.Errorf("applied %+v and %d more", cfg, len(to))
+	if cfg := <-reloads; cfg.DiscoveryAddress != "127.0.0.1:2" || len(reloads) > 0 {
+		t.Errorf("applied %+v and %d more", cfg, len(reloads))
 	}
 }
 
-const patience = 20 * time.Second // when a test gives up on what must come
+const testTimeout = 20 * time.Second // when a test gives up on what must come
 
 // Guards against a reload that ends the process: two SIGHUPs, between them one with a file that can't
 // be read, each followed by the watch at the address that holds, while a client is served throughout.
 func TestReloadsWhileClientsAreServed(t *testing.T) {
-	spare := make(chan os.Signal, 8) // SIGHUP must not end the test if the program doesn't take it
-	signal.Notify(spare, syscall.SIGHUP)
-	defer signal.Stop(spare)
+	fallback := make(chan os.Signal, 8) // SIGHUP must not end the test if the program doesn't take it
+	signal.Notify(fallback, syscall.SIGHUP)
+	defer signal.Stop(fallback)
 
 	agents := startWatchedAgents(t, 3)
 	listen := freeAddress(t)
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Errorf("the program ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the program did not end after SIGTERM")
 	}
 }
@@ -168,7 +168,7 @@
 		if got != want {
 			t.Fatalf("agent %d is watched, want %d", got, want)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("agent %d is not watched", want)
 	}
 }
@@ -198,7 +198,7 @@
 		return err
 	}
 	defer closeQuietly(conn)
-	limitTime(conn, 3*patience)
+	setTimeout(conn, 3*testTimeout)
 	r := bufio.NewReader(conn)
 	for n := 0; ; n++ {
 		writeText(conn, requestCommand(fmt.Sprint("q", n), 20_000))
@@ -220,7 +220,7 @@
 }
 
 // Guards against a level of the log that is taken for another one.
-func TestUnknownLogLevelIsOneLine(t *testing.T) {
+func TestUnknownLogLevelGivesOneLineError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"balancers":1,` +
 		`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -19,7 +19,7 @@
 	t      *testing.T
 	cmd    *exec.Cmd
 	listen string
-	log    *output
+	log    *logBuffer
 	ended  chan error
 }
 
@@ -40,8 +40,8 @@
 // writeText sends to a connection. A write that fails shows as a reply that does not come.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// limitTime ends the reads and writes of a connection that would hang for too long.
-func limitTime(conn net.Conn, timeout time.Duration) { _ = conn.SetDeadline(time.Now().Add(timeout)) }
+// setTimeout ends the reads and writes of a connection that would hang for too long.
+func setTimeout(conn net.Conn, timeout time.Duration) { _ = conn.SetDeadline(time.Now().Add(timeout)) }
 
 // freeAddress is an address on loopback that nothing listens on.
 func freeAddress(t *testing.T) string {
@@ -76,7 +76,7 @@
 // programCommand is the command that runs the program with a configuration file, a limit of descriptors and a log.
 func programCommand(config string, descriptors int, log io.Writer) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", asProgram, descriptors), "EDGE_CONFIG="+config)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors), "EDGE_CONFIG="+config)
 	cmd.Stderr = log
 	return cmd
 }
@@ -128,7 +128,7 @@
 			return false
 		}
 		defer closeQuietly(conn)
-		limitTime(conn, patience)
+		setTimeout(conn, testTimeout)
 		writeText(conn, pingCommand)
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		return line == "+PONG\r\n"
@@ -140,7 +140,7 @@
 // killed with the end of the test, and the end of its log is shown if that has failed.
 func launch(t *testing.T, path string, descriptors int, environment ...string) *program {
 	t.Helper()
-	p := &program{t: t, log: &output{}, ended: make(chan error, 1)}
+	p := &program{t: t, log: &logBuffer{}, ended: make(chan error, 1)}
 	p.cmd = programCommand(path, descriptors, p.log)
 	p.cmd.Env = append(p.cmd.Env, environment...)
 	if err := p.cmd.Start(); err != nil {
@@ -190,7 +190,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { closeQuietly(conn) })
-	limitTime(conn, 3*patience)
+	setTimeout(conn, 3*testTimeout)
 	return conn.(*net.TCPConn)
 }
 
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -14,7 +14,7 @@
 	slowValueSize  = 60_000
 	slowDeadlineMS = 15_000
 	// Beyond the 5 s that a write to a client once had.
-	slowPause = 5500 * time.Millisecond
+	readPause = 5500 * time.Millisecond
 )
 
 // sendBufferMax is the size to which the system lets the send buffer of a socket grow.
@@ -24,16 +24,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var least, usual int
-	if _, err := fmt.Sscan(string(text), &least, &usual, &size); err != nil {
+	var minSize, defaultSize int
+	if _, err := fmt.Sscan(string(text), &minSize, &defaultSize, &size); err != nil {
 		t.Fatal(err)
 	}
 	return size
 }
 
-// slowClient sends a number of requests for large values at once, and reads nothing before the program has written
+// startSlowClient sends a number of requests for large values at once, and reads nothing before the program has written
 // what its socket takes.
-func slowClient(t *testing.T, requests int) (io.Writer, *bufio.Reader) {
+func startSlowClient(t *testing.T, requests int) (io.Writer, *bufio.Reader) {
 	t.Helper()
 	p := startProgram(t, programConfig{endpoints: []string{serveValues(t, slowValueSize)}})
 	conn := p.dial()
@@ -46,8 +46,8 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// wantValues reads a number of values, each of the whole size.
-func wantValues(t *testing.T, r *bufio.Reader, what string, n int) {
+// expectValues reads a number of values, each of the whole size.
+func expectValues(t *testing.T, r *bufio.Reader, what string, n int) {
 	t.Helper()
 	for i := range n {
 		if line, size, err := readReply(r); err != nil || size != slowValueSize {
@@ -56,37 +56,37 @@
 	}
 }
 
-// TestClientThatWasSlowOnceIsServedLater guards against a write deadline that outlives its write: a client that
+// TestWriteDeadlineDoesNotOutliveItsWrite guards against a write deadline that outlives its write: a client that
 // let its socket fill once, and then read all of it, lost its next request 5 s later, as its connection was ended
 // with no reply.
-func TestClientThatWasSlowOnceIsServedLater(t *testing.T) {
+func TestWriteDeadlineDoesNotOutliveItsWrite(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than its socket takes
-	conn, r := slowClient(t, replies)
-	wantValues(t, r, "after the socket was full", replies)
-	for from, i := time.Now(), replies; time.Since(from) < slowPause+time.Second; i++ {
+	conn, r := startSlowClient(t, replies)
+	expectValues(t, r, "after the socket was full", replies)
+	for from, i := time.Now(), replies; time.Since(from) < readPause+time.Second; i++ {
 		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), slowDeadlineMS))
-		wantValues(t, r, time.Since(from).String()+" after it had read all", 1)
+		expectValues(t, r, time.Since(from).String()+" after it had read all", 1)
 		time.Sleep(100 * time.Millisecond) // a client that sends now and then
 	}
 }
 
-// TestClientThatPausesWithinAReplyGetsItWhole guards against a client that is dropped under a reply that is half
+// TestClientPausingWithinReplyGetsWholeReply guards against a client that is dropped under a reply that is half
 // written, as it reads nothing for longer than one write may take.
-func TestClientThatPausesWithinAReplyGetsItWhole(t *testing.T) {
+func TestClientPausingWithinReplyGetsWholeReply(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize
-	_, r := slowClient(t, replies)
-	time.Sleep(slowPause)
-	wantValues(t, r, "after a pause", replies)
+	_, r := startSlowClient(t, replies)
+	time.Sleep(readPause)
+	expectValues(t, r, "after a pause", replies)
 }
 
-// TestClientThatRequestsMoreThanItReadsIsServed guards against a client that is dropped for the replies that it has
+// TestClientWithManyUnreadRepliesIsServed guards against a client that is dropped for the replies that it has
 // not read yet: it is not read from either until it has taken some.
-func TestClientThatRequestsMoreThanItReadsIsServed(t *testing.T) {
+func TestClientWithManyUnreadRepliesIsServed(t *testing.T) {
 	t.Parallel()
 	replies := (3*sendBufferMax(t) + 3_000_000) / slowValueSize
-	_, r := slowClient(t, replies)
+	_, r := startSlowClient(t, replies)
 	time.Sleep(200 * time.Millisecond) // all of it may be replied to meanwhile
-	wantValues(t, r, "of many", replies)
+	expectValues(t, r, "of many", replies)
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestMalformedInputErrors(t *testing.T) {
 	for want, in := range map[string]string{
 		"NOVEL: unknown message":                    "NOVEL\ti=0\n",
 		"REQUEST: field dropDeadS is missing":       "REQUEST\ti=0\tid=a\tkind=read\ttier=basic\tholder=x\n",
