--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Whichever gateways a customer has, their shares and the one pool never exceed the ceiling.
+// For any number of gateways, the shares and the pool must add up to the ceiling.
 func TestCeilingPartsAddUpToTheCeiling(t *testing.T) {
 	for _, gateways := range []int{1, 2, 6, 100} {
 		p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
@@ -13,41 +13,42 @@
 		for i := range gateways {
 			c := &customer{plan: p, gatewayCount: gateways, isPrimaryOwner: i == 0}
 			if c.ceilingShareHasCapacity(1, 0) || c.ceilingPoolHasCapacity(1, 0) {
-				t.Fatalf("gateway %d of %d has capacity at its start", i, gateways)
+				t.Fatalf("gateway %d of %d has ceiling capacity at its start, want none", i, gateways)
 			}
 			if !c.isCeilingFull(1e-9, 1000) {
-				t.Fatalf("gateway %d of %d has not filled its part after 1000 s", i, gateways)
+				t.Fatalf("gateway %d of %d has not refilled its part of the ceiling after 1000 s", i, gateways)
 			}
 			total += c.ceilingShare.tokens + c.ceilingPool.tokens
 		}
 		if total < p.CeilingBurst-1e-6 || total > p.CeilingBurst+1e-6 {
-			t.Errorf("the parts of %d gateways hold %v units, want %v", gateways, total, p.CeilingBurst)
+			t.Errorf("the shares and the pool of %d gateways hold %v units, want %v", gateways, total, p.CeilingBurst)
 		}
 	}
 }
 
-func TestGatewayWithoutThePoolReservesFromItsShareAlone(t *testing.T) {
+func TestGatewayWithoutPoolReservesOnlyFromItsShare(t *testing.T) {
 	p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
 	c := &customer{plan: p, gatewayCount: 4}
 	if c.reserveCeilingPool(1, 1000) {
-		t.Error("units were reserved from a pool of another gateway")
+		t.Error("a gateway without a pool reserved units from one")
 	}
 	if !c.ceilingShareHasCapacity(5, 1000) || c.ceilingShareHasCapacity(5.1, 1000) {
-		t.Errorf("the share holds %v units, want 5 of a ceiling of 40", c.ceilingShare.tokens)
+		t.Errorf("the share holds %v units, want 5 for a ceiling of 40", c.ceilingShare.tokens)
 	}
 	c.reserveCeiling(5, 1000)
 	if c.ceilingShareHasCapacity(0.1, 1000) {
-		t.Errorf("%v units are left of a share that was reserved whole", c.ceilingShare.tokens)
+		t.Errorf("%v units are left after the whole share was reserved", c.ceilingShare.tokens)
 	}
 }
 
-// A restarted gateway may just have spent its share of the ceiling.
+// A gateway may have used up its share of the ceiling just before it restarted. If the share started full, a
+// restart would allow more than the ceiling.
 func TestCeilingShareStartsEmpty(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	sent := func() int { return len(r.ofKind("send", "")) }
 	sendRequest(g, 100, "first", "read", "capped", 4)
 	if sent() != 0 {
-		t.Fatal("units were admitted from an empty share")
+		t.Fatal("a request of 4 units was sent at the start, when the share is empty")
 	}
 	for i := range 400 {
 		now := 101 + float64(i)*0.005
@@ -55,11 +56,11 @@
 		g.HandleTimer(now, 1)
 	}
 	if limit := int(20.0 / 2 * 3); sent() == 0 || sent() > limit {
-		t.Fatalf("%d units forwarded in 3 s, want some and %d at most", sent(), limit)
+		t.Fatalf("%d units were sent in 3 s, want at least 1 and at most %d", sent(), limit)
 	}
 }
 
-// The shares and the pool add up to the ceiling, whatever is lost or restarted.
+// Six gateways lose messages and restart in turn. Together they must still not exceed the ceiling.
 func TestCeilingHoldsThroughLossAndRestarts(t *testing.T) {
 	const fleet = 6
 	var gateways [fleet]*Gateway
@@ -82,7 +83,7 @@
 			case a.kind == "send":
 				units += 2
 				gateways[from].HandleOutcome(now, Outcome{RequestID: a.id, Status: OK, RequestDone: true, Elapsed: 0.05})
-			case a.kind == "send_to_peer" && seen[from]%5 != 0: // every fifth action, if a message, is lost
+			case a.kind == "send_to_peer" && seen[from]%5 != 0: // every fifth action is dropped if it is a message
 				gateways[a.to].HandlePeerMessage(now, from, a.data)
 			}
 		}
@@ -103,8 +104,8 @@
 			}
 		}
 	}
-	// 10 s of 20 units a second and a burst of 40.
+	// The ceiling allows 20 units per second for 10 s and a burst of 40.
 	if units > 240 || units < 100 {
-		t.Fatalf("%v units forwarded under a ceiling of 240", units)
+		t.Fatalf("%v units were sent, want 100 to 240", units)
 	}
 }
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// findTestCustomer returns the customer of a name, nil if the gateway does not know it.
+// findTestCustomer returns the customer with the given name, or nil if the gateway does not know it.
 func findTestCustomer(g *Gateway, name string) *customer {
 	return g.quota.customers.byKey[uint32(hashName(name)>>32)]
 }
 
-// Memory must stay bounded on long days: what has left, or came once, is evicted once it is idle.
+// Customers that send a single request and endpoints that leave the list must be evicted. Otherwise the memory of
+// a gateway would grow as long as it runs.
 func TestIdleCustomersAreEvicted(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 500 {
@@ -26,59 +27,60 @@
 	limit := int((customerExpiry + customerExpiry/2) / 0.1)
 	customers := len(g.quota.customers.byKey)
 	if len(g.endpoints.byID) > limit || len(g.endpoints.byHash) > limit || customers > limit {
-		t.Errorf("%d endpoints, %d hashes and %d customers are kept, want %d at most", len(g.endpoints.byID), len(g.endpoints.byHash),
+		t.Errorf("%d endpoints, %d endpoint hashes and %d customers are kept, want at most %d", len(g.endpoints.byID), len(g.endpoints.byHash),
 			customers, limit)
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
 	if len(r.ofKind("send", "held")) != 1 || findTestCustomer(g, "held") == nil {
-		t.Error("a customer with an attempt in flight is evicted")
+		t.Error("a customer with an attempt in flight was not sent or was evicted")
 	}
 }
 
-// The window of an owner and the view of a member replay the same units, so that a move loses none.
-func TestMoveOfOwnershipKeepsTheUnitsLeft(t *testing.T) {
+// A gateway that becomes the owner of a customer, and one that ceases to be its owner, must keep the remaining
+// units that it knew before.
+func TestOwnershipChangeKeepsRemainingUnits(t *testing.T) {
 	const now = Seconds(100)
 	p := &plan{Plan: Plan{Rate: 2, Burst: 8}}
 	c := &customer{plan: p, gatewayCount: 2, isPrimaryOwner: true}
 	c.quota.window = tokenBucket{tokens: 8, updatedAt: now}
 	c.totalUnits, c.acknowledgedUnits = 5, 2
 	if left := c.remainingUnits(false, now); left != 5 {
-		t.Fatalf("a member with 3 units that the owner has not counted sees %v of 8 left, want 5", left)
+		t.Fatalf("a member with 8 units in its view and 3 unacknowledged has %v left, want 5", left)
 	}
 	if left := c.remainingUnits(true, now); left != 5 || c.ledger == nil {
-		t.Fatalf("the ledger starts at %v units, want the 5 of the member", left)
+		t.Fatalf("the ledger starts with %v units, want the 5 of the member's view", left)
 	}
 	c.ledger.charge(4)
 	if left := c.remainingUnits(false, now+1); left != 3 || c.ledger != nil {
-		t.Fatalf("the member sees %v units left, want the 1 of the ledger and 2 of a second's rate", left)
+		t.Fatalf("the member has %v units left, want 3: 1 from the ledger and 2 refilled in a second", left)
 	}
 	if c.unacknowledgedUnits() != 0 {
-		t.Fatal("units that the ledger counted are counted again")
+		t.Fatal("units that the ledger has counted are still unacknowledged")
 	}
 }
 
-func TestCustomersAreFoundAgainAndLocatedOnce(t *testing.T) {
+func TestCustomerIsFoundByNameAndKeepsItsGateways(t *testing.T) {
 	s := testSettings()
 	s.GatewayCount = 4
 	clock := &eventClock{now: 100}
 	table := newCustomerTable(s, clock, fixedOwner(2))
-	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // in a member's report
+	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // as for a member's report
 	if !reported.isPrimaryOwner || reported.gatewayCount != 0 {
-		t.Fatal("a customer known from reports alone must have this gateway as its owner")
+		t.Fatal("this gateway is not the primary owner of a customer known only from reports")
 	}
 	clock.now = 101
 	found := table.find(Request{Customer: "x", Plan: "basic", FirstGateway: 1, GatewayCount: 3})
 	if found != reported || len(table.byKey) != 1 {
-		t.Fatal("the customer of a report is not found by its name")
+		t.Fatal("the customer added for a report is not found by its name")
 	}
 	if found.primaryOwner != 2 || found.isPrimaryOwner || found.firstGateway != 1 || found.gatewayCount != 3 || found.usedAt != 101 {
-		t.Fatalf("located as %+v, want gateway 2 of 1 to 3 as its owner", found)
+		t.Fatalf("got customer %+v, want one of gateways 1 to 3 with primary owner 2", found)
 	}
 	if table.find(Request{Customer: "x", Plan: "basic", FirstGateway: 0, GatewayCount: 4}).gatewayCount != 3 {
-		t.Fatal("a customer moved to other gateways while it is known")
+		t.Fatal("a second request changed the gateways of a known customer")
 	}
 	if c := table.find(Request{Customer: "y", Plan: "basic", FirstGateway: 1, GatewayCount: 9}); c.firstGateway != 0 || c.gatewayCount != 4 {
-		t.Fatalf("a customer of more gateways than there are is located at %d of %d, want all", c.firstGateway, c.gatewayCount)
+		t.Fatalf("a customer of 9 gateways in a fleet of 4 has first gateway %d and %d gateways, want 0 and 4", c.firstGateway, c.gatewayCount)
 	}
 }
