--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// decisions is a requestHandler that records what is decided.
+// decisions is a requestHandler that records the IDs of dispatched and rejected requests.
 type decisions struct {
 	dispatched, rejected []string
 	why                  []Reason
@@ -14,8 +14,8 @@
 	d.rejected, d.why = append(d.rejected, r.ID), append(d.why, why)
 }
 
-// newTestController returns the quota side of gateway 0, without a ceiling or other parts, for customers that
-// gateway 1 owns.
+// newTestController returns a quotaController of gateway 0 for customers that gateway 1 owns. Its concurrency
+// limiter and retry policy are nil.
 func newTestController(clock *eventClock) (*quotaController, *decisions, *[]message) {
 	protocol, sent := newTestProtocol(clock)
 	decided := &decisions{}
@@ -26,7 +26,7 @@
 	}, decided, sent
 }
 
-// awaitGrants has requests of 2 units each wait for the owner of their customer.
+// awaitGrants queues one request of 2 units per ID for a grant. All belong to the customer that it returns.
 func awaitGrants(q *quotaController, ids ...string) *customer {
 	c := q.customers.find(Request{Customer: "x", Plan: "basic", GatewayCount: 2})
 	for _, id := range ids {
@@ -35,55 +35,55 @@
 	return c
 }
 
-func TestGrantCoversTheRequestsThatWereAskedFor(t *testing.T) {
+func TestGrantDecidesOnlyTheRequestsAskedFor(t *testing.T) {
 	q, decided, sent := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second", "third")
 	if len(*sent) != 1 || (*sent)[0].records[0].wantedUnits != 2 {
-		t.Fatalf("sent %+v, want a report for the first request", *sent)
+		t.Fatalf("sent %+v, want one report that asks for the 2 units of the first request", *sent)
 	}
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 2, remaining: 6, wantedUnits: 2})
 	if len(decided.dispatched) != 1 || decided.dispatched[0] != "first" || len(decided.rejected) != 0 {
-		t.Fatalf("decided %+v, want the first dispatched alone", decided)
+		t.Fatalf("decided %+v, want only the first request dispatched", decided)
 	}
 	q.reporter.sendDue()
 	if len(*sent) != 2 || (*sent)[1].records[0].wantedUnits != 4 {
-		t.Fatalf("sent %+v, want a report for the two that came later", *sent)
+		t.Fatalf("sent %+v, want a second report that asks for the 4 units of the other requests", *sent)
 	}
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
 	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
-		t.Fatalf("decided %+v, want the second dispatched and the third rejected on a grant of 2 units", decided)
+		t.Fatalf("decided %+v after a grant of 2 units, want the second request dispatched and the third rejected", decided)
 	}
 }
 
-func TestBackoffRejectsAllThatWait(t *testing.T) {
+func TestBackoffRejectsAllWaitingRequests(t *testing.T) {
 	q, decided, _ := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second")
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
 	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
-		t.Fatalf("decided %+v, want both rejected", decided)
+		t.Fatalf("decided %+v, want both requests rejected", decided)
 	}
 	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
-		t.Fatal("the owner would be asked again during its backoff")
+		t.Fatal("a request is not rejected during the owner's backoff of 0.5 s")
 	}
 }
 
-func TestLocalWindowDecidesAfterTheLastReportWithoutAReply(t *testing.T) {
+func TestLocalWindowDecidesAfterMaxReportTransmissions(t *testing.T) {
 	clock := &eventClock{now: 100}
 	q, decided, sent := newTestController(clock)
 	c := awaitGrants(q, "q")
 	c.localWindow = tokenBucket{tokens: 2, updatedAt: 100}
 	for range maxReportTransmissions {
 		if len(decided.dispatched) != 0 {
-			t.Fatalf("the local window decided after %d reports, want %d", len(*sent), maxReportTransmissions)
+			t.Fatalf("the local window decided after %d unanswered reports, want %d", len(*sent), maxReportTransmissions)
 		}
 		clock.now += grantTimeout + timerInterval
 		q.retransmit()
 		q.reporter.sendDue()
 	}
 	if len(decided.dispatched) != 1 || len(c.awaitingOwner) != 0 || c.totalUnits != 2 {
-		t.Fatalf("decided %+v, want the request dispatched and charged", decided)
+		t.Fatalf("decided %+v, want the request dispatched and its 2 units charged", decided)
 	}
 	if q.protocol.reachable(1) {
-		t.Fatal("an owner without a reply is reachable")
+		t.Fatal("an owner that left all reports unanswered is still reachable")
 	}
 }
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// A member that has evicted a customer starts its count at 0, which must not be taken for units that are
-// returned, nor may the new ones be lost, whichever of owner and member has evicted what.
-func TestOwnerAndMemberEvictInStep(t *testing.T) {
+// A member that evicts a customer restarts its count at 0. The owner must neither take the lower count for
+// returned units nor fail to charge the new ones. The pauses without requests lie below and above memberExpiry and
+// customerExpiry, so that the owner and the member evict at different times.
+func TestEvictionNeitherReturnsNorLosesUnits(t *testing.T) {
 	for _, pause := range []Seconds{
 		1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry,
 	} {
 		g, r, pump := newGatewayPair(t)
 		var request Request
-		for i := range 100 { // of a customer that g[0] owns, and that comes to g[1] alone
+		for i := range 100 { // find a customer that g[0] owns; all requests go to g[1]
 			request = Request{Class: "pay", Plan: "basic", Customer: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
 			if g[1].owners.owner(g[1].quota.customers.find(request)) == 0 {
 				break
@@ -50,9 +51,9 @@
 				admitted++
 			}
 		}
-		// A window of 8 that fills at 2 a second, and requests of 2.
+		// The quota holds a burst of 8 units and 2 units per second. A request takes 2 units.
 		if limit := int((8 + 2*(now-before)) / 2); admitted > limit || admitted < min(limit, 8)-2 {
-			t.Errorf("after a pause of %v s %d of 8 are admitted, the quota holds %d", pause, admitted, limit)
+			t.Errorf("after a pause of %v s, %d of 8 requests are admitted; the quota allows %d", pause, admitted, limit)
 		}
 	}
 }
@@ -68,9 +69,9 @@
 			units += len(replyToAll(g[k], r[k], &seen[k], now))
 		}
 	}
-	// 10 s of 2 a second and a burst of 8.
+	// The quota allows 2 units per second for 10 s and a burst of 8.
 	if units < 22 || units > 31 {
-		t.Fatalf("%d units forwarded, the quota holds 28", units)
+		t.Fatalf("%d units were sent, want 22 to 31 for a quota of 28", units)
 	}
 }
 
@@ -104,7 +105,7 @@
 	}
 	c := findTestCustomer(restarted, "c-basic")
 	if c == nil || c.currentLedger(104.3).window.tokens > 4 {
-		t.Fatal("the restarted owner grants from a full window")
+		t.Fatal("the restarted owner does not know the customer or has more than 4 units left for it")
 	}
 }
 
@@ -117,18 +118,19 @@
 		sent := r.ofKind("send_to_peer", "")
 		reply, err := testFormat.decode(sent[len(sent)-1].data, 100)
 		if err != nil || len(reply.records) != 1 {
-			t.Fatalf("the reply has %d records, want 1 (%v)", len(reply.records), err)
+			t.Fatalf("the reply has %d records, want 1 (decode error: %v)", len(reply.records), err)
 		}
 		if granted += reply.records[0].total; i == 29 && reply.records[0].backoff == 0 {
-			t.Fatal("an owner asked thirty times at once gave its members no backoff")
+			t.Fatal("the owner gave no backoff to the last of 30 members that asked at once")
 		}
 	}
 	if granted != 8 {
-		t.Fatalf("%v units granted of a burst of 8", granted)
+		t.Fatalf("%v units are granted, want the burst of 8", granted)
 	}
 }
 
-// A grant that its member did not use must not stay reserved.
+// A grant that the member did not use must go back to the window. Otherwise a grant in a lost reply would stay
+// reserved and reduce the customer's quota.
 func TestUnusedGrantIsReturned(t *testing.T) {
 	g, _ := newTestGateway(t, withGatewayCount(100))
 	report := func(sequence uint16, record usageRecord) {
@@ -136,27 +138,28 @@
 	}
 	left := func() float64 { return g.quota.customers.byKey[77].ledger.window.tokens }
 	report(1, usageRecord{key: 77, wantedUnits: 6, firstWantedUnits: 6})
-	report(2, usageRecord{key: 77, wantedUnits: 6, firstWantedUnits: 6}) // again, as the reply was lost
+	report(2, usageRecord{key: 77, wantedUnits: 6, firstWantedUnits: 6}) // repeated because the reply was lost
 	if left() != 2 {
-		t.Fatalf("%v units are left after a grant of 6 of 8 that was asked for twice", left())
+		t.Fatalf("%v units are left after two reports that ask for the same 6 of 8 units, want 2", left())
 	}
 	report(3, usageRecord{key: 77})
 	if left() != 8 {
-		t.Fatalf("%v units are left after the grant was returned", left())
+		t.Fatalf("%v units are left after the grant was returned, want 8", left())
 	}
 }
 
-// A young ledger adopts the units left that a member reports, as the owner may have restarted.
-func TestNewLedgerTakesRemainingUnitsOfMembers(t *testing.T) {
+// An owner that restarts forgets how many units were used. Its new ledger must adopt the lower remaining units that
+// members report, or the customer could use its burst again.
+func TestNewLedgerAdoptsRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{key: 5, remainingKnown: true, total: 0, remaining: 1}))
 	if left := g.quota.customers.byKey[5].currentLedger(104).window.tokens; left > 1 {
-		t.Fatalf("%v units are left after a member reported 1", left)
+		t.Fatalf("%v units are left after a member reported 1, want at most 1", left)
 	}
 }
 
-// An owner with 8 of 8 units left, that is asked for one request of 2 units and more behind it.
-func TestOwnerGrantsAllThatWaitOrTheFirst(t *testing.T) {
+// The owner has 8 of 8 units left. A report asks for a first request of 2 units and for more requests behind it.
+func TestOwnerGrantsAllWaitingRequestsOrTheFirst(t *testing.T) {
 	const now = Seconds(100)
 	for _, tc := range []struct {
 		name          string
@@ -175,14 +178,14 @@
 		backoff := func(int) Seconds { return 1 }
 		reply := c.applyUsageReport(report, testFormat, backoff)
 		if granted := reply.total - record.total; granted != tc.want || reply.remaining != 8-tc.want || reply.backoff != 0 {
-			t.Errorf("%s: granted %v units, want %v: %+v", tc.name, granted, tc.want, reply)
+			t.Errorf("%s: granted %v units, want %v; reply %+v", tc.name, granted, tc.want, reply)
 		}
 		if reply = c.applyUsageReport(report, testFormat, backoff); reply.total-record.total != tc.want {
-			t.Errorf("%s: granted %v units to the same report again, want %v", tc.name, reply.total-record.total, tc.want)
+			t.Errorf("%s: granted %v units to a repeated report, want %v", tc.name, reply.total-record.total, tc.want)
 		}
 		report.from, report.wantedUnits, report.firstWantedUnits = 2, 7, 7
 		if reply = c.applyUsageReport(report, testFormat, backoff); reply.total != record.total || reply.backoff != 1 {
-			t.Errorf("%s: another member's 7 units are not rejected with a backoff: %+v", tc.name, reply)
+			t.Errorf("%s: a report of another member that asks for 7 units got %+v, want no grant and a backoff of 1 s", tc.name, reply)
 		}
 	}
 }
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestLocalWindowHoldsAPartOfTheQuota(t *testing.T) {
+func TestLocalWindowHoldsAFractionOfTheQuota(t *testing.T) {
 	p := &plan{Plan: Plan{Rate: 8, Burst: 16}, maxRequestUnits: 3}
 	for _, tc := range []struct {
 		gateways int
@@ -18,20 +18,21 @@
 		c := &customer{plan: p, gatewayCount: tc.gateways}
 		c.quota.window.tokens = p.Burst
 		if c.reserveLocal(1, 0) {
-			t.Errorf("%d gateways: an empty window admits a unit", tc.gateways)
+			t.Errorf("%d gateways: an empty window admits 1 unit", tc.gateways)
 		}
 		if c.reserveLocal(tc.burst+0.1, 1000) || !c.reserveLocal(tc.burst, 1000) {
-			t.Errorf("%d gateways: a full window does not hold %v units", tc.gateways, tc.burst)
+			t.Errorf("%d gateways: a full window does not hold exactly %v units", tc.gateways, tc.burst)
 		}
 		fillTime := tc.burst / p.Rate * float64(tc.gateways)
 		if c.isLocalWindowFull(1000+0.9*fillTime) || !c.isLocalWindowFull(1000+fillTime) {
-			t.Errorf("%d gateways: the window does not fill by its part of the rate", tc.gateways)
+			t.Errorf("%d gateways: the window does not fill at its fraction of the rate", tc.gateways)
 		}
 	}
 }
 
-// A regression: with all messages lost, every gateway granted the whole quota.
-func TestIsolatedGatewayAdmitsItsFractionAlone(t *testing.T) {
+// Regression test: a gateway whose messages were all lost admitted a customer's whole quota, so the customer could
+// use its quota once at each gateway.
+func TestIsolatedGatewayAdmitsOnlyItsFraction(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(4))
 	seen := 0
 	for i := range 2500 {
@@ -42,8 +43,8 @@
 		g.HandleTimer(now, 1)
 		replyToAll(g, r, &seen, now)
 	}
-	// 50 s of 2 units a second shared by 4, and a burst of 8.
+	// The quota is 2 units per second for 50 s and a burst of 8, shared by 4 gateways.
 	if forwarded := len(r.ofKind("send", "")); forwarded < 20 || forwarded > 50 {
-		t.Fatalf("%d units forwarded in isolation, a fourth of the quota is 33, the whole 108", forwarded)
+		t.Fatalf("%d units were sent in isolation, want 20 to 50: a quarter of the quota is 33, the whole quota 108", forwarded)
 	}
 }
