--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against settings that the messages can't hold: with large units no member was ever granted a request, as
-// a record held 63.75 wanted units at most; and with many plans gateways did not start.
+// Regression test for settings that exceeded the message format: a record held at most 63.75 wanted units, so members
+// were never granted larger requests, and gateways did not start with many plans.
 func TestMessageFormatFitsTheSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		units  float64 // of a request
@@ -36,18 +36,18 @@
 					sent[k] += len(replyToAll(g[k], r[k], &seen[k], now))
 				}
 			}
-			// 10 s at the rate of 2 requests a second, and a burst of 8.
+			// The quota allows 2 requests per second for 10 s and a burst of 8.
 			if all := sent[0] + sent[1]; all < 22 || all > 31 {
-				t.Errorf("%d requests were sent, the quota holds 28", all)
+				t.Errorf("%d requests were sent, want 22 to 31 for a quota of 28", all)
 			}
 			if sent[0] < 5 || sent[1] < 5 {
-				t.Errorf("one gateway sent %d, the other %d: both get as many requests", sent[0], sent[1])
+				t.Errorf("the gateways sent %d and %d of equally many requests, want at least 5 each", sent[0], sent[1])
 			}
 		})
 	}
 }
 
-// plansLike returns n plans, of which the last is as large as p and the others admit next to nothing.
+// plansLike returns n plans. The last one is as large as p; the others have a burst of a single unit.
 func plansLike(p Plan, n int) (list []Plan) {
 	last := p
 	for i := range n - 1 {
@@ -58,7 +58,8 @@
 	return append(list, last)
 }
 
-// Guards the fields of a record, in the format of any settings, against losing more than their rounding.
+// Records must survive encoding and decoding unchanged in formats with and without scaled units and wide plans. All
+// values of the test are multiples of the resolution.
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, f := range []messageFormat{testFormat, {unitsPerStep: 12.5}, {unitsPerStep: 3, widePlan: true}} {
 		for plan := range 3 * plansInFlags {
@@ -73,24 +74,25 @@
 			sent := message{incarnation: 3, sequence: 700, records: []usageRecord{want}, updates: []healthUpdate{update}}
 			got, err := f.decode(f.encode(sent, 50), 50)
 			if err != nil || got.incarnation != sent.incarnation || got.sequence != sent.sequence {
-				t.Fatalf("%+v: got %+v and error %v, want %+v", f, got, err, sent)
+				t.Fatalf("format %+v: got %+v and error %v, want %+v", f, got, err, sent)
 			}
 			if len(got.records) != 1 || got.records[0] != want {
-				t.Fatalf("%+v: got %+v, want %+v", f, got.records, want)
+				t.Fatalf("format %+v: got records %+v, want %+v", f, got.records, want)
 			}
 			if len(got.updates) != 1 || got.updates[0] != update {
-				t.Fatalf("%+v: got %+v, want %+v", f, got.updates, update)
+				t.Fatalf("format %+v: got updates %+v, want %+v", f, got.updates, update)
 			}
 		}
 	}
 }
 
-// encodeRecord returns a message of one record, as the first incarnation of another gateway sends it.
+// encodeRecord returns an encoded message with one record and incarnation 1.
 func encodeRecord(sequence uint16, record usageRecord) []byte {
 	return testFormat.encode(message{incarnation: 1, sequence: sequence, records: []usageRecord{record}}, 0)
 }
 
-// Guards the layout that the gateways of a fleet share: a change of one byte needs a new version.
+// All gateways of a fleet must use the same layout. Any change to these bytes needs a new messageVersion, so that
+// gateways of different versions reject each other's messages.
 func TestMessageLayout(t *testing.T) {
 	format := messageFormat{unitsPerStep: 1, widePlan: true}
 	sent := message{
@@ -119,21 +121,21 @@
 	}
 }
 
-// Guards the receiver against messages cut short, extended, or of another version.
-func TestDecodeTellsWhatIsMalformed(t *testing.T) {
+// Messages that are truncated, extended or of another version must be rejected with the matching error.
+func TestDecodeRejectsMalformedMessages(t *testing.T) {
 	good := encodeRecord(1, usageRecord{key: 5})
 	for name, tc := range map[string]struct {
 		data []byte
 		want error
 	}{
-		"empty":           {nil, errMessageLength},
-		"header cut":      {good[:headerSize-1], errMessageLength},
-		"record cut":      {good[:len(good)-1], errMessageLength},
-		"update cut":      {append(bytes.Clone(good), 1, 2, 3), errMessageLength},
-		"too long":        {make([]byte, maxMessageSize+1), errMessageLength},
-		"another version": {append([]byte{messageVersion + 1}, good[1:]...), errMessageVersion},
-		"complete":        {good, nil},
-		"with an update":  {append(bytes.Clone(good), 1, 2, 3, 4, 5), nil},
+		"empty":            {nil, errMessageLength},
+		"truncated header": {good[:headerSize-1], errMessageLength},
+		"truncated record": {good[:len(good)-1], errMessageLength},
+		"truncated update": {append(bytes.Clone(good), 1, 2, 3), errMessageLength},
+		"too long":         {make([]byte, maxMessageSize+1), errMessageLength},
+		"another version":  {append([]byte{messageVersion + 1}, good[1:]...), errMessageVersion},
+		"complete":         {good, nil},
+		"with an update":   {append(bytes.Clone(good), 1, 2, 3, 4, 5), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := testFormat.decode(tc.data, 100); !errors.Is(err, tc.want) {
@@ -143,7 +145,7 @@
 	}
 }
 
-func TestFullMessageKeepsToItsSize(t *testing.T) {
+func TestFullMessageStaysWithinMaxMessageSize(t *testing.T) {
 	for _, format := range []messageFormat{testFormat, {unitsPerStep: 1, widePlan: true}} {
 		full := message{}
 		for format.hasRoomForRecords(len(full.records) + 1) {
@@ -152,10 +154,10 @@
 		full.updates = make([]healthUpdate, format.maxUpdates(len(full.records)))
 		size := len(format.encode(full, 100))
 		if size > maxMessageSize || size <= maxMessageSize-updateSize {
-			t.Errorf("%+v: a full message has %d bytes, at most %d are allowed", format, size, maxMessageSize)
+			t.Errorf("format %+v: a full message has %d bytes, want at most %d with no room for another update", format, size, maxMessageSize)
 		}
 		if decoded, err := format.decode(format.encode(full, 100), 100); err != nil || len(decoded.records) != len(full.records) {
-			t.Errorf("%+v: a full message is decoded with error %v", format, err)
+			t.Errorf("format %+v: a full message loses records or is decoded with error %v", format, err)
 		}
 	}
 }
