--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -21,13 +21,14 @@
 		}
 		for gateway, n := range owned {
 			if n < customersPerGateway/2 || n > customersPerGateway*2 {
-				t.Errorf("%d gateways: gateway %d owns %d customers, the mean is %d", gateways, gateway, n, customersPerGateway)
+				t.Errorf("%d gateways: gateway %d owns %d customers, want between half and twice the mean of %d", gateways, gateway, n, customersPerGateway)
 			}
 		}
 	}
 }
 
-// Guards the counts of all others: only the customers of a gateway that leaves the ring find another owner.
+// When a gateway leaves the ring, the customers of all other gateways must keep their owners, whose ledgers count their
+// usage.
 func TestRingMovesOnlyTheCustomersOfAGatewayThatLeaves(t *testing.T) {
 	ring := newOwnerRing(10)
 	const left = 3
@@ -40,6 +41,6 @@
 		}
 	}
 	if _, found := ring.successor(1, func(int) bool { return false }); found {
-		t.Error("a gateway is found although none is accepted")
+		t.Error("successor found a gateway although none is accepted")
 	}
 }
