--- a/policy/token_bucket_test.go
+++ b/policy/token_bucket_test.go
@@ -17,7 +17,7 @@
 		{"cut to the burst", tokenBucket{tokens: 9, updatedAt: 100}, 100, 8},
 	} {
 		if got := tc.bucket.level(rate, burst, tc.now); got != tc.want {
-			t.Errorf("%s: level is %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: level = %v, want %v", tc.name, got, tc.want)
 		}
 		tc.bucket.refill(rate, burst, tc.now)
 		if want := (tokenBucket{tokens: tc.want, updatedAt: tc.now}); tc.bucket != want {
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-// A regression: with a hundred gateways a share is smaller than one request and the owner's replies are old.
-// What is beyond the quota was admitted at each gateway, or rejected with units left.
+// Regression test: with a hundred gateways, a member's share is smaller than one request and the owner's replies are
+// old. Members that decided alone admitted more than the quota or rejected requests with units left. They must ask the
+// owner and follow its reply.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
 		g, r, send := newTestMember(t, withGatewayCount(100))
 		send(100, "q", 2)
 		if len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) != 0 {
-			t.Fatal("a gateway of a hundred decided alone")
+			t.Fatal("one of 100 gateways decided without the owner's grant")
 		}
 		from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += grant; reply.remaining = 1 })
 		g.HandlePeerMessage(100.03, from, data)
 		if forwarded := len(r.ofKind("send", "q")); forwarded != int(grant/2) || forwarded+len(r.ofKind("reject", "q")) != 1 {
-			t.Fatalf("granted %v of 2 units: %v", grant, r.actions)
+			t.Fatalf("a grant of %v of 2 units did not decide the request: %v", grant, r.actions)
 		}
 	}
 }
@@ -28,61 +29,63 @@
 		g.HandleTimer(now, 1)
 	}
 	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxReportTransmissions+1)*(grantTimeout+timerInterval) {
-		t.Fatalf("no local window by %v", now)
+		t.Fatalf("the local window had not sent the request by %v", now)
 	}
 	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxReportTransmissions || sent[len(sent)-1].to == first {
-		t.Fatalf("no report went past the unreachable owner: %v", sent)
+		t.Fatalf("got reports %v, want the last one to go to another gateway than the first owner", sent)
 	}
 	if g.protocol.reachable(first) {
-		t.Fatal("an owner that left all unanswered counts as reachable")
+		t.Fatal("an owner that left all reports unanswered is still reachable")
 	}
 }
 
-// A regression: a gateway that stood still itself took its owners for unreachable.
-func TestOwnStandstillCountsAgainstNoPeer(t *testing.T) {
+// Regression test: after a gateway itself had stood still, it counted replies as overdue that had only waited for it,
+// and considered the owners unreachable.
+func TestOwnStandstillDoesNotMakeReplyOverdue(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
 	if !g.protocol.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
-		t.Fatal("a standstill of this gateway counted as silence of another")
+		t.Fatal("a standstill of this gateway made a reply overdue")
 	}
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2 })
 	g.HandlePeerMessage(100.5, from, data)
 	if len(r.ofKind("send", "q")) != 1 {
-		t.Fatal("the grant that came meanwhile was not used")
+		t.Fatal("a grant that arrived after the standstill was not used")
 	}
 }
 
-// A request costs two messages at most, however many gateways there are.
+// The number of messages must depend on the requests and not on the size of the fleet: a member sends one report for
+// a request, and none without requests.
 func TestMessageCountFollowsRequestsNotFleetSize(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(500))
 	for now := 100.0; now < 102; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
 	if n := len(r.ofKind("send_to_peer", "")); n != 0 {
-		t.Fatalf("%d messages without a request", n)
+		t.Fatalf("%d messages were sent without a request, want 0", n)
 	}
 	send(102, "q", 2)
 	if n := len(r.ofKind("send_to_peer", "")); n != 1 {
-		t.Fatalf("%d messages for a request", n)
+		t.Fatalf("%d messages were sent for one request, want 1", n)
 	}
 }
 
-func TestUnreachableOwnerLeavesTheRing(t *testing.T) {
+func TestUnreachableOwnerIsReplacedUntilTriedAgain(t *testing.T) {
 	g, _, send := newTestMember(t, nil)
 	c := send(100, "q", 1)
 	g.protocol.peers[1].unansweredReports, g.protocol.peers[1].lastUnansweredAt = maxUnansweredReports, 100
 	if g.owners.owner(c) != 0 {
-		t.Fatal("an unreachable owner still owns")
+		t.Fatal("an unreachable gateway is still the owner")
 	}
 	if g.clock.now = 100 + unreachablePeriod + 0.01; g.owners.owner(c) != 1 {
-		t.Fatal("an unreachable owner is never tried again")
+		t.Fatal("an unreachable owner is not tried again after unreachablePeriod")
 	}
 }
 
-// A regression: peers that seldom exchange messages were taken for unreachable whenever two replies were lost
-// by chance, and a substitute that knew nothing of the customer granted for them.
+// Regression test: an owner counted as unreachable after two replies were lost by chance. A substitute that knew
+// nothing of the customer's usage then granted units. This affected peers that exchange few messages.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
@@ -91,26 +94,27 @@
 		g.HandleTimer(now, 1)
 		if sent := r.ofKind("send_to_peer", ""); len(sent) == 3 {
 			if sent[1].to != owner || sent[2].to != owner || g.owners.owner(c) != owner {
-				t.Fatalf("reports went to %v, the owner is %d", sent, owner)
+				t.Fatalf("reports %v did not all go to the owner, gateway %d", sent, owner)
 			}
 			from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2; reply.remaining = 6 })
 			g.HandlePeerMessage(now, from, data)
 			if len(r.ofKind("send", "q")) != 1 || g.protocol.peers[owner].unansweredReports != 0 {
-				t.Fatal("the reply to the third report is not applied")
+				t.Fatal("the reply to the third report was not applied")
 			}
 			return
 		}
 	}
-	t.Fatal("no three reports went to the owner")
+	t.Fatal("fewer than three reports were sent")
 }
 
-// fixedOwner is an ownerFinder for customers that one gateway owns.
+// fixedOwner is an ownerFinder that returns the same gateway for every customer.
 type fixedOwner int
 
 func (o fixedOwner) owner(*customer) int            { return int(o) }
 func (o fixedOwner) findPrimaryOwner(*customer) int { return int(o) }
 
-// newTestReporter returns a reporter of gateway 0 whose customers gateway 1 owns, with the messages it sends.
+// newTestReporter returns a reporter of gateway 0 for customers that gateway 1 owns. The slice collects the messages
+// that it sends.
 func newTestReporter(clock *eventClock) (*usageReporter, *[]message) {
 	protocol, sent := newTestProtocol(clock)
 	u := newUsageReporter(testSettings(), clock, protocol, fixedOwner(1))
@@ -127,35 +131,35 @@
 	for key := range uint32(3) {
 		c := newReportedCustomer(key)
 		u.scheduleReport(c, false)
-		u.scheduleReport(c, false) // is in the batch already
+		u.scheduleReport(c, false) // already in the batch
 	}
 	u.sendDue()
 	if len(*sent) != 1 || len((*sent)[0].records) != 3 {
-		t.Fatalf("sent %+v, want one message with three records", *sent)
+		t.Fatalf("sent %+v, want one message with 3 records", *sent)
 	}
 	u.scheduleReport(newReportedCustomer(3), false)
 	clock.now += minReportInterval / 2
 	if u.sendDue(); len(*sent) != 1 {
-		t.Fatal("a second batch was sent within the least interval")
+		t.Fatal("a second batch was sent within minReportInterval")
 	}
 	clock.now += minReportInterval
 	if u.sendDue(); len(*sent) != 2 || len(u.pending) != 0 {
-		t.Fatalf("%d messages are sent and %d batches pending, want 2 and 0", len(*sent), len(u.pending))
+		t.Fatalf("%d messages were sent and %d batches are pending, want 2 and 0", len(*sent), len(u.pending))
 	}
 }
 
-func TestUrgentReportsDoNotWaitForABatchButKeepToTheBudget(t *testing.T) {
+func TestUrgentReportsAreSentAtOnceWithinTheBudget(t *testing.T) {
 	clock := &eventClock{now: 100}
 	u, sent := newTestReporter(clock)
 	for key := range uint32(10) {
 		u.askForGrant(newReportedCustomer(key))
 	}
 	if len(*sent) != minBatchTokens {
-		t.Fatalf("%d urgent messages are sent at once, the budget holds %d", len(*sent), minBatchTokens)
+		t.Fatalf("%d urgent messages were sent at once, want %d", len(*sent), minBatchTokens)
 	}
 	clock.now += 1.01 / (u.protocol.messageRate * reportFraction)
 	if u.sendDue(); len(*sent) != minBatchTokens+1 || len((*sent)[minBatchTokens].records) != 8 {
-		t.Fatalf("%d messages are sent, want one more with all that waited", len(*sent))
+		t.Fatalf("%d messages were sent, want one more with the remaining 8 records", len(*sent))
 	}
 }
 
@@ -175,18 +179,18 @@
 		u.sendDue()
 		clock.now = 100 + tc.timeout - 0.01
 		if u.replyOverdue(c) {
-			t.Errorf("with %d requests waiting the reply is overdue before %v s", len(tc.waiting), tc.timeout)
+			t.Errorf("with %d waiting requests, the reply is overdue before %v s", len(tc.waiting), tc.timeout)
 		}
 		clock.now = 100 + tc.timeout + 0.01
 		overdue := 0
 		u.forEachOverdue(func(c *customer) {
 			overdue++
 			if u.recordOverdue(c) {
-				t.Error("the first report is taken for the last attempt")
+				t.Error("recordOverdue reports the first transmission as the last")
 			}
 		})
 		if overdue != 1 || u.protocol.peers[1].unansweredReports != 1 || len(u.watched) != 0 {
-			t.Errorf("with %d requests waiting %d replies are overdue, want 1", len(tc.waiting), overdue)
+			t.Errorf("with %d waiting requests, %d replies are overdue, want 1 that is recorded and no longer watched", len(tc.waiting), overdue)
 		}
 	}
 }
