--- a/policy/quota.go
+++ b/policy/quota.go
@@ -47,8 +47,8 @@
 	q.requests.dispatch(r)
 }
 
-// queueOrReject queues a request that was not admitted for a concurrency slot, or rejects it if it can't be
-// served in time that way.
+// queueOrReject handles a request that was not admitted: it queues the request for a concurrency slot if
+// worthQueueing allows it, and rejects it otherwise.
 func (q *quotaController) queueOrReject(r *request) {
 	if q.worthQueueing(r) {
 		q.queueForSlot(r)
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -2,7 +2,8 @@
 
 const (
 	// maxReplyAge is the age of the owner's last reply up to which a member admits requests from its share of
-	// the remaining units. After that, it admits a request itself only if all gateways could admit the same.
+	// the remaining units. With an older reply, it asks the owner unless there are enough units for the same
+	// request at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
 	// maxInFlightAge is the age up to which a member relies on the attempts in flight in the owner's last
 	// reply. It is shorter than maxReplyAge because their number changes with every request.
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -10,7 +10,7 @@
 const (
 	pointsPerGateway    = 512  // per gateway
 	minPointsPerGateway = 8    // per gateway in the largest fleets
-	maxRingPoints       = 8192 // in total; with more gateways than this allows, each gets fewer points
+	maxRingPoints       = 8192 // in total; a gateway of a large fleet gets fewer than pointsPerGateway
 )
 
 // ringPoint is one of the positions of a gateway on the ring.
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -8,8 +8,8 @@
 	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. In
 	// the whole fleet, as many messages are received as are sent, so the rest is left for replies.
 	reportFraction = 0.45
-	// minUrgentTokens and minBatchTokens are the numbers of messages that the budget must hold before an
-	// urgent or another batch is sent. Each batch uses one message.
+	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch, and
+	// minBatchTokens the number to send any other batch. Each batch uses one message.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
 	// grantTimeout is the time without a reply after which a report that requests wait for is repeated.
@@ -192,10 +192,10 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report is
-// not repeated any more.
+// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report must
+// not be repeated any more.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
-	if !c.report.scheduled { // a report still in a batch was not sent
+	if !c.report.scheduled { // otherwise the report is still in a batch
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
 	c.report.transmissions++
