--- a/policy/admission.go
+++ b/policy/admission.go
@@ -96,8 +96,8 @@
 	case decision == rejectRequest:
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
-		// A client's retry can arrive too late to be sent. This is not recorded as a rejection of the
-		// customer, which would make client retries likely: the client has no time left for another one.
+		// A client's retry can arrive too late to be sent. The rejection is not recorded for the customer, because
+		// no further retry follows from it: the client has no time left for one.
 		a.replies.rejectOrFail(r, DeadlineTooClose)
 	case decision == askOwner:
 		a.quota.awaitGrant(r)
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -70,8 +70,8 @@
 	return true
 }
 
-// isCeilingFull reports whether the share and, at the primary owner, the pool are full. They may each lack up
-// to tolerance units.
+// isCeilingFull reports whether the share and, at the primary owner, the pool are full to within tolerance
+// units.
 func (c *customer) isCeilingFull(tolerance float64, now Seconds) bool {
 	p := c.plan
 	if p.CeilingRate <= 0 {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -167,8 +167,8 @@
 	c.isPrimaryOwner = c.primaryOwner == t.self
 }
 
-// evictIdle removes the idle customers with full windows that were not used for customerExpiry, and the
-// expired members in the ledgers of the others.
+// evictIdle removes the customers that are idle, have full windows and were not used for customerExpiry. In
+// the ledgers of the remaining customers, it removes the expired members.
 func (t *customerTable) evictIdle() {
 	now := t.clock.now
 	for key, c := range t.byKey {
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -33,7 +33,7 @@
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Customer: "held", Deadline: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
 	if len(r.ofKind("send", "held")) != 1 || findTestCustomer(g, "held") == nil {
-		t.Error("a customer with an attempt in flight was not sent or was evicted")
+		t.Error("the request \"held\" was not sent, or its customer was evicted with an attempt in flight")
 	}
 }
 
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // awaitGrant queues the request until its customer's owner grants it, and asks the owner at once. If other
-// requests of the customer wait already, the next report asks for all of them.
+// requests of the customer wait already, the request is included in the next report instead.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
@@ -12,7 +12,7 @@
 	}
 }
 
-// decideWaiters decides the first count requests that wait for the owner. It admits those for which
+// decideWaiters decides on the first count requests that wait for the owner. It admits those for which
 // quotaAllows returns true, and queues the others for a concurrency slot or rejects them. Unless
 // ceilingReserved is set, an admitted request must also fit into this gateway's share of the ceiling.
 func (q *quotaController) decideWaiters(
@@ -34,7 +34,7 @@
 
 // retransmit repeats the reports whose reply is overdue. After maxUnansweredReports in a row, the owner
 // counts as unreachable and the report goes to the next gateway on the ring. After maxReportTransmissions,
-// the local window decides the waiting requests.
+// the local window decides on the waiting requests.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
@@ -76,8 +76,8 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply to a report: it updates the view of the quota and decides the requests
-// that the report asked for.
+// applyGrant handles the owner's reply to a report: it updates the view of the quota and decides on the
+// requests that the report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// The total up to which the owner has counted or reserved units for this gateway.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
@@ -89,14 +89,14 @@
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
 	hasUnaskedWaiters := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
-	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // to return unused units, or to ask for the others
+	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // return unused units, or ask for the other requests
 		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
 	}
 	q.reporter.recordReply(c)
 }
 
-// decideAskedWaiters decides the requests whose units the last report asked for. If the reply has a backoff,
-// it denies all other waiting requests.
+// decideAskedWaiters decides on the requests whose units the last report asked for. If the reply has a
+// backoff, no other waiting request is admitted either.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -28,8 +28,8 @@
 	reportedAt  Seconds
 }
 
-// inFlight returns the number of attempts in flight at all members but the gateway except, which may be
-// noGateway. Members without a report for inFlightExpiry count as 0.
+// inFlight returns the number of attempts in flight at all members except the given gateway, or at all
+// members for noGateway. Members that have not reported for inFlightExpiry count as 0.
 func (l *ledger) inFlight(now Seconds, except int) (sum int) {
 	for gateway, m := range l.members {
 		if gateway != except && now-m.reportedAt < inFlightExpiry {
@@ -118,8 +118,9 @@
 }
 
 // currentLedger returns the ledger, refilled up to now. A gateway that has just become the owner creates it
-// from its view as a member. A substitute for the primary owner that no member reports to refills it only at
-// its own fraction of the rate: it may be partitioned from gateways that admit requests of the same customer.
+// from its view as a member. A substitute for the primary owner refills it only at its own fraction of the
+// rate as long as no member has reported to it, because it may be partitioned from gateways that admit
+// requests of the same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -76,8 +76,8 @@
 
 // Errors that messageFormat.decode returns.
 var (
-	errMessageVersion = errors.New("unsupported peer message version")
-	errMessageLength  = errors.New("invalid peer message length")
+	errMessageVersion = errors.New("peer message has an unsupported version")
+	errMessageLength  = errors.New("peer message has an invalid length")
 )
 
 // message is a message from one gateway to another.
@@ -88,11 +88,11 @@
 	updates     []healthUpdate
 }
 
-// usageRecord is the part of a message that concerns one customer. A member sends it as a report and the
-// owner sends it back as a reply. In a report, total is the member's own count, demand is the demand at the
-// member, and remaining is the member's estimate of the remaining units. In a reply, total is the member's
-// count as acknowledged or reserved by the owner, demand is the demand at all other gateways, and remaining
-// is what is left of the whole quota.
+// usageRecord is the part of a message that concerns one customer. A member sends one to the owner as a
+// report, and the owner sends one back as a reply. In a report, total is the member's own count, demand is
+// the demand at the member, and remaining is the member's estimate of the remaining units. In a reply, total
+// is the member's count as acknowledged or reserved by the owner, demand is the demand at all other gateways,
+// and remaining is what is left of the whole quota.
 type usageRecord struct {
 	key              uint32  // upper 32 bits of the customer's hash
 	planIndex        int     // index of the plan in the settings
@@ -128,7 +128,8 @@
 	widePlan     bool    // records have an additional byte for the plan index
 }
 
-// newMessageFormat returns the format whose units are large enough for the values that the settings allow.
+// newMessageFormat returns the format whose wire units are large enough to represent the values that the
+// settings allow.
 func newMessageFormat(settings Settings) messageFormat {
 	format := messageFormat{unitsPerStep: 1, widePlan: len(settings.Plans) > plansInFlags}
 	largestBurst := 0.0
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -7,7 +7,7 @@
 
 const (
 	// maxUnansweredReports is the number of consecutive reports without a reply after which a peer counts as
-	// unreachable. Two reports or replies may be lost by chance.
+	// unreachable. It tolerates two reports or replies that are lost by chance.
 	maxUnansweredReports = 3
 	// unreachablePeriod is the time after the last unanswered report until an unreachable peer is tried again.
 	unreachablePeriod Seconds = 1.0
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -68,8 +68,10 @@
 }
 
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
-// its part of the total demand. It asks the owner if the share is too small for the request, or if the
-// owner's last reply, of the given age, is too old.
+// its part of the total demand. Units also count as available if the other gateways can't have used them
+// since the owner's last reply, of the given age, even at twice their demand. The member asks the owner if
+// the units are not enough or the reply is too old, and rejects the request if a recent reply left too few
+// units for it.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -8,8 +8,9 @@
 	customers []*customer
 }
 
-// add queues a request in order of priority. No more requests of a customer may wait than may be in flight:
-// if the queue exceeds this bound, add removes and returns the request of lowest priority.
+// add queues a request in order of priority. At most Plan.MaxConcurrent requests of a customer may wait: if
+// the queue exceeds this bound, add removes and returns the request of lowest priority, otherwise it returns
+// nil.
 func (q *slotQueue) add(r *request) (displaced *request) {
 	c := r.customer
 	if len(c.slotWaiters) == 0 {
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// Regression test: members sent requests on the strength of replies up to half a second old, although other gateways
-// had taken the free slots since. With a reply older than maxInFlightAge, a member must ask the owner.
-func TestMemberDoesNotFillSlotsByAStaleReply(t *testing.T) {
+// Regression test: members sent requests based on replies up to half a second old, although other gateways had taken
+// the free slots since. With a reply older than maxInFlightAge, a member must ask the owner.
+func TestMemberAsksForASlotAfterAStaleReply(t *testing.T) {
 	for _, age := range []float64{0.05, 0.3} {
 		g, r, send := newTestMemberWithSlots(t)
 		send(100, "first", 1)
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -12,9 +12,9 @@
 	// minBatchTokens the number to send any other batch. Each batch uses one message.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
-	// grantTimeout is the time without a reply after which a report that requests wait for is repeated.
+	// grantTimeout is the time after which an unanswered report is repeated if requests wait for a grant.
 	grantTimeout Seconds = 0.08
-	// reportTimeout is the time without a reply after which any other report is repeated.
+	// reportTimeout is the time after which any other unanswered report is repeated.
 	reportTimeout Seconds = 0.3
 	// maxReportTransmissions is the number of consecutive reports without a reply after which the local window
 	// decides.
@@ -38,7 +38,7 @@
 type reportBatch struct {
 	customers []*customer
 	pending   bool // the gateway is in usageReporter.pending
-	// urgent is set if a request waits for a grant, or for a slot that this gateway has freed.
+	// urgent is set if a request waits for a grant, or if a freed concurrency slot is to be reported.
 	urgent bool
 	sentAt Seconds
 }
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Regression test: after a gateway itself had stood still, it counted replies as overdue that had only waited for it,
-// and considered the owners unreachable.
+// Regression test: after a gateway itself had stood still, it counted replies as overdue that had arrived in the
+// meantime, and considered the owners unreachable.
 func TestOwnStandstillDoesNotMakeReplyOverdue(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
