--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -2,7 +2,8 @@
 
 const (
 	// maxReplyAge is the age of the owner's last reply up to which a member admits requests from its share of
-	// the remaining units. After that, it admits a request itself only if all gateways could admit the same.
+	// the remaining units. With an older reply, it asks the owner unless there are enough units for the same
+	// request at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
 	// maxInFlightAge is the age up to which a member relies on the attempts in flight in the owner's last
 	// reply. It is shorter than maxReplyAge because their number changes with every request.
@@ -67,8 +68,10 @@
 }
 
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
-// its part of the total demand. It asks the owner if the share is too small for the request, or if the
-// owner's last reply, of the given age, is too old.
+// its part of the total demand. Units also count as available if the other gateways can't have used them
+// since the owner's last reply, of the given age, even at twice their demand. The member asks the owner if
+// the units are not enough or the reply is too old, and rejects the request if a recent reply left too few
+// units for it.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
