--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// A request's time runs from the arrival of its last byte at this machine, not from when a reader read it: the reader
-// may wait behind open commands, and the whole process may have stalled. Neither the socket nor the clock gives the
-// arrival of each byte, so it is bounded by what is known, on the early side.
+// The deadline of a request counts from the arrival of its last byte at this machine, not from the time at which the
+// reader reads it: bytes may wait in the socket while the reader waits for open commands or while the whole process is
+// stalled. The kernel does not report the arrival time of each byte, so it is estimated, rather too early than too late.
 
-// arrival bounds when the bytes of one read arrived.
+// arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
-	earliest policy.Seconds // the earliest time at which any of them may have arrived
-	lastByte policy.Seconds // when the last of them had arrived
+	earliest policy.Seconds // lower bound for all bytes
+	lastByte policy.Seconds // estimate for the last byte
 }
 
-// commandArrivedAt is when a command had arrived completely. endsRead is set where its last byte is the last of the read;
-// else more bytes came behind it.
+// commandArrivedAt returns the arrival time of a command that ends within the read. If the last byte of the command is
+// not the last byte of the read, only the lower bound is known.
 func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
 	if lastInRead {
 		return a.lastByte
@@ -28,27 +28,27 @@
 	return a.earliest
 }
 
-// arrivalTracker follows the arrival of the bytes in one connection's buffer. It belongs to the connection's reader.
+// arrivalTracker records when the bytes in a connection's read buffer arrived. The connection's reader owns it.
 type arrivalTracker struct {
-	lastEmptyAt policy.Seconds // when the socket was last known to be empty
-	reads       []bufferedRead // of the reads whose bytes are in the buffer, oldest first
+	lastEmptyAt policy.Seconds // last time at which the socket was known to be empty
+	reads       []bufferedRead // reads with bytes in the buffer, oldest first
 }
 
-// bufferedRead is when the bytes of one read arrived.
+// bufferedRead is a read with bytes that are still in the buffer.
 type bufferedRead struct {
-	end     int // of them, in the buffer
+	end     int // buffer offset behind its last byte
 	arrival arrival
 }
 
-// record notes when the bytes arrived that the last read has added to the buffer, up to end.
+// record stores the arrival of the latest read, whose bytes end at the buffer offset end.
 func (t *arrivalTracker) record(end int, arrived arrival) {
 	if n := len(t.reads); n > 0 && t.reads[n-1].end == end || end == 0 {
-		return // it has added none
+		return // the read added no bytes
 	}
 	t.reads = append(t.reads, bufferedRead{end, arrived})
 }
 
-// commandArrival is when the command had arrived completely that ends at an offset of the buffer.
+// commandArrival returns the arrival time of the command that ends at the buffer offset end.
 func (t *arrivalTracker) commandArrival(end int) policy.Seconds {
 	for _, mark := range t.reads {
 		if end <= mark.end {
@@ -58,7 +58,7 @@
 	return t.lastEmptyAt
 }
 
-// discard forgets the first n bytes of the buffer.
+// discard removes the first n bytes of the buffer from the record.
 func (t *arrivalTracker) discard(n int) {
 	kept := t.reads[:0]
 	for _, mark := range t.reads {
@@ -69,19 +69,19 @@
 	t.reads = kept
 }
 
-// estimate bounds when the bytes of a read arrived, from when the read was started and ended, and whether it filled
-// its space.
+// estimate returns the estimated arrival of the bytes of a read that ran from startedAt to endedAt. If the read has filled
+// the space that it was given, the socket may hold more bytes.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
-		// The reader was delayed: all may have arrived right after the last read.
+		// The reader was delayed: all bytes may have arrived right after the previous read.
 		read.earliest = t.lastEmptyAt
 	} else {
 		read.earliest = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
 		read.lastByte = max(endedAt-age, t.lastEmptyAt)
-	} else if filled { // what arrived last may still be in the socket
+	} else if filled { // the bytes that arrived last may still be in the socket
 		read.lastByte = read.earliest
 	}
 	read.earliest = min(read.earliest, read.lastByte)
@@ -91,13 +91,14 @@
 	return read
 }
 
-// lastDataAge is how long ago data last arrived on a connection, to the millisecond, if the system reports it.
+// lastDataAge returns the time since data last arrived on a connection, with a resolution of one millisecond. ok is
+// false if the system does not report it.
 func lastDataAge(raw syscall.RawConn) (age policy.Seconds, ok bool) {
-	const milliseconds = 1000 // in a second
+	const millisecondsPerSecond = 1000
 	failed := raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			age, ok = policy.Seconds(info.Last_data_recv)/milliseconds, true
+			age, ok = policy.Seconds(info.Last_data_recv)/millisecondsPerSecond, true
 		}
 	})
 	return age, ok && failed == nil
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -11,61 +11,65 @@
 )
 
 const (
-	// shutdownTimeout is how long a client may take to close its side of a connection whose sending side this gateway
-	// has shut down.
+	// shutdownTimeout is the time that a client has to close its side of a connection after this gateway has shut down
+	// the sending side.
 	shutdownTimeout = 500 * time.Millisecond
-	// replyDeliveryTime is how long a reply may be on its way, so that a reset of its connection would destroy it.
+	// replyDeliveryTime is the time in seconds after which a written reply has reached its client. Before that, a reset
+	// of the connection would destroy the reply.
 	replyDeliveryTime policy.Seconds = 1
 )
 
-// pastDeadline is a deadline that has passed: it ends a read at once.
+// pastDeadline is a read deadline in the past. Setting it interrupts a blocked read.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is one client's connection.
+// clientConn is a connection from a client.
 //
-// Three goroutines share it. Its reader, which the listener starts, owns reader and the read deadline, and ends with
-// the connection; the event loop owns the fields after reader, and closes the connection. While the socket takes less
-// than is pending, a writer goroutine that the event loop starts owns the write deadline; it ends with the write, at
-// its stall timeout, or with the connection, and leaves no deadline behind.
+// Three goroutines share it:
+//   - The reader, started by the listener, owns the field reader and the read deadline. It ends with the connection.
+//   - The event loop owns the fields after reader and closes the connection.
+//   - A writer, started by the event loop while the socket cannot take all pending bytes, owns the write deadline. It
+//     ends when the write is complete, at its stall timeout or with the connection, and clears the deadline.
 //
-// The event loop closes a connection between commands only when its reader has paused: requestClose asks for that by a
-// read deadline that has passed, the reader posts readerPaused and waits for resume or done.
+// The event loop closes a connection between commands only while its reader is paused: requestClose interrupts the
+// reader with a read deadline in the past, and the reader posts readerPaused and waits for resume or done.
 type clientConn struct {
 	services *services
-	set      *clientSet // that it is in
-	number   uint64     // in the order of acceptance
+	set      *clientSet // set that holds the connection
+	number   uint64     // sequence number in the order of acceptance
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
-	permits  chan struct{} // one element for each open command: the reader puts it in, the event loop takes it out
-	done     chan struct{} // closed with the connection
+	permits  chan struct{} // one element per open command: the reader adds it, the event loop removes it
+	done     chan struct{} // closed when the connection is closed
 	resume   chan struct{} // ends a pause of the reader
 
-	pauseRequested  atomic.Bool          // the reader is to pause between commands
-	discardInput    atomic.Bool          // the reader is to discard what still comes
-	hasReceived     atomic.Bool          // something was read
-	writeProgressAt eventloop.AtomicTime // when the socket last took something of a write that it had no room for
+	pauseRequested  atomic.Bool          // the reader has to pause between commands
+	discardInput    atomic.Bool          // the reader has to discard all further input
+	hasReceived     atomic.Bool          // at least one byte was read
+	writeProgressAt eventloop.AtomicTime // last time at which the socket took bytes from the writer
 
 	reader clientReader
 
 	pipeline              replyPipeline
-	reservedOutput        int  // bytes of the budget, for what is pending or with the writer
-	writing               bool // a writer goroutine runs
+	reservedOutput        int  // bytes of the budget, reserved for replies that the client has not read
+	writing               bool // a writer goroutine is running
 	openedAt              policy.Seconds
 	lastUsedAt            policy.Seconds
-	closeReason           closeReason // why its close was requested
-	closeRequested        bool        // the reader is to pause, so that the connection can be closed
-	usedSinceCloseRequest bool        // a reply was queued since the close was requested
-	hasSentCommand        bool        // a complete command has come
-	inputDiscarded        bool        // the reader has discarded input behind a malformed command for long enough
-	sendingShutDown       bool        // no reply can be sent any more, and what comes is discarded
-	overLimit             bool        // beyond the limit: its requests are rejected while that holds
+	closeReason           closeReason // reason given with the close request
+	closeRequested        bool        // the reader was asked to pause so that the connection can be closed
+	usedSinceCloseRequest bool        // a reply was queued after the close request
+	hasSentCommand        bool        // the client has sent a complete command
+	inputDiscarded        bool        // the reader has finished discarding the input behind a malformed command
+	sendingShutDown       bool        // the sending side is closed: no more replies, and further input is discarded
+	overLimit             bool        // accepted beyond the connection limit; requests are rejected as long as that lasts
 	closed                bool
 }
 
-// idle reports whether the client waits for nothing, as far as its commands were handled.
+// idle reports whether the connection has no open command and no reply to write. It does not consider commands that the
+// event loop has not handled yet.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyLocally replies to a command that the decision module never sees. Event loop only.
+// replyLocally replies to a command without the decision module. If last is set, the connection ends with the reply.
+// Event loop only.
 func (c *clientConn) replyLocally(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
@@ -75,23 +79,24 @@
 	c.flush()
 }
 
-// requestClose closes a connection between commands. Its reader may be in the middle of a command, and a command that
-// it has posted may be in the event queue: the connection is closed when the reader has paused, unless there was one.
-// Event loop only.
+// requestClose closes a connection between commands. As the reader may be in the middle of a command, or a command that
+// it has posted may still be in the event queue, the connection is closed only once the reader has paused, and stays
+// open if another command has arrived by then. Event loop only.
 func (c *clientConn) requestClose(why closeReason) {
 	switch {
 	case c.closed || c.closeRequested:
-	case c.pipeline.lastReplyQueued: // what still comes is discarded
+	case c.pipeline.lastReplyQueued: // further input is discarded anyway
 		c.close(why, nil)
 	default:
 		c.closeRequested, c.usedSinceCloseRequest, c.closeReason = true, false, why
 		c.set.closing++
 		c.pauseRequested.Store(true)
-		_ = c.conn.SetReadDeadline(pastDeadline) // it fails on a connection that has ended, which the reader reports
+		_ = c.conn.SetReadDeadline(pastDeadline) // fails if the connection has ended, which the reader reports
 	}
 }
 
-// readerPaused handles a pause of the reader: all that it has read before was handled. Event loop only.
+// readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
+// if no further input has arrived, and otherwise lets the reader continue. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
@@ -105,13 +110,13 @@
 	c.set.closing--
 	c.pauseRequested.Store(false)
 	c.resume <- struct{}{}
-	c.set.enforceLimit() // another one has to be closed in its place
+	c.set.enforceLimit() // another connection may have to be closed instead
 }
 
-// closeGracefully ends a connection on which no reply is pending. Bytes may come at this very moment: a close over them
-// would reset the connection, and so destroy replies that the client has not received yet. Where one was written
-// lately only the sending side is shut down, and what still comes is discarded until the client closes too; it repeats
-// on another connection what it had sent meanwhile.
+// closeGracefully ends a connection without pending replies. If the socket holds unread bytes when it is closed, the
+// connection is reset, which destroys replies that the client has not received yet. So after a recent reply only the
+// sending side is shut down, and further input is discarded until the client closes its side; the client repeats the
+// discarded commands on another connection.
 func (c *clientConn) closeGracefully() {
 	if c.services.loop.Now()-c.lastUsedAt > replyDeliveryTime {
 		c.close(c.closeReason, nil)
@@ -122,14 +127,14 @@
 	c.resume <- struct{}{}
 }
 
-// shutDownSending ends the sending side of the connection. Event loop only.
+// shutDownSending closes the sending side of the connection. Event loop only.
 func (c *clientConn) shutDownSending() {
 	c.sendingShutDown = true
-	_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
+	_ = c.conn.CloseWrite() // fails if the connection has ended, which the reader reports
 }
 
-// abandon closes a connection with its pending replies: its open requests end, and the decision module is notified
-// that their client is gone. Event loop only.
+// abandon closes a connection without writing its pending replies. It ends the open requests and notifies the decision
+// module that their client is gone. Event loop only.
 func (c *clientConn) abandon(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -143,7 +148,7 @@
 	}
 }
 
-// close closes the connection. The cause is what ended it, nil if this gateway did. Event loop only.
+// close closes the connection and logs why. cause is the error that ended it, or nil. Event loop only.
 func (c *clientConn) close(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -157,7 +162,7 @@
 		c.set.closing--
 	}
 	close(c.done)
-	_ = c.conn.Close() // nothing more is written on it
+	_ = c.conn.Close() // nothing more is written to it
 	delete(c.set.conns, c)
 	<-c.set.connSlots
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// listenerQuietPeriod is how long no connection must come, once the event loop has given the listener a deadline,
-	// for the listener to close.
+	// listenerQuietPeriod is the length of one wait for further connections after the event loop has set a deadline on
+	// the listener.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietPeriodsToClose is how many such periods must pass in a row.
+	// quietPeriodsToClose is the number of such waits without a connection after which the listener is closed.
 	quietPeriodsToClose = 2
 )
 
-// clientListener accepts the connections of clients and starts their readers. Its goroutine, which Proxy.serve starts,
-// owns it. When the event loop gives the listener a deadline, it accepts what has come before that, closes the
-// listener, notifies the event loop and ends. It also ends with the event loop.
+// clientListener accepts client connections and starts their readers. It is owned by its goroutine, which Proxy.serve
+// starts. After the event loop has set a deadline on the listener, the goroutine accepts the connections that are
+// waiting, closes the listener, notifies the event loop and ends. It also ends with the event loop.
 type clientListener struct {
 	services     *services
-	clients      *clientSet // it uses connSlots alone; the rest belongs to the event loop
+	clients      *clientSet // only connSlots is used; the event loop owns the rest
 	listener     *net.TCPListener
 	parser       *command.Parser
-	accepted     uint64 // connections so far
-	quietPeriods int    // periods after the deadline in which no connection came
+	accepted     uint64 // number of connections accepted so far
+	quietPeriods int    // number of quiet periods since the deadline
 
-	// The event loop calls onError with an error of accept, and onEnd when the listener is closed.
+	// Both run on the event loop: onError with each error of accept, onEnd once the listener is closed.
 	onError func(error)
 	onEnd   func()
 }
 
-// acceptClients runs the listener of clients until it ends.
+// acceptClients accepts client connections until the listener is closed.
 func (p *Proxy) acceptClients(listener *net.TCPListener) {
 	l := &clientListener{
 		services: &p.services, clients: &p.clients, listener: listener,
@@ -51,11 +51,11 @@
 	l.run()
 }
 
-// run accepts connections until the listener ends.
+// run accepts connections until the listener or the event loop ends, and closes the listener.
 func (l *clientListener) run() {
 	loop, clock := l.services.loop, l.services.clock
 	defer func() {
-		_ = l.listener.Close() // a second close fails and changes nothing
+		_ = l.listener.Close() // fails if the listener is closed already
 		loop.Post(clock.Now(), l.onEnd)
 	}()
 	for {
@@ -70,7 +70,8 @@
 	}
 }
 
-// acceptOne accepts one connection, for which a slot is taken, or gives the slot back. It reports whether to go on.
+// acceptOne accepts one connection. The caller has acquired a slot for it, which is released if accepting fails. It
+// reports whether to continue.
 func (l *clientListener) acceptOne() (more bool) {
 	shared := l.services
 	startedAt := time.Now()
@@ -84,14 +85,14 @@
 	var rawConn syscall.RawConn
 	if err == nil {
 		if rawConn, err = conn.SyscallConn(); err != nil {
-			_ = conn.Close() // it is not in use yet
+			_ = conn.Close() // not in use yet
 		}
 	}
 	at := shared.clock.Now()
 	if err != nil {
 		<-l.clients.connSlots
 		shared.loop.Post(at, func() { l.onError(err) })
-		shared.calls.Sleep(netcalls.RetryInterval) // without descriptors, other connections must end first
+		shared.calls.Sleep(netcalls.RetryInterval) // if descriptors have run out, other connections have to end first
 		return true
 	}
 	l.accepted++
@@ -101,21 +102,22 @@
 	return true
 }
 
-// handleAcceptTimeout handles a passed deadline of the listener after a wait. It reports whether to go on, with a new deadline.
+// handleAcceptTimeout runs when accept has reached the listener's deadline after waiting for the given time. It sets the
+// next deadline, or returns false once enough quiet periods have passed.
 func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
 	l.quietPeriods++
-	if waited < listenerQuietPeriod/2 { // accept may have returned without a look, as the deadline had passed already
+	if waited < listenerQuietPeriod/2 { // if the deadline had passed already, accept returns without checking for connections
 		l.quietPeriods = 0
 	}
 	if l.quietPeriods >= quietPeriodsToClose {
 		return false
 	}
 	<-l.clients.connSlots
-	_ = l.listener.SetDeadline(time.Now().Add(listenerQuietPeriod)) // it fails on a closed listener, as accept will
+	_ = l.listener.SetDeadline(time.Now().Add(listenerQuietPeriod)) // fails on a closed listener, as the next accept does
 	return true
 }
 
-// newConn makes the connection that was accepted at a time.
+// newConn returns the client connection for a socket that was accepted at the given time.
 func (l *clientListener) newConn(conn netcalls.Conn, rawConn syscall.RawConn, at policy.Seconds) *clientConn {
 	shared := l.services
 	c := &clientConn{
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -1,42 +1,42 @@
 package proxy
 
-// maxPipelined is how many commands of one connection may be open at a time.
+// maxPipelined is the maximum number of open commands per connection.
 const maxPipelined = 32
 
-// pipelineSlot is the place of one reply in the order of its connection's commands.
+// pipelineSlot reserves the position of a reply in the order of its connection's commands.
 type pipelineSlot struct {
-	request *request // nil where the reply was known at once
+	request *request // nil if the reply needed no decision
 	reply   []byte   // in RESP; nil until it is final
-	last    bool     // the connection ends with it
+	last    bool     // the connection is closed after it
 }
 
-// unwrittenReply is a reply that the socket has not taken completely. It keeps its permit until then, so that a client
-// that does not read is not read from either.
+// unwrittenReply is a reply that is queued but not completely written to the socket. It holds the permit of its command
+// until it is written, so that the reader stops reading from a client that does not read its replies.
 type unwrittenReply struct {
-	requestID string // empty where it replies to another command
-	remaining int    // bytes that the socket has not taken
+	requestID string // empty if the command is not a request
+	remaining int    // bytes not written yet
 	hasPermit bool
 }
 
-// replyPipeline keeps the replies of one connection in the order of its commands. The event loop owns it.
+// replyPipeline orders the replies of a connection by its commands. The event loop owns it.
 type replyPipeline struct {
-	slots           []*pipelineSlot  // of open commands and of replies behind them; at most maxPipelined+1
-	pending         []byte           // replies that are due and were not handed to a writer yet
-	unwritten       []unwrittenReply // those that are pending or with a writer, oldest first
-	lastReplyQueued bool             // the reply with which the connection ends is among them, or written
+	slots           []*pipelineSlot  // open commands and final replies behind them; at most maxPipelined+1
+	pending         []byte           // replies that are due but not handed to a writer yet
+	unwritten       []unwrittenReply // replies that are pending or with a writer, oldest first
+	lastReplyQueued bool             // the reply after which the connection is closed was queued
 }
 
-// add appends the slot of the next command.
+// add appends the slot for the next command.
 func (p *replyPipeline) add(slot *pipelineSlot) { p.slots = append(p.slots, slot) }
 
-// empty reports whether no reply is open or pending.
+// empty reports whether there is neither an open command nor a pending reply.
 func (p *replyPipeline) empty() bool { return len(p.slots) == 0 && len(p.pending) == 0 }
 
-// unfinished is the number of replies that are open or not completely written.
+// unfinished returns the number of commands without a completely written reply.
 func (p *replyPipeline) unfinished() int { return len(p.slots) + len(p.unwritten) }
 
-// queueDue moves the replies that are final, and have no open one before them, to the pending bytes. It returns their
-// number and their bytes.
+// queueDue moves the replies that are due to the pending bytes: those that are final, up to the first open command. It
+// returns the number of these replies and of their bytes.
 func (p *replyPipeline) queueDue() (replies, bytes int) {
 	before := len(p.pending)
 	for replies < len(p.slots) && p.slots[replies].reply != nil && !p.lastReplyQueued {
@@ -55,8 +55,8 @@
 	return replies, len(p.pending) - before
 }
 
-// recordWritten notes that the socket has taken n more bytes. It returns how many replies with a permit were completed
-// by that.
+// recordWritten records that n more bytes were written to the socket. It returns the number of replies with a permit
+// that these bytes have completed.
 func (p *replyPipeline) recordWritten(n int) (permits int) {
 	completed := 0
 	for completed < len(p.unwritten) && n >= p.unwritten[completed].remaining {
@@ -73,11 +73,10 @@
 	return permits
 }
 
-// drop forgets all that is open or pending. The ids of unwritten replies are kept for the log.
+// drop discards the open commands and the pending replies. The ids of unwritten replies are kept for the log.
 func (p *replyPipeline) drop() { p.slots, p.pending = nil, nil }
 
-// requestIDs are the requests that have no final reply yet, and those whose reply is not completely written, oldest
-// first.
+// requestIDs returns the ids of the requests that have no completely written reply, oldest first.
 func (p *replyPipeline) requestIDs() (ids []string) {
 	for _, unwritten := range p.unwritten {
 		if unwritten.requestID != "" {
