--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -11,7 +11,8 @@
 
 // The deadline of a request counts from the arrival of its last byte at this machine, not from the time at which the
 // reader reads it: bytes may wait in the socket while the reader waits for open commands or while the whole process is
-// stalled. The kernel does not report the arrival time of each byte, so it is estimated, rather too early than too late.
+// stalled. The kernel does not report the arrival time of each byte, so it is estimated, and the estimate errs on
+// the early side.
 
 // arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
@@ -69,8 +70,8 @@
 	t.reads = kept
 }
 
-// estimate returns the estimated arrival of the bytes of a read that ran from startedAt to endedAt. If the read has filled
-// the space that it was given, the socket may hold more bytes.
+// estimate estimates when the bytes of a read arrived that ran from startedAt to endedAt. If the read has filled its
+// buffer space, the socket may hold more bytes.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -102,11 +102,11 @@
 	return true
 }
 
-// handleAcceptTimeout runs when accept has reached the listener's deadline after waiting for the given time. It sets the
-// next deadline, or returns false once enough quiet periods have passed.
+// handleAcceptTimeout runs when accept has waited until the listener's deadline. It sets the next deadline, or returns
+// false once enough quiet periods have passed.
 func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
 	l.quietPeriods++
-	if waited < listenerQuietPeriod/2 { // if the deadline had passed already, accept returns without checking for connections
+	if waited < listenerQuietPeriod/2 { // the deadline was over when accept began, so it did not check
 		l.quietPeriods = 0
 	}
 	if l.quietPeriods >= quietPeriodsToClose {
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -6,21 +6,21 @@
 	"reedlead/internal/netcalls"
 )
 
-// While a reader waits for one of its connection's commands to be replied to, it reads ahead. As long as unread bytes
-// fill the socket, the end of the connection behind them does not reach this machine, and open requests would be
-// forwarded for a client that has disconnected.
+// A reader reads ahead while it waits for a reply to one of its connection's commands. If unread bytes filled the
+// receive buffer of the socket, this machine would not receive the FIN behind them, and the gateway would go on
+// forwarding open requests of a client that has disconnected.
 
 const (
-	// readAheadInterval is how often a reader that waits looks at its socket.
+	// readAheadInterval is the interval at which a waiting reader checks its socket.
 	readAheadInterval = 10 * time.Millisecond
-	// maxReadAhead is up to how many unhandled bytes it reads ahead.
+	// maxReadAhead is the number of buffered bytes at which a waiting reader stops reading ahead.
 	maxReadAhead = 256 << 10
-	// readAheadBudgetShare is the share of the input budget that is left for others.
+	// readAheadBudgetShare is the share of the input budget that reading ahead must leave available.
 	readAheadBudgetShare = 0.5
 )
 
-// acquirePermit waits until the connection may have another command open, and reads ahead meanwhile; false if the
-// connection has ended.
+// acquirePermit waits until the connection may have another open command, and reads ahead in the meantime. It returns
+// false if the connection has ended.
 func (r *clientReader) acquirePermit() bool {
 	c := r.client
 	select {
@@ -45,8 +45,8 @@
 	}
 }
 
-// readAhead reads what has come without waiting, as far as there is room for it. If the connection has ended, it
-// notifies the event loop and returns true.
+// readAhead reads the available input without blocking, as far as the limits on buffered input allow. If the connection
+// has ended, it notifies the event loop and returns true.
 func (r *clientReader) readAhead() (ended bool) {
 	shared, c := r.services, r.client
 	for r.buffer.Len() < maxReadAhead && shared.inputBudget.AllowsReadAhead() {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// maxBadCommands is how many commands of one connection may be bad; it is closed with the last of them.
+	// maxBadCommands is the number of invalid commands after which a connection is closed.
 	maxBadCommands = 8
-	// discardTimeout and maxLingerBytes bound the input that is read and discarded behind a malformed command.
+	// discardTimeout and maxDiscardedBytes limit the input that is read and discarded behind a malformed command.
 	discardTimeout    = 2 * time.Second
 	maxDiscardedBytes = 1 << 20
-	// typicalArguments is how many arguments of a command there is space for without an allocation.
+	// typicalArguments is the number of arguments that can be parsed without an allocation.
 	typicalArguments = 8
 )
 
-// pingCommand asks whether this gateway can serve requests.
+// pingCommand is the health check, which asks whether this gateway can serve requests.
 const pingCommand = "PING"
 
-// maxQuotedBytes is how much of an unknown command an error quotes.
+// maxQuotedBytes is the maximum number of bytes of an unknown command that an error quotes.
 const maxQuotedBytes = 40
 
-// Errors of a client, worded for it.
+// Errors that are sent to the client.
 var (
 	errEmptyCommand = errors.New("empty command")
 	errNoCommand    = errors.New("no whole command in time")
 )
 
-// clientReader reads the commands of one connection and posts each to the event loop, with the time at which its last
-// byte had arrived. Its goroutine, which the listener starts, owns it, but while it pauses; it ends with the
-// connection, or when the rest of the input can't be read.
+// clientReader reads the commands of one connection and posts each to the event loop, with the arrival time of its last
+// byte. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends with the connection
+// or at malformed input.
 //
-// A read deadline is set while a command is unfinished, and until the first one has come. The event loop sets one that
-// has passed to have the reader pause.
+// A read deadline is set until the first command is complete, and while a later command is incomplete. To pause the
+// reader, the event loop sets a deadline in the past.
 type clientReader struct {
 	client   *clientConn
 	services *services
@@ -52,11 +52,11 @@
 	buffer         readbuf.Buffer
 	arrivals       arrivalTracker
 	badCommands    int
-	deadlineActive bool      // a deadline of the client runs
-	deadline       time.Time // of it; zero for none
+	deadlineActive bool      // the client must complete a command by deadline
+	deadline       time.Time // zero if there is none
 }
 
-// run reads until the connection ends.
+// run reads and handles commands until the connection ends or its input is malformed.
 func (r *clientReader) run() {
 	defer r.buffer.Free()
 	r.deadlineActive = true
@@ -65,16 +65,17 @@
 	}
 }
 
-// setDeadline sets the read deadline, but does not undo one by which the event loop requests a pause.
+// setDeadline sets the read deadline. If the event loop has requested a pause, the deadline that interrupts the reader
+// stays in force.
 func (r *clientReader) setDeadline(deadline time.Time) {
 	r.deadline = deadline
-	_ = r.client.conn.SetReadDeadline(deadline) // where it fails, so does the next read
+	_ = r.client.conn.SetReadDeadline(deadline) // if it fails, so does the next read
 	if r.client.pauseRequested.Load() {
 		_ = r.client.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// readOnce reads what has come, waiting for it, and handles the commands that are complete. It reports whether to go on.
+// readOnce waits for input and handles the complete commands. It reports whether to continue.
 func (r *clientReader) readOnce() (more bool) {
 	space := r.buffer.Space()
 	if space == nil {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// updateDeadline starts the deadline with an unfinished command and ends it with the last complete one.
+// updateDeadline sets the read deadline when a new command is incomplete, and clears it when none is.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
 	case unfinished && (used > 0 || !r.deadlineActive):
@@ -115,14 +116,14 @@
 	}
 }
 
-// handleError handles an error of a read. It reports whether to go on.
+// handleError handles a read error. It reports whether to continue.
 func (r *clientReader) handleError(at policy.Seconds, err error) (more bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case timedOut && r.client.pauseRequested.Load():
 		return r.pause(at)
 	case timedOut && r.deadlineActive && time.Now().Before(r.deadline):
-		r.setDeadline(r.deadline) // the deadline was that of a pause that has ended
+		r.setDeadline(r.deadline) // the deadline in the past belonged to a pause that has ended
 		return true
 	case timedOut:
 		r.rejectInput(at, errNoCommand)
@@ -132,7 +133,8 @@
 	return false
 }
 
-// pause lets the event loop decide between commands whether the connection is closed. It reports whether to go on.
+// pause waits between commands while the event loop decides whether to close the connection. It reports whether to
+// continue.
 func (r *clientReader) pause(at policy.Seconds) (more bool) {
 	c := r.client
 	r.services.loop.Post(at, c.readerPaused)
@@ -150,8 +152,8 @@
 	return false
 }
 
-// handleCommands posts the complete commands that are in the buffer and returns their length, and false when the
-// connection has ended or is about to.
+// handleCommands posts the complete commands in the buffer to the event loop and returns their total length. ok is
+// false if the connection has ended or is about to end.
 func (r *clientReader) handleCommands(at policy.Seconds, arrived arrival) (used int, ok bool) {
 	var space [typicalArguments][]byte
 	r.arrivals.record(r.buffer.Len(), arrived)
@@ -178,8 +180,8 @@
 	return used, true
 }
 
-// handleCommand posts one complete command, which was read at the time at and had arrived at arrivedAt, or returns what
-// is wrong with it, worded for the client.
+// handleCommand posts one complete command, which arrived at arrivedAt and was read at the time at, to the event loop.
+// If the command is invalid, it returns the error to send to the client.
 func (r *clientReader) handleCommand(at, arrivedAt policy.Seconds, args [][]byte) error {
 	shared, c := r.services, r.client
 	requests := c.set.requests
@@ -205,10 +207,10 @@
 	return nil
 }
 
-// replyError replies to a bad command. It reports whether the connection goes on.
+// replyError replies to an invalid command with an error. It reports whether the connection stays open.
 func (r *clientReader) replyError(at policy.Seconds, err error) (more bool) {
 	if r.badCommands++; r.badCommands == maxBadCommands {
-		<-r.client.permits // the last reply has none
+		<-r.client.permits // the last reply of a connection holds no permit
 		r.rejectInput(at, err)
 		return false
 	}
@@ -217,11 +219,11 @@
 	return true
 }
 
-// errorReply is the reply to a malformed command.
+// errorReply returns an error reply in RESP.
 func errorReply(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
 
-// rejectInput replies to input that can't be handled and ends the connection. What still comes is read for a while: a
-// close over unread bytes would reset the connection, and might destroy the reply.
+// rejectInput replies with an error to input that cannot be handled, and ends the connection. It first discards further
+// input for a while, because closing a socket with unread bytes resets the connection and may destroy the reply.
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
 	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
@@ -230,14 +232,15 @@
 		c.inputDiscarded = true
 		if closedByClient || c.idle() {
 			c.abandon(protocolError, err)
-		} // else it is closed once the replies before the last one are written
+		} // otherwise allWritten closes it after the last reply
 	})
 }
 
-// discardRemaining reads and discards what still comes, for a while. It reports whether the client has closed its side.
+// discardRemaining reads and discards up to maxDiscardedBytes of input until the timeout. It reports whether the client
+// has closed its side.
 func (r *clientReader) discardRemaining(timeout time.Duration) (closedByClient bool) {
 	r.buffer.Free()
-	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // where it fails, so does the read
+	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // if it fails, so does the read
 	n, err := io.Copy(io.Discard, io.LimitReader(r.client.conn, maxDiscardedBytes))
 	return n < maxDiscardedBytes && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -8,55 +8,58 @@
 )
 
 const (
-	// minClients is the least limit on client connections.
+	// minClients is the lower bound of the limit on client connections.
 	minClients = 8
-	// minOverLimit is the least number of connections beyond the limit that are accepted to be rejected.
+	// minOverLimit is the lower bound of overLimitAllowance.
 	minOverLimit = 2
-	// clientShare and overLimitShare are what client connections may take of the usable descriptors: those within
-	// the limit, and those beyond it.
+	// clientShare and overLimitShare are the shares of the usable descriptors for client connections within the limit
+	// and beyond it.
 	clientShare    = 1.0 / 2
 	overLimitShare = 1.0 / 8
-	// acceptAhead is how many connections may be accepted that the event loop has not handled yet.
+	// acceptAhead is the number of accepted connections that may wait for the event loop.
 	acceptAhead = 8
-	// commandTimeout is how long a client may take for its first command, and for a command that it has begun. What
-	// can't be read must get a reply within 3 s.
+	// commandTimeout is the time that a client has for its first command, and for completing any later command. It is
+	// below 3 s, the time within which input that cannot be read must get a reply.
 	commandTimeout = 2 * time.Second
-	// clientIdleTimeout is how long a connection may be idle.
+	// clientIdleTimeout is the time in seconds after which an idle connection is closed.
 	clientIdleTimeout policy.Seconds = 10
-	// lateClientGrace is the time for a command on a connection that was accepted during a graceful shutdown.
+	// lateClientGrace is the time for the first command on a connection that was accepted just before the listener
+	// closed.
 	lateClientGrace = 100 * time.Millisecond
 
-	// reservedDescriptors is for the listener, discovery with its concurrent polls, peers, the configuration file,
-	// the connections accepted ahead and the runtime; reservedDescriptorShare for connections that are being closed.
+	// reservedDescriptors is the number of descriptors kept for the listener, discovery with its concurrent polls, the
+	// peer link, the configuration file, the connections accepted ahead and the runtime. reservedDescriptorShare is the
+	// share of all descriptors kept for connections that are being closed.
 	reservedDescriptors     = 32
 	reservedDescriptorShare = 1.0 / 32
 )
 
-// usableDescriptors is how many descriptors connections may take of those that the process gets. The rest is kept for
-// all that must never wait for one.
+// usableDescriptors returns the number of descriptors that connections may use, given the limit of the process. The
+// rest is reserved for operations that must never wait for a descriptor.
 func usableDescriptors(limit int) int {
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
 
-// clientSet holds the connections of clients and bounds their number. The event loop owns it, but for connSlots.
+// clientSet holds the client connections and limits their number. The event loop owns it. The listener also uses
+// connSlots, and readers use commandTimeout.
 type clientSet struct {
 	services           *services
 	requests           *requestTable
 	status             gatewayStatus
 	conns              map[*clientConn]struct{}
-	limit              int // of open connections; lower than configured while descriptors are short
+	limit              int // of open connections; below configuredLimit while descriptors are short
 	configuredLimit    int
-	overLimitAllowance int // connections beyond the limit that are accepted, to reject their requests with a reply
-	closing            int // open connections whose close was requested
-	// connSlots has an element for each connection. The listener puts it in before it accepts, the event loop takes it
-	// out as it closes the connection.
+	overLimitAllowance int // connections accepted beyond the limit so that their requests get a rejection
+	closing            int // open connections with a requested close
+	// connSlots holds an element for each connection. The listener adds it before it accepts the connection, and the
+	// event loop removes it when it closes the connection.
 	connSlots chan struct{}
 
 	stallTimeout   time.Duration
-	commandTimeout time.Duration // readers use it too
+	commandTimeout time.Duration
 }
 
-// init sets the limits for a process that gets this number of descriptors.
+// init derives the limits from the number of descriptors that the process may use.
 func (s *clientSet) init(shared *services, requests *requestTable, status gatewayStatus, descriptors int) {
 	usable := usableDescriptors(descriptors)
 	s.services, s.requests, s.status = shared, requests, status
@@ -69,13 +72,13 @@
 	s.connSlots = make(chan struct{}, s.limit+s.overLimitAllowance+acceptAhead)
 }
 
-// open is the number of open connections.
+// open returns the number of open connections.
 func (s *clientSet) open() int { return len(s.conns) }
 
 // notClosing is the number of connections that are not about to be closed.
 func (s *clientSet) notClosing() int { return len(s.conns) - s.closing }
 
-// add adds a connection that the listener has accepted.
+// add adds a connection that the listener has accepted, or closes it if too many are open.
 func (s *clientSet) add(c *clientConn) {
 	c.overLimit = s.evictToLimit(c)
 	if c.overLimit && s.notClosing() >= s.limit+s.overLimitAllowance {
@@ -86,36 +89,36 @@
 	now := s.services.loop.Now()
 	c.openedAt, c.lastUsedAt = now, now
 	s.conns[c] = struct{}{}
-	if s.status.isDraining() { // it was accepted before the listener closed, and its command may follow
+	if s.status.isDraining() { // accepted before the listener closed; its command may still arrive
 		s.services.loop.After(lateClientGrace.Seconds(), func() { c.requestClose(draining) })
 	}
 }
 
-// sweep closes the connections that were idle for too long, those that a client with maxPipelined open commands has
-// closed, and those beyond the limit. A client that has sent no command is left to its reader, which replies with an
-// error.
+// sweep closes connections that have been idle for too long, connections with maxPipelined unfinished commands whose
+// client has disconnected, and idle connections beyond the limit. It leaves a client that has sent no command to the
+// reader, which replies with an error at its deadline.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
 		if c.hasSentCommand && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
-		// The reader of such a connection waits for a permit and does not notice that the client has closed it.
+		// The reader waits for a permit and may not notice the disconnect, as reading ahead is limited.
 		if c.pipeline.unfinished() >= maxPipelined && netcalls.ClosedByPeer(c.rawConn) {
 			c.abandon(peerClosed, nil)
 		}
 	}
-	s.enforceLimit() // a newcomer would do the same, but none may come
+	s.enforceLimit() // add does the same, but there may be no new connection
 }
 
-// enforceLimit closes idle connections while more are open than the limit.
+// enforceLimit evicts connections if more than the limit are open.
 func (s *clientSet) enforceLimit() {
 	if s.notClosing() > s.limit {
 		s.evictToLimit(nil)
 	}
 }
 
-// closeIdle closes each connection that waits for no reply.
+// closeIdle requests the close of all idle connections.
 func (s *clientSet) closeIdle() {
 	for c := range s.conns {
 		if c.idle() {
@@ -124,8 +127,8 @@
 	}
 }
 
-// evictToLimit closes idle and stalled connections, those of the lowest eviction rank first, until no more are open than
-// the limit. The newcomer, which may be nil, is not counted. It reports whether too many are open all the same.
+// evictToLimit evicts idle and stalled connections, the lowest eviction rank first, until fewer than the limit are open
+// besides newcomer, which may be nil. It reports whether too many remain open because no other can be evicted.
 func (s *clientSet) evictToLimit(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
@@ -142,8 +145,8 @@
 	}
 }
 
-// evictionCandidate is the connection to evict next: of the lowest rank the one unused for longest, nil
-// if there is none. others is the number of connections that stay open beside the newcomer.
+// evictionCandidate returns the connection to evict next: among those of the lowest rank, the one unused for longest,
+// or nil if none can be evicted. others is the number of connections without a requested close, not counting newcomer.
 func (s *clientSet) evictionCandidate(newcomer *clientConn) (candidate *clientConn, others int) {
 	var lowest evictionRank
 	for c := range s.conns {
@@ -162,20 +165,20 @@
 	return candidate, others
 }
 
-// evictionRank orders the connections that may be evicted; the lowest goes first.
+// evictionRank is the order of eviction: connections of the lowest rank are evicted first.
 type evictionRank int
 
 const (
-	rankLastReplyQueued evictionRank = iota // its last reply was written or is being written
-	rankNoCommand                           // nothing has come on it
-	rankIdle                                // it waits for nothing
-	// rankUnhandledInput has a first command on its way: it could not be closed, and others would have to wait for
-	// that.
+	rankLastReplyQueued evictionRank = iota // its last reply was queued
+	rankNoCommand                           // it has not received any bytes
+	rankIdle                                // it has no open command and no reply to write
+	// rankUnhandledInput has received bytes of its first command. It cannot be closed before that command is handled,
+	// so an eviction would not make room immediately.
 	rankUnhandledInput
-	rankStalled // it takes nothing of its replies
+	rankStalled // its client does not read its replies
 )
 
-// evictionRank is the rank of a connection that is idle or stalled.
+// evictionRank returns the rank of an idle or stalled connection.
 func (c *clientConn) evictionRank() evictionRank {
 	switch {
 	case c.writing:
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// stallTimeout is how long a client may take nothing of a reply that its socket has no room for. A close under a
-	// reply loses it, so this is long; such a client may be evicted earlier.
+	// stallTimeout is the time without write progress after which a connection is closed. It is long because closing
+	// loses the unwritten replies; such a client may be evicted earlier.
 	stallTimeout = 30 * time.Second
-	// evictStalledAfter is the time without progress after which a client may be evicted.
+	// evictStalledAfter is the time in seconds without write progress after which a client may be evicted.
 	evictStalledAfter policy.Seconds = 5
-	// maxKeptOutput is the largest buffer in bytes that is kept for the next reply.
+	// maxKeptOutput is the size in bytes of the largest output buffer that is kept for later replies.
 	maxKeptOutput = 4 * readbuf.Size
 )
 
@@ -36,7 +36,8 @@
 	}
 }
 
-// reserveOutput reserves n bytes of the budget for what the client has not read.
+// reserveOutput reserves n bytes of the input budget for replies that the client has not read. It reports whether the
+// budget had room for them.
 func (c *clientConn) reserveOutput(n int) bool {
 	if !c.services.inputBudget.Reserve(n) {
 		return false
@@ -45,19 +46,19 @@
 	return true
 }
 
-// recordWritten notes that the socket has taken n more bytes, and gives back the permits of the replies that are
-// complete.
+// recordWritten records that n more bytes were written to the socket, and releases the permits of the replies that
+// these bytes have completed.
 func (c *clientConn) recordWritten(n int) {
 	for range c.pipeline.recordWritten(n) {
 		select {
 		case <-c.permits:
-		default: // its command never took one
+		default: // the command took no permit
 		}
 	}
 }
 
-// writePending writes what is pending: at once what the socket takes, and the rest on a writer goroutine. Event loop
-// only.
+// writePending writes the pending replies: directly as far as the socket has room, and the rest in a writer goroutine.
+// Event loop only.
 func (c *clientConn) writePending() {
 	shared := c.services
 	shared.inputBudget.Release(c.reservedOutput)
@@ -89,7 +90,7 @@
 	c.startWriter(rest)
 }
 
-// startWriter starts the writer goroutine with what the socket has no room for.
+// startWriter starts a writer goroutine for the bytes that the socket had no room for.
 func (c *clientConn) startWriter(rest []byte) {
 	shared := c.services
 	progressed := func() { c.writeProgressAt.Store(shared.clock.Now()) }
@@ -101,7 +102,7 @@
 	}()
 }
 
-// writeFinished handles the end of the writer goroutine, which had n bytes to write. Event loop only.
+// writeFinished handles the end of the writer goroutine, which was given n bytes. Event loop only.
 func (c *clientConn) writeFinished(n int, err error) {
 	c.writing = false
 	switch {
@@ -116,11 +117,12 @@
 	}
 }
 
-// allWritten ends a connection on which no reply is pending, if it is to end.
+// allWritten runs when all pending replies are written. It ends a connection after its last reply, and during a drain
+// one without open commands.
 func (c *clientConn) allWritten() {
 	switch lastWritten := c.pipeline.lastReplyQueued; {
 	case lastWritten && !c.inputDiscarded:
-		_ = c.conn.CloseWrite() // it fails on a connection that has ended, which the reader reports
+		_ = c.conn.CloseWrite() // fails if the connection has ended, which the reader reports
 	case lastWritten:
 		c.close(lastReplyWritten, nil)
 	case c.set.status.isDraining() && len(c.pipeline.slots) == 0:
@@ -128,11 +130,10 @@
 	}
 }
 
-// stalled reports whether the client has taken nothing of its replies for long.
+// stalled reports whether a write has made no progress for longer than evictStalledAfter.
 func (c *clientConn) stalled(now policy.Seconds) bool {
 	return c.writing && now-c.writeProgressAt.Load() > evictStalledAfter
 }
 
-// openRequestIDs returns the ids of the client's requests that have no final reply yet, and of those whose reply is not
-// completely written.
+// openRequestIDs returns the ids of the client's requests that have no completely written reply.
 func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -6,18 +6,19 @@
 	"reedlead/internal/netcalls"
 )
 
-// The limits on connections leave a reserve of descriptors. Where the process gets fewer than its configuration says,
-// idle connections are evicted, so that discovery, new connections and files never have to wait for one.
+// The connection limits leave a reserve of descriptors. If the process gets fewer descriptors than its configuration
+// says, idle connections are evicted so that discovery, new connections and files never have to wait for a descriptor.
 
 const (
-	// evictionDivisor: one in evictionDivisor client connections is closed when there is no descriptor left.
+	// evictionDivisor is the divisor of the number of client connections that gives how many are evicted when no
+	// descriptor is left.
 	evictionDivisor = 8
-	// limitRecoveryDivisor: each check that finds a descriptor raises the limit on client connections by this
-	// fraction of the configured one.
+	// limitRecoveryDivisor is the divisor of the configured client limit that gives how much each check raises a
+	// lowered limit while descriptors are free.
 	limitRecoveryDivisor = 32
 )
 
-// probeDescriptor fails if no descriptor is to be had.
+// probeDescriptor opens and closes a file, which fails if no descriptor is free.
 func probeDescriptor() error {
 	file, err := os.Open(os.DevNull)
 	if err != nil {
@@ -26,17 +27,16 @@
 	return file.Close()
 }
 
-// descriptorGuard evicts connections, and lowers the limit on clients, when descriptors run out. The event loop owns it.
+// descriptorGuard evicts connections and lowers the client limit when descriptors run out. The event loop owns it.
 type descriptorGuard struct {
 	services  *services
 	clients   *clientSet
 	endpoints *endpointSet
-	// probe fails if no descriptor is to be had.
+	// probe fails if no descriptor is free. Tests replace it.
 	probe func() error
 }
 
-// check probes for a free descriptor and evicts connections if there is none; else it raises a lowered limit on
-// clients again.
+// check evicts connections if no descriptor is free. Otherwise it raises a lowered client limit.
 func (g *descriptorGuard) check() {
 	s := g.clients
 	if !g.evictIfExhausted(g.probe()) && s.limit < s.configuredLimit {
@@ -44,8 +44,8 @@
 	}
 }
 
-// evictIfExhausted reports whether a call failed for want of descriptors. Idle connections are closed then: those to
-// endpoints first, which cost a new dial at most, and clients that wait for no reply, those idle for longest first.
+// evictIfExhausted reports whether err says that no descriptor is left. If so, it evicts idle connections to endpoints,
+// each of which costs a new dial at most, and client connections, and lowers the client limit.
 func (g *descriptorGuard) evictIfExhausted(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
 		return false
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// acceptGrace is how long after the signal new connections are accepted. They come for up to 0.4 s after a
-	// planned restart was announced, and what is lost from 0.7 s on counts: the listener closes between the two.
+	// acceptGrace is the time after the shutdown signal during which connections are accepted. New ones arrive until
+	// 0.4 s after a planned restart is announced, and lost ones count from 0.7 s on: the listener closes in between.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL may follow sigkillDelay after the longest timeout, which counts as maxSigkillTimeout where it is longer.
-	// By sigkillMargin before that, all requests have their reply, and by half of it each connection is closed.
+	// SIGKILL may arrive sigkillDelay after the longest request timeout, of which at most maxSigkillTimeout counts.
+	// All requests have a reply sigkillMargin before that, and their connections are shut down when half of the margin
+	// is left and closed when a quarter is left.
 	sigkillDelay      = 700 * time.Millisecond
 	maxSigkillTimeout = 3 * time.Second
 	sigkillMargin     = 150 * time.Millisecond
 )
 
-// drain is a graceful shutdown: it stops accepting connections, closes those that are idle, and after a time fails the
-// requests that are still open. The event loop owns it.
+// drain is a graceful shutdown: it stops accepting connections, closes idle ones, and fails the requests that are still
+// open after a timeout. The event loop owns it.
 type drain struct {
 	services *services
 	listener *net.TCPListener
 	clients  *clientSet
 	requests *requestTable
 
-	acceptGrace time.Duration // how long after the signal new connections are accepted
-	timeout     time.Duration // after which all requests have their reply at the latest
+	acceptGrace time.Duration // time after the signal during which connections are accepted
+	timeout     time.Duration // time after the signal at which open requests fail
 
-	acceptingStopped bool // no new connections are accepted, and connections close between requests
-	listenerEnded    bool // the listener is closed, and all pending connections were accepted
-	timedOut         bool // requests that come now are rejected at once
+	acceptingStopped bool // the accept grace is over, and connections close between requests
+	listenerEnded    bool // the listener is closed, and all waiting connections were accepted
+	timedOut         bool // the timeout has passed, and new requests are rejected
 }
 
-// init sets the times by the deadlines of the request classes.
+// init derives the times from the timeouts of the request classes.
 func (d *drain) init(
 	shared *services, listener *net.TCPListener, clients *clientSet, requests *requestTable, classes []policy.Class,
 ) {
@@ -48,28 +49,28 @@
 	d.acceptGrace, d.timeout = acceptGrace, sigkillAfter-sigkillMargin
 }
 
-// start begins the shutdown, on the signal to end.
+// start begins the drain. The event loop calls it on the shutdown signal.
 func (d *drain) start() {
 	d.services.log.Info("draining")
 	d.services.loop.After(d.acceptGrace.Seconds(), d.stopAccepting)
 	d.services.loop.After(d.timeout.Seconds(), d.expire)
 }
 
-// complete reports whether the process may end.
+// complete reports whether the process may exit.
 func (d *drain) complete() bool {
 	return d.acceptingStopped && d.listenerEnded && d.clients.open() == 0
 }
 
-// stopAccepting ends the time in which new connections are accepted. From here on all that is open has time until
-// expire: clients go on sending on connections that stay open.
+// stopAccepting closes the listener, once the waiting connections are accepted, and the idle connections. Clients may
+// go on sending on the other connections until expire.
 func (d *drain) stopAccepting() {
 	d.acceptingStopped = true
-	_ = d.listener.SetDeadline(time.Now()) // it fails on a closed listener alone
+	_ = d.listener.SetDeadline(time.Now()) // fails only on a closed listener
 	d.clients.closeIdle()
 }
 
-// expire ends a shutdown that takes too long: open requests fail while their clients can get the reply. What comes
-// after that is rejected at once, until its connection is quiet for long enough to be closed.
+// expire ends a drain that takes too long. It fails the open requests while their clients can still get the reply.
+// Later requests are rejected until their connection is closed.
 func (d *drain) expire() {
 	d.timedOut = true
 	if !d.acceptingStopped {
@@ -86,6 +87,6 @@
 		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		d.listenerEnded = true // it may wait for a free slot until SIGKILL comes
+		d.listenerEnded = true // the listener may still be waiting for a free slot
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy carries out on real sockets what the decision module, package policy, decides, and hands it the
-// outcomes. It decides nothing about quotas, endpoints or retries itself.
+// Package proxy runs a gateway on real sockets. It executes the decisions of the decision module, package policy, and
+// reports their outcomes to it. It makes no decisions about quotas, endpoints or retries itself.
 package proxy
 
 import (
@@ -20,30 +20,33 @@
 )
 
 const (
-	// inputMemoryShare is the share of the memory that unfinished and queued input may take, beside a first buffer
-	// for each connection. Garbage that is not collected yet takes about as much again, and the program itself needs
-	// some MB.
+	// inputMemoryShare is the share of the process memory that incomplete and queued input may use, in addition to one
+	// buffer per connection. Garbage that has not been collected takes about as much again, and the program itself
+	// needs several MB.
 	inputMemoryShare = 0.2
-	defaultMemoryMB  = 192 // where the configuration gives none
+	defaultMemoryMB  = 192 // used if the configuration sets none
 	sweepInterval    = time.Second
-	// readyTimeout is how long after the start a list with an endpoint in service is waited for before this
-	// gateway reports that it is ready. Nine in ten gateways have to be within 10 s.
+	// readyTimeout is the time after the start at which the gateway reports that it is ready even without an endpoint
+	// in service. Nine in ten gateways have to be ready within 10 s.
 	readyTimeout = 2 * time.Second
 )
 
-// Proxy is a gateway on real sockets. It carries out the actions of the decision module and hands it the events.
+// Proxy is a gateway on real sockets. It executes the actions of the decision module and passes events to it.
 //
-// The event loop owns all of its state that is not said to belong to another goroutine. Goroutines of their own
-// are: the client listener, until its socket is closed; a reader for each connection, until the connection ends; one
-// for each dial and each write that takes long; the discovery client, until serve returns; and the receiver and
-// the sender of the peer link, until it is closed. All of them post what they find to the loop.
+// The event loop owns all state that is not documented as owned by another goroutine. The other goroutines post their
+// events to the loop:
+//   - the client listener, until its socket is closed
+//   - a reader per connection, until the connection ends
+//   - a goroutine per dial, and per write that cannot complete immediately
+//   - the discovery client, until serve returns
+//   - the receiver and the sender of the peer link, until the link is closed
 type Proxy struct {
 	services
 
 	cfg        config.Config
 	drain      drain
 	startTimes discovery.StartTimes
-	// wallClock returns Unix time by the wall clock, which may be stepped.
+	// wallClock returns the Unix time, which jumps when the system clock is set.
 	wallClock func() policy.Seconds
 
 	listener    *net.TCPListener
@@ -53,14 +56,14 @@
 	endpoints   endpointSet
 	descriptors descriptorGuard
 	trace       tracer
-	peers       *peerlink.Link    // nil without peer messages
-	discovery   discovery.Options // but for what followDiscovery adds
-	// readyAt is when the gateway reports that it is ready even without an endpoint in service.
+	peers       *peerlink.Link    // nil if peer messages are disabled
+	discovery   discovery.Options // without the options that followDiscovery adds
+	// readyAt is the time at which the gateway reports that it is ready even without an endpoint in service.
 	readyAt policy.Seconds
 }
 
-// Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that
-// comes on reloads, which may be nil, the address of discovery is taken over.
+// Run serves until ctx ends and then drains. It returns nil after a complete drain. From each configuration received on
+// reloads, which may be nil, only the discovery address is applied.
 func Run(ctx context.Context, cfg config.Config, reloads <-chan config.Config, log *slog.Logger) error {
 	p, err := open(ctx, cfg, log, netcalls.System())
 	if err != nil {
@@ -75,7 +78,7 @@
 	return nil
 }
 
-// open makes a proxy and its sockets; nothing is read from them yet.
+// open creates a proxy and its sockets. Nothing is read from them yet.
 func open(ctx context.Context, cfg config.Config, log *slog.Logger, calls *netcalls.Calls) (*Proxy, error) {
 	p := &Proxy{
 		services:  services{log: log, calls: calls, clock: eventloop.NewClock()},
@@ -95,7 +98,7 @@
 	return p, nil
 }
 
-// connectComponents makes the parts, once the sockets are open, and hands each of them the others that it uses.
+// connectComponents creates the components, which need the open sockets, and gives each the others that it uses.
 func (p *Proxy) connectComponents() {
 	shared, configured := &p.services, &p.cfg.Settings
 	p.trace = tracer{services: shared, classes: configured.Classes}
@@ -114,7 +117,7 @@
 	p.endpoints.init(shared, &p.attempts, &p.descriptors, &p.trace, p.cfg)
 }
 
-// openSockets makes the listener and, with peer messages, the link to the other gateways.
+// openSockets opens the client listener and, if peer messages are enabled, the link to the other gateways.
 func (p *Proxy) openSockets(ctx context.Context) error {
 	address, err := net.ResolveTCPAddr("tcp", p.cfg.ListenAddress)
 	if err != nil {
@@ -130,12 +133,12 @@
 		return nil
 	}
 	if p.peers, err = p.openPeerLink(ctx); err != nil {
-		_ = p.listener.Close() // nothing has come on it
+		_ = p.listener.Close() // nothing was accepted on it
 	}
 	return err
 }
 
-// close closes the sockets that open made.
+// close closes the sockets that open created.
 func (p *Proxy) close() {
 	_ = p.listener.Close() // nothing is accepted any more
 	if p.peers != nil {
@@ -143,7 +146,7 @@
 	}
 }
 
-// serve starts the goroutines and runs the event loop to the end of the drain.
+// serve starts the goroutines and runs the event loop until the drain is complete.
 func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, module decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
@@ -159,8 +162,8 @@
 	p.loop.Run(p.drain.complete, ctx.Done(), p.drain.start)
 }
 
-// sweep samples the wall clock, closes connections that were idle for too long, and checks that descriptors are free. It
-// runs once a second.
+// sweep runs every sweepInterval. It samples the wall clock, closes connections that have been idle for too long, and
+// evicts connections if no descriptor is free.
 func (p *Proxy) sweep() {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -7,36 +7,36 @@
 	"reedlead/internal/eventloop"
 )
 
-// closeReason is why a connection was closed. Its text is what the log holds.
+// closeReason is the reason why a connection was closed, as it appears in the log.
 type closeReason string
 
-// String returns the text that the log holds.
+// String returns the text for the log.
 func (r closeReason) String() string { return string(r) }
 
-// Why a client's connection was closed.
+// Reasons for closing a client connection.
 const (
 	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
-	evicted            closeReason = "evicted"              // it was idle, and too many were open
-	draining           closeReason = "draining"             // this process ends
-	drainDeadline      closeReason = "drain_deadline"       // and the time for that is over
-	tooManyConnections closeReason = "too_many_connections" // more are open than may be
-	protocolError      closeReason = "protocol_error"       // what it sent can't be parsed
-	writeFailed        closeReason = "write_failed"         // a reply could not be written
-	unreadReplies      closeReason = "unread_replies"       // the client leaves too much unread, or for too long
-	memoryBudget       closeReason = "memory_budget"        // no memory is left for what it leaves unread
-	lastReplyWritten   closeReason = "last_reply_written"   // the reply after which it was to be closed is written
+	evicted            closeReason = "evicted"              // closed to make room for other connections
+	draining           closeReason = "draining"             // the process is shutting down
+	drainDeadline      closeReason = "drain_deadline"       // still open at the end of the drain
+	tooManyConnections closeReason = "too_many_connections" // the limit and the allowance beyond it are exhausted
+	protocolError      closeReason = "protocol_error"       // the client sent input that cannot be parsed
+	writeFailed        closeReason = "write_failed"         // writing a reply failed
+	unreadReplies      closeReason = "unread_replies"       // the client read none of its replies for stallTimeout
+	memoryBudget       closeReason = "memory_budget"        // the budget has no room for its unread replies
+	lastReplyWritten   closeReason = "last_reply_written"   // the reply after which it had to be closed is written
 )
 
-// Why a backend connection was closed, beside peerClosed, idleTimeout and evicted.
+// Reasons for closing a backend connection, in addition to peerClosed, idleTimeout and evicted.
 const (
 	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or was removed
-	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is not needed
-	notUsable        closeReason = "not_usable"        // broken, used up, or no longer where its endpoint listens
+	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is no longer needed
+	notUsable        closeReason = "not_usable"        // it is broken, was idle for too long, or its endpoint has moved
 )
 
-// logClosed logs why a client's connection was closed. Lines about connections with a request or a reply open
-// are never thinned out, others may be.
+// logClosed logs why a client connection was closed. A connection without open requests and unwritten replies is logged
+// at debug level only.
 func (c *clientConn) logClosed(why closeReason, err error) {
 	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", why.String()}
 	if err != nil {
@@ -49,7 +49,7 @@
 		return
 	}
 	level := slog.LevelWarn
-	if why == peerClosed { // its requests are its own to give up
+	if why == peerClosed { // the client itself gave up its requests
 		level = slog.LevelInfo
 	}
 	now := c.services.loop.Now()
@@ -58,7 +58,7 @@
 	c.services.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
-// logClosed logs why a backend connection was closed, with the request whose attempt it carried.
+// logClosed logs why a backend connection was closed, and the attempt that it carried.
 func (c *backendConn) logClosed(why closeReason, err error) {
 	attrs := []any{"endpoint", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", why.String()}
 	if err != nil {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -12,41 +12,42 @@
 	"github.com/tidwall/redcon"
 )
 
-// request is an open request of a client, which gets exactly one final reply. The event loop owns it.
+// request is a client's request. It gets exactly one final reply, or none if the client disconnects. The event loop
+// owns it.
 type request struct {
 	*command.Request
 	client    *clientConn
 	slot      *pipelineSlot
-	arrivedAt policy.Seconds // when its last byte had arrived at this machine
+	arrivedAt policy.Seconds // when its last byte arrived at this machine
 	deadline  policy.Seconds
-	timer     *eventloop.Timer // fires when the decision module ought to have replied; stopped with the reply
-	attempts  []*attempt       // as many as the settings allow, and one
-	inFlight  int              // attempts whose outcome was not reported yet
+	timer     *eventloop.Timer // expires a request that the decision module leaves without a reply
+	attempts  []*attempt       // by number; those beyond MaxAttempts end unsent
+	inFlight  int              // attempts whose outcome has not been reported
 	done      bool             // it has its final reply, or its client has disconnected
 }
 
-// The reasons for which the proxy itself rejects or fails a request, beside those of the decision module.
+// Reasons for which the proxy itself, not the decision module, rejects or fails a request.
 const (
 	shuttingDown           policy.Reason = "shutting_down"
 	connectionLimitReached policy.Reason = "connection_limit_reached"
 	tooManyOpenRequests    policy.Reason = "too_many_open_requests"
 	inputMemoryExhausted   policy.Reason = "input_memory_exhausted"
 	noDecision             policy.Reason = "no_decision_in_time"
-	noReason               policy.Reason = "" // none: the reply is a value
+	noReason               policy.Reason = "" // the reply is a value
 )
 
-// requestTable holds the open requests, and gives each its final reply or its end, once. The event loop owns it.
+// requestTable holds the open requests and finishes each exactly once. The event loop owns it.
 type requestTable struct {
 	services *services
 	settings *settings.Settings
-	drain    *drain // of which it reads whether requests are still served
+	drain    *drain // rejects new requests after its timeout
 	trace    *tracer
 	attempts *attemptRunner
-	byID     map[string]*request // the open ones
+	byID     map[string]*request // open requests, and finished ones with an attempt in flight
 }
 
-// admit opens a request whose last byte had arrived at a time, and hands it to the decision module; or rejects it at
-// once where a limit of this process does not allow it.
+// admit opens a request whose last byte arrived at arrivedAt and passes it to the decision module, or rejects it if
+// rejectIfInadmissible finds a reason.
 func (t *requestTable) admit(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) {
 	admitted := false
 	defer func() {
@@ -61,8 +62,8 @@
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// rejectIfInadmissible rejects a request that a limit of this process does not allow, and reports whether it did. Where the
-// client can't get a reply any more, there is none.
+// rejectIfInadmissible rejects a request with the id of an open one, or one that a limit or the drain of this process
+// does not allow, and reports whether it did. No reply is sent if the client can no longer receive one.
 func (t *requestTable) rejectIfInadmissible(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
@@ -81,7 +82,7 @@
 	return true
 }
 
-// open registers a request and reserves a slot for its reply in the pipeline of its connection.
+// open registers a request and reserves a slot for its reply in the connection's pipeline.
 func (t *requestTable) open(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
 	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
@@ -93,25 +94,25 @@
 	c.lastUsedAt = t.services.loop.Now()
 	t.byID[r.ID] = r
 	t.trace.accepted(r)
-	// The decision module replies well before; should it fail to, the client gets a reply all the same.
+	// The decision module replies well before this timer fires. If it fails to, the client still gets a reply.
 	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() { t.expire(r) })
 	return r
 }
 
-// expire fails a request to which the decision module has not replied in time.
+// expire fails a request that the decision module has not replied to in time.
 func (t *requestTable) expire(r *request) {
 	t.services.warn("no reply from the decision module in time", "id", r.ID)
 	t.fail(r, noDecision)
 	t.notifyClientGone(r)
 }
 
-// notifyClientGone notifies the decision module that a request needs no reply any more.
+// notifyClientGone notifies the decision module that a request no longer needs a reply.
 func (t *requestTable) notifyClientGone(r *request) {
 	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
 }
 
-// decide hands a request to the decision module. A panic there must not leave a request hanging for which nothing
-// was sent.
+// decide passes a request to the decision module. If that panics before it has sent an attempt, the request fails
+// immediately instead of waiting for its deadline.
 func (t *requestTable) decide(r *request) {
 	r.Deadline = r.deadline
 	decided := false
@@ -124,23 +125,24 @@
 	decided = true
 }
 
-// reject gives a request that the decision module has rejected its reply.
+// reject replies to a request that the decision module has rejected.
 func (t *requestTable) reject(r *request, retryAfter policy.Seconds, why policy.Reason) {
 	t.reply(r, t.busyReply(retryAfter), why)
 }
 
-// fail gives a request an error as its reply.
+// fail replies to a request with an error.
 func (t *requestTable) fail(r *request, why policy.Reason) {
 	t.reply(r, redcon.AppendError(nil, "ERR failed"), why)
 }
 
-// rejectLocally rejects a request that the decision module never sees.
+// rejectLocally rejects a request without passing it to the decision module.
 func (t *requestTable) rejectLocally(c *clientConn, parsed *command.Request, why policy.Reason) {
 	t.services.warn("request rejected", "id", parsed.ID, "connection", c.number, "reason", string(why))
 	c.replyLocally(t.busyReply(t.settings.MaxRetryAfter), false)
 }
 
-// busyReply is the reply to a rejected request, with the Retry-After in milliseconds if there is one.
+// busyReply returns the reply to a rejected request. It holds retryAfter in milliseconds if that is positive and the
+// settings enable it.
 func (t *requestTable) busyReply(retryAfter policy.Seconds) []byte {
 	if retryAfter <= 0 || !t.settings.RetryAfter {
 		return redcon.AppendError(nil, "BUSY")
@@ -148,7 +150,8 @@
 	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 }
 
-// reply gives a request its final reply, the first time that it is called for it, and why it is not a value.
+// reply gives a request its final reply. It does nothing if the request is done. why is the reason for a reply that is
+// not a value.
 func (t *requestTable) reply(r *request, reply []byte, why policy.Reason) {
 	if r.done {
 		return
@@ -159,8 +162,7 @@
 	r.client.flush()
 }
 
-// finish marks a request as done, and releases what it holds: attempts in flight use neither its timer nor its
-// arguments.
+// finish marks a request as done and releases its timer and its arguments, which attempts in flight do not use.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortUnwritten(r)
@@ -170,7 +172,7 @@
 	t.removeIfDone(r)
 }
 
-// abandon finishes a request whose client has disconnected, and notifies the decision module.
+// abandon finishes a request whose client has disconnected and notifies the decision module.
 func (t *requestTable) abandon(r *request) {
 	if r.done {
 		return
@@ -180,14 +182,14 @@
 	t.notifyClientGone(r)
 }
 
-// removeIfDone forgets a finished request once the outcomes of all its attempts were reported.
+// removeIfDone removes a finished request once the outcomes of all its attempts have been reported.
 func (t *requestTable) removeIfDone(r *request) {
 	if r.done && r.inFlight == 0 {
 		delete(t.byID, r.ID)
 	}
 }
 
-// failOpenRequests fails the requests that have no final reply yet, and notifies the decision module.
+// failOpenRequests fails all requests that are not done and notifies the decision module.
 func (t *requestTable) failOpenRequests(why policy.Reason) {
 	for _, r := range t.byID {
 		if !r.done {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -9,7 +9,8 @@
 	"reedlead/policy"
 )
 
-// decider is the decision module, a *policy.Gateway but for tests. Its methods are called on the event loop.
+// decider is the interface of the decision module, which *policy.Gateway implements. It is called on the event loop
+// only.
 type decider interface {
 	HandleRequest(now policy.Seconds, request policy.Request)
 	HandleOutcome(now policy.Seconds, outcome policy.Outcome)
@@ -20,16 +21,15 @@
 	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
 }
 
-// services are what the parts of a proxy share. All but warnings, which the event loop owns, are set before the
-// goroutines start and may be used by each of them, as far as their own methods may.
+// services holds what the components of a proxy share. All fields are set before the goroutines start. The event loop
+// owns warnings and decider; the other fields are safe for concurrent use as far as their types are.
 type services struct {
 	log   *slog.Logger
 	calls *netcalls.Calls
 	clock eventloop.Clock
 	loop  *eventloop.Loop
-	// inputBudget bounds the input of clients and endpoints that is read and not handled yet.
+	// inputBudget limits the memory for input that is not handled yet and for replies that clients have not read.
 	inputBudget *readbuf.Budget
 	warnings    warningLimiter
-	// decider is called on the event loop alone.
-	decider decider
+	decider     decider
 }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -37,7 +37,8 @@
 	return c
 }
 
-// largeFleetPeers are the addresses of the gateways of such a fleet. The first and the last, which run, have free ports.
+// largeFleetPeers are the addresses of the gateways of such a fleet. The first and the last, which run, have free
+// ports.
 func largeFleetPeers(t *testing.T) (peers []netip.AddrPort) {
 	t.Helper()
 	for i := range largeFleetSize {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -2,7 +2,8 @@
 
 import "github.com/tidwall/redcon"
 
-// gatewayStatus is what client connections ask of the gateway as a whole: the proxy. Event loop only.
+// gatewayStatus is the state of the whole gateway that client connections depend on. Proxy implements it. Event loop
+// only.
 type gatewayStatus interface {
 	// isReady reports whether this gateway can serve requests.
 	isReady() bool
@@ -10,9 +11,8 @@
 	isDraining() bool
 }
 
-// isReady implements gatewayStatus. While discovery is down and the list that the gateway was started with names no
-// endpoint in service, it is ready all the same after a moment: it replies to what comes, and serves once
-// discovery is back.
+// isReady implements gatewayStatus. If discovery is down and the initial list has no endpoint in service, the gateway
+// still becomes ready after readyTimeout: it replies to requests, and serves them once discovery is back.
 func (p *Proxy) isReady() bool {
 	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -9,8 +9,8 @@
 	"reedlead/policy"
 )
 
-// The trace follows each request by its id, through every gateway that it reached, in the log at debug level. Its
-// messages and keys are read by cmd/audit; times are in seconds of the process's own clock.
+// Messages of the trace, which follows each request by its id through the logs of all gateways that it reaches. It is
+// logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's own clock.
 const (
 	traceAccepted     = "request accepted"
 	traceAttemptSent  = "attempt sent"
@@ -19,16 +19,16 @@
 	traceClientGone   = "client disconnected"
 )
 
-// tracer logs the trace. It never changes after the goroutines have started, and is safe for all of them.
+// tracer logs the trace. It does not change after the goroutines have started, and is safe for concurrent use.
 type tracer struct {
 	services *services
 	classes  []policy.Class
 }
 
-// enabled reports whether the trace is logged. It never changes.
+// enabled reports whether the log level includes the trace.
 func (t *tracer) enabled() bool { return t.services.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// accepted logs when a request's last byte had arrived, when the loop handled it, and its deadline.
+// accepted logs when a request's last byte arrived, when the event loop handled the request, and its deadline.
 func (t *tracer) accepted(r *request) {
 	if !t.enabled() {
 		return
@@ -39,8 +39,8 @@
 	)
 }
 
-// attemptSent logs that the last byte of an attempt was written, at the time at; its writing had started at
-// writeStarted. What it reads of the attempt does not change any more.
+// attemptSent logs that the command of an attempt was written completely at the time at, starting at writeStarted. Any
+// goroutine may call it, as the fields of the attempt that it reads no longer change.
 func (t *tracer) attemptSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds) {
 	if !t.enabled() || a.request == nil {
 		return
@@ -68,7 +68,7 @@
 	)
 }
 
-// completed logs a request's final reply, by the kind of it, and why it is not a value.
+// completed logs the kind of a request's final reply, and the reason if the reply is not a value.
 func (t *tracer) completed(r *request, reply []byte, why policy.Reason) {
 	if !t.enabled() {
 		return
@@ -78,7 +78,7 @@
 	)
 }
 
-// replyKind is "value", or of an error the first three letters of its code.
+// replyKind returns the first three letters of the code of an error reply, or "value" for other replies.
 func replyKind(reply []byte) string {
 	const codeLength = 3
 	if len(reply) > 1+codeLength && reply[0] == '-' {
@@ -87,7 +87,7 @@
 	return "value"
 }
 
-// clientGone logs that a request's client was found to have disconnected.
+// clientGone logs that the client of an open request has disconnected.
 func (t *tracer) clientGone(r *request) {
 	if !t.enabled() {
 		return
@@ -95,7 +95,7 @@
 	t.services.log.Debug(traceClientGone, "id", r.ID, "at", t.services.clock.Now())
 }
 
-// class is that of a request, as the settings describe it.
+// class returns the settings of a request's class.
 func (t *tracer) class(r *request) policy.Class {
 	for _, c := range t.classes {
 		if c.Name == r.Class {
--- a/internal/proxy/warnings.go
+++ b/internal/proxy/warnings.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// maxWarningsPerSecond is how many warnings are logged within one second of event time.
+// maxWarningsPerSecond is the maximum number of warnings logged within one second of event loop time.
 const maxWarningsPerSecond = 5
 
-// warningLimiter bounds how many warnings are logged in a second; further ones are dropped.
+// warningLimiter counts the warnings of the current second, so that those beyond the limit are dropped.
 type warningLimiter struct {
 	second int64
-	count  int // within the second
+	count  int // warnings within that second
 }
 
-// warn logs a warning, unless maxWarningsPerSecond were logged within this second. Event loop only.
+// warn logs a warning, or drops it if maxWarningsPerSecond were logged within the current second. Event loop only.
 func (s *services) warn(message string, args ...any) {
 	if second := int64(s.loop.Now()); second != s.warnings.second {
 		s.warnings = warningLimiter{second: second}
@@ -21,7 +21,7 @@
 	}
 }
 
-// logPanic logs a panic that has ended an event. It is dropped as other warnings are.
+// logPanic logs a panic in the handler of an event. The limit on warnings applies.
 func (s *services) logPanic(cause any, stack []byte) {
 	s.warn("event failed", "panic", fmt.Sprint(cause), "stack", string(stack))
 }
