--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -74,7 +74,7 @@
 		return nil, nil
 	case listComplete, listPersisted, listPartial:
 	default:
-		return nil, a.line.Unreadable("kind", kind)
+		return nil, a.line.InvalidField("kind", kind)
 	}
 	id, err := a.line.Int("rosterId")
 	if err != nil {
@@ -115,7 +115,7 @@
 
 func decodeClientGone(a *adapter, _ int) (delivery, error) {
 	id, err := a.line.Text("id")
-	return func(g *policy.Gateway) { g.HandleClientGone(a.now, id) }, err
+	return func(g *policy.Gateway) { g.HandleClientDisconnected(a.now, id) }, err
 }
 
 func decodeTimer(a *adapter, _ int) (delivery, error) {
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -72,13 +72,13 @@
 
 // estimate estimates when the bytes of a read arrived that ran from startedAt to endedAt. If the read has filled its
 // buffer space, the socket may hold more bytes.
-func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.Lag, startedAt, endedAt policy.Seconds, filled bool) arrival {
+func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{earliest: endedAt, lastByte: endedAt}
-	if startedAt-t.lastEmptyAt > eventloop.LagTolerance {
+	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
 		// The reader was delayed: all bytes may have arrived right after the previous read.
 		read.earliest = t.lastEmptyAt
 	} else {
-		read.earliest = max(lag.OnScheduleUntil(endedAt), t.lastEmptyAt)
+		read.earliest = max(lag.OnTimeUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
 		read.lastByte = max(endedAt-age, t.lastEmptyAt)
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -16,7 +16,7 @@
 	// evictStalledAfter is the time in seconds without write progress after which a client may be evicted.
 	evictStalledAfter policy.Seconds = 5
 	// maxKeptOutput is the size in bytes of the largest output buffer that is kept for later replies.
-	maxKeptOutput = 4 * readbuf.Size
+	maxKeptOutput = 4 * readbuf.InitialSize
 )
 
 // flush writes the replies that are due, in the order of their commands. Event loop only.
@@ -64,7 +64,7 @@
 	shared.inputBudget.Release(c.reservedOutput)
 	c.reservedOutput = 0
 	pending := c.pipeline.pending
-	n, err := shared.calls.WriteNow(c.rawConn, pending)
+	n, err := shared.calls.TryWrite(c.rawConn, pending)
 	if err != nil {
 		c.abandon(writeFailed, err)
 		return
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *fakeDecider) HandleClientGone(_ policy.Seconds, id string) { d.gone <- id }
+func (d *fakeDecider) HandleClientDisconnected(_ policy.Seconds, id string) { d.gone <- id }
 
 func (d *fakeDecider) HandleEndpoints(_ policy.Seconds, list []policy.Endpoint, _ bool) {
 	d.lists <- list
@@ -170,7 +170,7 @@
 	}
 	p.endpoints.duplicateWindow = 0 // the replies of the tests are alike
 	p.endpoints.writeSlack = 3600
-	p.discovery.PollTimeout = time.Hour // a test that is slow polls once
+	p.discovery.PollRetryInterval = time.Hour // a test that is slow polls once
 	polled := make(chan struct{})
 	if cfg.DiscoveryAddress == unreachableAgent { // it is polled once, so that no event comes of it later
 		p.discovery.After = func(time.Duration) <-chan time.Time {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -87,7 +87,7 @@
 	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
 		Request: parsed, client: c, slot: &pipelineSlot{},
-		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Wait,
+		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Timeout,
 	}
 	r.slot.request = r
 	c.pipeline.add(r.slot)
@@ -108,7 +108,7 @@
 
 // notifyClientGone notifies the decision module that a request no longer needs a reply.
 func (t *requestTable) notifyClientGone(r *request) {
-	t.services.decider.HandleClientGone(t.services.loop.Now(), r.ID)
+	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
 // decide passes a request to the decision module. If that panics before it has sent an attempt, the request fails
--- a/policy/api.go
+++ b/policy/api.go
@@ -10,7 +10,7 @@
 //
 // Every customer is hashed on a ring of gateways to one owner, which alone counts
 // the customer's window against the whole quota. The others are its members: they
-// report their counts to the owner in batches, admit from their split of the
+// report their counts to the owner in batches, admit from their share of the
 // remaining units it last reported, and fall back to a local window while the
 // owner does not reply.
 //
@@ -74,8 +74,8 @@
 	Name string
 	// LatencyObjective is the time within which a reply earns the full PriorityWeight.
 	LatencyObjective Seconds
-	// ObjectiveWorkFactor extends the objective by this multiple of the class's mean latency.
-	ObjectiveWorkFactor float64
+	// ObjectiveLatencyMultiple extends the objective by this multiple of the class's mean latency.
+	ObjectiveLatencyMultiple float64
 	// Timeout is how long clients wait for a reply.
 	Timeout Seconds
 	// PriorityWeight is the weight of a reply within the objective, at least 0, relative to other classes.
@@ -287,9 +287,9 @@
 	Send(id, endpoint string, timeout, writeWithin Seconds)
 	// Reject gives the final reply that the request did not execute, or may safely be sent again, after
 	// retryAfter.
-	Reject(id string, retryAfter Seconds, why Reason)
+	Reject(id string, retryAfter Seconds, reason Reason)
 	// Fail gives the final reply that promises nothing.
-	Fail(id string, why Reason)
+	Fail(id string, reason Reason)
 	// Cancel gives up an attempt that is in flight.
 	Cancel(id string, attempt int)
 	// SetTimer has HandleTimer called with token after delay.
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,8 +6,8 @@
 	initialLatencyFraction = 0.15
 	// minLatencyGain is the least weight of a new latency in the mean of its class.
 	minLatencyGain = 0.02
-	// negligibleWeight keeps quotients defined where all priority weights are 0.
-	negligibleWeight = 1e-9
+	// weightEpsilon keeps quotients defined where all priority weights are 0.
+	weightEpsilon = 1e-9
 )
 
 // class is a class of request with what this gateway has learnt of it.
@@ -42,7 +42,7 @@
 // objectiveFrom returns the point in time up to which a reply earns the full weight, for a request sent at
 // start.
 func (c *class) objectiveFrom(start Seconds) Seconds {
-	return start + c.LatencyObjective + c.ObjectiveWorkFactor*c.meanLatency
+	return start + c.LatencyObjective + c.ObjectiveLatencyMultiple*c.meanLatency
 }
 
 // classTable holds the classes of the settings. They are fixed for the life of a Gateway.
@@ -67,5 +67,5 @@
 // priorityDeficit is how far the weight of a class lies below the largest one, as a fraction of that: 0
 // for the class of the highest priority, towards 1 for those of the lowest.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
-	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, negligibleWeight)
+	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -63,7 +63,7 @@
 	if next > r.firstWriteBy || next+r.class.meanLatency > r.objectiveAt || !q.retries.allowsAttempt(r) {
 		return false
 	}
-	available := c.availableUnits(q.isOwner(c), q.clock.now)
+	available := c.remainingUnits(q.isOwner(c), q.clock.now)
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
@@ -113,7 +113,7 @@
 		}
 		c.slotWaiters = slices.Delete(c.slotWaiters, 0, 1)
 		if decision == askOwner {
-			q.awaitOwner(r)
+			q.awaitGrant(r)
 		} else {
 			q.admitNow(r, false)
 		}
