--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -134,7 +134,7 @@
 }
 
 // abandon closes a connection without writing its pending replies. It ends the open requests and notifies the decision
-// module that their client is gone. Event loop only.
+// module that their client has disconnected. Event loop only.
 func (c *clientConn) abandon(why closeReason, cause error) {
 	if c.closed {
 		return
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -19,7 +19,7 @@
 func TestDisconnectReachesDecisionModule(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
-	if id := receive(t, h.decider.gone); id != "a" {
+	if id := receive(t, h.decider.disconnected); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	b.write(valueReply)
@@ -152,24 +152,24 @@
 	}
 	// With the reply to r0 the next command has its permit.
 	h.whileLoopBlocked(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
-	h.awaitClientGone(conns, fmt.Sprint("r", maxPipelined-1))
+	h.awaitClientDisconnected(conns, fmt.Sprint("r", maxPipelined-1))
 	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(conns) != 0 || h.proxy.endpoints.openConns != 0 {
 		t.Error("a command was sent")
 	}
 }
 
-// awaitClientGone waits until the decision module is notified that the client of a request is gone, and holds that no
+// awaitClientDisconnected waits until the decision module is notified that the client of a request is gone, and holds that no
 // connection is made before.
-func (h *harness) awaitClientGone(conns <-chan *testConn, id string) {
+func (h *harness) awaitClientDisconnected(conns <-chan *testConn, id string) {
 	h.t.Helper()
 	for {
 		select {
 		case <-conns:
 			h.t.Error("a command was sent")
 			return
-		case gone := <-h.decider.gone:
-			if gone == id {
+		case disconnected := <-h.decider.disconnected:
+			if disconnected == id {
 				return
 			}
 		case <-time.After(testTimeout):
@@ -201,7 +201,7 @@
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
 		h.t.Errorf("got %+v", o)
 	}
-	if got := receive(h.t, h.decider.gone); got != "a" {
+	if got := receive(h.t, h.decider.disconnected); got != "a" {
 		h.t.Errorf("gone: %q", got)
 	}
 	h.onLoop(func() {
@@ -263,7 +263,7 @@
 		t.Error(err)
 	}
 	for range maxPipelined {
-		receive(t, h.decider.gone)
+		receive(t, h.decider.disconnected)
 	}
 	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(h.decider.requests) != 0 {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -75,7 +75,7 @@
 	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
 		t.Errorf("got %q, then %q", a, b)
 	}
-	if len(h.decider.gone) != 0 {
+	if len(h.decider.disconnected) != 0 {
 		t.Error("the decision module was notified that the client was gone")
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -32,7 +32,7 @@
 	onOutcome    func(policy.Outcome)
 	requests     chan policy.Request
 	outcomes     chan policy.Outcome
-	gone         chan string // ids of requests
+	disconnected chan string // ids of requests
 	lists        chan []policy.Endpoint
 	messages     chan peerMessage
 	healthChecks chan policy.HealthCheckResult
@@ -46,7 +46,7 @@
 func newFakeDecider() *fakeDecider {
 	return &fakeDecider{
 		requests: make(chan policy.Request, eventBufferSize), outcomes: make(chan policy.Outcome, eventBufferSize),
-		gone: make(chan string, eventBufferSize), lists: make(chan []policy.Endpoint, eventBufferSize),
+		disconnected: make(chan string, eventBufferSize), lists: make(chan []policy.Endpoint, eventBufferSize),
 		messages: make(chan peerMessage, eventBufferSize), healthChecks: make(chan policy.HealthCheckResult, eventBufferSize),
 	}
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *fakeDecider) HandleClientDisconnected(_ policy.Seconds, id string) { d.gone <- id }
+func (d *fakeDecider) HandleClientDisconnected(_ policy.Seconds, id string) { d.disconnected <- id }
 
 func (d *fakeDecider) HandleEndpoints(_ policy.Seconds, list []policy.Endpoint, _ bool) {
 	d.lists <- list
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -103,11 +103,11 @@
 func (t *requestTable) expire(r *request) {
 	t.services.warn("no reply from the decision module in time", "id", r.ID)
 	t.fail(r, noDecision)
-	t.notifyClientGone(r)
+	t.notifyClientDisconnected(r)
 }
 
-// notifyClientGone notifies the decision module that a request no longer needs a reply.
-func (t *requestTable) notifyClientGone(r *request) {
+// notifyClientDisconnected notifies the decision module that a request no longer needs a reply.
+func (t *requestTable) notifyClientDisconnected(r *request) {
 	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
@@ -177,9 +177,9 @@
 	if r.done {
 		return
 	}
-	t.trace.clientGone(r)
+	t.trace.clientDisconnected(r)
 	t.finish(r)
-	t.notifyClientGone(r)
+	t.notifyClientDisconnected(r)
 }
 
 // removeIfDone removes a finished request once the outcomes of all its attempts have been reported.
@@ -194,7 +194,7 @@
 	for _, r := range t.byID {
 		if !r.done {
 			t.fail(r, why)
-			t.notifyClientGone(r)
+			t.notifyClientDisconnected(r)
 		}
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -25,7 +25,7 @@
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("at the deadline: %q", got)
 	}
-	if id := receive(t, h.decider.gone); id != "mute" {
+	if id := receive(t, h.decider.disconnected); id != "mute" {
 		t.Errorf("gone: %q", id)
 	}
 }
@@ -47,7 +47,7 @@
 	if got := c.readLine(); got != "-ERR failed" {
 		t.Errorf("got %q", got)
 	}
-	if id := receive(t, h.decider.gone); id != "a" {
+	if id := receive(t, h.decider.disconnected); id != "a" {
 		t.Errorf("gone: %q", id)
 	}
 	h.onLoop(func() {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -296,7 +296,7 @@
 		t.Run("client, "+number.Error(), func(t *testing.T) {
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { wrapClientConns(h, failAfterRead) })
 			h.client().send(lookCommand("a")...)
-			if id := receive(t, h.decider.gone); id != "a" {
+			if id := receive(t, h.decider.disconnected); id != "a" {
 				t.Errorf("gone: %q", id)
 			}
 			h.eventually("nothing is left", func() bool { return h.allClientsClosed() && len(h.proxy.requests.byID) == 0 })
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -12,11 +12,11 @@
 // Messages of the trace, which follows each request by its id through the logs of all gateways that it reaches. It is
 // logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's own clock.
 const (
-	traceAccepted     = "request accepted"
-	traceAttemptSent  = "attempt sent"
-	traceAttemptEnded = "attempt ended"
-	traceCompleted    = "request completed"
-	traceClientGone   = "client disconnected"
+	traceAccepted           = "request accepted"
+	traceAttemptSent        = "attempt sent"
+	traceAttemptEnded       = "attempt ended"
+	traceCompleted          = "request completed"
+	traceClientDisconnected = "client disconnected"
 )
 
 // tracer logs the trace. It does not change after the goroutines have started, and is safe for concurrent use.
@@ -87,12 +87,12 @@
 	return "value"
 }
 
-// clientGone logs that the client of an open request has disconnected.
-func (t *tracer) clientGone(r *request) {
+// clientDisconnected logs that the client of an open request has disconnected.
+func (t *tracer) clientDisconnected(r *request) {
 	if !t.enabled() {
 		return
 	}
-	t.services.log.Debug(traceClientGone, "id", r.ID, "at", t.services.clock.Now())
+	t.services.log.Debug(traceClientDisconnected, "id", r.ID, "at", t.services.clock.Now())
 }
 
 // class returns the settings of a request's class.
