--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -14,25 +14,25 @@
 	"reedlead/policy"
 )
 
-// TestDisconnectReachesDecisionModule guards against a decision module that goes on working for a client that has
-// disconnected.
+// TestDisconnectReachesDecisionModule checks that the decision module is notified when a client disconnects, so that it
+// stops making attempts for its request.
 func TestDisconnectReachesDecisionModule(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
 	if id := receive(t, h.decider.disconnected); id != "a" {
-		t.Errorf("gone: %q", id)
+		t.Errorf("got the disconnect of the client of request %q, want a", id)
 	}
 	b.write(valueReply)
 	h.wantFinalOutcome(policy.OK)
 }
 
-// TestNoAttemptForDisconnectedClient guards against requests that are sent long after their client has disconnected
-// while they waited. The event loop waits from before the end of the connection until after the attempt, wherever the
-// request waits.
+// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint if its client disconnects while
+// the request waits in one of several places. The event loop is blocked across the disconnect, so that it has not
+// handled the disconnect when it is about to send the request.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
-		"only just read":                      disconnectWhileJustRead,
+		"just read":                           disconnectWhileJustRead,
 		"in the socket of a stalled process":  disconnectDuringAStall,
 		"between attempts":                    disconnectBetweenAttempts,
 		"in the event queue":                  disconnectWhileInTheEventQueue,
@@ -82,7 +82,7 @@
 	c := h.client()
 	h.openRequest(c, "a")
 	h.whileLoopBlocked(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
-		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // it was only read now
+		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // it was read just now
 		h.proxy.loop.After(-1, func() {})
 		h.proxy.Send("a", "s0", 0, 0)
 	})
@@ -108,7 +108,7 @@
 	h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command has waited for longer than the lag that counts
+		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command has waited longer than a stall needs to count
 	})
 	h.wantNothingSent(conns)
 }
@@ -147,20 +147,20 @@
 	h.onLoop(func() { h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0) } })
 	if how == byReset {
 		c.disconnect(how)
-	} else { // what was sent before a FIN stays readable
+	} else { // commands sent before a FIN stay readable
 		c.closeWrite()
 	}
-	// With the reply to r0 the next command has its permit.
+	// The reply to r0 gives the next command its permit.
 	h.whileLoopBlocked(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
 	h.awaitClientDisconnected(conns, fmt.Sprint("r", maxPipelined-1))
-	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
+	h.eventually("requests and connections are removed", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(conns) != 0 || h.proxy.endpoints.openConns != 0 {
 		t.Error("a command was sent")
 	}
 }
 
-// awaitClientDisconnected waits until the decision module is notified that the client of a request is gone, and holds that no
-// connection is made before.
+// awaitClientDisconnected waits until the decision module is notified that the client of a request has disconnected,
+// and checks that no connection to the endpoint is made before that.
 func (h *harness) awaitClientDisconnected(conns <-chan *testConn, id string) {
 	h.t.Helper()
 	for {
@@ -173,19 +173,19 @@
 				return
 			}
 		case <-time.After(testTimeout):
-			h.t.Fatal("the decision module is never notified")
+			h.t.Fatal("the decision module was not notified of the disconnect")
 		}
 	}
 }
 
-// clientClosed reports whether the client of an open request has closed its connection.
+// clientClosed returns a function that reports whether the client of the open request has closed its connection.
 func (h *harness) clientClosed(id string) func() bool {
 	var open *request
 	h.onLoop(func() { open = h.proxy.requests.byID[id] })
 	return func() bool { return netcalls.ClosedByPeer(open.client.rawConn) }
 }
 
-// pingedClient connects a client that has had a reply, and returns both ends of its connection.
+// pingedClient connects a client that has received a reply to a PING, and returns both ends of the connection.
 func (h *harness) pingedClient() (c *testConn, conn *clientConn) {
 	h.t.Helper()
 	c = h.client()
@@ -194,32 +194,32 @@
 	return c, conn
 }
 
-// wantNothingSent holds that the only attempt, of the request a, was not sent, that the decision module was notified
-// that its client is gone, and that nothing is left of it.
+// wantNothingSent checks that the only attempt, of the request a, was not sent, that the decision module was notified
+// of the disconnect, and that the request and its connections were removed.
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
 		h.t.Errorf("got %+v", o)
 	}
 	if got := receive(h.t, h.decider.disconnected); got != "a" {
-		h.t.Errorf("gone: %q", got)
+		h.t.Errorf("got the disconnect of the client of request %q, want a", got)
 	}
 	h.onLoop(func() {
 		if len(conns) != 0 || h.proxy.endpoints.openConns != 0 || len(h.proxy.requests.byID) != 0 {
-			h.t.Errorf("%d connections, %d open, %d requests", len(conns), h.proxy.endpoints.openConns, len(h.proxy.requests.byID))
+			h.t.Errorf("%d connections accepted by the endpoint, %d still open, %d requests left, want none", len(conns), h.proxy.endpoints.openConns, len(h.proxy.requests.byID))
 		}
 	})
 }
 
-// TestDisconnectIsDetectedBehindUnreadCommands guards against a client that has disconnected and is taken for one that
-// has not, for its commands that are unread, as where its reader waits behind open ones.
+// TestDisconnectIsDetectedBehindUnreadCommands checks that a disconnect is detected while commands before it are still
+// unread in the socket, which happens when the reader waits for a permit.
 func TestDisconnectIsDetectedBehindUnreadCommands(t *testing.T) {
 	ping := encodeCommand("PING")
 	for _, unread := range []string{"", ping, strings.Repeat(ping, 200)} {
 		for how, disconnect := range map[string]func(*testConn){
 			"closed":      func(c *testConn) { c.disconnect(byClose) },
 			"reset":       func(c *testConn) { c.disconnect(byReset) },
-			"half closed": (*testConn).closeWrite,
+			"half-closed": (*testConn).closeWrite,
 		} {
 			addr, conns := listenEndpoint(t)
 			near := mustDial(t, addr)
@@ -228,24 +228,24 @@
 			far := receive(t, conns)
 			far.write(unread)
 			if netcalls.ClosedByPeer(raw) {
-				t.Errorf("%d bytes unread: closed before it was", len(unread))
+				t.Errorf("%d bytes unread: reported as closed before the disconnect", len(unread))
 			}
 			disconnect(far)
 			if !waitFor(func() bool { return netcalls.ClosedByPeer(raw) }) {
-				t.Fatalf("%s behind %d bytes: not seen", how, len(unread))
+				t.Fatalf("%s behind %d unread bytes: the disconnect is not detected", how, len(unread))
 			}
 		}
 	}
 }
 
-// TestDisconnectIsDetectedBehindLargeInput guards against a client whose end does not reach this machine, as commands
-// that are unread behind open ones fill its socket.
+// TestDisconnectIsDetectedBehindLargeInput checks that a disconnect is detected behind more unread commands than the
+// receive buffer holds. Without reading ahead, the FIN behind them would never reach this machine.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	_, available := h.resourceUsage()
 	c := h.client()
 	var all strings.Builder
-	for i := range maxPipelined + 1000 { // some times what a socket takes at first
+	for i := range maxPipelined + 1000 { // several times the initial receive buffer
 		all.WriteString(encodeCommand(lookCommand(fmt.Sprintf("r%0100d", i))...))
 	}
 	written := make(chan error, 1)
@@ -265,9 +265,9 @@
 	for range maxPipelined {
 		receive(t, h.decider.disconnected)
 	}
-	h.eventually("all is released", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
+	h.eventually("requests and connections are removed", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(h.decider.requests) != 0 {
-		t.Error("more of its commands were handled")
+		t.Error("commands were handled after the disconnect")
 	}
-	h.eventually("the budget is given back", func() bool { return h.proxy.inputBudget.Available() == available })
+	h.eventually("the budget is released", func() bool { return h.proxy.inputBudget.Available() == available })
 }
--- a/internal/proxy/client_pipeline_test.go
+++ b/internal/proxy/client_pipeline_test.go
@@ -8,12 +8,13 @@
 	"reedlead/policy"
 )
 
-// openSlot is the slot of a request that has no final reply yet.
+// openSlot returns the slot of a request without a final reply.
 func openSlot(id string) *pipelineSlot {
 	return &pipelineSlot{request: &request{Request: &command.Request{Request: policy.Request{ID: id}}}}
 }
 
-// TestPipelineQueuesRepliesInOrder guards against a reply that overtakes an open one, and against one behind the last.
+// TestPipelineQueuesRepliesInOrder checks that a reply waits for the replies to earlier commands, and that no reply
+// follows the one after which the connection is closed.
 func TestPipelineQueuesRepliesInOrder(t *testing.T) {
 	var p replyPipeline
 	first, second := openSlot("a"), openSlot("b")
@@ -21,21 +22,21 @@
 	p.add(second)
 	second.reply = []byte("two")
 	if replies, size := p.queueDue(); replies != 0 || size != 0 {
-		t.Errorf("behind an open one: %d replies of %d bytes are due", replies, size)
+		t.Errorf("behind an open command: %d replies of %d bytes are due, want none", replies, size)
 	}
 	first.reply = []byte("one")
 	if replies, size := p.queueDue(); replies != 2 || size != 6 || string(p.pending) != "onetwo" {
-		t.Errorf("%d replies of %d bytes are due: %q", replies, size, p.pending)
+		t.Errorf("%d replies of %d bytes are due: %q, want both in order", replies, size, p.pending)
 	}
 	p.add(&pipelineSlot{reply: []byte("end"), last: true})
 	p.add(&pipelineSlot{reply: []byte("behind it")})
 	if replies, _ := p.queueDue(); replies != 1 || !p.lastReplyQueued || string(p.pending) != "onetwoend" {
-		t.Errorf("%d replies are due up to the last one: %q", replies, p.pending)
+		t.Errorf("%d replies are due: %q, want none behind the last reply", replies, p.pending)
 	}
 }
 
-// TestPipelineReleasesPermitsOfWrittenReplies guards against a permit that is released before its reply is written, or
-// never, and against requests without a reply that are not named.
+// TestPipelineReleasesPermitsOfWrittenReplies checks that a permit is released with the last byte of its reply, and
+// that requestIDs lists all requests without a completely written reply.
 func TestPipelineReleasesPermitsOfWrittenReplies(t *testing.T) {
 	var p replyPipeline
 	for _, id := range []string{"a", "b"} {
@@ -56,7 +57,7 @@
 	} {
 		permits := p.recordWritten(step.written)
 		if unreplied := p.requestIDs(); permits != step.permits || !slices.Equal(unreplied, step.unreplied) {
-			t.Errorf("%d more bytes written: %d permits, %v without a reply, want %+v", step.written, permits, unreplied, step)
+			t.Errorf("%d more bytes written: %d permits released, %v without a written reply, want %+v", step.written, permits, unreplied, step)
 		}
 	}
 }
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// TestStalledClientIsEvicted guards against clients that hold their slots for good with replies that they do not read,
-// and against one that is closed in place of an idle one.
+// TestStalledClientIsEvicted checks that a client that does not read its replies cannot keep its connection slot
+// forever, but that an idle client is evicted before it.
 func TestStalledClientIsEvicted(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit = 2
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client was not evicted")
 	}
-	h.onLoop(func() { // the third one waits for a reply, the stuck one has taken nothing for long
+	h.onLoop(func() { // the third client waits for a reply, and the stuck one counts as stalled
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
@@ -45,7 +45,7 @@
 	})
 }
 
-// writingClient is the client whose socket is full; on the event loop.
+// writingClient returns the client whose socket is full, or nil. Event loop only.
 func (h *harness) writingClient() *clientConn {
 	for c := range h.proxy.clients.conns {
 		if c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -10,30 +10,31 @@
 	"reedlead/policy"
 )
 
-// resourceUsage is what a proxy holds: its timers, and what is available of its input budget.
+// resourceUsage returns the number of pending timers of the proxy and the bytes available in its input budget.
 func (h *harness) resourceUsage() (timers int, available int64) {
 	h.onLoop(func() { timers, available = h.proxy.loop.PendingTimers(), h.proxy.inputBudget.Available() })
 	return timers, available
 }
 
-// TestSilentClientsAndUnfinishedCommandsTimeOut guards against connections that stay open for nothing: silence and half
-// a command get an error and the end, also behind a request that is still open, which has its reply all the same.
+// TestSilentClientsAndUnfinishedCommandsTimeOut checks that clients cannot keep connections open without completing a
+// command: a client that sends nothing, or only a part of a command, gets an error, and the connection is closed. A
+// request that is open by then still gets its reply first.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, partial string }{
-		"silence": {}, "half": {partial: "*4\r\n$8\r\nCALL"}, "header": {partial: "*"},
-		"behind another": {encodeCommand("PING"), "*1\r\n$4\r\nPI"},
+		"silence": {}, "partial command": {partial: "*4\r\n$8\r\nCALL"}, "partial header": {partial: "*"},
+		"behind another command": {encodeCommand("PING"), "*1\r\n$4\r\nPI"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			timeout := time.Millisecond
 			if tc.before != "" {
-				timeout = time.Hour // until that has its reply, however busy this machine is
+				timeout = time.Hour // until the first command has its reply, even on a busy machine
 			}
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.commandTimeout = timeout })
 			c := h.client()
 			if tc.before != "" {
 				if c.write(tc.before); c.readLine() != "+PONG" {
-					t.Fatal("not served")
+					t.Fatal("the first command got no reply")
 				}
 				h.onLoop(func() { h.proxy.clients.commandTimeout = time.Millisecond })
 			}
@@ -50,7 +51,7 @@
 		receive(t, h.decider.requests)
 		h.onLoop(func() { h.proxy.clients.commandTimeout = time.Millisecond })
 		c.write("*1")
-		h.eventually("the error waits", func() bool {
+		h.eventually("the error waits behind the open request", func() bool {
 			q := h.proxy.requests.byID["a"]
 			return q != nil && len(q.client.pipeline.slots) == 2
 		})
@@ -59,15 +60,15 @@
 	})
 }
 
-// TestMalformedInputBehindRequestKeepsItsReply guards against a request that is lost with malformed input behind it:
-// however much of that comes, the connection stays until the commands before it have their replies.
+// TestMalformedInputBehindRequestKeepsItsReply checks that malformed input behind an open request does not cost the
+// request its reply: the connection stays open until all earlier commands have their replies.
 func TestMalformedInputBehindRequestKeepsItsReply(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + "*1\r\n$60000000\r\n")
 	receive(t, h.decider.requests)
 	c.write(strings.Repeat("x", maxDiscardedBytes))
-	h.eventually("enough is read", func() bool {
+	h.eventually("the malformed input is discarded", func() bool {
 		q := h.proxy.requests.byID["a"]
 		return q != nil && q.client.inputDiscarded
 	})
@@ -76,12 +77,12 @@
 		t.Errorf("got %q, then %q", a, b)
 	}
 	if len(h.decider.disconnected) != 0 {
-		t.Error("the decision module was notified that the client was gone")
+		t.Error("the decision module was notified of a disconnect")
 	}
 }
 
-// TestConnectionClosesAfterMaxBadCommands guards the event loop against a client that sends bad commands for as long as
-// it gets replies.
+// TestConnectionClosesAfterMaxBadCommands checks that a client cannot keep the event loop busy with an endless series
+// of invalid commands.
 func TestConnectionClosesAfterMaxBadCommands(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
@@ -92,11 +93,12 @@
 		}
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("behind the last error came %q", got)
+		t.Errorf("got %q behind the last error, want the end of the connection", got)
 	}
 }
 
-// TestSilentClientsAreEvictedFirst guards against the eviction of usual clients before those that have sent nothing.
+// TestSilentClientsAreEvictedFirst checks that clients that have sent nothing are evicted before idle clients that have
+// sent a command.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
 	usual := h.client()
@@ -108,11 +110,12 @@
 		t.Error("the silent connection was not evicted")
 	}
 	if usual.send("PING"); usual.readLine() != "+PONG" {
-		t.Error("the usual client was closed in its place")
+		t.Error("the client that has sent a command was evicted")
 	}
 }
 
-// TestIdleClientsTimeOut guards against clients that send one request and keep their connection for good.
+// TestIdleClientsTimeOut checks that a client cannot keep an idle connection open forever after a command, and that a
+// connection with an open request is not idle.
 func TestIdleClientsTimeOut(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	busy, idle := h.client(), h.client()
@@ -120,7 +123,7 @@
 	idle.mustPing()
 	h.onLoop(h.expireIdleClients)
 	if idle.readLine() != "" {
-		t.Error("the idle connection is open")
+		t.Error("the idle connection is still open")
 	}
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if got := busy.readLine(); got != "-ERR failed" {
@@ -128,9 +131,9 @@
 	}
 }
 
-// TestCompletedRequestReleasesResources guards against memory that a request with its final reply holds until its
-// deadline, an hour away if its client says so: timers, the bytes of the command and what was reserved of the budget
-// for them.
+// TestCompletedRequestReleasesResources checks that a request releases its timers, its arguments and its share of the
+// input budget with its final reply. Otherwise they would be held until its deadline, which the client may set to an
+// hour.
 func TestCompletedRequestReleasesResources(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
@@ -142,16 +145,16 @@
 	var completed *request
 	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
 	if openTimers, less := h.resourceUsage(); openTimers != timers+2 || less >= available {
-		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", openTimers, less, timers, available)
+		t.Errorf("%d timers and %d bytes available during the request, %d and %d before", openTimers, less, timers, available)
 	}
 	b.write(valueReply)
 	receive(t, h.decider.outcomes)
 	if again, now := h.resourceUsage(); again != timers || now != available || completed.Args != nil {
-		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, available, completed.Args)
+		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request; arguments %q", again, now, timers, available, completed.Args)
 	}
 }
 
-// TestClientsShareInputBudget guards the memory: what is unfinished or waits has one bound for all connections
+// TestClientsShareInputBudget checks that the memory for incomplete and queued input is limited for all connections
 // together.
 func TestClientsShareInputBudget(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
@@ -163,11 +166,11 @@
 	c := h.client()
 	c.write(big("a") + big("b") + big("c"))
 	receive(t, h.decider.requests)
-	h.eventually("no more is read", func() bool { return h.proxy.inputBudget.Available() < 20_000 })
+	h.eventually("more than 10,000 bytes are reserved", func() bool { return h.proxy.inputBudget.Available() < 20_000 })
 	d := h.client()
 	d.write("*5\r\n$60000\r\n" + strings.Repeat("x", 59_000))
 	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
-		t.Errorf("half a command beyond the budget got %q", got)
+		t.Errorf("a partial command beyond the budget got %q", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		h.onLoop(func() { h.proxy.Fail(id, policy.DeadlineTooClose) })
@@ -178,11 +181,11 @@
 		}
 	}
 	c.mustClose()
-	h.eventually("all is given back", func() bool { return h.proxy.inputBudget.Available() == 30_000 })
+	h.eventually("the budget is released", func() bool { return h.proxy.inputBudget.Available() == 30_000 })
 }
 
-// TestPipelinedRepliesAreWrittenOnceInOrder guards against replies out of order or given twice: a connection's replies
-// come in the order of its commands whatever the order of the decisions, and the first one for a request stands.
+// TestPipelinedRepliesAreWrittenOnceInOrder checks that replies are written in the order of the commands, whatever the
+// order of the decisions, and that only the first decision for a request gets written.
 func TestPipelinedRepliesAreWrittenOnceInOrder(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
@@ -204,7 +207,8 @@
 	}
 }
 
-// TestMalformedInputGetsErrorReply guards against a crash or a hang on what can't be read.
+// TestMalformedInputGetsErrorReply checks that input that cannot be parsed gets an error reply, instead of a crash or a
+// hang. Only protocol errors end the connection.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	requestWith := func(old, replaced string) string {
@@ -246,7 +250,7 @@
 		}
 		if strings.Contains(want, "Protocol") {
 			if got := c.readLine(); got != "" {
-				t.Errorf("%q: %q behind the error", input, got)
+				t.Errorf("%q: got %q behind the error, want the end of the connection", input, got)
 			}
 			continue
 		}
@@ -255,12 +259,12 @@
 		}
 	}
 	if len(h.decider.requests) != 0 {
-		t.Error("the decision module was asked about what could not be read")
+		t.Error("the decision module got a request that could not be parsed")
 	}
 }
 
-// TestLongestIdleClientIsEvicted guards against running out of descriptors: the connection that is idle longest makes
-// room.
+// TestLongestIdleClientIsEvicted checks that a new connection beyond the limit evicts the connection that has been idle
+// for longest, so that descriptors do not run out.
 func TestLongestIdleClientIsEvicted(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
 	var conns []*testConn
@@ -270,15 +274,16 @@
 		conns = append(conns, c)
 	}
 	if conns[0].readLine() != "" {
-		t.Error("the connection that was idle longest is open")
+		t.Error("the connection that was idle for longest is still open")
 	}
 	if conns[2].send("PING"); conns[2].readLine() != "+PONG" {
 		t.Error("the newest connection was closed")
 	}
 }
 
-// TestClientsBeyondLimitGetBusyReply guards against requests lost to the limit on connections: a connection beyond it
-// was closed, and with it the request that had come along. It gets a reply, and is served once another one is idle.
+// TestClientsBeyondLimitGetBusyReply checks that the connection limit loses no requests. A connection beyond the limit
+// is accepted, its requests are rejected with a reply, and it is served once another connection is idle. Closing it
+// immediately would lose the request that its client has already sent.
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1
@@ -288,19 +293,19 @@
 	extra := h.client()
 	extra.send(lookCommand("b")...)
 	if got := extra.readLine(); got != "-BUSY 1000" {
-		t.Errorf("beyond the limit: %q", got)
+		t.Errorf("a request beyond the limit got %q", got)
 	}
-	next := h.client() // an idle one beyond the limit is evicted for it
+	next := h.client() // evicts the idle connection beyond the limit
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
-		t.Errorf("beyond the limit, once more: %q", got)
+		t.Errorf("a request on the next connection beyond the limit got %q", got)
 	}
 	if len(h.decider.requests) != 0 {
-		t.Error("the decision module was asked about a request that was rejected for it")
+		t.Error("the decision module got a request that the connection limit had rejected")
 	}
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	next.send(lookCommand("c")...)
 	if q := receive(t, h.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
-		t.Errorf("with room made: %+v", q)
+		t.Errorf("after room was made: got request %+v", q)
 	}
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -8,15 +8,16 @@
 	"reedlead/policy"
 )
 
-// TestQueuedEventsRunBeforeTimers guards against timers that overtake what has come during a stall of the process: an
-// attempt that has its reply would time out, and an attempt would be sent to an endpoint that is known to be draining.
+// TestQueuedEventsRunBeforeTimers checks that events that arrive during a stall of the process are handled before the
+// timers that became due. Otherwise an attempt that has its reply would time out, and an attempt would be sent to an
+// endpoint that is known to be draining.
 func TestQueuedEventsRunBeforeTimers(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
-	h.eventually("it is in flight", func() bool { return h.proxy.requests.byID["a"].attempts[0].conn != nil })
+	h.eventually("the attempt is in flight", func() bool { return h.proxy.requests.byID["a"].attempts[0].conn != nil })
 	waiting, arrived := make(chan struct{}), make(chan struct{})
 	h.onLoop(func() {
 		a := h.proxy.requests.byID["a"].attempts[0]
-		h.proxy.loop.After(0, func() { // the first late timer; the next one is due as well
+		h.proxy.loop.After(0, func() { // the first overdue timer; the next one is due as well
 			close(waiting)
 			<-arrived
 			for !h.queued(1)() {
@@ -32,19 +33,19 @@
 	c.wantValue("the reply that had come")
 }
 
-// TestReadersRunBeforeOverdueTimers guards against the same where the reply is still in the socket: no timer of a
-// process that stalled fires before the readers have run.
+// TestReadersRunBeforeOverdueTimers checks that after a stall no timer fires before the readers have run. Otherwise an
+// attempt whose reply is still in the socket would time out.
 func TestReadersRunBeforeOverdueTimers(t *testing.T) {
 	h, _, b, _ := startWithAttempt(t)
 	var a *attempt
-	h.eventually("it is in flight", func() bool { a = h.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
-	a.conn.writeMu.Lock() // its reader reports the end of the connection once it has this
+	h.eventually("the attempt is in flight", func() bool { a = h.proxy.requests.byID["a"].attempts[0]; return a.conn != nil })
+	a.conn.writeMu.Lock() // its reader needs the lock to report the end of the connection
 	b.mustClose()
-	h.eventually("the reader waits", a.conn.unusable.Load)
+	h.eventually("the reader waits for the lock", a.conn.unusable.Load)
 	h.onLoop(func() {
 		yields := 0
 		h.proxy.loop.YieldToReaders = func() {
-			if yields++; yields == 2 { // it needs no more than that
+			if yields++; yields == 2 { // two yields must be enough for the reader
 				a.conn.writeMu.Unlock()
 			}
 			for end := time.Now().Add(testTimeout); yields == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
@@ -54,19 +55,19 @@
 		h.proxy.loop.After(-1, func() { h.proxy.attempts.expire(a) }) // long overdue
 	})
 	if o := receive(t, h.decider.outcomes); o.Status != policy.Reset {
-		t.Errorf("got %+v, want the end that the reader posts", o)
+		t.Errorf("got %+v, want the reset that the reader has posted", o)
 	}
 }
 
-// TestNoAttemptWhileReplyIsPending guards against a hedge or a retry beside a reply that has come, be it in the event
-// queue or still in the socket: the request would be sent again after its final reply.
+// TestNoAttemptWhileReplyIsPending checks that no hedged request or retry is sent when the reply to an earlier attempt
+// is already in the event queue or in the socket. Otherwise the request would be sent again after its final reply.
 func TestNoAttemptWhileReplyIsPending(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
 			h := startProxy(t, testConfig(addr), sendEachRequest(0))
 			var b *testConn
-			if where == "socket" { // a connection that nobody reads
+			if where == "socket" { // a connection without a reader
 				conn := mustDial(t, addr)
 				b = receive(t, conns)
 				h.onLoop(func() {
@@ -90,19 +91,20 @@
 					continue
 				}
 				if o.Status != policy.NotSent {
-					t.Errorf("the hedge ended as %+v", o)
+					t.Errorf("the hedged request ended as %+v, want it not sent", o)
 				}
 				break
 			}
 			if n := len(conns); n != 0 {
-				t.Errorf("%d more connections were made", n)
+				t.Errorf("%d more connections to the endpoint were made", n)
 			}
 		})
 	}
 }
 
-// TestNoAttemptAfterDialWhileReplyIsPending guards against the same where the hedge waited for a dial when the reply
-// came.
+// TestNoAttemptAfterDialWhileReplyIsPending checks that a hedged request is not sent when its dial completes after the
+// first attempt has ended, even if the event loop has not handled that end yet. Otherwise the request would be sent
+// again after its final reply.
 func TestNoAttemptAfterDialWhileReplyIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
@@ -125,16 +127,16 @@
 		first = h.proxy.requests.byID["a"].attempts[0]
 		h.proxy.Send("a", "s1", 0, 0)
 	})
-	first.conn.writeMu.Lock() // its reader posts the end once it has this
+	first.conn.writeMu.Lock() // its reader needs the lock to post the end
 	b.mustClose()
-	h.eventually("the reader waits", first.conn.unusable.Load)
+	h.eventually("the reader waits for the lock", first.conn.unusable.Load)
 	close(unblock)
 	if o := receive(t, h.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
-		t.Errorf("got %+v", o)
+		t.Errorf("got %+v, want attempt 1 not sent", o)
 	}
 	first.conn.writeMu.Unlock()
 	h.closePool()
 	if got := receive(t, others).readCommand(); got != nil {
-		t.Errorf("the hedge was sent: %q", got)
+		t.Errorf("the hedged request was sent: %q", got)
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -19,14 +19,14 @@
 	"reedlead/policy"
 )
 
-// testTimeout is how long a test waits for what must come. It decides nothing but when to give up.
+// testTimeout is the time after which a test gives up waiting for an event.
 const testTimeout = 20 * time.Second
 
-// eventBufferSize is how many events of a kind a fakeDecider, or a listener, keeps for the test.
+// eventBufferSize is the capacity of each channel in which a fakeDecider or a listener keeps events for the test.
 const eventBufferSize = 64
 
-// fakeDecider stands in for the decision module: a test says what it does on a request or an outcome, and receives
-// the events that come to it.
+// fakeDecider replaces the decision module. A test sets its reaction to requests and outcomes, and receives its events
+// from the channels.
 type fakeDecider struct {
 	onRequest    func(policy.Request)
 	onOutcome    func(policy.Outcome)
@@ -81,19 +81,20 @@
 	d.healthChecks <- result
 }
 
-// receive waits for the next element of a channel, or for it to be closed.
+// receive returns the next element of a channel, or the zero value once it is closed. It fails the test after
+// testTimeout.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case element := <-c:
 		return element
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for an event")
 		panic("unreachable")
 	}
 }
 
-// harness is a proxy on loopback sockets with a fake decision module.
+// harness is a proxy on loopback sockets with a fakeDecider.
 type harness struct {
 	t         *testing.T
 	proxy     *Proxy
@@ -103,15 +104,15 @@
 	reloads   chan config.Config
 }
 
-// unreachableAgent is an address that refuses connections.
+// unreachableAgent is the address of a discovery agent that refuses connections.
 const unreachableAgent = "127.0.0.1:1"
 
-// inService is an entry of the endpoint list.
+// inService returns an entry of the endpoint list that is in service.
 func inService(id, addr string) discovery.Endpoint {
 	return discovery.Endpoint{ID: id, Addr: addr, State: discovery.StateInService}
 }
 
-// testConfig is a configuration with an endpoint s0, s1, ... at each address.
+// testConfig returns a configuration with the endpoints s0, s1, ... at the given addresses.
 func testConfig(addresses ...string) config.Config {
 	c := config.Config{
 		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024,
@@ -133,7 +134,7 @@
 	return c
 }
 
-// peerConfig is a configuration with messages between gateways, of which the others have these addresses.
+// peerConfig returns a configuration with peer messages to gateways at the given addresses.
 func peerConfig(others ...netip.AddrPort) config.Config {
 	c := testConfig()
 	c.Settings.PeerMessages = true
@@ -142,7 +143,7 @@
 	return c
 }
 
-// listenUDP opens a socket for datagrams until the test ends.
+// listenUDP opens a UDP socket that is closed when the test ends.
 func listenUDP(t *testing.T) (conn *net.UDPConn, address netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -156,7 +157,7 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// startProxy starts a proxy, which change may have altered, and ends it with the test.
+// startProxy starts a proxy and ends it with the test. change, which may be nil, modifies the proxy before the start.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
@@ -168,11 +169,11 @@
 		t: t, proxy: p, decider: newFakeDecider(),
 		ended: make(chan struct{}), terminate: cancel, reloads: make(chan config.Config),
 	}
-	p.endpoints.duplicateWindow = 0 // the replies of the tests are alike
+	p.endpoints.duplicateWindow = 0 // replies of the tests are identical
 	p.endpoints.writeSlack = 3600
-	p.discovery.PollRetryInterval = time.Hour // a test that is slow polls once
+	p.discovery.PollRetryInterval = time.Hour // even a slow test polls only once
 	polled := make(chan struct{})
-	if cfg.DiscoveryAddress == unreachableAgent { // it is polled once, so that no event comes of it later
+	if cfg.DiscoveryAddress == unreachableAgent { // polled only once, so that polls cause no later events
 		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(polled)
 			return nil
@@ -200,7 +201,7 @@
 	return h
 }
 
-// onLoop runs f on the event loop and waits for it.
+// onLoop runs f on the event loop and waits until it has returned or the proxy has ended.
 func (h *harness) onLoop(f func()) {
 	done := make(chan struct{})
 	h.proxy.loop.Post(0, func() { defer close(done); f() })
@@ -210,7 +211,7 @@
 	}
 }
 
-// eventually waits for what comes to hold on the event loop without the test's doing.
+// eventually waits until holds, which runs on the event loop, returns true. It fails the test after testTimeout.
 func (h *harness) eventually(what string, holds func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -219,11 +220,11 @@
 			return
 		}
 	}
-	h.t.Fatal("never came to: " + what)
+	h.t.Fatal("timed out waiting until " + what)
 }
 
-// whileLoopBlocked has the event loop wait while meanwhile runs, and then until holds. What comes meanwhile is not
-// handled before then has run on the event loop.
+// whileLoopBlocked blocks the event loop while meanwhile runs and then until holds returns true. It then runs then on
+// the event loop, before the events that have arrived in the meantime.
 func (h *harness) whileLoopBlocked(meanwhile func(), holds func() bool, then func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -238,18 +239,18 @@
 	receive(h.t, waiting)
 	meanwhile()
 	close(resume)
-	<-done // nothing else is posted before
+	<-done // waitFor limits this wait
 	if !held {
-		h.t.Fatal("what was to come while the event loop waited has not come")
+		h.t.Fatal("the condition did not hold while the event loop was blocked")
 	}
 }
 
-// queued reports whether n events wait in the queue; on the event loop.
+// queued returns a function that reports whether the queue of the event loop holds at least n events.
 func (h *harness) queued(n int) func() bool {
 	return func() bool { return h.proxy.loop.QueuedEvents() >= n }
 }
 
-// waitFor waits until something holds, and reports whether it came to.
+// waitFor waits until holds returns true, and returns false if it does not within testTimeout.
 func waitFor(holds func() bool) bool {
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -269,7 +270,7 @@
 	return newTestConn(h.t, c)
 }
 
-// addIdleConn puts a connection without a reader into the pool of an endpoint; on the event loop.
+// addIdleConn adds a connection without a reader to the pool of an endpoint. Event loop only.
 func (h *harness) addIdleConn(endpointID string, conn net.Conn) *backendConn {
 	h.t.Helper()
 	e := h.proxy.endpoints.byID[endpointID]
@@ -292,29 +293,29 @@
 	return []string{"CALL.GET", testCustomer, id, "c=look,t=basic,d=600000,units=2,spread=2,first=1"}
 }
 
-// postCommand is a request of a class that is not idempotent.
+// postCommand returns a request of a class that is not idempotent.
 func postCommand(id, body string) []string {
 	return []string{"CALL.POST", testCustomer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body}
 }
 
-// holdCommand is a request of a class that has an idempotency key.
+// holdCommand returns a request of a class with idempotency keys.
 func holdCommand(id, body string) []string {
 	return []string{"CALL.POST", testCustomer, id, "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", body}
 }
 
-// sendEachRequest has the decision module send each request to s0.
+// sendEachRequest makes the decision module send each request to s0 with the given attempt timeout.
 func sendEachRequest(timeout policy.Seconds) func(*harness) {
 	return func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", timeout, 0) }
 	}
 }
 
-// rejectEachRequest has the decision module reject each request, so that the reply shows that it was asked.
+// rejectEachRequest makes the decision module reject each request. The reply "-BUSY 500" shows that it did.
 func rejectEachRequest(h *harness) {
 	h.decider.onRequest = func(q policy.Request) { h.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
 
-// blockDials has dials wait until free is closed.
+// blockDials blocks all dials until unblock is closed.
 func (h *harness) blockDials(unblock <-chan struct{}) {
 	h.beforeDial(func(string) error {
 		<-unblock
@@ -322,7 +323,7 @@
 	})
 }
 
-// beforeDial has a function run before each dial to an address, and fail it with its error.
+// beforeDial runs a function before each dial. If the function returns an error, the dial fails with it.
 func (h *harness) beforeDial(run func(addr string) error) {
 	dial := h.proxy.endpoints.dial
 	h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
@@ -333,8 +334,8 @@
 	}
 }
 
-// startWithAttempt starts a proxy with one endpoint to which a client's request a was sent. It returns the client's
-// connection and that of the endpoint, on which the command was read, and further connections of the endpoint.
+// startWithAttempt starts a proxy with one endpoint and sends the request a to it. It returns the connection c of the
+// client, the connection b on which the endpoint has read the command, and further connections to the endpoint.
 func startWithAttempt(t *testing.T) (h *harness, c, b *testConn, conns chan *testConn) {
 	t.Helper()
 	addr, conns := listenEndpoint(t)
@@ -346,11 +347,11 @@
 	return h, c, b, conns
 }
 
-// smallBuffer is a size of socket buffers in bytes that holds only a part of a large command.
+// smallBuffer is the size in bytes of a socket buffer that holds only a part of a large command.
 const smallBuffer = 4096
 
-// startWithSmallSockets starts a proxy and the listener of its one endpoint, whose sockets hold only a part of a large
-// command.
+// startWithSmallSockets starts a proxy with one endpoint, and returns the listener of the endpoint. The socket buffers
+// of the endpoint's connections hold only a part of a large command.
 func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -376,45 +377,45 @@
 	})
 }
 
-// openRequest sends a request, and waits until the decision module has it.
+// openRequest sends a request and waits until the decision module has received it.
 func (h *harness) openRequest(c *testConn, id string) {
 	h.t.Helper()
 	c.send(lookCommand(id)...)
 	receive(h.t, h.decider.requests)
 }
 
-// changeEndpoint applies a change of the endpoint s0; on the event loop.
+// changeEndpoint applies a change to the endpoint s0. Event loop only.
 func (h *harness) changeEndpoint(change func(*discovery.Endpoint)) {
 	entry := h.proxy.endpoints.byID["s0"].Endpoint
 	change(&entry)
 	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
 
-// expireIdleClients closes the connections of idle clients, as after their timeout; on the event loop.
+// expireIdleClients closes the connections of idle clients by advancing the time of the event loop. Event loop only.
 func (h *harness) expireIdleClients() {
 	h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + clientIdleTimeout + 1)
 	h.proxy.clients.sweep()
 }
 
-// evictIdleClient evicts the connection of the only client, if it is idle; on the event loop.
+// evictIdleClient evicts the connection of the only client if it is idle. Event loop only.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
 	h.proxy.clients.evictToLimit(nil)
 }
 
-// closePool closes the idle connections of all endpoints.
+// closePool removes all endpoints, which closes their idle connections.
 func (h *harness) closePool() {
 	h.onLoop(func() { h.proxy.applyList(discovery.List{Full: true}) })
 }
 
-// wantNoCommand holds that nothing was sent on a connection of an endpoint, which is closed with the pool.
+// wantNoCommand closes the pool and checks that no complete command was sent on the connection b to an endpoint.
 func (h *harness) wantNoCommand(b *testConn) {
 	h.t.Helper()
 	h.closePool()
 	b.wantNoCommand()
 }
 
-// wantOutcome holds that the next attempt to end has a status.
+// wantOutcome checks the status of the next attempt to end.
 func (h *harness) wantOutcome(want policy.AttemptStatus) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != want {
@@ -422,7 +423,7 @@
 	}
 }
 
-// wantFinalOutcome holds that the next attempt to end has a status, and its request a final reply or no client.
+// wantFinalOutcome checks the status of the next attempt to end, and that its request is done.
 func (h *harness) wantFinalOutcome(want policy.AttemptStatus) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != want || !o.RequestDone {
@@ -430,29 +431,30 @@
 	}
 }
 
-// wantNotSent holds that the next attempt to end was not sent, and that nothing was sent on a connection of its
-// endpoint.
+// wantNotSent checks that the next attempt to end was not sent, and that no complete command was sent on the
+// connection b to its endpoint.
 func (h *harness) wantNotSent(b *testConn) {
 	h.t.Helper()
 	h.wantOutcome(policy.NotSent)
 	h.wantNoCommand(b)
 }
 
-// awaitPartialWrite waits until the socket has taken a part of the command of a request's first attempt.
+// awaitPartialWrite waits until the first attempt of a request has a connection, on which its command is not completely
+// written.
 func (h *harness) awaitPartialWrite(id string) {
 	h.t.Helper()
-	h.eventually("a part is written", func() bool {
+	h.eventually("the command is being written", func() bool {
 		a := h.proxy.requests.byID[id].attempts[0]
 		return a.conn != nil && !a.conn.commandWritten.Load()
 	})
 }
 
-// allClientsClosed reports whether no client is connected and the listener waits for one; on the event loop.
+// allClientsClosed reports whether no client is connected and only the listener holds a slot. Event loop only.
 func (h *harness) allClientsClosed() bool {
 	return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1
 }
 
-// onlyClient is the connection of the only client, nil if there is none; on the event loop.
+// onlyClient returns the connection of the only client, or nil if there is none. Event loop only.
 func (h *harness) onlyClient() (c *clientConn) {
 	for c = range h.proxy.clients.conns {
 	}
--- a/internal/proxy/log_helpers_test.go
+++ b/internal/proxy/log_helpers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// lockedBuffer is a log that a test reads while the proxy may be writing to it.
+// lockedBuffer is a log that a test can read while the proxy writes to it.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -21,14 +21,14 @@
 	return l.b.Write(p)
 }
 
-// recordLog records the log of a proxy at debug level.
+// recordLog makes the proxy log to a buffer at debug level.
 func recordLog(h *harness) *lockedBuffer {
 	log := &lockedBuffer{}
 	h.proxy.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	return log
 }
 
-// awaitLine waits for a line of the log that contains all of some texts.
+// awaitLine waits for a log line that contains all of the given texts.
 func (l *lockedBuffer) awaitLine(t *testing.T, texts ...string) {
 	t.Helper()
 	hasLine := func() bool {
@@ -41,11 +41,11 @@
 		return false
 	}
 	if !waitFor(hasLine) {
-		t.Fatalf("no line with %q in\n%s", texts, l.text())
+		t.Fatalf("no log line contains all of %q:\n%s", texts, l.text())
 	}
 }
 
-// text is what was logged so far.
+// text returns the log so far.
 func (l *lockedBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -4,14 +4,14 @@
 	"testing"
 )
 
-// TestDecisionModuleTimeIsMonotonic guards the time of the decision module: an event from before one already handled
-// must not turn it back.
+// TestDecisionModuleTimeIsMonotonic checks that the time that the decision module gets never goes back, even if an
+// event is handled after another one that happened later.
 func TestDecisionModuleTimeIsMonotonic(t *testing.T) {
 	h := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
 	h.proxy.loop.Post(h.proxy.clock.Now()+5, func() { first = h.proxy.loop.Now() })
 	h.onLoop(func() { second = h.proxy.loop.Now() })
 	if second < first {
-		t.Errorf("the time went from %f to %f", first, second)
+		t.Errorf("the time went back from %f to %f", first, second)
 	}
 }
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestEveryCloseIsLoggedWithItsReason guards against connections that are closed, and requests that are rejected, with
-// no line of why, and of the requests that were open.
+// TestEveryCloseIsLoggedWithItsReason checks that closed connections and rejected requests are logged with the reason,
+// and closed connections also with the requests that were open on them.
 func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
@@ -44,17 +44,17 @@
 	log.awaitLine(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
 }
 
-// TestKindOfNextAttempt guards what the trace says of why an attempt was made.
+// TestKindOfNextAttempt checks the kind that the trace logs for an attempt: first, hedge or retry.
 func TestKindOfNextAttempt(t *testing.T) {
 	r := &request{}
 	if got := kindOf(r); got != firstAttempt {
-		t.Errorf("got %s", got)
+		t.Errorf("without earlier attempts: got %s", got)
 	}
 	r.attempts, r.inFlight = []*attempt{{}}, 1
 	if got := kindOf(r); got != hedge {
-		t.Errorf("beside another: %s", got)
+		t.Errorf("with an attempt in flight: got %s", got)
 	}
 	if r.inFlight = 0; kindOf(r) != retry {
-		t.Errorf("after another: %s", kindOf(r))
+		t.Errorf("after a completed attempt: got %s", kindOf(r))
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -6,8 +6,8 @@
 	"reedlead/policy"
 )
 
-// TestDecisionModulePanicFailsRequest guards against a request that waits for ever: a panic in the decision module
-// fails one request, and where the decision module never decides, the proxy replies.
+// TestDecisionModulePanicFailsRequest checks that no request waits forever: a panic in the decision module fails only
+// the request that caused it, and the proxy fails a request that the decision module never decides on.
 func TestDecisionModulePanicFailsRequest(t *testing.T) {
 	h := startProxy(t, testConfig("127.0.0.1:1"), func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) {
@@ -19,19 +19,19 @@
 	c := h.client()
 	c.send(lookCommand("boom")...)
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("after a panic: %q", got)
+		t.Errorf("after a panic: got %q", got)
 	}
 	c.send("CALL.GET", testCustomer, "mute", "c=look,t=basic,d=20,units=2,spread=2,first=1")
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("at the deadline: %q", got)
+		t.Errorf("without a decision: got %q", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "mute" {
-		t.Errorf("gone: %q", id)
+		t.Errorf("got the disconnect of the client of request %q, want mute", id)
 	}
 }
 
-// TestDecisionModulePanicOnOutcome guards against the same where the decision module fails on an outcome: the request
-// gets its reply at its deadline.
+// TestDecisionModulePanicOnOutcome checks that a request gets its reply at the deadline if the decision module panics
+// on the outcome of an attempt, and is then removed.
 func TestDecisionModulePanicOnOutcome(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
@@ -48,11 +48,11 @@
 		t.Errorf("got %q", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "a" {
-		t.Errorf("gone: %q", id)
+		t.Errorf("got the disconnect of the client of request %q, want a", id)
 	}
 	h.onLoop(func() {
 		if len(h.proxy.requests.byID) != 0 {
-			t.Errorf("%d requests are kept", len(h.proxy.requests.byID))
+			t.Errorf("%d requests remain in the table", len(h.proxy.requests.byID))
 		}
 	})
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -9,8 +9,8 @@
 	"reedlead/policy"
 )
 
-// TestReadCommandIsServedBeforeClose guards against requests that are lost as their connection is closed between
-// commands: the command has been read, and waits in the event queue while the event loop takes the connection for idle.
+// TestReadCommandIsServedBeforeClose checks that closing an idle connection does not lose a request that the reader has
+// already read: the command is still in the event queue when the event loop considers the connection idle.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestPartialCommandIsServedBeforeClose guards against a connection that is closed under half a command: it was read,
-// and the rest may come.
+// TestPartialCommandIsServedBeforeClose checks that a connection is not closed after a part of a command was read, as
+// the rest may follow.
 func TestPartialCommandIsServedBeforeClose(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		rejectEachRequest(h)
@@ -65,15 +65,15 @@
 	c.mustPing()
 	all := encodeCommand(lookCommand("a")...)
 	c.write(all[:20])
-	h.eventually("half of it is read", func() bool { return netcalls.NoDataPending(h.onlyClient().rawConn) })
+	h.eventually("the first part is read", func() bool { return netcalls.NoDataPending(h.onlyClient().rawConn) })
 	h.onLoop(h.proxy.drain.stopAccepting)
-	h.eventually("the reader goes on", func() bool { return h.onlyClient() == nil || !h.onlyClient().closeRequested })
+	h.eventually("the reader continues", func() bool { return h.onlyClient() == nil || !h.onlyClient().closeRequested })
 	c.write(all[20:])
 	c.wantLines("-BUSY 500", "")
 }
 
-// TestPendingConnectionsAreAcceptedAtShutdown guards against connections that are lost as the listener closes: those
-// that were accepted while the event loop was busy, and those that nobody has accepted yet.
+// TestPendingConnectionsAreAcceptedAtShutdown checks that closing the listener loses no connections, neither those that
+// were accepted while the event loop was busy nor those that are still in the backlog.
 func TestPendingConnectionsAreAcceptedAtShutdown(t *testing.T) {
 	t.Run("accepted", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
@@ -84,7 +84,7 @@
 	t.Run("in the backlog", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 			rejectEachRequest(h)
-			h.proxy.clients.connSlots = make(chan struct{}, 1) // as if all descriptors were taken
+			h.proxy.clients.connSlots = make(chan struct{}, 1) // one connection takes the only slot
 		})
 		first := h.client()
 		first.mustPing()
@@ -92,15 +92,15 @@
 		second.send(lookCommand("a")...)
 		h.onLoop(h.proxy.drain.stopAccepting)
 		if first.readLine() != "" {
-			t.Error("the idle connection is open")
+			t.Error("the idle connection is still open")
 		}
 		second.wantLines("-BUSY 500", "")
 		receive(t, h.ended)
 	})
 }
 
-// TestShutdownEndsBeforeSIGKILL guards against a graceful shutdown that outlasts the time until SIGKILL, which short
-// deadlines bring forward.
+// TestShutdownEndsBeforeSIGKILL checks that a graceful shutdown ends before SIGKILL arrives, which happens earlier with
+// shorter request timeouts.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, deadlineS := range []float64{0.35, 2, 6} {
 		cfg := testConfig(unreachableAgent)
@@ -111,14 +111,15 @@
 		h := startProxy(t, cfg, nil)
 		h.onLoop(func() {
 			if d := h.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= h.proxy.drain.acceptGrace {
-				t.Errorf("deadline of %g s: all ends after %v, SIGKILL comes after %v", deadlineS, d, kill)
+				t.Errorf("request timeout %g s: the drain times out after %v, SIGKILL arrives after %v", deadlineS, d, kill)
 			}
 		})
 	}
 }
 
-// TestCloseLosesNoReplyInFlight guards against replies that are lost with the reset of a connection, as a command comes
-// at the moment at which it is closed between commands: the sending side alone ends, until the client has closed too.
+// TestCloseLosesNoReplyInFlight checks that closing a connection does not destroy replies that are still in flight. A
+// command that arrives during the close would cause a reset, so only the sending side is shut down until the client has
+// closed its side.
 func TestCloseLosesNoReplyInFlight(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
@@ -131,22 +132,22 @@
 				c.send(lookCommand(fmt.Sprint("a", i))...)
 				receive(t, h.decider.requests)
 			}
-			h.eventually("all have their replies", func() bool { return h.onlyClient() != nil && h.onlyClient().idle() })
+			h.eventually("all replies are written", func() bool { return h.onlyClient() != nil && h.onlyClient().idle() })
 			h.onLoop(func() { end(h) })
-			h.eventually("its end has come", func() bool { return h.proxy.clients.open() == 0 || h.onlyClient().sendingShutDown })
+			h.eventually("the sending side is shut down", func() bool { return h.proxy.clients.open() == 0 || h.onlyClient().sendingShutDown })
 			h.onLoop(func() {
 				if h.proxy.clients.open() != 1 {
-					t.Error("the connection is closed under replies that are on their way")
+					t.Error("the connection was closed while replies were in flight")
 				}
 			})
-			c.send(lookCommand("b")...) // crosses the end
+			c.send(lookCommand("b")...) // sent while the gateway is closing
 			for i := range 3 {
 				if got := c.readLine(); got != "-BUSY 500" {
 					t.Errorf("reply %d is %q", i, got)
 				}
 			}
 			if got := c.readLine(); got != "" || len(h.decider.requests) != 0 {
-				t.Errorf("behind them came %q, and %d requests were read", got, len(h.decider.requests))
+				t.Errorf("got %q behind the replies, and the decision module got %d more requests, want the end and none", got, len(h.decider.requests))
 			}
 			c.mustClose()
 			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 })
@@ -154,14 +155,14 @@
 	}
 }
 
-// TestGracefulShutdown guards against requests lost at a planned restart: connections that still come are accepted, and
-// the requests that were accepted have their replies before the process ends.
+// TestGracefulShutdown checks that a planned restart loses no requests: connections that arrive shortly after the
+// signal are accepted, and all accepted requests have their replies before the process ends.
 func TestGracefulShutdown(t *testing.T) {
 	t.Run("with a request in flight", func(t *testing.T) {
 		addr, conns := listenEndpoint(t)
 		h := startProxy(t, testConfig(addr), func(h *harness) {
 			sendEachRequest(0)(h)
-			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Hour, time.Hour // until the test says so
+			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Hour, time.Hour // the test calls stopAccepting itself
 		})
 		idle, busy := h.client(), h.client()
 		idle.mustPing()
@@ -169,7 +170,7 @@
 		b := receive(t, conns)
 		b.readCommand()
 		h.terminate()
-		late := h.client() // the listener is open for longer than connections come
+		late := h.client() // the listener stays open during the accept grace
 		if late.send("PING"); late.readLine() != "+PONG" {
 			t.Fatal("a connection after the signal was not served")
 		}
@@ -187,7 +188,7 @@
 			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Millisecond, time.Hour
 		})
 		h.terminate()
-		receive(t, h.ended) // by itself, once the time for late connections is over
+		receive(t, h.ended) // once the accept grace is over
 	})
 	t.Run("that takes too long", func(t *testing.T) {
 		h := startProxy(t, testConfig(unreachableAgent), nil)
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -18,11 +18,11 @@
 	"github.com/tidwall/redcon"
 )
 
-// largeFleetSize is the number of gateways, and of endpoints, that must be supported without a limit.
+// largeFleetSize is the number of gateways, and also of endpoints, that must be supported.
 const largeFleetSize = 1024
 
-// largeFleetConfig is the configuration of a gateway in a fleet of largeFleetSize gateways and endpoints, none of which
-// replies.
+// largeFleetConfig returns the configuration of a gateway in a fleet of largeFleetSize gateways with as many endpoints,
+// none of which replies.
 func largeFleetConfig(self int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
 	c.MemoryMB, c.MaxDescriptors = 192, 1024
@@ -37,8 +37,8 @@
 	return c
 }
 
-// largeFleetPeers are the addresses of the gateways of such a fleet. The first and the last, which run, have free
-// ports.
+// largeFleetPeers returns the peer addresses of a large fleet. The first and the last gateway, which the test starts,
+// have free ports.
 func largeFleetPeers(t *testing.T) (peers []netip.AddrPort) {
 	t.Helper()
 	for i := range largeFleetSize {
@@ -50,15 +50,16 @@
 			t.Fatal(err)
 		}
 		peers[i] = c.LocalAddr().(*net.UDPAddr).AddrPort()
-		_ = c.Close() // it sent nothing
+		_ = c.Close() // nothing was sent on it
 	}
 	return peers
 }
 
-// TestThousandGatewaysAndEndpoints guards against limits on lists: with 1,024 gateways and as many endpoints the list
-// that a process starts with, a complete list and a change are applied, indented too; messages go both ways between the
-// first gateway and the last, one to each without a loss on this side; it is ready at once, and the memory stays far
-// below its limit.
+// TestThousandGatewaysAndEndpoints checks that a proxy has no limit below 1,024 gateways and as many endpoints:
+//   - The initial list, a complete list with indentation and a change are applied, and the proxy is ready immediately.
+//   - Messages pass in both directions between the first gateway and the last, and one event can send a message to each
+//     gateway without a loss on the sending side.
+//   - The memory in use stays far below its limit.
 func TestThousandGatewaysAndEndpoints(t *testing.T) {
 	peers := largeFleetPeers(t)
 	address, polls := discoverytest.NewManualAgent(t)
@@ -71,7 +72,7 @@
 	}
 	c := first.client()
 	if c.send("PING"); c.readLine() != "+PONG" {
-		t.Error("not ready, with a list and a silent agent")
+		t.Error("not ready with an initial list and a discovery agent that does not reply")
 	}
 	first.wantLargeLists(receive(t, polls))
 	wantMessagesBetween(t, first, last)
@@ -82,12 +83,12 @@
 	}
 	runtime.GC()
 	var m runtime.MemStats
-	if runtime.ReadMemStats(&m); m.HeapAlloc > 2*64<<20 { // both, and the test's own
-		t.Errorf("%d MB are in use", m.HeapAlloc>>20)
+	if runtime.ReadMemStats(&m); m.HeapAlloc > 2*64<<20 { // of both gateways and the test
+		t.Errorf("%d MB of heap are in use", m.HeapAlloc>>20)
 	}
 }
 
-// wantLargeLists holds that a complete list and a change of it are applied, as they come on a watch.
+// wantLargeLists checks that a complete list and a change to it are applied when the discovery agent sends them.
 func (h *harness) wantLargeLists(watch discoverytest.Poll) {
 	h.t.Helper()
 	list := discovery.List{Version: 7, Full: true}
@@ -110,12 +111,12 @@
 	}
 	h.onLoop(func() {
 		if n := len(h.proxy.endpoints.byID); n != largeFleetSize {
-			h.t.Errorf("%d endpoints are kept", n)
+			h.t.Errorf("the proxy holds %d endpoints", n)
 		}
 	})
 }
 
-// wantMessagesBetween holds that messages go both ways between the first gateway and the last.
+// wantMessagesBetween checks that peer messages arrive in both directions between the first gateway and the last.
 func wantMessagesBetween(t *testing.T, first, last *harness) {
 	t.Helper()
 	first.onLoop(func() { first.proxy.SendToPeer(largeFleetSize-1, []byte("there")) })
@@ -124,11 +125,11 @@
 	}
 	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", peerlink.MaxDatagramSize))) })
 	if m := receive(t, first.decider.messages); m.from != largeFleetSize-1 || len(m.data) != peerlink.MaxDatagramSize {
-		t.Errorf("the first gateway got %d bytes of %d", len(m.data), m.from)
+		t.Errorf("the first gateway got %d bytes from gateway %d", len(m.data), m.from)
 	}
 }
 
-// wantNoDatagramLost holds that no datagram is lost on this side, with one to each gateway in one event.
+// wantNoDatagramLost checks that the send queue takes a datagram to each gateway within one event.
 func (h *harness) wantNoDatagramLost() {
 	h.t.Helper()
 	h.onLoop(func() {
@@ -142,8 +143,9 @@
 	})
 }
 
-// TestReadyWithoutDiscovery guards against a process that is never ready while discovery is down and its list has no
-// endpoint in service, or is empty; and against one that is ready before it could know any.
+// TestReadyWithoutDiscovery checks when a gateway is ready while discovery is down: immediately if its initial list
+// has an endpoint in service, and otherwise once readyAt has passed. Before that, discovery may still provide
+// endpoints; but without the limit, the gateway would never be ready.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
@@ -151,7 +153,7 @@
 		"a usable list": {inService("s0", "127.0.0.1:1")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, polls := discoverytest.NewManualAgent(t) // silent
+			address, polls := discoverytest.NewManualAgent(t) // never replies
 			cfg := testConfig()
 			cfg.DiscoveryAddress, cfg.InitialEndpoints.Endpoints = address, endpoints
 			h := startProxy(t, cfg, func(h *harness) { h.proxy.readyAt = h.proxy.loop.Now() + 3600 })
@@ -163,13 +165,13 @@
 			}
 			if c.send("PING"); want != "" {
 				if got := c.readLine(); got != want {
-					t.Errorf("at the start: got %q, want %q", got, want)
+					t.Errorf("before readyAt: got %q, want %q", got, want)
 				}
 			}
 			h.onLoop(func() { h.proxy.readyAt = h.proxy.loop.Now() })
 			c.send("PING")
 			if got := c.readLine(); got != "+PONG" {
-				t.Errorf("a moment later: got %q", got)
+				t.Errorf("after readyAt: got %q", got)
 			}
 			h.openRequest(c, "a")
 			h.onLoop(func() {
@@ -182,14 +184,15 @@
 	}
 }
 
-// TestPeerMessagesAmongThousandGateways guards the peer messages of the decision module in the largest fleets: a member
-// and an owner with the largest numbers agree on a customer, and gossip on any of their endpoints is sent.
+// TestPeerMessagesAmongThousandGateways checks the peer messages of the decision module in a large fleet: the first
+// and the last gateway, as members and owners of customers, send each other messages that fit a datagram, and reply to
+// them.
 func TestPeerMessagesAmongThousandGateways(t *testing.T) {
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
 	first := newRecordedGateway(t, settings, 0)
 	last := newRecordedGateway(t, settings, largeFleetSize-1)
-	for i := range 40 { // customers of both; each of them owns some
+	for i := range 40 { // both gateways serve each customer, and each owns some of them
 		for _, g := range []*recordedGateway{first, last} {
 			g.HandleRequest(100, policy.Request{
 				ID: fmt.Sprint(g.number, "-", i), Class: "look", Plan: "basic", Customer: fmt.Sprintf("%016x", i),
@@ -216,7 +219,7 @@
 	}
 }
 
-// recordedGateway is a decision module whose peer messages are recorded, and whose other actions do nothing.
+// recordedGateway is a decision module that records its peer messages. Its other actions have no effect.
 type recordedGateway struct {
 	*policy.Gateway
 	number int
@@ -228,7 +231,7 @@
 	data []byte
 }
 
-// newRecordedGateway returns the decision module of gateway number with the endpoints of the fleet.
+// newRecordedGateway returns the decision module of the gateway with this number, with all endpoints of a large fleet.
 func newRecordedGateway(t *testing.T, settings policy.Settings, number int) *recordedGateway {
 	t.Helper()
 	settings.Self = number
@@ -245,7 +248,7 @@
 	return g
 }
 
-// messageRecorder implements policy.Actions.
+// messageRecorder implements policy.Actions. It records peer messages and ignores all other actions.
 type messageRecorder struct{ gateway *recordedGateway }
 
 func (messageRecorder) Send(string, string, float64, float64) {}
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// testConn is the test's end of a connection.
+// testConn is the test's end of a connection with the proxy.
 type testConn struct {
 	net.Conn
 	t      *testing.T
@@ -21,12 +21,12 @@
 }
 
 func newTestConn(t *testing.T, conn net.Conn) *testConn {
-	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // on a closed connection it fails, as reads do
+	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // fails on a closed connection, as reads do
 	t.Cleanup(func() { _ = conn.Close() })            // the test may have closed it
 	return &testConn{conn, t, bufio.NewReader(conn)}
 }
 
-// write sends bytes as they are.
+// write sends a text without encoding it.
 func (c *testConn) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
@@ -34,13 +34,13 @@
 	}
 }
 
-// send sends a command.
+// send encodes and sends a command.
 func (c *testConn) send(args ...string) {
 	c.t.Helper()
 	c.write(encodeCommand(args...))
 }
 
-// mustClose closes the connection.
+// mustClose closes the connection and reports an error to the test.
 func (c *testConn) mustClose() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
@@ -48,15 +48,15 @@
 	}
 }
 
-// closeWrite ends the sending side of the connection.
+// closeWrite shuts down the sending side of the connection.
 func (c *testConn) closeWrite() {
 	c.t.Helper()
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
-		c.t.Errorf("close of the sending side: %v", err)
+		c.t.Errorf("shutdown of the sending side: %v", err)
 	}
 }
 
-// disconnectKind is how a client disconnects.
+// disconnectKind is the way in which a client disconnects.
 type disconnectKind string
 
 const (
@@ -64,7 +64,7 @@
 	byReset disconnectKind = "reset"
 )
 
-// disconnect ends the connection.
+// disconnect closes or resets the connection.
 func (c *testConn) disconnect(kind disconnectKind) {
 	c.t.Helper()
 	if kind == byReset {
@@ -75,20 +75,21 @@
 	c.mustClose()
 }
 
-// readLine reads one line without its end, or what came before the end of the connection, which may be "".
+// readLine reads a line and returns it without its line end. If the connection ends first, it returns the bytes before
+// its end, if any.
 func (c *testConn) readLine() string {
-	line, _ := c.reader.ReadString('\n') // what came before an error counts
+	line, _ := c.reader.ReadString('\n') // the bytes before an error are returned
 	return strings.TrimRight(line, "\r\n")
 }
 
-// readCommand reads a complete command and returns its arguments, nil at the end of the connection.
+// readCommand reads a command and returns its arguments, or nil if the connection ends first.
 func (c *testConn) readCommand() (args []string) {
 	n, err := strconv.Atoi(strings.TrimPrefix(c.readLine(), "*"))
 	if err != nil {
 		return nil
 	}
 	for range n {
-		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // at the end of the connection the read fails
+		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // at the end of the connection the next read fails
 		arg := make([]byte, size+len("\r\n"))
 		if _, err := io.ReadFull(c.reader, arg); err != nil {
 			return nil
@@ -98,7 +99,7 @@
 	return args
 }
 
-// wantLines holds that the next lines are those given; "" is the end of the connection.
+// wantLines checks the next lines. An empty line stands for the end of the connection.
 func (c *testConn) wantLines(want ...string) {
 	c.t.Helper()
 	for i, line := range want {
@@ -108,24 +109,24 @@
 	}
 }
 
-// wantNoCommand holds that the connection ends before a complete command has come.
+// wantNoCommand checks that the connection ends without a complete command.
 func (c *testConn) wantNoCommand() {
 	c.t.Helper()
 	if got := c.readCommand(); got != nil {
-		c.t.Errorf("the endpoint got %.200q", got)
+		c.t.Errorf("the endpoint got %.200q, want no command", got)
 	}
 }
 
-// mustPing sends a health check, and fails the test unless the gateway is ready.
+// mustPing sends a health check and fails the test unless the gateway is ready.
 func (c *testConn) mustPing() {
 	c.t.Helper()
 	c.send("PING")
 	if got := c.readLine(); got != "+PONG" {
-		c.t.Fatalf("not served: %q", got)
+		c.t.Fatalf("PING got %q, want +PONG", got)
 	}
 }
 
-// wantValue holds that the next reply is the value of valueReply.
+// wantValue checks that the next reply is the value of valueReply.
 func (c *testConn) wantValue(what string) {
 	c.t.Helper()
 	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
@@ -133,10 +134,10 @@
 	}
 }
 
-// valueReply is an endpoint's reply with a value and no load report.
+// valueReply is an endpoint's reply that holds a value and no load report.
 const valueReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
-// mustDial connects to an address.
+// mustDial returns a new connection to an address.
 func mustDial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -146,7 +147,7 @@
 	return conn
 }
 
-// rawConnOf is the raw connection of a TCP connection.
+// rawConnOf returns the raw connection of a TCP connection.
 func rawConnOf(t *testing.T, conn net.Conn) syscall.RawConn {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -156,7 +157,7 @@
 	return raw
 }
 
-// encodeCommand is a command as clients send it.
+// encodeCommand returns a command in RESP, as clients send it.
 func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, arg := range args {
@@ -165,7 +166,7 @@
 	return string(b)
 }
 
-// listenLoopback listens until the test ends.
+// listenLoopback listens on a free port until the test ends.
 func listenLoopback(t *testing.T, config net.ListenConfig) net.Listener {
 	t.Helper()
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -176,7 +177,7 @@
 	return listener
 }
 
-// listenEndpoint accepts the connections of an endpoint.
+// listenEndpoint listens as an endpoint. It returns the address and the connections that it accepts.
 func listenEndpoint(t *testing.T) (addr string, conns chan *testConn) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{})
@@ -193,7 +194,7 @@
 	return listener.Addr().String(), conns
 }
 
-// acceptOne accepts the next connection of a listener.
+// acceptOne returns the next connection that a listener accepts.
 func acceptOne(t *testing.T, listener net.Listener) *testConn {
 	t.Helper()
 	conn, err := listener.Accept()
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestTraceLogsRequestLifecycle guards the trace that cmd/audit reads: each attempt, how it ended, the reply; and
-// nothing of it at the usual level.
+// TestTraceLogsRequestLifecycle checks the trace that cmd/audit reads: at debug level it holds the request, each
+// attempt and its end, and the reply. At info level nothing of it is logged.
 func TestTraceLogsRequestLifecycle(t *testing.T) {
 	for level, want := range map[slog.Level]string{
 		slog.LevelDebug: `(?s)msg="request accepted" id=a connection=1 arrived=\d.* at=\d.* deadline=\d.*\n` +
@@ -27,11 +27,11 @@
 		b := receive(t, conns)
 		b.readCommand()
 		b.write(valueReply)
-		c.wantValue("it")
+		c.wantValue("the request")
 		receive(t, h.decider.outcomes)
 		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.text(), "")
 		if !regexp.MustCompile(want).MatchString(got) {
-			t.Errorf("at %v: got %q", level, got)
+			t.Errorf("the trace at level %v is %q", level, got)
 		}
 	}
 }
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -9,16 +9,16 @@
 	"reedlead/policy"
 )
 
-// waitForClock waits until the clock has passed a time.
+// waitForClock waits until the clock of the proxy reaches a time.
 func waitForClock(p *Proxy, at float64) {
 	for p.clock.Now() < at {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestIdempotencyWindowEndsDuringDial guards against work that may run only once and is sent again: a further attempt
-// of a keyed request whose window ends while it waits for a dial is not written, though the decision module allowed it
-// in time.
+// TestIdempotencyWindowEndsDuringDial checks that an attempt is not written if the idempotency window of its request
+// ends while it waits for a dial. The decision module made the attempt in time, but an endpoint that gets the command
+// after the window may execute the request a second time.
 func TestIdempotencyWindowEndsDuringDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	unblock := make(chan struct{})
@@ -39,8 +39,8 @@
 	h.wantNoCommand(b)
 }
 
-// TestIdempotencyWindowIsCheckedByClock guards against the same where the event loop lags behind: its time is that of
-// the event that it handles, and the window is over by the clock.
+// TestIdempotencyWindowIsCheckedByClock checks that the idempotency window is compared with the clock. The time of the
+// event loop is that of the event that it handles; in a late event loop it may still be within a window that is over.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
@@ -52,8 +52,8 @@
 	h.wantNotSent(b)
 }
 
-// TestIdempotencyWindowEndsDuringWrite guards against the same where an endpoint reads slowly: the last byte does not
-// follow once the window is over, and the attempt was not executed.
+// TestIdempotencyWindowEndsDuringWrite checks that an attempt whose idempotency window ends during a slow write is not
+// completed: the last byte of the command is not written, so the endpoint does not execute the request.
 func TestIdempotencyWindowEndsDuringWrite(t *testing.T) {
 	l, h := startWithSmallSockets(t, func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.05) }
@@ -65,8 +65,8 @@
 	b.wantNoCommand()
 }
 
-// TestIdempotencyWindowAppliesToOneCommand guards against a write deadline that outlives its command: the connection
-// serves the next one.
+// TestIdempotencyWindowAppliesToOneCommand checks that the write deadline of a command is cleared with the command.
+// Otherwise the write of the next command on the connection would fail.
 func TestIdempotencyWindowAppliesToOneCommand(t *testing.T) {
 	writeWithin := 0.1
 	l, h := startWithSmallSockets(t, func(h *harness) {
@@ -78,10 +78,10 @@
 	}
 	var b *testConn
 	var used *attempt
-	for b == nil { // until this machine is fast enough for it
+	for b == nil { // until a command is written within the window, which doubles each time
 		post("a")
 		b = acceptOne(t, l)
-		h.eventually("it is out", func() bool {
+		h.eventually("the attempt has a connection or has ended", func() bool {
 			q := h.proxy.requests.byID["a"]
 			if q != nil {
 				used = q.attempts[0]
@@ -96,13 +96,13 @@
 		h.onLoop(func() { h.proxy.requests.fail(h.proxy.requests.byID["a"], policy.DeadlineTooClose); writeWithin *= 2 })
 		c.readLine()
 	}
-	h.eventually("it is noted", func() bool { return used.conn.commandWritten.Load() })
+	h.eventually("the command is recorded as written", func() bool { return used.conn.commandWritten.Load() })
 	b.write(valueReply)
-	c.wantValue("the first")
-	waitForClock(h.proxy, used.writeDeadline+0.1) // a runtime timer that is late as well
+	c.wantValue("the first request")
+	waitForClock(h.proxy, used.writeDeadline+0.1) // plus time for a late runtime timer
 	h.onLoop(func() { writeWithin = 0 })
 	post("b")
 	if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
-		t.Errorf("the endpoint got %d arguments", len(got))
+		t.Errorf("the endpoint got %d arguments, want the 5 of request b", len(got))
 	}
 }
