--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -12,16 +12,16 @@
 // The deadline of a request counts from the arrival of its last byte at this machine, not from the time at which the
 // reader reads it: bytes may wait in the socket while the reader waits for open commands or while the whole process is
 // stalled. The kernel does not report the arrival time of each byte, so it is estimated, and the estimate errs on
-// the early side.
+// the early side so that no deadline is too late.
 
 // arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
-	earliest policy.Seconds // lower bound for all bytes
-	lastByte policy.Seconds // estimate for the last byte
+	earliest policy.Seconds // no byte arrived before this time
+	lastByte policy.Seconds // estimated arrival of the last byte
 }
 
-// commandArrivedAt returns the arrival time of a command that ends within the read. If the last byte of the command is
-// not the last byte of the read, only the lower bound is known.
+// commandArrivedAt returns the arrival time of a command that ends within the read. lastInRead says that no more bytes
+// of the read follow the command; otherwise only the lower bound is known.
 func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
 	if lastInRead {
 		return a.lastByte
@@ -35,7 +35,7 @@
 	reads       []bufferedRead // reads with bytes in the buffer, oldest first
 }
 
-// bufferedRead is a read with bytes that are still in the buffer.
+// bufferedRead is a read that has bytes in the buffer.
 type bufferedRead struct {
 	end     int // buffer offset behind its last byte
 	arrival arrival
@@ -70,8 +70,8 @@
 	t.reads = kept
 }
 
-// estimate estimates when the bytes of a read arrived that ran from startedAt to endedAt. If the read has filled its
-// buffer space, the socket may hold more bytes.
+// estimate returns the arrival of the bytes of a read that ran from startedAt to endedAt. filled says that the read has
+// filled its buffer space, in which case the socket may hold more bytes.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	read := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -12,7 +12,7 @@
 	addr, conns := listenEndpoint(t)
 	mine := newTestConn(t, mustDial(t, addr))
 	raw := rawConnOf(t, receive(t, conns).Conn)
-	mine.send("PING") // the socket records its arrival just now
+	mine.send("PING") // the kernel records the time of its arrival
 	for name, tc := range map[string]struct {
 		emptyAt, dueAt, began, ended float64
 		filled                       bool
@@ -32,7 +32,7 @@
 			t.Errorf("%s: got %+v, want earliest up to 1 s before %v", name, got, tc.earliest)
 		}
 		if tc.filled && (got.lastByte != got.earliest || tracker.lastEmptyAt != tc.emptyAt) {
-			t.Errorf("%s: got %+v, and the socket marked as empty at %v", name, got, tracker.lastEmptyAt)
+			t.Errorf("%s: got %+v, and the socket was last empty at %v", name, got, tracker.lastEmptyAt)
 		}
 	}
 }
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -96,7 +96,7 @@
 }
 
 // readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
-// if no further input has arrived, and otherwise lets the reader continue. Event loop only.
+// if that is idle and no further input has arrived, and otherwise lets the reader continue. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
@@ -162,7 +162,7 @@
 		c.set.closing--
 	}
 	close(c.done)
-	_ = c.conn.Close() // nothing more is written to it
+	_ = c.conn.Close() // an error has no effect, as the connection is not used any more
 	delete(c.set.conns, c)
 	<-c.set.connSlots
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint if its client disconnects while
-// the request waits in one of several places. The event loop is blocked across the disconnect, so that it has not
-// handled the disconnect when it is about to send the request.
+// the request waits in one of several places. The event loop is blocked during the disconnect, so that it has not
+// handled it when it is about to send the request.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
@@ -82,7 +82,7 @@
 	c := h.client()
 	h.openRequest(c, "a")
 	h.whileLoopBlocked(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
-		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // it was read just now
+		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // as if it had been read only now
 		h.proxy.loop.After(-1, func() {})
 		h.proxy.Send("a", "s0", 0, 0)
 	})
@@ -108,7 +108,7 @@
 	h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command has waited longer than a stall needs to count
+		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command waits longer than the threshold for a stall
 	})
 	h.wantNothingSent(conns)
 }
@@ -147,7 +147,7 @@
 	h.onLoop(func() { h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0) } })
 	if how == byReset {
 		c.disconnect(how)
-	} else { // commands sent before a FIN stay readable
+	} else { // unlike a reset, a FIN keeps the commands before it readable
 		c.closeWrite()
 	}
 	// The reply to r0 gives the next command its permit.
@@ -199,7 +199,7 @@
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
-		h.t.Errorf("got %+v", o)
+		h.t.Errorf("got %+v, want the only attempt of request a not sent", o)
 	}
 	if got := receive(h.t, h.decider.disconnected); got != "a" {
 		h.t.Errorf("got the disconnect of the client of request %q, want a", got)
@@ -239,7 +239,7 @@
 }
 
 // TestDisconnectIsDetectedBehindLargeInput checks that a disconnect is detected behind more unread commands than the
-// receive buffer holds. Without reading ahead, the FIN behind them would never reach this machine.
+// receive buffer holds. Without reading ahead, the FIN behind them would not reach this machine.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	_, available := h.resourceUsage()
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// listenerQuietPeriod is the length of one wait for further connections after the event loop has set a deadline on
-	// the listener.
+	// listenerQuietPeriod is the time without a new connection that counts as a quiet period after the event loop has
+	// set a deadline on the listener.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietPeriodsToClose is the number of such waits without a connection after which the listener is closed.
+	// quietPeriodsToClose is the number of quiet periods after which the listener is closed.
 	quietPeriodsToClose = 2
 )
 
@@ -32,7 +32,7 @@
 	accepted     uint64 // number of connections accepted so far
 	quietPeriods int    // number of quiet periods since the deadline
 
-	// Both run on the event loop: onError with each error of accept, onEnd once the listener is closed.
+	// Both are called on the event loop: onError with each error of accept, onEnd once the listener is closed.
 	onError func(error)
 	onEnd   func()
 }
@@ -106,7 +106,7 @@
 // false once enough quiet periods have passed.
 func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
 	l.quietPeriods++
-	if waited < listenerQuietPeriod/2 { // the deadline was over when accept began, so it did not check
+	if waited < listenerQuietPeriod/2 { // accept may have begun after the deadline, so that it did not check
 		l.quietPeriods = 0
 	}
 	if l.quietPeriods >= quietPeriodsToClose {
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -7,7 +7,7 @@
 type pipelineSlot struct {
 	request *request // nil if the reply needed no decision
 	reply   []byte   // in RESP; nil until it is final
-	last    bool     // the connection is closed after it
+	last    bool     // the connection is closed after this reply
 }
 
 // unwrittenReply is a reply that is queued but not completely written to the socket. It holds the permit of its command
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -104,7 +104,8 @@
 	return true
 }
 
-// updateDeadline sets the read deadline when a new command is incomplete, and clears it when none is.
+// updateDeadline sets the read deadline when a new command has begun but is incomplete, and clears the deadline when no
+// command is incomplete.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
 	case unfinished && (used > 0 || !r.deadlineActive):
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -75,7 +75,7 @@
 // open returns the number of open connections.
 func (s *clientSet) open() int { return len(s.conns) }
 
-// notClosing is the number of connections that are not about to be closed.
+// notClosing returns the number of open connections without a requested close.
 func (s *clientSet) notClosing() int { return len(s.conns) - s.closing }
 
 // add adds a connection that the listener has accepted, or closes it if too many are open.
@@ -173,7 +173,7 @@
 	rankNoCommand                           // it has not received any bytes
 	rankIdle                                // it has no open command and no reply to write
 	// rankUnhandledInput has received bytes of its first command. It cannot be closed before that command is handled,
-	// so an eviction would not make room immediately.
+	// so its eviction would not make room immediately.
 	rankUnhandledInput
 	rankStalled // its client does not read its replies
 )
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -74,7 +74,7 @@
 	})
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
-		t.Errorf("got %q, then %q", a, b)
+		t.Errorf("got %q, then %q, want the reply, the error and the end", a, b)
 	}
 	if len(h.decider.disconnected) != 0 {
 		t.Error("the decision module was notified of a disconnect")
@@ -89,7 +89,7 @@
 	c.write(strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
 		if got := c.readLine(); got != `-ERR unknown command "NOVEL"` {
-			t.Fatalf("reply %d is %q", i, got)
+			t.Fatalf("reply %d is %q, want the error for an unknown command", i, got)
 		}
 	}
 	if got := c.readLine(); got != "" {
@@ -104,7 +104,7 @@
 	usual := h.client()
 	usual.mustPing()
 	silent := h.client()
-	h.eventually("both are open", func() bool { return h.proxy.clients.open() == 2 })
+	h.eventually("both connections are open", func() bool { return h.proxy.clients.open() == 2 })
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
 		t.Error("the silent connection was not evicted")
@@ -127,7 +127,7 @@
 	}
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if got := busy.readLine(); got != "-ERR failed" {
-		t.Errorf("the connection with an open request got %q", got)
+		t.Errorf("the connection with an open request got %q, want -ERR failed", got)
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestClientsShareInputBudget checks that the memory for incomplete and queued input is limited for all connections
+// TestClientsShareInputBudget checks that one limit applies to the incomplete and queued input of all connections
 // together.
 func TestClientsShareInputBudget(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
@@ -177,7 +177,7 @@
 	}
 	for i := range 3 {
 		if got := c.readLine(); got != "-ERR failed" && got != "-BUSY 1000" {
-			t.Errorf("reply %d is %q", i, got)
+			t.Errorf("reply %d is %q, want -ERR failed or -BUSY 1000", i, got)
 		}
 	}
 	c.mustClose()
@@ -306,6 +306,6 @@
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	next.send(lookCommand("c")...)
 	if q := receive(t, h.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
-		t.Errorf("after room was made: got request %+v", q)
+		t.Errorf("after room was made: got request %+v, want c", q)
 	}
 }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -10,11 +10,11 @@
 // says, idle connections are evicted so that discovery, new connections and files never have to wait for a descriptor.
 
 const (
-	// evictionDivisor is the divisor of the number of client connections that gives how many are evicted when no
-	// descriptor is left.
+	// evictionDivisor determines how many client connections are evicted when no descriptor is left: one in
+	// evictionDivisor.
 	evictionDivisor = 8
-	// limitRecoveryDivisor is the divisor of the configured client limit that gives how much each check raises a
-	// lowered limit while descriptors are free.
+	// limitRecoveryDivisor determines how fast a lowered client limit recovers: each check that finds a free descriptor
+	// raises it by 1/limitRecoveryDivisor of the configured limit.
 	limitRecoveryDivisor = 32
 )
 
@@ -32,7 +32,7 @@
 	services  *services
 	clients   *clientSet
 	endpoints *endpointSet
-	// probe fails if no descriptor is free. Tests replace it.
+	// probe fails if no descriptor is free.
 	probe func() error
 }
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// acceptGrace is the time after the shutdown signal during which connections are accepted. New ones arrive until
-	// 0.4 s after a planned restart is announced, and lost ones count from 0.7 s on: the listener closes in between.
+	// acceptGrace is the time after the shutdown signal during which connections are accepted. They arrive until
+	// 0.4 s after a planned restart is announced, and losses from 0.7 s on count, so the listener closes in between.
 	acceptGrace = 500 * time.Millisecond
 	// SIGKILL may arrive sigkillDelay after the longest request timeout, of which at most maxSigkillTimeout counts.
 	// All requests have a reply sigkillMargin before that, and their connections are shut down when half of the margin
@@ -61,8 +61,8 @@
 	return d.acceptingStopped && d.listenerEnded && d.clients.open() == 0
 }
 
-// stopAccepting closes the listener, once the waiting connections are accepted, and the idle connections. Clients may
-// go on sending on the other connections until expire.
+// stopAccepting ends the accept grace: the listener accepts the waiting connections and closes, and idle connections
+// are closed. Clients may go on sending on the other connections until expire.
 func (d *drain) stopAccepting() {
 	d.acceptingStopped = true
 	_ = d.listener.SetDeadline(time.Now()) // fails only on a closed listener
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -17,7 +17,7 @@
 	waiting, arrived := make(chan struct{}), make(chan struct{})
 	h.onLoop(func() {
 		a := h.proxy.requests.byID["a"].attempts[0]
-		h.proxy.loop.After(0, func() { // the first overdue timer; the next one is due as well
+		h.proxy.loop.After(0, func() { // an overdue timer, as is the next one
 			close(waiting)
 			<-arrived
 			for !h.queued(1)() {
@@ -34,7 +34,7 @@
 }
 
 // TestReadersRunBeforeOverdueTimers checks that after a stall no timer fires before the readers have run. Otherwise an
-// attempt whose reply is still in the socket would time out.
+// attempt would time out although its reply, or the end of its connection, has already reached the socket.
 func TestReadersRunBeforeOverdueTimers(t *testing.T) {
 	h, _, b, _ := startWithAttempt(t)
 	var a *attempt
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -223,8 +223,8 @@
 	h.t.Fatal("timed out waiting until " + what)
 }
 
-// whileLoopBlocked blocks the event loop while meanwhile runs and then until holds returns true. It then runs then on
-// the event loop, before the events that have arrived in the meantime.
+// whileLoopBlocked blocks the event loop while meanwhile runs and then until holds returns true. Finally it calls
+// then on the event loop, before the events that have arrived in the meantime are handled.
 func (h *harness) whileLoopBlocked(meanwhile func(), holds func() bool, then func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -408,7 +408,7 @@
 	h.onLoop(func() { h.proxy.applyList(discovery.List{Full: true}) })
 }
 
-// wantNoCommand closes the pool and checks that no complete command was sent on the connection b to an endpoint.
+// wantNoCommand closes the pool and checks that no complete command was sent on connection b.
 func (h *harness) wantNoCommand(b *testConn) {
 	h.t.Helper()
 	h.closePool()
@@ -431,16 +431,14 @@
 	}
 }
 
-// wantNotSent checks that the next attempt to end was not sent, and that no complete command was sent on the
-// connection b to its endpoint.
+// wantNotSent checks that the next attempt to end was not sent, and that no complete command was sent on connection b.
 func (h *harness) wantNotSent(b *testConn) {
 	h.t.Helper()
 	h.wantOutcome(policy.NotSent)
 	h.wantNoCommand(b)
 }
 
-// awaitPartialWrite waits until the first attempt of a request has a connection, on which its command is not completely
-// written.
+// awaitPartialWrite waits until the first attempt of a request has a connection and its command is partly written.
 func (h *harness) awaitPartialWrite(id string) {
 	h.t.Helper()
 	h.eventually("the command is being written", func() bool {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -98,7 +98,7 @@
 	return p, nil
 }
 
-// connectComponents creates the components, which need the open sockets, and gives each the others that it uses.
+// connectComponents creates the components and links each to those that it uses. The sockets must be open.
 func (p *Proxy) connectComponents() {
 	shared, configured := &p.services, &p.cfg.Settings
 	p.trace = tracer{services: shared, classes: configured.Classes}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -21,7 +21,7 @@
 	arrivedAt policy.Seconds // when its last byte arrived at this machine
 	deadline  policy.Seconds
 	timer     *eventloop.Timer // expires a request that the decision module leaves without a reply
-	attempts  []*attempt       // by number; those beyond MaxAttempts end unsent
+	attempts  []*attempt       // indexed by number; those beyond MaxAttempts are not sent
 	inFlight  int              // attempts whose outcome has not been reported
 	done      bool             // it has its final reply, or its client has disconnected
 }
@@ -40,7 +40,7 @@
 type requestTable struct {
 	services *services
 	settings *settings.Settings
-	drain    *drain // rejects new requests after its timeout
+	drain    *drain // after its timeout, new requests are rejected
 	trace    *tracer
 	attempts *attemptRunner
 	byID     map[string]*request // open requests, and finished ones with an attempt in flight
@@ -162,7 +162,8 @@
 	r.client.flush()
 }
 
-// finish marks a request as done and releases its timer and its arguments, which attempts in flight do not use.
+// finish marks a request as done. It ends the attempts whose command is not completely written, and releases the timer,
+// the arguments and their budget, which the other attempts in flight do not need.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortUnwritten(r)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -45,7 +45,7 @@
 	b.write("-ERR failed\r\n")
 	receive(t, h.decider.outcomes)
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("got %q", got)
+		t.Errorf("after a panic on the outcome: got %q", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "a" {
 		t.Errorf("got the disconnect of the client of request %q, want a", id)
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -22,7 +22,7 @@
 }
 
 // services holds what the components of a proxy share. All fields are set before the goroutines start. The event loop
-// owns warnings and decider; the other fields are safe for concurrent use as far as their types are.
+// owns warnings and decider; all goroutines may use the other fields, within the limits that their types state.
 type services struct {
 	log   *slog.Logger
 	calls *netcalls.Calls
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -55,7 +55,7 @@
 	return peers
 }
 
-// TestThousandGatewaysAndEndpoints checks that a proxy has no limit below 1,024 gateways and as many endpoints:
+// TestThousandGatewaysAndEndpoints checks that a proxy supports 1,024 gateways and as many endpoints:
 //   - The initial list, a complete list with indentation and a change are applied, and the proxy is ready immediately.
 //   - Messages pass in both directions between the first gateway and the last, and one event can send a message to each
 //     gateway without a loss on the sending side.
@@ -83,7 +83,7 @@
 	}
 	runtime.GC()
 	var m runtime.MemStats
-	if runtime.ReadMemStats(&m); m.HeapAlloc > 2*64<<20 { // of both gateways and the test
+	if runtime.ReadMemStats(&m); m.HeapAlloc > 2*64<<20 { // both gateways and the test itself
 		t.Errorf("%d MB of heap are in use", m.HeapAlloc>>20)
 	}
 }
@@ -144,8 +144,8 @@
 }
 
 // TestReadyWithoutDiscovery checks when a gateway is ready while discovery is down: immediately if its initial list
-// has an endpoint in service, and otherwise once readyAt has passed. Before that, discovery may still provide
-// endpoints; but without the limit, the gateway would never be ready.
+// has an endpoint in service, and otherwise once readyAt has passed. A gateway must neither be ready before
+// discovery has had time to provide endpoints nor stay unready while discovery is down.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
@@ -171,14 +171,14 @@
 			h.onLoop(func() { h.proxy.readyAt = h.proxy.loop.Now() })
 			c.send("PING")
 			if got := c.readLine(); got != "+PONG" {
-				t.Errorf("after readyAt: got %q", got)
+				t.Errorf("after readyAt: got %q, want +PONG", got)
 			}
 			h.openRequest(c, "a")
 			h.onLoop(func() {
 				h.proxy.requests.reply(h.proxy.requests.byID["a"], redcon.AppendError(nil, "BUSY"), policy.QuotaExceeded)
 			})
 			if got := c.readLine(); got != "-BUSY" {
-				t.Errorf("a request got %q", got)
+				t.Errorf("a rejected request got %q, want -BUSY", got)
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 		}
 		message := from.sent[0]
 		if message.to != to.number || len(message.data) > peerlink.MaxDatagramSize {
-			t.Fatalf("gateway %d sent %d bytes to %d", from.number, len(message.data), message.to)
+			t.Fatalf("gateway %d sent %d bytes to %d, want one datagram to the other gateway", from.number, len(message.data), message.to)
 		}
 		before := len(to.sent)
 		to.HandlePeerMessage(100.21, from.number, message.data)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -12,7 +12,8 @@
 }
 
 // isReady implements gatewayStatus. If discovery is down and the initial list has no endpoint in service, the gateway
-// still becomes ready after readyTimeout: it replies to requests, and serves them once discovery is back.
+// still becomes ready after readyTimeout: it replies to requests, although it can serve them only once discovery is
+// back.
 func (p *Proxy) isReady() bool {
 	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
 }
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -40,7 +40,7 @@
 	c.write(encodeCommand(args...))
 }
 
-// mustClose closes the connection and reports an error to the test.
+// mustClose closes the connection and fails the test on an error.
 func (c *testConn) mustClose() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
@@ -75,8 +75,8 @@
 	c.mustClose()
 }
 
-// readLine reads a line and returns it without its line end. If the connection ends first, it returns the bytes before
-// its end, if any.
+// readLine reads a line and returns it without its line end. If the connection ends first, it returns the bytes that
+// came before, which may be none.
 func (c *testConn) readLine() string {
 	line, _ := c.reader.ReadString('\n') // the bytes before an error are returned
 	return strings.TrimRight(line, "\r\n")
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -39,8 +39,8 @@
 	h.wantNoCommand(b)
 }
 
-// TestIdempotencyWindowIsCheckedByClock checks that the idempotency window is compared with the clock. The time of the
-// event loop is that of the event that it handles; in a late event loop it may still be within a window that is over.
+// TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock. If
+// the event loop lags, its own time, that of the event being handled, may be within a window that is already over.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
