--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -10,9 +10,9 @@
 // its deadline, for instance after a stall of the process.
 func TestArrivalEstimates(t *testing.T) {
 	addr, conns := listenEndpoint(t)
-	mine := newTestConn(t, mustDial(t, addr))
+	client := newTestConn(t, mustDial(t, addr))
 	raw := rawConnOf(t, receive(t, conns).Conn)
-	mine.send("PING") // the kernel records the time of its arrival
+	client.send("PING") // the kernel records the time of its arrival
 	for name, tc := range map[string]struct {
 		emptyAt, dueAt, began, ended float64
 		filled                       bool
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -17,13 +17,13 @@
 			h.proxy.requests.reply(h.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), noReason)
 		}
 	})
-	stuck := h.client()
+	stalled := h.client()
 	for i := 0; ; i++ {
 		writing := false
 		if h.onLoop(func() { writing = h.onlyClient().writing }); writing {
 			break
 		}
-		stuck.send(lookCommand(fmt.Sprint("a", i))...)
+		stalled.send(lookCommand(fmt.Sprint("a", i))...)
 		receive(t, h.decider.requests)
 	}
 	idle := h.client()
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client was not evicted")
 	}
-	h.onLoop(func() { // the third client waits for a reply, and the stuck one counts as stalled
+	h.onLoop(func() { // the third client waits for a reply, and the stalled one counts as stalled
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -101,15 +101,15 @@
 // sent a command.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
-	usual := h.client()
-	usual.mustPing()
+	pinged := h.client()
+	pinged.mustPing()
 	silent := h.client()
 	h.eventually("both connections are open", func() bool { return h.proxy.clients.open() == 2 })
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
 		t.Error("the silent connection was not evicted")
 	}
-	if usual.send("PING"); usual.readLine() != "+PONG" {
+	if pinged.send("PING"); pinged.readLine() != "+PONG" {
 		t.Error("the client that has sent a command was evicted")
 	}
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -24,7 +24,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		})
-		h.proxy.loop.After(0, func() { h.proxy.attempts.expire(a) })
+		h.proxy.loop.After(0, func() { h.proxy.attempts.handleTimeout(a) })
 	})
 	receive(t, waiting)
 	b.write(valueReply)
@@ -43,16 +43,16 @@
 	b.mustClose()
 	h.eventually("the reader waits for the lock", a.conn.unusable.Load)
 	h.onLoop(func() {
-		yields := 0
-		h.proxy.loop.YieldToReaders = func() {
-			if yields++; yields == 2 { // two yields must be enough for the reader
+		pauses := 0
+		h.proxy.loop.PauseForReaders = func() {
+			if pauses++; pauses == 2 { // two pauses must be enough for the reader
 				a.conn.writeMu.Unlock()
 			}
-			for end := time.Now().Add(testTimeout); yields == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); pauses == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		h.proxy.loop.After(-1, func() { h.proxy.attempts.expire(a) }) // long overdue
+		h.proxy.loop.After(-1, func() { h.proxy.attempts.handleTimeout(a) }) // long overdue
 	})
 	if o := receive(t, h.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want the reset that the reader has posted", o)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -170,7 +170,7 @@
 		ended: make(chan struct{}), terminate: cancel, reloads: make(chan config.Config),
 	}
 	p.endpoints.duplicateWindow = 0 // replies of the tests are identical
-	p.endpoints.writeSlack = 3600
+	p.endpoints.writeTimeout = 3600
 	p.discovery.PollRetryInterval = time.Hour // even a slow test polls only once
 	polled := make(chan struct{})
 	if cfg.DiscoveryAddress == unreachableAgent { // polled only once, so that polls cause no later events
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -47,14 +47,14 @@
 // TestKindOfNextAttempt checks the kind that the trace logs for an attempt: first, hedge or retry.
 func TestKindOfNextAttempt(t *testing.T) {
 	r := &request{}
-	if got := kindOf(r); got != firstAttempt {
+	if got := nextAttemptKind(r); got != firstAttempt {
 		t.Errorf("without earlier attempts: got %s", got)
 	}
 	r.attempts, r.inFlight = []*attempt{{}}, 1
-	if got := kindOf(r); got != hedge {
+	if got := nextAttemptKind(r); got != hedge {
 		t.Errorf("with an attempt in flight: got %s", got)
 	}
-	if r.inFlight = 0; kindOf(r) != retry {
-		t.Errorf("after a completed attempt: got %s", kindOf(r))
+	if r.inFlight = 0; nextAttemptKind(r) != retry {
+		t.Errorf("after a completed attempt: got %s", nextAttemptKind(r))
 	}
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -166,7 +166,7 @@
 // the arguments and their budget, which the other attempts in flight do not need.
 func (t *requestTable) finish(r *request) {
 	r.done = true
-	t.attempts.abortUnwritten(r)
+	t.attempts.abortPartialWrites(r)
 	t.services.loop.Stop(r.timer)
 	t.services.inputBudget.Release(r.Size)
 	r.Args = nil
