--- a/internal/proxy/warnings.go
+++ b/internal/proxy/warnings.go
@@ -23,5 +23,5 @@
 
 // logPanic logs a panic in the handler of an event. The limit on warnings applies.
 func (s *services) logPanic(cause any, stack []byte) {
-	s.warn("event failed", "panic", fmt.Sprint(cause), "stack", string(stack))
+	s.warn("panic in event handler", "panic", fmt.Sprint(cause), "stack", string(stack))
 }
