--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -106,7 +106,7 @@
 // false once enough quiet periods have passed.
 func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
 	l.quietPeriods++
-	if waited < listenerQuietPeriod/2 { // accept may have begun after the deadline, so that it did not check
+	if waited < listenerQuietPeriod/2 { // an accept that begins after its deadline does not check for connections
 		l.quietPeriods = 0
 	}
 	if l.quietPeriods >= quietPeriodsToClose {
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -23,7 +23,7 @@
 	slots           []*pipelineSlot  // open commands and final replies behind them; at most maxPipelined+1
 	pending         []byte           // replies that are due but not handed to a writer yet
 	unwritten       []unwrittenReply // replies that are pending or with a writer, oldest first
-	lastReplyQueued bool             // the reply after which the connection is closed was queued
+	lastReplyQueued bool             // the last reply of the connection was queued
 }
 
 // add appends the slot for the next command.
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// evictIfExhausted reports whether err says that no descriptor is left. If so, it evicts idle connections to endpoints,
-// each of which costs a new dial at most, and client connections, and lowers the client limit.
+// evictIfExhausted reports whether err says that no descriptor is left. If so, it lowers the client limit and evicts
+// connections: idle ones to endpoints first, since they cost a new dial at most, then those of clients.
 func (g *descriptorGuard) evictIfExhausted(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
 		return false
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// acceptGrace is the time after the shutdown signal during which connections are accepted. They arrive until
-	// 0.4 s after a planned restart is announced, and losses from 0.7 s on count, so the listener closes in between.
+	// acceptGrace is the time after the shutdown signal during which connections are accepted. They arrive until 0.4 s
+	// after a planned restart is announced, and losses from 0.7 s on count as failures, so the listener closes in
+	// between.
 	acceptGrace = 500 * time.Millisecond
 	// SIGKILL may arrive sigkillDelay after the longest request timeout, of which at most maxSigkillTimeout counts.
 	// All requests have a reply sigkillMargin before that, and their connections are shut down when half of the margin
@@ -87,6 +88,6 @@
 		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		d.listenerEnded = true // the listener may still be waiting for a free slot
+		d.listenerEnded = true // it may be waiting for a free slot, and the drain must not wait for it
 	})
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -19,7 +19,7 @@
 	"reedlead/policy"
 )
 
-// testTimeout is the time after which a test gives up waiting for an event.
+// testTimeout is the time after which a test gives up waiting for an event. No other check depends on its length.
 const testTimeout = 20 * time.Second
 
 // eventBufferSize is the capacity of each channel in which a fakeDecider or a listener keeps events for the test.
@@ -211,21 +211,21 @@
 	}
 }
 
-// eventually waits until holds, which runs on the event loop, returns true. It fails the test after testTimeout.
-func (h *harness) eventually(what string, holds func() bool) {
+// eventually waits until condition, which runs on the event loop, returns true. It fails the test after testTimeout.
+func (h *harness) eventually(what string, condition func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		ok := false
-		if h.onLoop(func() { ok = holds() }); ok {
+		if h.onLoop(func() { ok = condition() }); ok {
 			return
 		}
 	}
 	h.t.Fatal("timed out waiting until " + what)
 }
 
-// whileLoopBlocked blocks the event loop while meanwhile runs and then until holds returns true. Finally it calls
-// then on the event loop, before the events that have arrived in the meantime are handled.
-func (h *harness) whileLoopBlocked(meanwhile func(), holds func() bool, then func()) {
+// whileLoopBlocked blocks the event loop, runs action and waits until condition returns true. It then calls next on the
+// event loop, before the events that have arrived in the meantime are handled.
+func (h *harness) whileLoopBlocked(action func(), condition func() bool, next func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	held := false
@@ -233,11 +233,11 @@
 		defer close(done)
 		close(waiting)
 		<-resume
-		held = waitFor(holds)
-		then()
+		held = waitFor(condition)
+		next()
 	})
 	receive(h.t, waiting)
-	meanwhile()
+	action()
 	close(resume)
 	<-done // waitFor limits this wait
 	if !held {
@@ -250,9 +250,9 @@
 	return func() bool { return h.proxy.loop.QueuedEvents() >= n }
 }
 
-// waitFor waits until holds returns true, and returns false if it does not within testTimeout.
-func waitFor(holds func() bool) bool {
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+// waitFor waits until condition returns true, and returns false if it does not within testTimeout.
+func waitFor(condition func() bool) bool {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -25,7 +25,7 @@
 	writeFailed        closeReason = "write_failed"         // writing a reply failed
 	unreadReplies      closeReason = "unread_replies"       // the client read none of its replies for stallTimeout
 	memoryBudget       closeReason = "memory_budget"        // the budget has no room for its unread replies
-	lastReplyWritten   closeReason = "last_reply_written"   // the reply after which it had to be closed is written
+	lastReplyWritten   closeReason = "last_reply_written"   // the last reply of the connection was written
 )
 
 // Reasons for closing a backend connection, in addition to peerClosed, idleTimeout and evicted.
