--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -96,7 +96,8 @@
 }
 
 // readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
-// if that is idle and no further input has arrived, and otherwise lets the reader continue. Event loop only.
+// if no further input has arrived and no reply was queued since the close request; during a drain it closes any idle
+// connection without further input. Otherwise it lets the reader continue. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
