--- a/internal/eventloop/lag.go
+++ b/internal/eventloop/lag.go
@@ -3,25 +3,25 @@
 import "reedlead/policy"
 
 const (
-	// StallThreshold is how late a timer may be without a sign that the process has stalled. The limits on replies and
-	// attempts that the specification sets have 50 ms of slack. A timer that is later than a part of that is taken for
-	// a sign of a stall: events from before may still be unread in the sockets.
+	// StallThreshold is how late a timer may run before the process is taken to have stalled. After a stall, events
+	// that happened before the timer was due may still be unread in the sockets. The threshold is well below the 50 ms
+	// by which the specification lets replies and attempts exceed their limits.
 	StallThreshold policy.Seconds = 0.02
-	// StallWindow is for how long after a stall what is read may have arrived during it.
+	// StallWindow is the time after a stall in which the bytes read from a socket may have arrived during the stall.
 	StallWindow policy.Seconds = 0.1
 )
 
-// StallDetector reports whether the event loop, and with it the process, keeps up with the clock. A stall is a time during
-// which it did not run though a timer was due. The event loop writes it, readers of connections read it. The
-// zero value is ready for use.
+// StallDetector records stalls of the process: periods in which the event loop did not run although a timer was due.
+// The event loop writes the record, and the goroutines that read connections use it to bound arrival times. The zero
+// value is ready for use.
 type StallDetector struct {
 	nextTimerDue AtomicTime // 0: no timer is set
-	stallStart   AtomicTime // of the last stall that the event loop has noticed
+	stallStart   AtomicTime // of the last stall that the event loop has recorded
 	stallEnd     AtomicTime
 }
 
-// OnTimeUntil is the time until which the process is known to have kept up: now, or the start of a stall that
-// lasts or has just ended.
+// OnTimeUntil returns the latest time at which the process is known to have kept up with the clock: now, or the start
+// of a stall that is in progress or ended less than StallWindow ago.
 func (d *StallDetector) OnTimeUntil(now policy.Seconds) policy.Seconds {
 	if due := d.nextTimerDue.Load(); due > 0 && now-due > StallThreshold {
 		return due
@@ -32,12 +32,12 @@
 	return now
 }
 
-// SetNextTimerDue notes when the next timer of the loop is due.
+// SetNextTimerDue records when the next timer of the loop is due.
 func (d *StallDetector) SetNextTimerDue(at policy.Seconds) { d.nextTimerDue.Store(at) }
 
-// recordStall notes a stall that has ended.
+// recordStall records a stall that has ended.
 func (d *StallDetector) recordStall(start, end policy.Seconds) {
-	if start > d.stallEnd.Load()+StallWindow { // else the last one goes on
+	if start > d.stallEnd.Load()+StallWindow { // otherwise it continues the previous stall
 		d.stallStart.Store(start)
 	}
 	d.stallEnd.Store(end)
--- a/internal/eventloop/lag_test.go
+++ b/internal/eventloop/lag_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// TestStallDetectorReportsRecentStall guards against requests that came while the process had stalled and count as new: the stall
-// is known while it lasts, and for a moment after the loop has seen it.
+// TestStallDetectorReportsRecentStall guards against requests that arrive during a stall of the process and are taken
+// to have arrived after it. The detector must report a stall while it lasts, and for StallWindow afterwards.
 func TestStallDetectorReportsRecentStall(t *testing.T) {
 	var detector StallDetector
 	detector.SetNextTimerDue(10)
 	if got := detector.OnTimeUntil(10 + StallThreshold/2); got != 10+StallThreshold/2 {
-		t.Errorf("on time: %v", got)
+		t.Errorf("timer late by less than the threshold: on time until %v, want the current time", got)
 	}
 	if got := detector.OnTimeUntil(10.6); got != 10 {
-		t.Errorf("before the loop ran: %v", got)
+		t.Errorf("during the stall: on time until %v, want 10", got)
 	}
 	detector.recordStall(10, 10.6)
 	detector.SetNextTimerDue(10.62)
 	if got := detector.OnTimeUntil(10.61); got != 10 {
-		t.Errorf("right after: %v", got)
+		t.Errorf("right after the stall: on time until %v, want 10", got)
 	}
 	if got := detector.OnTimeUntil(10.6 + StallWindow + StallThreshold/4); got <= 10.6 {
-		t.Errorf("later: %v", got)
+		t.Errorf("after the stall window: on time until %v, want more than 10.6", got)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,6 @@
-// Package eventloop runs events and timers one at a time on one goroutine, which thereby owns the state that
-// they work on. Event time is that of a monotonic clock in seconds, and never goes back.
+// Package eventloop runs events and timers one at a time on a single goroutine, so the state that they share needs no
+// locks. Event time is the time at which the current event happened, in seconds of a monotonic clock. It never goes
+// backwards.
 package eventloop
 
 import (
@@ -11,20 +12,21 @@
 
 const (
 	queueSize = 1024
-	// After a stall the loop sleeps for readerPause, so that the readers of sockets run, until one such pause brings no
-	// event, and maxReaderPauses times at most.
+	// After a stall the loop sleeps for readerPause so that the goroutines that read sockets can post events. It does
+	// so at least twice, until a pause brings no event, and at most maxReaderPauses times.
 	readerPause     = 200 * time.Microsecond
 	maxReaderPauses = 10
 )
 
-// event is something that happened outside the loop, with the time at which it did.
+// event is a function that handles something that happened outside the loop, with the time at which it happened.
 type event struct {
 	at  policy.Seconds
 	run func()
 }
 
-// Loop runs events of other goroutines in their order, and timers. The goroutine that calls Run owns it. All methods are
-// for functions that the loop runs, and for use before Run; Post, Ended and StallDetector are safe for concurrent use.
+// Loop runs timers, and the events that other goroutines post, in the order in which they were posted. The goroutine
+// that calls Run owns the loop: only functions that it runs may call the methods, or any goroutine before Run. Post,
+// Ended and StallDetector are safe for concurrent use.
 type Loop struct {
 	clock     Clock
 	events    chan event
@@ -32,17 +34,17 @@
 	now       policy.Seconds
 	timers    timerHeap
 	wakeTimer *time.Timer
-	wakeAt    policy.Seconds // when wakeTimer fires; 0: it is not set
+	wakeAt    policy.Seconds // when wakeTimer fires; 0 if it is not set
 	stalls    StallDetector
 	deferred  []func()
 	onPanic   func(cause any, stack []byte)
 
-	// PauseForReaders lets the readers of sockets run for a moment. It may be replaced before Run.
+	// PauseForReaders pauses the loop so that the goroutines that read sockets can run. It may be replaced before Run.
 	PauseForReaders func()
 }
 
-// New returns a loop whose event time is that of a clock. onPanic is called on the loop with the cause of a
-// panic, which ends the event that met it and not the process.
+// New returns a loop whose event time is that of a clock. A panic ends only the event that caused it: the loop
+// recovers it and calls onPanic.
 func New(clock Clock, onPanic func(cause any, stack []byte)) *Loop {
 	return &Loop{
 		clock: clock, now: clock.Now(), onPanic: onPanic,
@@ -52,8 +54,8 @@
 	}
 }
 
-// Run handles events and timers until finished returns true, which is called before each of them. Once shutdown is
-// closed, onShutdown is called.
+// Run handles events and timers until finished returns true. It calls finished before each of them, and onShutdown once
+// when shutdown is closed.
 func (l *Loop) Run(finished func() bool, shutdown <-chan struct{}, onShutdown func()) {
 	defer close(l.ended)
 	for !finished() {
@@ -71,8 +73,8 @@
 	}
 }
 
-// Post hands the loop an event of another goroutine, which happened at a time of the clock. It blocks while the
-// queue is full, and drops the event once Run has returned.
+// Post queues a function as an event that happened at a given time of the clock. It blocks while the queue is full, and
+// drops the event once Run has returned.
 func (l *Loop) Post(at policy.Seconds, run func()) {
 	select {
 	case l.events <- event{at, run}:
@@ -80,10 +82,10 @@
 	}
 }
 
-// Defer runs a function after the event that is being handled, before any other.
+// Defer runs a function directly after the current event, before any other event.
 func (l *Loop) Defer(run func()) { l.deferred = append(l.deferred, run) }
 
-// Now returns the time of the event that is being handled, or that of the one before.
+// Now returns the time of the current event, or of the last one if none is being handled.
 func (l *Loop) Now() policy.Seconds { return l.now }
 
 // Ended returns a channel that is closed when Run has returned.
@@ -92,16 +94,16 @@
 // StallDetector returns the record of stalls, for readers of sockets.
 func (l *Loop) StallDetector() *StallDetector { return &l.stalls }
 
-// QueuedEvents returns how many events wait to be handled.
+// QueuedEvents returns the number of events in the queue.
 func (l *Loop) QueuedEvents() int { return len(l.events) }
 
-// PendingTimers returns how many timers are set.
+// PendingTimers returns the number of timers that have neither run nor been stopped.
 func (l *Loop) PendingTimers() int { return len(l.timers) }
 
-// After runs a function on the loop after a delay from now. A delay that is not positive has expired at once.
+// After runs a function on the loop once a delay has passed. If the delay is not positive, the timer is due at once.
 func (l *Loop) After(delay policy.Seconds, run func()) *Timer { return l.timers.add(l.now+delay, run) }
 
-// Every runs a function on the loop at an interval, the first time after one.
+// Every runs a function on the loop repeatedly, for the first time after one interval.
 func (l *Loop) Every(interval time.Duration, run func()) {
 	l.After(interval.Seconds(), func() {
 		l.Every(interval, run)
@@ -109,13 +111,13 @@
 	})
 }
 
-// Stop keeps a timer from running. It does nothing for nil or a timer that has run.
+// Stop cancels a timer. It does nothing if the timer is nil or has run.
 func (l *Loop) Stop(timer *Timer) { l.timers.remove(timer) }
 
-// AdvanceTo moves event time on, unless it is later already.
+// AdvanceTo sets event time to a time of the clock. It has no effect if event time is already later.
 func (l *Loop) AdvanceTo(at policy.Seconds) { l.now = max(l.now, at) }
 
-// handle runs one event and what it deferred.
+// handle runs one event and the functions that it deferred.
 func (l *Loop) handle(e event) {
 	l.AdvanceTo(e.at)
 	l.runRecovered(e.run)
@@ -127,7 +129,7 @@
 	l.deferred = nil
 }
 
-// runRecovered runs a function. A panic costs the event, not the process.
+// runRecovered runs a function, and recovers and reports a panic in it.
 func (l *Loop) runRecovered(run func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -137,8 +139,8 @@
 	run()
 }
 
-// resetWakeTimer sets the one system timer to the first timer, unless it fires before that anyway, and publishes when that
-// timer is due.
+// resetWakeTimer makes wakeTimer fire when the first timer is due, and publishes that time to the stall detector. It
+// leaves a wakeTimer that fires earlier as it is.
 func (l *Loop) resetWakeTimer() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
@@ -148,8 +150,8 @@
 	l.wakeTimer.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
-// runTimers runs the timers that are due. Queued events go first: a hedge must not be sent, nor an attempt time out,
-// when its reply, a disconnect or a new endpoint list is in the queue.
+// runTimers runs the timers that are due. It handles the queued events first: a hedged request must not be sent, and an
+// attempt must not time out, while the reply, a disconnect or a new endpoint list is in the queue.
 func (l *Loop) runTimers() {
 	now := l.clock.Now()
 	if l.hasStalled(now) {
@@ -165,12 +167,12 @@
 	}
 }
 
-// hasStalled reports whether a timer is so overdue that the process must have stalled.
+// hasStalled reports whether the first timer is overdue by more than StallThreshold.
 func (l *Loop) hasStalled(now policy.Seconds) bool {
 	return len(l.timers) > 0 && now-l.timers[0].at > StallThreshold
 }
 
-// letReadersCatchUp handles what the readers of sockets find after a stall.
+// letReadersCatchUp gives the goroutines that read sockets time to post what arrived during a stall, and handles it.
 func (l *Loop) letReadersCatchUp() {
 	for pauses := range maxReaderPauses {
 		if l.PauseForReaders(); len(l.events) == 0 && pauses > 0 {
@@ -180,7 +182,7 @@
 	}
 }
 
-// handleQueued handles what is in the queue by now.
+// handleQueued handles the events that are in the queue when it is called.
 func (l *Loop) handleQueued() {
 	for range len(l.events) {
 		l.handle(<-l.events)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// runLoop runs a loop until the test has called finish.
+// runLoop runs a loop on another goroutine until the test calls finish, or ends.
 func runLoop(t *testing.T, loop *Loop, shutdown <-chan struct{}, onShutdown func()) (finish func()) {
 	t.Helper()
 	finished, ended := false, make(chan struct{})
@@ -25,7 +25,8 @@
 	return func(cause any, _ []byte) { t.Errorf("panic: %v", cause) }
 }
 
-// TestEventTimeIsMonotonic guards the time of events against one that happened before an event already handled.
+// TestEventTimeIsMonotonic guards against event time that goes backwards when an event is posted with an earlier time
+// than one that was already handled.
 func TestEventTimeIsMonotonic(t *testing.T) {
 	clock := NewClock()
 	loop := New(clock, failOnPanic(t))
@@ -37,16 +38,17 @@
 	loop.Post(0, note)
 	finish()
 	if !slices.Equal(times, []float64{later, later}) {
-		t.Errorf("times of %v, want %v twice", times, later)
+		t.Errorf("event times are %v, want %v twice", times, later)
 	}
 }
 
-// TestPanicEndsOnlyItsEvent guards the process, and what an event deferred, against its panic.
+// TestPanicEndsOnlyItsEvent guards against a panic in an event that ends the process, or that keeps the functions which
+// the event deferred from running.
 func TestPanicEndsOnlyItsEvent(t *testing.T) {
 	var order []string
 	loop := New(NewClock(), func(cause any, stack []byte) {
 		if len(stack) == 0 {
-			t.Error("no stack")
+			t.Error("onPanic got an empty stack")
 		}
 		order = append(order, cause.(string))
 	})
@@ -62,8 +64,8 @@
 	}
 }
 
-// TestTimersRunInOrder guards the order of timers, that a stopped one does not run, and that a queued event goes before
-// an overdue timer.
+// TestTimersRunInOrder checks that timers run in the order in which they are due, that a stopped timer does not run, and
+// that a queued event is handled before an overdue timer.
 func TestTimersRunInOrder(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	var order []string
@@ -84,11 +86,12 @@
 		t.Errorf("got %v, want %v", order, want)
 	}
 	if n := loop.PendingTimers(); n != 0 {
-		t.Errorf("%d timers are left", n)
+		t.Errorf("%d timers are pending, want none", n)
 	}
 }
 
-// TestShutdownIsHandledOnce guards the start of a graceful shutdown.
+// TestShutdownIsHandledOnce guards against a graceful shutdown that does not begin, or begins again each time the loop
+// selects the closed channel.
 func TestShutdownIsHandledOnce(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	shutdown, handled, calls := make(chan struct{}), make(chan struct{}), 0
@@ -97,15 +100,16 @@
 	<-handled
 	finish()
 	if calls != 1 {
-		t.Errorf("handled %d times", calls)
+		t.Errorf("onShutdown was called %d times, want once", calls)
 	}
 }
 
-// TestPostAfterRunReturnsDoesNotBlock guards goroutines that outlive the loop.
+// TestPostAfterRunReturnsDoesNotBlock guards against goroutines that outlive the loop and hang in Post, because nothing
+// receives from the full queue any more.
 func TestPostAfterRunReturnsDoesNotBlock(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	loop.Run(func() bool { return true }, nil, nil)
 	for range queueSize + 1 {
-		loop.Post(0, func() { t.Error("an event was handled after the end") })
+		loop.Post(0, func() { t.Error("an event was handled after Run had returned") })
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -6,17 +6,17 @@
 	"reedlead/policy"
 )
 
-// Timer runs a function on the loop at a time, unless it is stopped before. The goroutine of the loop owns it.
+// Timer runs a function on the loop at a given time, unless it is stopped first. The loop's goroutine owns it.
 type Timer struct {
 	at    policy.Seconds
 	run   func()
-	index int // in the heap, notQueued outside
+	index int // position in the heap; notQueued if it is not in the heap
 }
 
 const notQueued = -1
 
-// timerHeap is a heap.Interface by the time at which timers are due. It is bounded by what is open: a request
-// and an attempt hold one timer each until they end, the decision module and the loop's owner a few.
+// timerHeap is a heap of timers ordered by the time at which they are due. The number of open requests and attempts
+// bounds its size: each of them holds one timer until it ends, and the decision module and the loop's owner hold a few.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
@@ -48,19 +48,20 @@
 	return timer
 }
 
-// add queues a function to be run at a time.
+// add adds a timer that runs a function at a given time.
 func (h *timerHeap) add(at policy.Seconds, run func()) *Timer {
 	timer := &Timer{at: at, run: run}
 	heap.Push(h, timer)
 	return timer
 }
 
-// remove takes a timer off the heap, and with it all that it holds. It does nothing for nil or a timer that has run.
+// remove removes a timer, so that the heap no longer references its function. It does nothing if the timer is nil or
+// has run.
 func (h *timerHeap) remove(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(h, timer.index)
 	}
 }
 
-// popFirst takes the timer that is due first off the heap.
+// popFirst removes and returns the timer that is due first.
 func (h *timerHeap) popFirst() *Timer { return heap.Pop(h).(*Timer) }
--- a/internal/netcalls/calls.go
+++ b/internal/netcalls/calls.go
@@ -1,5 +1,5 @@
-// Package netcalls wraps the system calls on the program's sockets, so that tests can have them fail. It classifies
-// their errors, and retries calls that failed for a shortage on this machine.
+// Package netcalls wraps the system calls on the program's sockets, so that tests can inject failures. It classifies the
+// errors of the calls, and retries calls that fail because this machine lacks a resource.
 package netcalls
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Conn is what the program needs of a TCP connection, a *net.TCPConn but for tests.
+// Conn holds the methods of a TCP connection that the program uses. It is a *net.TCPConn except in tests.
 type Conn interface {
 	net.Conn
 	CloseWrite() error
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// Calls are the calls that may fail for a shortage on this machine. All sockets are made, read and written
-// through them, and tests have them fail. A Calls must not be changed once it is in use.
+// Calls holds the calls that create, read and write sockets, and may fail because this machine lacks a resource. Tests
+// replace them to inject failures. A Calls must not be changed once it is in use.
 type Calls struct {
 	Listen       func(address *net.TCPAddr) (*net.TCPListener, error)
 	ListenPacket func(address *net.UDPAddr) (*net.UDPConn, error)
@@ -27,11 +27,11 @@
 	Dial func(address string, timeout time.Duration) (Conn, error)
 	// DialContext connects to the discovery agent.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
-	// Write writes at once what the socket has room for.
+	// Write writes as much as fits into the send buffer of the socket, without blocking.
 	Write       func(fd int, b []byte) (int, error)
 	ReadPacket  func(conn *net.UDPConn, b []byte) (int, netip.AddrPort, error)
 	WritePacket func(conn *net.UDPConn, b []byte, to netip.AddrPort) (int, error)
-	// Sleep waits before a call that failed is made again.
+	// Sleep pauses between a failed call and its retry.
 	Sleep func(time.Duration)
 }
 
@@ -52,16 +52,16 @@
 	}
 }
 
-// accept implements Calls.Accept by the operating system.
+// accept implements Calls.Accept with the system call.
 func accept(listener *net.TCPListener) (Conn, error) {
 	conn, err := listener.AcceptTCP()
 	if err != nil {
-		return nil, err // and no Conn that holds a nil *net.TCPConn
+		return nil, err // conn is a nil *net.TCPConn, which as a Conn would not equal nil
 	}
 	return conn, nil
 }
 
-// dial implements Calls.Dial by the operating system.
+// dial implements Calls.Dial with the system call.
 func dial(address string, timeout time.Duration) (Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// RetryInterval is the pause before a call that failed for a shortage is made again.
+	// RetryInterval is the pause between a call that failed because of a shortage and its retry.
 	RetryInterval = 5 * time.Millisecond
-	// startRetryTimeout is how long the process retries to get its sockets and its configuration as it starts.
-	// It has 30 s to be ready.
+	// startRetryTimeout limits the retries of the calls that get the sockets and the configuration at the start. The
+	// process has to be ready 30 s after its start.
 	startRetryTimeout = 20 * time.Second
 )
 
-// RetryAtStart makes a call that the process needs for its start until it succeeds, fails with an error that is
-// not transient or has failed for 20 s, or ctx has ended. It sleeps between two calls.
+// RetryAtStart repeats a call that the process needs for its start, until the call succeeds or fails with an error that
+// is not transient, 20 s have passed, or ctx has ended. It sleeps between the calls.
 func RetryAtStart[T any](ctx context.Context, sleep func(time.Duration), call func() (T, error)) (T, error) {
 	return retryAtStart(ctx, sleep, time.Now, call)
 }
 
-// retryAtStart is RetryAtStart with a clock.
+// retryAtStart is RetryAtStart with a clock that tests can replace.
 func retryAtStart[T any](ctx context.Context, sleep func(time.Duration), now func() time.Time, call func() (T, error)) (T, error) {
 	for giveUpAt := now().Add(startRetryTimeout); ; sleep(RetryInterval) {
 		result, err := call()
@@ -31,11 +31,11 @@
 	}
 }
 
-// RetryingConn is a connection whose reads and writes are made again where they failed for a shortage: that ends
-// no connection. Deadlines hold meanwhile.
+// RetryingConn is a connection that retries reads and writes that fail because of a shortage, so that a shortage does
+// not end the connection. Deadlines also apply to the retries.
 type RetryingConn struct {
 	Conn
-	// Sleep waits before a read or a write is made again.
+	// Sleep pauses before a read or a write is retried.
 	Sleep func(time.Duration)
 }
 
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestRetryAtStartGivesUp guards against a process that retries its start for ever: an error that is not transient ends
-// it at once, a shortage after a while.
+// TestRetryAtStartGivesUp guards against a process that retries its start forever: it must give up at once after an
+// error that is not transient, and after startRetryTimeout during a shortage.
 func TestRetryAtStartGivesUp(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -18,7 +18,7 @@
 		took     time.Duration
 	}{
 		{"not transient", syscall.EACCES, 1, 0},
-		{"for too long", syscall.ENFILE, int(startRetryTimeout/RetryInterval) + 1, startRetryTimeout},
+		{"shortage beyond the timeout", syscall.ENFILE, int(startRetryTimeout/RetryInterval) + 1, startRetryTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			begun := time.Now()
@@ -30,13 +30,13 @@
 				func() (int, error) { calls++; return 0, tc.number },
 			)
 			if !errors.Is(err, tc.number) || calls != tc.maxCalls || now.Sub(begun) != tc.took {
-				t.Errorf("%v after %d calls in %v", err, calls, now.Sub(begun))
+				t.Errorf("got the error %v after %d calls in %v", err, calls, now.Sub(begun))
 			}
 		})
 	}
 }
 
-// TestErrorClassification guards what docs/endings.md says each error number means.
+// TestErrorClassification guards against a changed classification of error numbers, which docs/endings.md lists.
 func TestErrorClassification(t *testing.T) {
 	for _, tc := range []struct {
 		number                                       syscall.Errno
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -9,20 +9,22 @@
 	"time"
 )
 
-// Reads, writes and looks at sockets that do not wait. The event loop makes them on connections whose deadlines belong
-// to other goroutines.
+// The functions of this file except WriteAll do not block and ignore deadlines, so the event loop can call them on
+// connections whose deadlines other goroutines own.
 
-// progressCheckInterval is how long one write waits before it is looked at whether the other end has taken anything.
+// progressCheckInterval limits how long one write blocks before WriteAll checks whether any bytes were written.
 const progressCheckInterval = time.Second
 
-// WriteAll writes all of b, for as long as the other end takes some of it within each stallTimeout; onProgress is
-// called when it has. No deadline outlives it. A deadline that has passed while this process stood still is no stall:
-// the socket is written once more before that is returned, as an error that is os.ErrDeadlineExceeded.
+// WriteAll writes all of b. It calls onProgress each time that some bytes were written but not all, and gives up with
+// an error that wraps os.ErrDeadlineExceeded once stallTimeout has passed without progress. The deadline may also have
+// passed because this process was stopped for a while, so WriteAll tries to write once more before it gives up. It
+// leaves no write deadline on the connection.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
-	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // it fails on a closed connection alone
+	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // fails only on a closed connection
 	lastProgress := time.Now()
 	for {
-		_ = conn.SetWriteDeadline(time.Now().Add(min(progressCheckInterval, stallTimeout))) // where it fails, so does the write
+		// If setting the deadline fails, so does the write.
+		_ = conn.SetWriteDeadline(time.Now().Add(min(progressCheckInterval, stallTimeout)))
 		n, err := conn.Write(b)
 		if b = b[n:]; err == nil {
 			return nil
@@ -47,8 +49,8 @@
 	}
 }
 
-// TryWrite writes what the socket takes without waiting, which may be nothing, whatever the deadline of the
-// connection.
+// TryWrite writes as much of b as the socket accepts without blocking, and returns 0 if that is nothing. It ignores the
+// deadline of the connection.
 func (c *Calls) TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
@@ -60,7 +62,8 @@
 	return max(n, 0), err
 }
 
-// TryRead reads what has come on a connection, without waiting; io.EOF at its end.
+// TryRead reads the bytes that have arrived on a connection, without blocking. At the end of the stream it returns
+// io.EOF.
 func TryRead(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
@@ -74,7 +77,7 @@
 	return max(n, 0), err
 }
 
-// NoDataPending reports whether a connection is open and no byte waits on it.
+// NoDataPending reports whether a connection is open and has no unread bytes.
 func NoDataPending(raw syscall.RawConn) bool {
 	var buf [1]byte
 	var err error
@@ -84,7 +87,7 @@
 	return controlErr == nil && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
 }
 
-// The states of a connection that its other end has closed, as the kernel numbers them (tcp_states.h).
+// The TCP states of a connection that the peer has closed or reset, as numbered in the kernel's tcp_states.h.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -92,11 +95,11 @@
 	tcpClosing   = 11
 )
 
-// tcpStateMask leaves the state of a connection, which is the first byte of its TCP_INFO.
+// tcpStateMask selects the first byte of TCP_INFO, which is the state of the connection.
 const tcpStateMask = 0xff
 
-// ClosedByPeer reports whether the other end has closed a connection, or reset it, also while bytes that it has sent
-// before are unread here.
+// ClosedByPeer reports whether the peer has closed or reset a connection, even if bytes that it sent before are still
+// unread.
 func ClosedByPeer(raw syscall.RawConn) (closed bool) {
 	controlErr := raw.Control(func(fd uintptr) {
 		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
@@ -108,5 +111,5 @@
 			closed = true
 		}
 	})
-	return controlErr == nil && closed // it fails on a connection that this side has closed
+	return controlErr == nil && closed // Control fails on a connection that this side has closed
 }
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must come. It decides nothing but when to give up.
+// testTimeout is the time after which a test that waits for an event fails.
 const testTimeout = 20 * time.Second
 
-// connectedPair is both ends of a connection over loopback, the local one with its raw connection.
+// connectedPair returns both ends of a loopback connection, and the raw connection of the local end.
 func connectedPair(t *testing.T) (local *net.TCPConn, raw syscall.RawConn, remote net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = conn.Close() // the test may have closed it
+		_ = conn.Close() // fails if the test has closed it
 		_ = remote.Close()
 	})
 	if err := remote.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -42,29 +42,30 @@
 	return local, raw, remote
 }
 
-// TestWriteAllLeavesNoDeadline guards against a deadline that outlives its write: each later write would fail.
+// TestWriteAllLeavesNoDeadline guards against WriteAll leaving its deadline on the connection, which would fail every
+// write after the deadline.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
 	calls := System()
 	local, raw, remote := connectedPair(t)
 	const stall = 20 * time.Millisecond
-	go func() { _, _ = io.Copy(io.Discard, remote) }() // it ends with the connection
+	go func() { _, _ = io.Copy(io.Discard, remote) }() // ends with the connection
 	if err := calls.WriteAll(local, raw, make([]byte, 1<<20), testTimeout, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	if err := calls.WriteAll(local, raw, []byte("short"), stall, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2 * stall) // the deadline of that write has passed by now
+	time.Sleep(2 * stall) // until the deadline of that write has passed
 	if n, err := calls.TryWrite(raw, []byte("x")); n != 1 || err != nil {
-		t.Errorf("a write that does not wait: %d, %v", n, err)
+		t.Errorf("TryWrite after WriteAll: got %d, %v, want 1 byte written", n, err)
 	}
 	if _, err := local.Write([]byte("x")); err != nil {
-		t.Errorf("another write: %v", err)
+		t.Errorf("Write after WriteAll: %v", err)
 	}
 }
 
-// TestWriteAllTimesOutOnlyWithoutProgress guards against a write that is given up while the other end takes some of it,
-// and against one that never ends.
+// TestWriteAllTimesOutOnlyWithoutProgress guards against a WriteAll that gives up while the peer reads slowly, and
+// against one that never ends although the peer has stopped reading.
 func TestWriteAllTimesOutOnlyWithoutProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	calls := System()
@@ -78,28 +79,28 @@
 			}
 		})
 	}()
-	for from := time.Now(); time.Since(from) < 3*stall; { // a slow reader, for longer than the timeout
+	for from := time.Now(); time.Since(from) < 3*stall; { // the peer reads slowly, for longer than the timeout
 		if _, err := io.CopyN(io.Discard, remote, 1<<20); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(stall / 10)
 		select {
 		case err := <-done:
-			t.Fatalf("given up while it went on: %v", err)
+			t.Fatalf("WriteAll ended while the peer was reading: %v", err)
 		default:
 		}
 	}
 	select {
 	case err := <-done:
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // nothing is read any more
-			t.Errorf("ended with %v", err)
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // the peer has stopped reading
+			t.Errorf("WriteAll without progress: got the error %v, want os.ErrDeadlineExceeded", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("a write that makes no progress never ends")
+		t.Fatal("WriteAll without progress does not end")
 	}
 	select {
 	case <-progressed:
 	default:
-		t.Error("no progress was reported")
+		t.Error("onProgress was never called")
 	}
 }
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -1,5 +1,5 @@
-// Package peerlink exchanges datagrams with the other gateways. Datagrams may be lost, as they may be on their
-// way; their contents are the decision module's.
+// Package peerlink exchanges UDP datagrams with the other gateways. It drops datagrams that can't be queued or sent, as
+// the network may lose them anyway. The decision module writes and reads their contents.
 package peerlink
 
 import (
@@ -13,40 +13,44 @@
 )
 
 const (
-	// MaxDatagramSize is the longest datagram in bytes.
+	// MaxDatagramSize is the maximum size of a datagram in bytes.
 	MaxDatagramSize = 256
-	// extraQueueSize is how many datagrams may wait to be sent, beside one for each gateway: all may be due at once.
+	// extraQueueSize is the capacity of the send queue beyond one datagram for each gateway. Datagrams to all gateways
+	// may be queued at the same time.
 	extraQueueSize = 64
 )
 
-// ErrQueueFull reports a datagram that is lost, as too many wait to be sent.
-var ErrQueueFull = errors.New("datagram lost: the queue is full")
+// ErrQueueFull reports that a datagram was dropped because the send queue is full.
+var ErrQueueFull = errors.New("datagram dropped: send queue is full")
 
-// UnknownPeerError reports a number that no gateway has.
+// UnknownPeerError reports that no gateway has the given number.
 type UnknownPeerError struct{ Number int }
 
-func (e *UnknownPeerError) Error() string { return fmt.Sprintf("no peer of number %d", e.Number) }
+func (e *UnknownPeerError) Error() string {
+	return fmt.Sprintf("no gateway has the number %d", e.Number)
+}
 
-// UnsendableError reports a datagram that is too long, or one to all gateways where there is no such address.
+// UnsendableError reports that a datagram exceeds MaxDatagramSize, or has no valid address: a broadcast is not possible
+// if the link has no broadcast address.
 type UnsendableError struct {
 	Bytes int
 	To    netip.AddrPort
 }
 
 func (e *UnsendableError) Error() string {
-	return fmt.Sprintf("%d bytes can't be sent to %v", e.Bytes, e.To)
+	return fmt.Sprintf("datagram of %d bytes can't be sent to %v", e.Bytes, e.To)
 }
 
-// Event is something that has come: a Message or a Dropped.
+// Event is the result of receiving a datagram: a Message or a Dropped.
 type Event interface{ isEvent() }
 
-// Message is a datagram of another gateway.
+// Message is a datagram from another gateway.
 type Message struct {
 	From int // the number of the gateway
 	Data []byte
 }
 
-// Dropped reports a datagram that is too long, or not from a gateway.
+// Dropped reports a received datagram that was dropped because it is too long or its sender is not a gateway.
 type Dropped struct {
 	From  netip.AddrPort
 	Bytes int // at most MaxDatagramSize+1
@@ -55,40 +59,40 @@
 func (Message) isEvent() {}
 func (Dropped) isEvent() {}
 
-// Link is a socket for datagrams of the other gateways.
+// Link sends datagrams to the other gateways, and receives theirs, on one UDP socket.
 type Link struct {
 	conn      *net.UDPConn
 	calls     *netcalls.Calls
-	peers     []netip.AddrPort // by number
-	broadcast netip.AddrPort   // reaches all of them; may be invalid
+	peers     []netip.AddrPort // by the number of the gateway
+	broadcast netip.AddrPort   // reaches all gateways; invalid if there is no such address
 	queue     chan datagram
 }
 
-// datagram is one that waits to be sent.
+// datagram is an entry of the send queue.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// New returns a link over a socket to the gateways with some addresses, by their numbers, and starts the
-// goroutine that sends; Close ends it and closes the socket.
+// New returns a link on a socket. The index of an address in peers is the number of that gateway. New starts the
+// goroutine that sends queued datagrams; Close ends it and closes the socket.
 func New(conn *net.UDPConn, calls *netcalls.Calls, peers []netip.AddrPort, broadcast netip.AddrPort) *Link {
 	link := &Link{conn: conn, calls: calls, peers: peers, broadcast: broadcast, queue: make(chan datagram, extraQueueSize+len(peers))}
 	go link.sendQueued()
 	return link
 }
 
-// Close closes the socket, which ends Receive, and the queue. Send must not be called after it.
+// Close closes the socket, which ends Receive, and the send queue. Send must not be called after Close.
 func (l *Link) Close() {
-	_ = l.conn.Close() // datagrams may be lost anyway
+	_ = l.conn.Close() // an error could only lose datagrams, which may be lost anyway
 	close(l.queue)
 }
 
 // LocalAddr returns the address of the socket.
 func (l *Link) LocalAddr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Send queues a datagram to a gateway, or to all with policy.Broadcast. It does not block. The error is
-// ErrQueueFull, an *UnknownPeerError or an *UnsendableError.
+// Send queues a datagram to the gateway with a number, or to all gateways if the number is policy.Broadcast. It does not
+// block. The error is ErrQueueFull, an *UnknownPeerError or an *UnsendableError.
 func (l *Link) Send(gateway int, data []byte) error {
 	to := l.broadcast
 	if gateway != policy.Broadcast {
@@ -108,15 +112,15 @@
 	}
 }
 
-// sendQueued sends what is queued, until the queue is closed. Its goroutine is started by New.
+// sendQueued sends the queued datagrams until the queue is closed. It runs on a goroutine that New starts.
 func (l *Link) sendQueued() {
 	for d := range l.queue {
-		_, _ = l.calls.WritePacket(l.conn, d.data, d.to) // may be lost anyway
+		_, _ = l.calls.WritePacket(l.conn, d.data, d.to) // the network may lose it anyway
 	}
 }
 
-// Receive reads datagrams and notifies of them, until the link is closed. It reads one byte more than allowed, by
-// which it recognizes a datagram that is too long.
+// Receive reads datagrams and calls notify for each of them, until the link is closed. Its buffer is one byte longer
+// than MaxDatagramSize, so that it can detect a datagram that is too long.
 func (l *Link) Receive(notify func(Event)) {
 	numbers := make(map[netip.AddrPort]int, len(l.peers))
 	for number, address := range l.peers {
@@ -128,7 +132,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as a refused datagram that comes back
+		if err != nil { // for example ECONNREFUSED, which an earlier datagram has caused
 			l.calls.Sleep(netcalls.RetryInterval)
 			continue
 		}
--- a/internal/peerlink/link_test.go
+++ b/internal/peerlink/link_test.go
@@ -10,8 +10,8 @@
 	"reedlead/policy"
 )
 
-// TestSendErrors guards the errors of datagrams that can't be sent, and that Send does not block while the socket takes
-// none.
+// TestSendErrors checks the errors for datagrams that can't be sent, and that Send does not block while the socket
+// accepts no datagrams.
 func TestSendErrors(t *testing.T) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -27,21 +27,21 @@
 	var unknown *UnknownPeerError
 	for _, number := range []int{len(peers), -7} {
 		if err := link.Send(number, nil); !errors.As(err, &unknown) || unknown.Number != number {
-			t.Errorf("to gateway %d: %v", number, err)
+			t.Errorf("Send to gateway %d: got the error %v, want an UnknownPeerError", number, err)
 		}
 	}
 	var unsendable *UnsendableError
 	if err := link.Send(0, make([]byte, MaxDatagramSize+1)); !errors.As(err, &unsendable) || unsendable.Bytes != MaxDatagramSize+1 {
-		t.Errorf("too long: %v", err)
+		t.Errorf("Send of a datagram that is too long: got the error %v, want an UnsendableError", err)
 	}
 	if err := link.Send(policy.Broadcast, nil); !errors.As(err, &unsendable) || unsendable.To.IsValid() {
-		t.Errorf("to all, without an address: %v", err)
+		t.Errorf("Send to all gateways without a broadcast address: got the error %v, want an UnsendableError", err)
 	}
 	sent := 0
 	for ; err == nil; err = link.Send(0, make([]byte, MaxDatagramSize)) {
 		sent++
 	}
 	if capacity := extraQueueSize + len(peers); !errors.Is(err, ErrQueueFull) || sent < capacity || sent > capacity+2 {
-		t.Errorf("%v after %d datagrams", err, sent)
+		t.Errorf("got the error %v after %d queued datagrams, want ErrQueueFull once the queue is full", err, sent)
 	}
 }
