--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -2,11 +2,10 @@
 
 import "reedlead/policy"
 
-// The methods of this file implement policy.Actions, together with SendToPeer. The decision module calls them on the
-// event loop.
+// The methods of this file and SendToPeer implement policy.Actions. The decision module calls them on the event loop.
 
-// Send implements policy.Actions. A timeout of 0 stands for the request's deadline; with one below 0 the attempt has
-// timed out at once.
+// Send implements policy.Actions. With a timeout of 0 the attempt has until the request's deadline, and with a negative
+// one it times out at once.
 func (p *Proxy) Send(id, endpointID string, timeout, writeWithin policy.Seconds) {
 	r := p.requests.byID[id]
 	if r == nil {
@@ -40,7 +39,7 @@
 	}
 }
 
-// SetTimer implements policy.Actions.
+// SetTimer implements policy.Actions. A negative delay counts as 0.
 func (p *Proxy) SetTimer(token uint64, delay policy.Seconds) {
 	p.loop.After(max(delay, 0), func() { p.decider.HandleTimer(p.loop.Now(), token) })
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,31 +5,31 @@
 	"reedlead/policy"
 )
 
-// attempt is one send of a request to an endpoint, or with no request a health check. The event loop owns it; a writer
-// goroutine reads what does not change once it is written.
+// attempt is one send of a request to an endpoint, or a health check if it has no request. The event loop owns it. A
+// writer goroutine may read the fields that do not change after the write has started.
 type attempt struct {
 	request       *request
-	endpoint      *endpoint // nil if the one that was chosen is not listed
-	number        int       // of the request's attempts, from 0
+	endpoint      *endpoint // nil if the chosen endpoint is not listed
+	number        int       // index among the attempts of the request
 	kind          attemptKind
 	sentAt        policy.Seconds
-	timeoutAt     policy.Seconds   // when the reply is not waited for any more
-	writeDeadline policy.Seconds   // of the last byte, by the clock, not by the loop's time; +Inf: none
+	timeoutAt     policy.Seconds   // when the attempt ends without a reply
+	writeDeadline policy.Seconds   // for the last byte, by the clock and not by event time; +Inf if none
 	timer         *eventloop.Timer // fires at timeoutAt
-	conn          *backendConn     // that it holds; nil before and after
+	conn          *backendConn     // carries the attempt; nil before the write starts and after the attempt has ended
 	done          bool
 }
 
-// attemptKind is why an attempt is made. The trace holds it.
+// attemptKind says why an attempt is made. Its text is written to the trace.
 type attemptKind string
 
 const (
 	firstAttempt attemptKind = "first"
-	retry        attemptKind = "retry" // no other is in flight any more
-	hedge        attemptKind = "hedge" // beside one that is in flight
+	retry        attemptKind = "retry" // earlier attempts have all ended
+	hedge        attemptKind = "hedge" // an earlier attempt is in flight
 )
 
-// nextAttemptKind is the kind of a request's next attempt.
+// nextAttemptKind returns the kind of a request's next attempt.
 func nextAttemptKind(r *request) attemptKind {
 	switch {
 	case len(r.attempts) == 0:
@@ -40,21 +40,21 @@
 	return retry
 }
 
-// attemptResult is how an attempt ended.
+// attemptResult is the result of an attempt or a health check.
 type attemptResult struct {
 	status    policy.AttemptStatus
-	value     []byte // of status OK: the value in RESP, as the endpoint wrote it
+	value     []byte // RESP encoding of the value, as the endpoint sent it; set if status is OK
 	load      *policy.LoadReport
-	malformed error // why the reply could not be used
+	malformed error // why the reply can't be used; nil if it can
 }
 
-// malformedReply is the result of an attempt whose reply can't be used. The request may have been executed; the endpoint
-// counts as reachable.
+// malformedReply returns the result of an attempt whose reply can't be used. Its status is Error: the endpoint was
+// reachable, and may have executed the request.
 func malformedReply(err error) attemptResult {
 	return attemptResult{status: policy.Error, malformed: err}
 }
 
-// malformedText is what the log holds of a reply that could not be used, else empty.
+// malformedText returns the text that the trace holds for a malformed reply, or "" if the reply was not malformed.
 func (r attemptResult) malformedText() string {
 	if r.malformed == nil {
 		return ""
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,11 +9,11 @@
 	"reedlead/policy"
 )
 
-// healthCheckTimeout is how long the reply to a health check is waited for.
+// healthCheckTimeout is the time from the start of a health check to its timeout.
 const healthCheckTimeout policy.Seconds = 0.25
 
-// attemptRunner makes the attempts of requests and the health checks, from the choice of a connection to the report of
-// the outcome, which it gives once. The event loop owns it.
+// attemptRunner makes attempts and health checks: it chooses a connection, and reports the outcome exactly once. The
+// event loop owns it.
 type attemptRunner struct {
 	services  *services
 	settings  *settings.Settings
@@ -22,8 +22,8 @@
 	trace     *tracer
 }
 
-// send makes an attempt of a request. A timeout of 0 stands for the request's deadline; with one below 0 the attempt has
-// timed out at once.
+// send makes an attempt of a request. With a timeout of 0 the attempt has until the request's deadline, and with a
+// negative one it times out at once.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
@@ -40,7 +40,7 @@
 	}
 }
 
-// newAttempt makes a request's next attempt.
+// newAttempt returns the next attempt of a request, which has not started yet.
 func (runner *attemptRunner) newAttempt(r *request, endpointID string, timeout, writeWithin policy.Seconds) *attempt {
 	now := runner.services.loop.Now()
 	a := &attempt{
@@ -56,14 +56,14 @@
 	return a
 }
 
-// cancel ends the attempt of a request that has this number, unless it has ended.
+// cancel cancels the attempt of a request with the given number, unless it has ended.
 func (runner *attemptRunner) cancel(r *request, number int) {
 	if number >= 0 && number < len(r.attempts) && !r.attempts[number].done {
 		runner.finishDeferred(r.attempts[number], policy.Cancelled)
 	}
 }
 
-// checkHealth makes a health check of an endpoint.
+// checkHealth starts a health check of an endpoint.
 func (runner *attemptRunner) checkHealth(endpointID string) {
 	now := runner.services.loop.Now()
 	a := &attempt{
@@ -77,26 +77,28 @@
 	runner.start(a)
 }
 
-// mustNotStart reports whether the attempt's endpoint is out of service, its request has ended, or its time is over.
+// mustNotStart reports whether the endpoint of an attempt is out of service, its request is done, or its timeout has
+// passed.
 func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	done := a.request != nil && a.request.done
 	return !inService || done || runner.services.loop.Now() >= a.timeoutAt
 }
 
-// mayStillStart reports whether an attempt that has waited for a connection may still be written.
+// mayStillStart reports whether an attempt that has waited for a connection may still be written to it.
 func (runner *attemptRunner) mayStillStart(a *attempt) bool {
 	return !runner.mustNotStart(a) && (a.request == nil || !runner.hasPendingEnd(a.request))
 }
 
-// hasPendingEnd reports whether the request has ended by something that the event loop has not handled yet: a reply in
-// the socket of an earlier attempt, or the client's disconnect. Requests that were only just read are checked too: they
-// may have been in their socket for long.
+// hasPendingEnd reports whether something has ended the request that the event loop has not handled yet: the reply to
+// an earlier attempt, or the client's disconnect. New requests are checked too, as they may have been unread in their
+// socket for a long time.
 func (runner *attemptRunner) hasPendingEnd(r *request) bool {
 	return runner.hasPendingReply(r) || runner.clientDisconnected(r.client)
 }
 
-// hasPendingReply reports whether an attempt of the request has ended, though the event loop has not handled it.
+// hasPendingReply reports whether the reply or the end of the connection of an attempt has arrived, but has not been
+// handled by the event loop.
 func (runner *attemptRunner) hasPendingReply(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
@@ -104,8 +106,8 @@
 	})
 }
 
-// clientDisconnected reports whether the client has closed its connection. If so, it is abandoned once the current event
-// of the decision module is over.
+// clientDisconnected reports whether the client has closed its connection. If the event loop has not handled that yet,
+// the connection is abandoned after the current event.
 func (runner *attemptRunner) clientDisconnected(c *clientConn) bool {
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
@@ -114,7 +116,7 @@
 	return true
 }
 
-// start writes the attempt to an idle connection, or has it wait for a new one.
+// start writes the attempt to an idle connection, or queues it for a new one.
 func (runner *attemptRunner) start(a *attempt) {
 	loop := runner.services.loop
 	a.timer = loop.After(a.timeoutAt-loop.Now(), func() { runner.handleTimeout(a) })
@@ -128,7 +130,9 @@
 	}
 }
 
-// handleTimeout stops waiting for the reply. A command that was never completely written was not executed.
+// handleTimeout ends an attempt whose timeout has passed. The endpoint can't have executed a command that was not
+// completely written, so the status is NotSent if the attempt has no connection, and ConnectFailed if the write was
+// aborted.
 func (runner *attemptRunner) handleTimeout(a *attempt) {
 	if a.done {
 		return
@@ -143,8 +147,8 @@
 	runner.finish(a, attemptResult{status: status}, runner.services.loop.Now())
 }
 
-// abortPartialWrites ends the attempts of a finished request whose commands are not completely written: with the last byte
-// of one, its execution would begin after the request's end.
+// abortPartialWrites ends the attempts of a finished request whose commands are not completely written. The endpoint
+// executes a command when it has the last byte, which must not be written after the end of the request.
 func (runner *attemptRunner) abortPartialWrites(r *request) {
 	for _, a := range r.attempts {
 		if a.done || a.conn == nil || a.conn.commandWritten.Load() {
@@ -158,7 +162,8 @@
 	}
 }
 
-// finishDeferred ends an attempt now, and reports it once the current event of the decision module is over.
+// finishDeferred ends an attempt at once, and reports its outcome after the current event: the decision module must not
+// be called from within a call of its own.
 func (runner *attemptRunner) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	runner.releaseResources(a)
@@ -166,7 +171,7 @@
 	loop.Defer(func() { runner.reportOutcome(a, attemptResult{status: status}, loop.Now()) })
 }
 
-// finish ends an attempt and reports it.
+// finish ends an attempt and reports its outcome, unless the attempt has ended already.
 func (runner *attemptRunner) finish(a *attempt, result attemptResult, at policy.Seconds) {
 	if a.done {
 		return
@@ -176,7 +181,7 @@
 	runner.reportOutcome(a, result, at)
 }
 
-// releaseResources gives up what an attempt still holds. A connection that is in use is closed.
+// releaseResources stops the timer of an attempt, and closes its connection or removes it from the queue for a dial.
 func (runner *attemptRunner) releaseResources(a *attempt) {
 	runner.services.loop.Stop(a.timer)
 	if a.conn != nil {
@@ -193,7 +198,8 @@
 	}
 }
 
-// reportOutcome replies to the client, if the attempt has got its reply, and notifies the decision module.
+// reportOutcome forwards the value of a successful attempt to the client, and notifies the decision module of the
+// outcome.
 func (runner *attemptRunner) reportOutcome(a *attempt, result attemptResult, at policy.Seconds) {
 	decider, loop := runner.services.decider, runner.services.loop
 	elapsed := max(at-a.sentAt, 0)
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -14,36 +14,39 @@
 
 // backendConn is a connection to an endpoint. It carries one attempt at a time.
 //
-// Three goroutines share it. Its reader, which the event loop starts after the dial, ends with the connection, and
-// posts each reply and the end; the event loop owns the fields after writeErr, and closes the connection. While the
-// socket takes less than a complete command, a writer goroutine that the event loop starts writes the rest and owns the
-// write deadline; it ends with the write, at its deadline, or with the connection. Nobody sets a read deadline:
-// attempts have timers, and an idle connection is closed.
+// Three goroutines share it:
+//   - The event loop owns the fields after writeErr, and closes the connection.
+//   - The reader posts each reply, and the end of the connection, to the event loop. The event loop starts it after the
+//     dial, and it ends with the connection.
+//   - The writer writes the rest of a command of which the socket did not accept all at once, and owns the write
+//     deadline. The event loop starts it, and it ends with the write, at the deadline, or with the connection.
 //
-// Whether commandWritten is set decides what the end of a connection means to its attempt. Where a writer may be
-// running, the connection is closed first, and writeMu is locked to wait for the writer.
+// There is no read deadline: attempts have timers, and idle connections are closed by the event loop.
+//
+// If the connection ends, its attempt can have been executed only if commandWritten is set. While a writer may be
+// running, commandWritten is final only after the connection was closed and writeMu was locked to wait for the writer.
 type backendConn struct {
 	services *services
-	set      *endpointSet // that its endpoint is in
+	set      *endpointSet // contains endpoint
 	endpoint *endpoint
-	dialedAs discovery.Endpoint // as the entry of the list was at the dial
+	dialedAs discovery.Endpoint // the entry of the endpoint list at the time of the dial
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
 
-	awaitingReply  atomic.Bool          // a command was or is being written, and its reply has not come
-	unusable       atomic.Bool          // not to be used for another command
-	commandWritten atomic.Bool          // the complete command of the attempt
-	writeStartedAt eventloop.AtomicTime // of that command
+	awaitingReply  atomic.Bool          // a command is being written or was written, and its reply has not arrived
+	unusable       atomic.Bool          // must not carry another command
+	commandWritten atomic.Bool          // the last command was written completely
+	writeStartedAt eventloop.AtomicTime // when the write of the last command started
 
 	writeMu  sync.Mutex // held while a writer runs
-	writeErr error      // of the writer; guarded by writeMu
+	writeErr error      // error of the writer; guarded by writeMu
 
-	attempt   *attempt // that it carries; nil while it is idle
+	attempt   *attempt // nil while the connection is idle
 	idleSince policy.Seconds
 	closed    bool
 }
 
-// close closes the connection. The cause is what ended it, nil if this gateway did. Event loop only.
+// close closes the connection. The cause is the error that ended it, or nil if this gateway ended it. Event loop only.
 func (c *backendConn) close(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -51,12 +54,12 @@
 	c.closed = true
 	c.logClosed(why, cause)
 	c.unusable.Store(true)
-	_ = c.conn.Close() // nothing more is written on it
+	_ = c.conn.Close() // the connection is not used any more, so the error does not matter
 	c.set.openConns--
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(idle *backendConn) bool { return idle == c })
 }
 
-// readerEnded handles the end of the connection as its reader has detected it. Event loop only.
+// readerEnded handles the end of the connection, which the reader has detected at the given time. Event loop only.
 func (c *backendConn) readerEnded(cause error, at policy.Seconds) {
 	c.close(peerClosed, cause)
 	a := c.attempt
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -8,13 +8,14 @@
 	"reedlead/policy"
 )
 
-// minReuseDelay is how long a connection should have been idle before it carries another command. A duplicate of a reply
-// arrives right behind it, and is detected within that time.
+// minReuseDelay is the idle time after which a connection is preferred for the next command. A duplicate of a reply
+// arrives directly after the reply, so it is detected within that time.
 const minReuseDelay policy.Seconds = 0.005
 
-// acquireIdle takes a connection of an endpoint out of the pool, nil if there is none that can be used: the one used
-// last of those that have been idle for minReuseDelay, else the one idle for longest. A connection that has unsolicited
-// bytes, or that has ended, must not get a command, also if its reader has not noticed yet.
+// acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. It prefers the most
+// recently used connection among those that have been idle for minReuseDelay, and otherwise takes the one that has been
+// idle for longest. It checks the sockets for unsolicited bytes and for the end of the stream, which the readers may not
+// have detected yet, and closes connections that have either.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
@@ -33,15 +34,16 @@
 	return nil
 }
 
-// usable reports whether the connection may carry another command: its endpoint is in service, and is the one that it
-// was dialed as, in the group for which the decision module chose it.
+// usable reports whether the connection may carry another command. The endpoint must be in service, and must have the
+// same address, start time and dedup group as when it was dialed, as the decision module chose it for that group.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign gives a connection to the attempt that has waited longest, else to the pool.
+// assign writes the attempt that has waited longest to a connection. Without such an attempt, it returns the connection
+// to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
@@ -57,8 +59,8 @@
 	c.returnToPool()
 }
 
-// returnToPool puts the connection into the pool. No waiting attempt gets it: each of them has a dial under way, and a
-// duplicate of the reply may be right behind it.
+// returnToPool puts the connection into the pool, or closes it if it is not usable. A waiting attempt does not get it:
+// each of them has a dial in progress, and a duplicate of the last reply may still arrive on this connection.
 func (c *backendConn) returnToPool() {
 	c.attempt = nil
 	if !c.usable() {
@@ -69,7 +71,8 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// queueForDial has the attempt wait for a new connection; false if there may be no more of them.
+// queueForDial starts a dial and queues the attempt for its connection. It returns false if the limit on connections is
+// reached and no idle connection can be evicted.
 func (s *endpointSet) queueForDial(a *attempt) bool {
 	if s.openConns >= s.maxConns && !s.evictIdle() {
 		return false
@@ -82,8 +85,8 @@
 	return true
 }
 
-// dialEndpoint makes one connection, and hands it or the failure to the event loop. Its goroutine, which queueForDial
-// starts, ends with the timeout of the dial at the latest.
+// dialEndpoint dials an endpoint, and posts the connection or the error to the event loop. It runs on a goroutine that
+// queueForDial starts. The timeouts of the dial and its retries bound how long it runs.
 func (s *endpointSet) dialEndpoint(e *endpoint, dialedAs discovery.Endpoint) {
 	shared := s.services
 	conn, err := s.dialWithRetry(dialedAs.Addr)
@@ -94,7 +97,8 @@
 	shared.loop.Post(shared.clock.Now(), func() { s.handleDialResult(e, c, err) })
 }
 
-// dialWithRetry dials an address, again for a while where that fails for something on this side.
+// dialWithRetry dials an address, and retries for localFaultRetryTimeout while the dial fails because of a local fault.
+// After the first such failure, the event loop evicts idle connections if the process is out of descriptors.
 func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
@@ -109,7 +113,7 @@
 	return conn, err
 }
 
-// newBackendConn makes a backend connection of what was dialed.
+// newBackendConn returns the backendConn for a dialed TCP connection.
 func (s *endpointSet) newBackendConn(e *endpoint, dialedAs discovery.Endpoint, conn netcalls.Conn) (*backendConn, error) {
 	shared := s.services
 	c := &backendConn{
@@ -118,16 +122,17 @@
 	}
 	var err error
 	if c.rawConn, err = c.conn.SyscallConn(); err != nil {
-		_ = conn.Close() // it is not in use yet
+		_ = conn.Close() // nothing was written, so the error does not matter
 		return nil, err
 	}
 	return c, nil
 }
 
-// handleDialResult handles the end of a dial: with a connection, or with nil and an error. Event loop only.
+// handleDialResult handles the end of a dial, which has returned either a connection or an error. Attempts that are left
+// without a dial get an idle connection, or fail. Event loop only.
 func (s *endpointSet) handleDialResult(e *endpoint, c *backendConn, err error) {
 	e.pendingDials--
-	var failure policy.AttemptStatus // of attempts that wait for no dial any more
+	var failure policy.AttemptStatus // of attempts that are left without a dial
 	if c != nil {
 		failure = s.dialSucceeded(c)
 	} else {
@@ -142,20 +147,21 @@
 	}
 }
 
-// dialFailed returns the status of the attempts that are left without a dial.
+// dialFailed handles the error of a dial. It returns the status of the attempts that are left without a dial: NotSent
+// after a local fault, which says nothing about the endpoint, and otherwise ConnectFailed.
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
 	s.descriptors.evictIfExhausted(err)
-	if netcalls.IsLocalFault(err) { // not the endpoint's
+	if netcalls.IsLocalFault(err) {
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
 
-// dialSucceeded starts the reader of a connection, and assigns it if it can be used. It returns the status of the
-// attempts that are left without a dial: ConnectFailed, or NotSent where the endpoint has moved meanwhile and the dial
-// says nothing about it.
+// dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable. It returns the status
+// of the attempts that are left without a dial: NotSent if the endpoint has changed since the dial, and otherwise
+// ConnectFailed.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
@@ -164,7 +170,7 @@
 	}
 	failure := policy.ConnectFailed
 	if !c.unusable.Load() || c.dialedAs.Addr != c.endpoint.Addr {
-		failure = policy.NotSent // the endpoint is another one by now, about which the dial says nothing
+		failure = policy.NotSent // the dial says nothing about the endpoint as it is now
 	}
 	c.close(notUsable, nil)
 	return failure
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// duplicateWindow is the time after a reply within which an equal reply is taken for a duplicate of it, if the
-	// command was begun within that time. The values of requests and their load reports differ; two equal errors may be
-	// two replies, and then the second attempt fails and its connection closes.
+	// duplicateWindow is the time after a reply in which a duplicate of it may still arrive. If the write of the next
+	// command starts within that time, an equal reply to it is taken for a duplicate. Two replies with values differ in
+	// the value or the load report. Two errors may be equal without being duplicates: the second attempt then fails and
+	// its connection is closed.
 	duplicateWindow policy.Seconds = 0.1
-	// maxLoggedBytes is how much the log holds of a reply that could not be used.
+	// maxLoggedBytes is the number of bytes of a malformed reply that are logged.
 	maxLoggedBytes = 40
 )
 
@@ -23,8 +24,8 @@
 	errWrongReplyKind = errors.New("reply to another kind of command")
 )
 
-// backendReader reads the replies on one connection, and notices its end, also while it is idle. Its goroutine, which
-// the event loop starts, owns it and ends with the connection, or behind what is no reply.
+// backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. The
+// event loop starts its goroutine, which owns it, and ends with the connection or after input that is not a valid reply.
 type backendReader struct {
 	conn     *backendConn
 	services *services
@@ -32,7 +33,7 @@
 	history  reply.History
 }
 
-// read runs the reader of the connection.
+// read runs the reader of the connection, until the connection has ended or must not be used any more.
 func (c *backendConn) read() {
 	shared := c.services
 	r := &backendReader{conn: c, services: shared, buffer: readbuf.NewBuffer(shared.inputBudget)}
@@ -42,8 +43,8 @@
 		more, cause = r.readOnce()
 	}
 	c.unusable.Store(true)
-	_ = c.conn.Close() // nothing more is written on it
-	c.writeMu.Lock()   // whether the command was completely written decides what the end means
+	_ = c.conn.Close() // the connection is not used any more, so the error does not matter
+	c.writeMu.Lock()   // waits for the writer, so that commandWritten is final
 	if c.writeErr != nil {
 		cause = c.writeErr
 	}
@@ -52,8 +53,8 @@
 	shared.loop.Post(at, func() { c.readerEnded(cause, at) })
 }
 
-// readOnce reads what has come, waiting for it, and handles a reply that is complete. It reports whether to go on, and
-// the error of the read.
+// readOnce waits for input, and handles the reply if it is complete. It reports whether to continue, and returns the
+// error of the read.
 func (r *backendReader) readOnce() (more bool, err error) {
 	c, shared := r.conn, r.services
 	space := r.buffer.Space()
@@ -65,7 +66,7 @@
 	at := shared.clock.Now()
 	if n > 0 && !c.awaitingReply.Load() {
 		shared.loop.Post(at, func() { shared.warn("unsolicited bytes", "endpoint", c.endpoint.ID, "bytes", n) })
-		return false, err // what follows can't be assigned to a command
+		return false, err // later bytes can't be matched to a command
 	}
 	r.buffer.Commit(n)
 	if !r.handleReply(at) {
@@ -74,7 +75,7 @@
 	return err == nil, err
 }
 
-// handleReply posts the reply in the buffer if it is complete. It reports whether to go on.
+// handleReply posts the reply in the buffer to the event loop if it is complete. It reports whether to continue reading.
 func (r *backendReader) handleReply(at policy.Seconds) (more bool) {
 	c, content := r.conn, r.buffer.Bytes()
 	size, err := resp.ReplySize(content)
@@ -93,7 +94,7 @@
 		r.handleMalformedReply(at, content, err)
 		return false
 	}
-	// A duplicate whose bytes were on their way when the command was written is known by this.
+	// This detects duplicates that were still in transit when the command was written.
 	duplicatesSince := c.writeStartedAt.Load() - c.set.duplicateWindow
 	if r.history.IsDuplicate(content[:size], received.Status, duplicatesSince) {
 		r.handleMalformedReply(at, content, errDuplicateReply)
@@ -110,7 +111,7 @@
 	return !hasMore
 }
 
-// handleMalformedReply ends the connection's attempt for malformed or unexpected input.
+// handleMalformedReply ends the attempt that the connection carries because of malformed or unexpected input.
 func (r *backendReader) handleMalformedReply(at policy.Seconds, got []byte, err error) {
 	c, shared := r.conn, r.services
 	c.unusable.Store(true)
@@ -121,7 +122,7 @@
 	})
 }
 
-// replyReceived ends the attempt that the connection carries with its reply. Event loop only.
+// replyReceived ends the attempt that the connection carries with the received reply. Event loop only.
 func (c *backendConn) replyReceived(received reply.Reply, at policy.Seconds) {
 	if c.closed || c.attempt == nil {
 		return
@@ -135,8 +136,8 @@
 	c.finishAttempt(result, at)
 }
 
-// finishAttempt ends the attempt that the connection carries, and puts the connection into the pool if it may be used
-// again. Event loop only.
+// finishAttempt ends the attempt that the connection carries, and returns the connection to the pool if it may carry
+// another one. Event loop only.
 func (c *backendConn) finishAttempt(result attemptResult, at policy.Seconds) {
 	a := c.attempt
 	if c.closed || a == nil {
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// writeTimeout is how long what the socket does not take at once may take to be written: the command holds the time
-	// that its client had left as its writing started, which may be 0.15 s too much.
+	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command states
+	// the time that its client had left when the write started, which may be at most 0.15 s too much.
 	writeTimeout policy.Seconds = 0.1
-	// A command of more than longCommandSize bytes holds less time than its client has left, as it may take longer to
-	// write: writeReserveShare of it less, but not more than maxWriteReserve.
+	// A command longer than longCommandSize bytes may take longer to write. It states less remaining time than its
+	// client has: the time is reduced by writeReserveShare, but by at most maxWriteReserve.
 	longCommandSize                  = 16 << 10
 	writeReserveShare                = 0.25
 	maxWriteReserve   policy.Seconds = 0.5
-	// maxKeptBufferSize is the largest buffer in bytes that is kept for the next command.
+	// maxKeptBufferSize is the maximum capacity in bytes of a command buffer that is kept for the next command.
 	maxKeptBufferSize = 4 * readbuf.InitialSize
 )
 
-// writeCommand sends the command of an attempt: at once what the socket takes, the rest on a writer goroutine. The last
-// byte goes out in the attempt's time or never: the loop's time is that of the event that it handles, and may be well
-// behind the clock; a dial, and an endpoint that reads slowly, take time as well. Event loop only.
+// writeCommand writes the command of an attempt: what the socket accepts at once, and the rest on a writer goroutine. No
+// byte is written after the deadlines of the attempt. They are compared with the clock, as event time may be well behind
+// it, and a dial or an endpoint that reads slowly takes time as well. Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
 	shared := c.services
 	startedAt := shared.clock.Now()
@@ -56,8 +56,8 @@
 	}
 }
 
-// appendCommand appends what the attempt sends if its writing starts at a time. It returns also how long the writing
-// may take beyond the usual, which its client has left and the command does not hold.
+// appendCommand appends the command of an attempt whose write starts at startedAt. The command states the time that the
+// client has left less the reserve, which is additional time for the write.
 func (a *attempt) appendCommand(b []byte, startedAt policy.Seconds) (command []byte, reserve policy.Seconds) {
 	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
@@ -69,29 +69,29 @@
 	return a.request.AppendTo(b, remaining-reserve), reserve
 }
 
-// startWriter starts the writer goroutine with what the socket has not taken of a command.
+// startWriter starts the writer goroutine with the part of a command that the socket has not accepted.
 func (c *backendConn) startWriter(a *attempt, rest []byte, startedAt policy.Seconds, deadline time.Time) {
 	shared := c.services
-	c.writeMu.Lock()                      // only the connection's reader locks it too, briefly, when it ends
-	_ = c.conn.SetWriteDeadline(deadline) // where it fails, so does the write
+	c.writeMu.Lock()                      // the reader also locks it, but only briefly when it ends
+	_ = c.conn.SetWriteDeadline(deadline) // if it fails, so does the write
 	go func() {
 		defer c.writeMu.Unlock()
 		_, err := c.conn.Write(rest)
 		c.set.afterWrite(c)
 		if err != nil {
 			c.writeErr = err
-			_ = c.conn.Close() // its reader reports the end
+			_ = c.conn.Close() // the reader detects and posts the end
 			return
 		}
-		_ = c.conn.SetWriteDeadline(time.Time{}) // first of all: once it is written, the connection may be used again
+		_ = c.conn.SetWriteDeadline(time.Time{}) // before commandWritten is set: after it the connection may be reused
 		c.commandWritten.Store(true)
 		c.set.trace.attemptSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	}()
 }
 
-// abortWrite reports whether the command on the connection was never completely written, and closes the connection then.
-// While a writer runs, that is not known: the connection is closed first, which ends the writer, and then commandWritten
-// is read. Event loop only.
+// abortWrite closes the connection unless its command is completely written, and reports whether the command stayed
+// incomplete. A running writer may complete the command until the close ends it, so commandWritten is read again after
+// the writer has ended. Event loop only.
 func (c *backendConn) abortWrite() (aborted bool) {
 	if c.commandWritten.Load() {
 		return false
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// minBackendConns is the least limit on backend connections.
+	// minBackendConns is the minimum of the limit on backend connections.
 	minBackendConns = 8
-	// backendConnShare is what backend connections may take of the usable descriptors.
+	// backendConnShare is the fraction of the usable descriptors that backend connections may take.
 	backendConnShare = 3.0 / 8
-	// idleTimeoutShare is when a connection is retired, as a share of the time after which endpoints close it: a
-	// request that is written after that ends as a reset.
+	// idleTimeoutShare is the fraction of the endpoints' idle timeout after which this gateway closes an idle
+	// connection. A command that is written after the endpoint has closed the connection ends as a reset.
 	idleTimeoutShare = 0.5
-	// maxLocalFaultRetryTimeout is how long a dial that fails for something on this side is made again.
+	// maxLocalFaultRetryTimeout limits the time for which a dial is retried because of a local fault.
 	maxLocalFaultRetryTimeout = 250 * time.Millisecond
 )
 
@@ -25,33 +25,34 @@
 type endpoint struct {
 	discovery.Endpoint
 	state        policy.EndpointState
-	idle         []*backendConn // the one used last is the last
-	waiting      []*attempt     // for a dial, oldest first
-	pendingDials int            // under way
+	idle         []*backendConn // ordered by idleSince, the most recently used last
+	waiting      []*attempt     // attempts that wait for a dial, oldest first
+	pendingDials int            // dials in progress
 }
 
-// endpointSet holds the endpoints of the list, and bounds the connections to them. The event loop owns it, but for
-// trace, dial, localFaultRetryTimeout, duplicateWindow and afterWrite, which never change while it runs.
+// endpointSet holds the endpoints of the endpoint list, and limits the number of connections to them. The event loop
+// owns it. Other goroutines may read trace, dial, localFaultRetryTimeout, duplicateWindow and afterWrite, which do not
+// change while the loop runs.
 type endpointSet struct {
 	services     *services
 	attempts     *attemptRunner
 	descriptors  *descriptorGuard
 	trace        *tracer
 	byID         map[string]*endpoint
-	openConns    int // with those that are being dialed
-	maxConns     int // of them
+	openConns    int // open connections and pending dials
+	maxConns     int // limit on openConns
 	idleTimeout  policy.Seconds
 	writeTimeout policy.Seconds
-	// commandBuffer is kept for the next command that is written.
+	// commandBuffer is reused for each command.
 	commandBuffer []byte
 
 	dial                   func(addr string) (netcalls.Conn, error)
 	localFaultRetryTimeout time.Duration
 	duplicateWindow        policy.Seconds
-	afterWrite             func(*backendConn) // for tests: runs when a writer has written its last byte, before that is noted
+	afterWrite             func(*backendConn) // test hook: runs after a writer's last byte, before commandWritten is set
 }
 
-// init sets the limits by the configuration.
+// init initializes the set with the limits of the configuration.
 func (s *endpointSet) init(
 	shared *services, attempts *attemptRunner, descriptors *descriptorGuard, trace *tracer, cfg config.Config,
 ) {
@@ -68,7 +69,7 @@
 	s.afterWrite = func(*backendConn) {}
 }
 
-// hasInService reports whether a request could be sent to any endpoint.
+// hasInService reports whether any endpoint is in service.
 func (s *endpointSet) hasInService() bool {
 	for _, e := range s.byID {
 		if e.state == policy.InService {
@@ -78,8 +79,8 @@
 	return false
 }
 
-// apply applies a list, or a change of it. An attempt that waits for a dial to an endpoint that is not in service any
-// more ends at once as not sent.
+// apply applies a complete endpoint list, or a change of it. Attempts that wait for a dial to an endpoint that is no
+// longer in service end at once as not sent.
 func (s *endpointSet) apply(list discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Endpoints {
@@ -102,12 +103,13 @@
 			s.retire(e)
 		}
 		if e.state == policy.Removed {
-			delete(s.byID, id) // its attempts keep it until they end
+			delete(s.byID, id) // attempts in flight keep a pointer to the endpoint
 		}
 	}
 }
 
-// retire closes an endpoint's idle connections and, unless it is in service, ends what waits for a dial.
+// retire closes the idle connections to an endpoint. Unless the endpoint is in service, it also ends the attempts that
+// wait for a dial.
 func (s *endpointSet) retire(e *endpoint) {
 	for len(e.idle) > 0 {
 		e.idle[len(e.idle)-1].close(endpointRetired, nil)
@@ -120,7 +122,7 @@
 	}
 }
 
-// sweep closes the connections that were idle for too long.
+// sweep closes the connections that have been idle for longer than idleTimeout.
 func (s *endpointSet) sweep() {
 	for _, e := range s.byID {
 		for len(e.idle) > 0 && s.services.loop.Now()-e.idle[0].idleSince > s.idleTimeout {
@@ -129,7 +131,7 @@
 	}
 }
 
-// evictIdle closes the idle connection that was used longest ago, and reports whether there was one.
+// evictIdle closes the connection that has been idle for longest, and reports whether there was one.
 func (s *endpointSet) evictIdle() bool {
 	var oldest *backendConn
 	for _, e := range s.byID {
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// followDiscovery runs the discovery client for as long as ctx lasts. The client starts with the list of the
-// configuration; of each configuration that comes on reloads, its address is switched to.
+// followDiscovery runs the discovery client until ctx ends. The client starts with the endpoint list of the
+// configuration, and switches to the discovery address of each reloaded configuration.
 func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan config.Config) {
 	options := p.discovery
 	options.DialContext = p.calls.DialContext
@@ -21,7 +21,7 @@
 	discovery.New(p.cfg.DiscoveryAddress, p.cfg.InitialEndpoints.Version, options).Run(ctx, addresses)
 }
 
-// forwardAddresses hands the discovery client the address of each new configuration. It ends with ctx.
+// forwardAddresses sends the address of each reloaded configuration to the discovery client, until ctx ends.
 func (p *Proxy) forwardAddresses(ctx context.Context, reloads <-chan config.Config, addresses chan<- string) {
 	for {
 		select {
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyList applies a list, or a change of it, to the connection pools and hands it to the decision module.
+// applyList applies a complete endpoint list, or a change of it, to the connection pools and the decision module.
 func (p *Proxy) applyList(list discovery.List) {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
--- a/internal/proxy/peer_messages.go
+++ b/internal/proxy/peer_messages.go
@@ -9,7 +9,7 @@
 	"reedlead/internal/peerlink"
 )
 
-// openPeerLink makes the socket for the other gateways.
+// openPeerLink opens the UDP socket to the other gateways, with retries during the start.
 func (p *Proxy) openPeerLink(ctx context.Context) (*peerlink.Link, error) {
 	address := net.UDPAddrFromAddrPort(p.cfg.PeerListenAddress)
 	conn, err := netcalls.RetryAtStart(ctx, p.calls.Sleep, func() (*net.UDPConn, error) {
@@ -21,14 +21,14 @@
 	return peerlink.New(conn, p.calls, p.cfg.PeerAddresses, p.cfg.BroadcastAddress), nil
 }
 
-// receivePeerMessages hands what the other gateways send to the loop. It ends when the link is closed.
+// receivePeerMessages posts the datagrams of the other gateways to the event loop, until the link is closed.
 func (p *Proxy) receivePeerMessages() {
 	p.peers.Receive(func(e peerlink.Event) {
 		p.loop.Post(p.clock.Now(), func() { p.handlePeerEvent(e) })
 	})
 }
 
-// handlePeerEvent handles what has come on the link to the other gateways.
+// handlePeerEvent handles a datagram that has arrived on the link to the other gateways. Event loop only.
 func (p *Proxy) handlePeerEvent(e peerlink.Event) {
 	switch e := e.(type) {
 	case peerlink.Message:
@@ -38,7 +38,7 @@
 	}
 }
 
-// SendToPeer implements policy.Actions.
+// SendToPeer implements policy.Actions. It does nothing if this gateway has no link to the others.
 func (p *Proxy) SendToPeer(gateway int, data []byte) {
 	if p.peers == nil {
 		return
