--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 		{"127.0.1.2:7946", "x", "peers", "peers: number 1"},
 		{"127.0.1.255:7946", "x", "peers_all", "peers_all: "},
 		{`"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`, "peer_listen", "peer_listen: "},
-		{"in_service", "resting", "known", "known: entry"},
+		{"in_service", "resting", "known", "known: endpoint list entry"},
 		{"0.25", "0", "settings", "dialTimeoutS"},
 		{`"settings"`, `"set"`, "settings", "settings: missing"},
 	} {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,7 @@
 // Package discovery follows the endpoint list of a discovery agent over HTTP.
 //
-// A Client keeps one watch open, on which the agent sends a JSON value for each change, and polls the
-// complete list where changes may have been missed. Its Events notify the caller of what it has found.
+// A Client keeps one watch open, on which the agent sends a JSON value for each change. It polls the complete list when
+// it may have missed changes, and reports what it receives to the caller as Events.
 package discovery
 
 import (
@@ -15,71 +15,72 @@
 )
 
 const (
-	// DefaultReadTimeout is how long a response may be silent. A watch sends a heartbeat, an empty line, every
-	// 2 s. Soon after one that is missing the connection is taken for broken; the agent responds at once, so a
-	// needless poll costs little.
+	// DefaultReadTimeout is the time without input after which a response is ended. A watch sends a heartbeat, an
+	// empty line, every 2 s, and its connection is taken for broken soon after one is missing. The agent responds at
+	// once, so a needless poll costs little.
 	DefaultReadTimeout = 2500 * time.Millisecond
 
-	// pollRetryShare is the timeout of a poll as a share of the grace period for attempts on draining endpoints. A
-	// change counts as announced once the agent has it, whether or not a watch is open, and the attempts must end
-	// within the grace period from then. So an agent that was down has to be found again within a share of it.
+	// pollRetryShare is the time after which a poll without a response is retried, as a fraction of the grace period for
+	// attempts on draining endpoints. That period starts when the agent has the change, whether or not a watch is open,
+	// so a recovered agent must be found within a fraction of it.
 	pollRetryShare       = 0.3
-	defaultDrainGrace    = 250 * time.Millisecond // where the settings name none
+	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
-	maxConcurrentRetries = 3 // polls that may be open at a time beside the first
+	maxConcurrentRetries = 3 // open polls besides the first
 	maxBackoff           = 50 * time.Millisecond
 	minUnusableBackoff   = 50 * time.Millisecond
-	maxUnusableBackoff   = time.Second // a complete list costs the agent; an unusable one is not polled for more often
+	maxUnusableBackoff   = time.Second // the agent spends work on each complete list
 	maxValueSize         = 4 << 20     // bytes of one JSON value
 	listPath             = "/api/targets"
 	completeListQuery    = ""
-	watchQuery           = "?watch=1&after=%d" // of the version after which changes are wanted
+	watchQuery           = "?watch=1&after=%d" // the argument is the last version that was received
 )
 
 var (
 	// ErrValueTooLong reports a value of more than 4 MiB.
 	ErrValueTooLong = errors.New("list value over 4 MiB")
-	// ErrUnusableList reports that a value came, in whole or in part, that can't be used.
+	// ErrUnusableList reports that a list, or the beginning of one, was received and can't be used.
 	ErrUnusableList = errors.New("unusable list")
 )
 
-// StatusError reports a response with another HTTP status than 200.
+// StatusError reports a response whose HTTP status is not 200.
 type StatusError struct {
-	Status string // with its code
+	Status string // code and text, such as "503 Service Unavailable"
 }
 
-func (e *StatusError) Error() string { return "discovery responded with " + e.Status }
+func (e *StatusError) Error() string { return "discovery agent responded with HTTP status " + e.Status }
 
-// VersionError reports a change whose version is older than one before it.
+// VersionError reports a change whose version is older than that of the last update.
 type VersionError struct {
 	Got, Last int64
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("list version %d is older than the last, %d", e.Got, e.Last)
+	return fmt.Sprintf("list version %d is older than the last update, version %d", e.Got, e.Last)
 }
 
-// Event is something that a Client has found: an Update, a SkippedEndpoint or a WatchEnded.
+// Event is an event of a Client: an Update, a SkippedEndpoint or a WatchEnded.
 type Event interface{ isEvent() }
 
-// Update is a new list or a change of it, which has been validated.
+// Update is a complete list or a change of it, with valid entries only.
 type Update struct{ List List }
 
-// SkippedEndpoint reports an entry of the complete list that can't be used and was left out.
+// SkippedEndpoint reports an invalid entry that was left out of a complete list.
 type SkippedEndpoint struct{ Err error }
 
-// WatchEnded reports that a watch, or the poll before it, has ended or failed. The client will open another.
+// WatchEnded reports that a watch has ended, or that it or the poll before it has failed. The client opens another one
+// after a backoff.
 type WatchEnded struct {
 	Err     error
 	Address string
-	Version int64 // of the last update
+	Version int64 // version of the last update
 }
 
 func (Update) isEvent()          {}
 func (SkippedEndpoint) isEvent() {}
 func (WatchEnded) isEvent()      {}
 
-// Timer is a *time.Timer that runs a function, but for tests.
+// Timer is a timer that runs a function. It is a *time.Timer except in tests.
 type Timer interface {
 	Reset(time.Duration) bool
 	Stop() bool
@@ -87,20 +88,21 @@
 
 // Options configure a Client. All fields must be set.
 type Options struct {
-	// PollRetryInterval is how long a poll may stay without a response until the agent is polled again beside it.
+	// PollRetryInterval is the time without a response after which the agent is polled again. The earlier poll stays
+	// open.
 	PollRetryInterval time.Duration
-	// ReadTimeout is how long a response may be silent, or one value of it take.
+	// ReadTimeout limits the time without input during a response, and the time in which one value must arrive.
 	ReadTimeout time.Duration
 	// DialContext connects to the agent.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
-	// After and AfterFunc are those of package time, but for tests.
+	// After and AfterFunc are the functions of package time, except in tests.
 	After     func(time.Duration) <-chan time.Time
 	AfterFunc func(time.Duration, func()) Timer
-	// Notify is called with the events in their order, on goroutines of the client, one call at a time.
+	// Notify is called with the events in order, one call at a time, on goroutines of the client.
 	Notify func(Event)
 }
 
-// DefaultOptions are those for real time. DialContext and Notify are left to the caller.
+// DefaultOptions returns options that use the timers of package time. The caller must set DialContext and Notify.
 func DefaultOptions(drainGrace time.Duration) Options {
 	return Options{
 		PollRetryInterval: PollRetryIntervalFor(drainGrace),
@@ -110,27 +112,26 @@
 	}
 }
 
-// PollRetryIntervalFor is how long an agent that does not respond is left alone, by the grace period for attempts on
-// draining endpoints; 0 stands for the default one. A long grace period puts nothing off for longer than
-// 0.5 s: a change must be acted on within 6 s from when the agent has it and can be reached, whatever was
-// before. docs/endings.md adds the waits up.
+// PollRetryIntervalFor returns the PollRetryInterval for a grace period for attempts on draining endpoints; 0 stands for
+// the default grace period. The interval is at most 0.5 s: after any failure, a change must be acted on within 6 s of
+// the time at which the agent has it and can be reached. docs/endings.md adds up the waits.
 func PollRetryIntervalFor(drainGrace time.Duration) time.Duration {
 	grace := cmp.Or(drainGrace, defaultDrainGrace)
 	return min(time.Duration(grace.Seconds()*pollRetryShare*float64(time.Second)), maxPollRetryInterval)
 }
 
-// Client follows the list of one discovery agent at a time. The goroutine of Run owns it, and lends it to
-// that of the watch, for whose end it waits before it goes on.
+// Client follows the endpoint list of one discovery agent at a time. The goroutine that calls Run owns it, except while
+// a watch runs on another goroutine: Run waits for the end of the watch before it uses the client again.
 type Client struct {
 	options         Options
 	http            *http.Client
 	address         string
-	version         int64         // of the last update
-	resync          bool          // changes may be missing: the complete list has to be polled
-	unusableBackoff time.Duration // the backoff after the next watch that brings nothing but unusable values
+	version         int64         // version of the last update
+	resync          bool          // changes may have been missed: the complete list has to be polled
+	unusableBackoff time.Duration // backoff after the next watch that brings no update and an unusable value
 }
 
-// New returns a client that starts with a watch for what comes after a version of the list.
+// New returns a client that starts with a watch for the changes after a version of the list.
 func New(address string, version int64, options Options) *Client {
 	return &Client{
 		options: options, address: address, version: version, unusableBackoff: minUnusableBackoff,
@@ -141,8 +142,8 @@
 	}
 }
 
-// Run follows the list until ctx ends. An address that comes on addresses, which may be nil, is switched
-// to at once. The agent there may count its versions in its own way, so the complete list is polled.
+// Run follows the list until ctx ends. When it receives an address from addresses, which may be nil, it switches to that
+// agent at once. It polls the complete list there, as each agent may number its versions differently.
 func (c *Client) Run(ctx context.Context, addresses <-chan string) {
 	for ctx.Err() == nil {
 		before := c.version
@@ -161,7 +162,7 @@
 	}
 }
 
-// watchUntilSwitched runs a watch to its end, or until another address comes.
+// watchUntilSwitched runs a watch until it ends or another address is received.
 func (c *Client) watchUntilSwitched(ctx context.Context, addresses <-chan string) (switched bool, err error) {
 	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,8 +183,8 @@
 	}
 }
 
-// nextBackoff returns the backoff after a watch that ended with an error. An agent that refuses or is silent
-// is polled again soon, but complete lists cost, so unusable ones lengthen the backoff.
+// nextBackoff returns the backoff after a watch that ended with an error. An agent that refuses connections or is silent
+// is polled again soon. Unusable lists in a row double the backoff, as the agent spends work on each complete list.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusableList) {
@@ -195,7 +196,7 @@
 	return backoff
 }
 
-// waitUntilSwitched waits for a duration, or until another address comes or ctx ends.
+// waitUntilSwitched waits until a duration has passed, another address is received or ctx ends.
 func (c *Client) waitUntilSwitched(ctx context.Context, addresses <-chan string, d time.Duration) (switched bool) {
 	select {
 	case <-ctx.Done():
@@ -208,12 +209,13 @@
 	}
 }
 
-// switchAddress goes on at another agent. What is known stays until its complete list has come.
+// switchAddress switches to another agent. The endpoints of the last update stay in use until the complete list of that
+// agent was received.
 func (c *Client) switchAddress(address string) {
 	c.address, c.resync = address, true
 }
 
-// update notifies of a list that was validated.
+// update records the version of a validated list, and notifies the caller of it.
 func (c *Client) update(list List) {
 	c.version = list.Version
 	c.options.Notify(Update{list})
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -1,4 +1,4 @@
-// Package discoverytest provides discovery agents for tests.
+// Package discoverytest provides fake discovery agents for tests.
 package discoverytest
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// ListJSON returns a list in the form of the discovery API. Each entry is an id and a state.
+// ListJSON returns an endpoint list in the JSON form of the discovery API. The entries are pairs of an id and a state.
 func ListJSON(version int, full bool, entries ...string) string {
 	var endpoints []string
 	for i := 0; i < len(entries); i += 2 {
@@ -20,15 +20,15 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(endpoints, ","))
 }
 
-// ScriptedAgent responds to each poll with the lines that a function returns for it.
+// ScriptedAgent is an agent that responds to each poll with the lines that a function returns.
 type ScriptedAgent struct {
 	server *httptest.Server
-	// Polls are the URIs that were polled, in their order.
+	// Polls receives the URI of each poll, in order.
 	Polls chan string
 }
 
-// NewScriptedAgent starts an agent that responds to a query with the lines of response. A response whose lines
-// end with "" stays open. The agent ends with the test.
+// NewScriptedAgent starts an agent that responds to a query with the lines that response returns. If the last line is
+// empty, the response stays open. The agent is stopped at the end of the test.
 func NewScriptedAgent(t *testing.T, response func(query string) []string) *ScriptedAgent {
 	t.Helper()
 	agent := &ScriptedAgent{Polls: make(chan string, 64)}
@@ -48,19 +48,19 @@
 	return agent
 }
 
-// Address is where the agent listens.
+// Address returns the host and port at which the agent listens.
 func (a *ScriptedAgent) Address() string { return strings.TrimPrefix(a.server.URL, "http://") }
 
-// Poll is a poll to which the test responds by hand.
+// Poll is a poll whose response the test writes part by part.
 type Poll struct {
 	URI string
-	// Cancelled is closed when the client has given up the poll.
+	// Cancelled is closed when the client cancels the poll.
 	Cancelled <-chan struct{}
 	parts     chan string
 	ended     chan struct{}
 }
 
-// Write writes a part of the response, unless the client has given up the poll.
+// Write writes a part of the response, unless the client has cancelled the poll.
 func (p Poll) Write(text string) {
 	select {
 	case p.parts <- text:
@@ -71,7 +71,8 @@
 // End ends the response.
 func (p Poll) End() { close(p.ended) }
 
-// NewManualAgent starts an agent that hands each poll to the test. It ends with the test.
+// NewManualAgent starts an agent that sends each poll to the test, which writes the response. The agent is stopped at
+// the end of the test.
 func NewManualAgent(t *testing.T) (address string, polls chan Poll) {
 	t.Helper()
 	polls = make(chan Poll, 256)
@@ -96,7 +97,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), polls
 }
 
-// write writes a part of a response at once. Clients that have disconnected are what some tests are about.
+// write writes and flushes a part of a response. It ignores errors, as some tests let the client disconnect.
 func write(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,12 +8,11 @@
 	"reedlead/policy"
 )
 
-// List is a list of endpoints in the JSON form of the discovery API. It is also the form of the
-// list in the configuration file.
+// List is an endpoint list in the JSON form of the discovery API, which the configuration file also uses.
 type List struct {
-	// Version counts the changes of the list at one discovery agent.
+	// Version is the number of the list's version. Versions of different discovery agents are not comparable.
 	Version int64 `json:"version"`
-	// Full is set where the list replaces all earlier ones; else it holds what has changed.
+	// Full is set if the list is complete and replaces all earlier ones. Otherwise it holds only what has changed.
 	Full      bool       `json:"full"`
 	Endpoints []Endpoint `json:"servers"`
 }
@@ -26,7 +25,7 @@
 	Cell   int     `json:"cell"`
 	State  State   `json:"state"`
 	Weight float64 `json:"weight"`
-	// StartedMS is the start of the endpoint's process in Unix milliseconds; 0: not known.
+	// StartedMS is the start time of the endpoint's process in Unix milliseconds, or 0 if it is unknown.
 	StartedMS int64 `json:"started_ms"`
 }
 
@@ -40,7 +39,7 @@
 	StateTerminated  State = "terminated"
 )
 
-// PolicyState translates the state into the one of the decision module; false if it is not known.
+// PolicyState returns the state as the decision module represents it, and whether the API has such a state.
 func (s State) PolicyState() (state policy.EndpointState, known bool) {
 	switch s {
 	case StateInService:
@@ -53,32 +52,34 @@
 	return 0, false
 }
 
-// EndpointState returns the state of an entry that was validated.
+// EndpointState returns the state of a valid entry as the decision module represents it.
 func (e Endpoint) EndpointState() policy.EndpointState {
-	state, _ := e.State.PolicyState() // Validate has checked that it is known
+	state, _ := e.State.PolicyState() // a valid entry has a known state
 	return state
 }
 
-// Causes of an EndpointError, beside that of an address that can't be parsed.
+// Causes of an EndpointError. The error of an address that can't be parsed is another one.
 var (
-	// ErrMissingID reports an entry without an id.
+	// ErrMissingID reports that an entry has no id.
 	ErrMissingID = errors.New("missing id")
-	// ErrUnknownState reports a state that is not in the API.
+	// ErrUnknownState reports that an entry has a state that the API does not define.
 	ErrUnknownState = errors.New("unknown state")
 )
 
-// EndpointError reports an entry of a list that can't be used.
+// EndpointError reports an invalid entry of an endpoint list.
 type EndpointError struct {
 	ID  string
 	Err error
 }
 
-func (e *EndpointError) Error() string { return fmt.Sprintf("entry %q: %v", e.ID, e.Err) }
+func (e *EndpointError) Error() string {
+	return fmt.Sprintf("endpoint list entry with id %q: %v", e.ID, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *EndpointError) Unwrap() error { return e.Err }
 
-// Validate returns an *EndpointError for the first entry that can't be used.
+// Validate returns an *EndpointError for the first invalid entry, or nil if all entries are valid.
 func (l List) Validate() error {
 	for _, endpoint := range l.Endpoints {
 		if err := endpoint.Validate(); err != nil {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// Validate returns an *EndpointError if the entry can't be used. A removed endpoint needs no address.
+// Validate returns an *EndpointError if the entry is invalid. A removed endpoint needs no address.
 func (e Endpoint) Validate() error {
 	if e.ID == "" {
 		return &EndpointError{e.ID, ErrMissingID}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -6,10 +6,12 @@
 	"net/http"
 )
 
-// poll polls the agent until it responds, and returns the body of the response. An agent that is down is silent,
-// and may never respond to what it was sent meanwhile: it is polled again and again, and the first response is
-// read. The first poll stays open beside the later ones, for an agent that is only slow.
-// The error is that of the last poll once all have failed, or that of ctx, whose end also ends the response.
+// poll polls the agent until it responds, and returns the body of the response. An agent that is down may never respond
+// to the polls that were sent meanwhile. So poll starts another one after each PollRetryInterval, and uses the first
+// response to any of them. The first poll stays open in case the agent is only slow.
+//
+// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and also
+// the response that was returned.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
@@ -41,18 +43,18 @@
 	}
 }
 
-// noPoll is the number of no poll: cancelAllBut(noPoll) cancels all of them.
+// noPoll is the argument with which cancelAllBut cancels all polls.
 const noPoll = -1
 
-// pollGroup is a series of equal polls of which the first response counts. It belongs to the goroutine of
-// Client.poll; each poll runs on a goroutine of its own, which ends with the response or when it is cancelled.
+// pollGroup is a group of polls with the same URL, of which the first to get a response is used. The goroutine of
+// Client.poll owns it. Each poll runs on its own goroutine, which ends with the response or when the poll is cancelled.
 type pollGroup struct {
 	http    *http.Client
 	url     string
 	results chan pollResult
-	done    chan struct{}        // closed when no result is received any more
-	cancels []context.CancelFunc // by the number of the poll
-	pending int                  // polls that have not failed
+	done    chan struct{}        // closed when Client.poll receives no further result
+	cancels []context.CancelFunc // indexed by the number of the poll
+	pending int                  // number of polls that have not failed
 }
 
 // pollResult is the outcome of one poll: the body of the response or an error.
@@ -62,7 +64,8 @@
 	number int
 }
 
-// newPollGroup takes the address from the client: a poll that outlives its group must not look at it.
+// newPollGroup returns a group without polls. It copies the address of the client, as a poll may outlive Client.poll and
+// must not read the client then.
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
 		http: c.http, url: "http://" + c.address + listPath + query,
@@ -70,7 +73,7 @@
 	}
 }
 
-// start begins another poll, and cancels the oldest one after the first if too many are open.
+// start starts another poll. If too many are open, it cancels the oldest except the first.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
 	if oldest := number - maxConcurrentRetries; oldest > 0 {
@@ -86,13 +89,13 @@
 		case <-g.done:
 			cancel()
 			if body != nil {
-				_ = body.Close() // nobody has read it
+				_ = body.Close() // the response is not used
 			}
 		}
 	}()
 }
 
-// recordFailure notes that a poll has failed.
+// recordFailure records that a poll has failed, and releases its context.
 func (g *pollGroup) recordFailure(result pollResult) {
 	g.pending--
 	g.cancels[result.number]()
@@ -104,7 +107,7 @@
 	return responseBody{result.body, g.cancels[result.number]}
 }
 
-// cancelAllBut cancels all polls but the one of a number.
+// cancelAllBut cancels all polls except the one with the given number.
 func (g *pollGroup) cancelAllBut(accepted int) {
 	for number, cancel := range g.cancels {
 		if number != accepted {
@@ -113,7 +116,7 @@
 	}
 }
 
-// get polls once; the body is the caller's to close.
+// get sends one GET request and returns the body of the response, which the caller must close.
 func get(ctx context.Context, client *http.Client, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -124,7 +127,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // nothing of it is read
+		_ = response.Body.Close() // the body is not used
 		return nil, &StatusError{response.Status}
 	}
 	return response.Body, nil
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// clockStepThreshold is the difference between two samples of the offset between the clocks above which the wall clock
-	// was stepped between them; less is drift, or the time between the readings of the two clocks.
+	// clockStepThreshold is the change of the offset between two samples above which the wall clock is taken to have been
+	// stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
 	clockStepThreshold policy.Seconds = 0.25
-	// maxEpochs is how many epochs are remembered: a start is announced at most some seconds after it happened, and few
-	// steps of the clock come within that.
+	// maxEpochs is the number of epochs that are kept. A start is announced at most some seconds after it happened, and
+	// the wall clock is stepped only a few times within such a period.
 	maxEpochs = 16
-	// startTolerance is by how much a start may lie outside of an epoch, or in the future: machines read the clock at
-	// different moments.
+	// startTolerance is the time by which a start may lie outside of an epoch, or in the future, because endpoints and
+	// this process read their clocks at different moments.
 	startTolerance policy.Seconds = 0.5
 )
 
-// StartTimes translates the starts of endpoints into event time.
+// StartTimes translates the start times of endpoints into event time.
 //
-// The decision module counts in this process's own time, which only advances. Discovery gives the start of an
-// endpoint in Unix time, and the wall clock may be stepped meanwhile, by seconds or by hours. So the
-// offset between the two is followed, and each start is translated once, when it is first listed.
+// The decision module uses event time, which never goes backwards. Discovery gives the start of an endpoint in Unix
+// time, and the wall clock may be stepped by seconds or hours. So StartTimes tracks the offset between the two clocks,
+// and translates each start only once, when it is first listed.
 //
 // The zero value is ready for use. It is not safe for concurrent use: the event loop owns it.
 type StartTimes struct {
@@ -31,20 +31,20 @@
 	translated map[string]startTime // by the endpoint's id
 }
 
-// clockEpoch is a span between two steps of the wall clock.
+// clockEpoch is a period between two steps of the wall clock.
 type clockEpoch struct {
-	offset        policy.Seconds // wall clock less event time
-	latestStart   policy.Seconds // event time by which it had begun
-	earliestStart policy.Seconds // event time by which it had not
+	offset        policy.Seconds // wall clock minus event time
+	latestStart   policy.Seconds // event time of its first sample: it started at that time or earlier
+	earliestStart policy.Seconds // event time of the last sample before it; -Inf for the first epoch
 }
 
-// startTime is the start of an endpoint as discovery gives it, and its translation.
+// startTime is the start of an endpoint in Unix time and in event time.
 type startTime struct {
-	unixMS int64          // as discovery gives it
-	at     policy.Seconds // event time; 0: long ago
+	unixMS int64          // as the endpoint list states it
+	at     policy.Seconds // event time; 0 stands for long ago
 }
 
-// Sample records a reading of both clocks: the event time, and the wall clock in Unix seconds.
+// Sample records a reading of both clocks: event time, and the wall clock in Unix seconds.
 func (s *StartTimes) Sample(now, wall policy.Seconds) {
 	offset := wall - now
 	if n := len(s.epochs); n == 0 {
@@ -58,8 +58,8 @@
 	s.sampledAt = now
 }
 
-// EventTime returns the start of an endpoint in event time; 0 stands for long ago. The clocks have to be
-// sampled right before it.
+// EventTime returns the start of an endpoint in event time; 0 stands for long ago. Sample must be called right before
+// it.
 func (s *StartTimes) EventTime(id string, unixMS int64) policy.Seconds {
 	if unixMS <= 0 {
 		return 0
@@ -75,10 +75,10 @@
 	return at
 }
 
-// fromUnix translates a wall time of the past. Each epoch in which the wall clock may have shown it gives a
-// candidate; the latest one counts: an endpoint that is taken to have started too late gets less load than it
-// has capacity for, one taken to have started too early may be overloaded. A start in the future of all epochs
-// has just happened.
+// fromUnix translates a past time of the wall clock into event time. Each epoch in which the wall clock may have shown
+// that time gives a candidate, and fromUnix returns the latest: a start that is too late only costs some of the
+// endpoint's capacity, while one that is too early may overload it. If no epoch gives a candidate, the endpoint is taken
+// to have started now.
 func (s *StartTimes) fromUnix(unix policy.Seconds) policy.Seconds {
 	now := s.sampledAt
 	latest, found := 0.0, false
@@ -101,7 +101,7 @@
 	return latest
 }
 
-// RemoveUnlisted drops the endpoints that are not listed any more.
+// RemoveUnlisted removes the start times of endpoints that are no longer listed.
 func (s *StartTimes) RemoveUnlisted(listed func(id string) bool) {
 	for id := range s.translated {
 		if !listed(id) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// watch reads one watch to its end, after the complete list if changes may be missing.
+// watch runs one watch until it ends. If changes may have been missed, it polls the complete list first.
 func (c *Client) watch(ctx context.Context) error {
 	if c.resync {
 		if err := c.resynchronize(ctx); err != nil {
@@ -30,8 +30,8 @@
 	})
 }
 
-// nextChange reads the next value of a watch. One that can't be used may have held a change, which no later
-// one repeats, so the complete list has to be polled after it.
+// nextChange reads the next value of a watch. A value that can't be used may contain a change that the agent does not
+// send again, so the complete list has to be polled after it.
 func (c *Client) nextChange(values *valueReader) (List, error) {
 	var list List
 	err := values.decode(&list)
@@ -48,7 +48,7 @@
 	return list, err
 }
 
-// resynchronize polls the complete list. An entry that can't be used is left out: the rest must not wait for it.
+// resynchronize polls the complete list. It leaves out invalid entries, so that they do not hold up the others.
 func (c *Client) resynchronize(ctx context.Context) error {
 	var list List
 	err := c.readResponse(ctx, completeListQuery, func(values *valueReader) error { return values.decode(&list) })
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// isMalformed reports whether an error means that a value came and can't be read, not that the connection has ended.
+// isMalformed reports whether an error means that a value can't be decoded, as opposed to an error of the connection.
 func isMalformed(err error) bool {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
 	return errors.As(err, &syntax) || errors.As(err, &wrongType) || errors.Is(err, ErrValueTooLong)
 }
 
-// readResponse polls the agent and has read take the JSON values of the response. A response that falls silent
-// is ended. The error wraps ErrUnusableList if a value had begun to come.
+// readResponse polls the agent and calls read with the JSON values of the response. It ends the response after
+// ReadTimeout without input. The error wraps ErrUnusableList if part of a value was received.
 func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = body.Close() }() // it was only read
+	defer func() { _ = body.Close() }() // the body was only read
 	readTimer := c.options.AfterFunc(c.options.ReadTimeout, cancel)
 	defer readTimer.Stop()
 	values := newValueReader(body, readTimer, c.options.ReadTimeout)
@@ -94,19 +94,20 @@
 	return err
 }
 
-// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Blank lines, the
-// heartbeat of a watch, put off the end of a silent response. It bounds what a value may take, in bytes and in time:
-// one that trickles in would keep the next change from being polled for.
+// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Input restarts the
+// read timer only while no value is incomplete, as with the blank lines that are the heartbeat of a watch. This limits
+// the time in which a value must arrive: one that arrives slowly would otherwise delay the next poll without bound. The
+// size of a value is limited as well.
 type valueReader struct {
 	source         io.Reader
 	decoder        *json.Decoder
-	readTimer      Timer // ends the response
+	readTimer      Timer // ends the response when it fires
 	timeout        time.Duration
-	remainingBytes int  // bytes that the value may still take
-	inValue        bool // a value has begun to come
+	remainingBytes int  // left for the current value
+	inValue        bool // part of the current value was received
 }
 
-// newValueReader returns a reader of the values of a response, which readTimer ends when its timeout has passed.
+// newValueReader returns a reader of the values in source. The timeout is that of readTimer, which ends the response.
 func newValueReader(source io.Reader, readTimer Timer, timeout time.Duration) *valueReader {
 	r := &valueReader{source: source, readTimer: readTimer, timeout: timeout, remainingBytes: maxValueSize}
 	r.decoder = json.NewDecoder(r)
@@ -129,10 +130,10 @@
 // decode reads the next value.
 func (r *valueReader) decode(value any) error { return r.decoder.Decode(value) }
 
-// endValue has the next value begin. The start of it may have been read with the one before.
+// endValue restarts the limits for the next value, the start of which may already have been read with the last one.
 func (r *valueReader) endValue() {
 	r.readTimer.Reset(r.timeout)
 	r.remainingBytes = maxValueSize
-	buffered, _ := io.ReadAll(r.decoder.Buffered()) // from memory: it can't fail
+	buffered, _ := io.ReadAll(r.decoder.Buffered()) // reads from memory, which can't fail
 	r.inValue = len(bytes.TrimSpace(buffered)) > 0
 }
