--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -21,7 +21,7 @@
 
 var (
 	faultsFor  = flag.Duration("faults.for", 3*time.Second, "how long each schedule of faults is played")
-	faultsFrom = flag.Uint64("faults.seed", 1, "the first seed of the schedules of faults")
+	faultsSeed = flag.Uint64("faults.seed", 1, "the first seed of the schedules of faults")
 	faultsRuns = flag.Int("faults.runs", 3, "how many schedules of faults are played")
 )
 
@@ -31,16 +31,16 @@
 		{"name":"bill","aimS":0.5,"deadlineS":1,"effect":"fragile","worth":1}]`
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
-	keyWindow       = 800 * time.Millisecond
-	disconnectSlack = 100 * time.Millisecond // after its client has closed, in which an attempt may still begin
-	suspendEvery    = 600 * time.Millisecond
-	suspendFor      = 140 * time.Millisecond // under the 0.15 s that a standstill between the clock and the write may last
-	faultEndpoints  = 3
-	faultClients    = 24
+	idempotencyWindow = 800 * time.Millisecond
+	disconnectSlack   = 100 * time.Millisecond // after its client has closed, in which an attempt may still begin
+	suspendEvery      = 600 * time.Millisecond
+	suspendFor        = 140 * time.Millisecond // under the 0.15 s that a standstill between the clock and the write may last
+	faultEndpoints    = 3
+	faultClients      = 24
 )
 
-// executedAttempt is a command that an endpoint received whole.
-type executedAttempt struct {
+// endpointAttempt is a command that an endpoint received whole.
+type endpointAttempt struct {
 	timeout  time.Duration // that the command gives
 	written  time.Time     // when the gateway had written its last byte
 	executed bool          // else it was rejected
@@ -58,23 +58,23 @@
 // faultRun is what one run of a schedule records: the attempts by request, and the violations of the rules.
 type faultRun struct {
 	mu         sync.Mutex
-	attempts   map[string][]executedAttempt
+	attempts   map[string][]endpointAttempt
 	violations []string
 	replies    map[string]int // by the reply's first word
-	lag        atomic.Int64   // nanoseconds by which this process was behind its own timers, at most
+	timerLag   atomic.Int64   // nanoseconds by which this process was behind its own timers, at most
 }
 
-func (w *faultRun) violate(format string, args ...any) {
+func (w *faultRun) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // slack is what a busy machine may add to a time that this process measures.
-func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.lag.Load()) }
+func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.timerLag.Load()) }
 
-// measureLag measures by how much this process is behind its own timers.
-func (w *faultRun) measureLag(stop <-chan struct{}) {
+// measureTimerLag measures by how much this process is behind its own timers.
+func (w *faultRun) measureTimerLag(stop <-chan struct{}) {
 	const every = 5 * time.Millisecond
 	for {
 		from := time.Now()
@@ -83,8 +83,8 @@
 			return
 		case <-time.After(every):
 		}
-		if behind := int64(time.Since(from) - every); behind > w.lag.Load() {
-			w.lag.Store(behind)
+		if late := int64(time.Since(from) - every); late > w.timerLag.Load() {
+			w.timerLag.Store(late)
 		}
 	}
 }
@@ -107,30 +107,30 @@
 			return
 		}
 		read += n
-		connection := e.proxy.Connection(e.near(conn))
+		connection := e.proxy.Connection(e.clientAddr(conn))
 		m := deadlineField.FindStringSubmatch(args[3])
 		ms, _ := strconv.Atoi(m[1])
-		run := executedAttempt{timeout: time.Duration(ms) * time.Millisecond, written: time.Now()}
+		run := endpointAttempt{timeout: time.Duration(ms) * time.Millisecond, written: time.Now()}
 		if connection != nil {
 			if at, ok := connection.ToServer.Read.TimeOfByte(read); ok {
 				run.written = at
 			}
 		}
-		id, fate := args[2], e.rng()
-		run.executed = fate < 0.9
+		id, draw := args[2], e.rng()
+		run.executed = draw < 0.9
 		e.run.mu.Lock()
 		e.run.attempts[id] = append(e.run.attempts[id], run)
 		e.run.mu.Unlock()
 		switch {
-		case fate < 0.75:
+		case draw < 0.75:
 			time.Sleep(time.Duration(e.rng() * float64(40*time.Millisecond)))
 			value := strings.Repeat("v", int(e.rng()*e.rng()*30_000)) + id
 			writeText(conn, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value))
-		case fate < 0.82:
+		case draw < 0.82:
 			writeText(conn, "-ERR failed\r\n")
-		case fate < 0.86:
+		case draw < 0.86:
 			time.Sleep(1200 * time.Millisecond)
-		case fate < 0.9:
+		case draw < 0.9:
 			return
 		default:
 			writeText(conn, "-BUSY\r\n")
@@ -138,8 +138,10 @@
 	}
 }
 
-// near is the address by which the proxy knows the connection that reaches the endpoint as conn.
-func (e *faultEndpoint) near(conn net.Conn) net.Addr { return e.proxy.ClientAddr(conn.RemoteAddr()) }
+// clientAddr is the address by which the proxy knows the connection that reaches the endpoint as conn.
+func (e *faultEndpoint) clientAddr(conn net.Conn) net.Addr {
+	return e.proxy.ClientAddr(conn.RemoteAddr())
+}
 
 // readCommand reads a command, and returns how many bytes it took.
 func readCommand(r *bufio.Reader) (args []string, n int, err error) {
@@ -221,8 +223,8 @@
 			text.WriteString(command)
 		}
 		writeText(conn, text.String())
-		leaves := c.rng.Float64() < 0.15
-		if leaves {
+		disconnects := c.rng.Float64() < 0.15
+		if disconnects {
 			time.Sleep(time.Duration(c.rng.IntN(100)) * time.Millisecond)
 			if c.rng.IntN(2) == 0 {
 				_ = conn.(*net.TCPConn).SetLinger(0) // a reset
@@ -233,25 +235,25 @@
 		ended := false
 		for i := range batch {
 			q := &batch[i]
-			if ended || leaves {
+			if ended || disconnects {
 				break
 			}
 			var n int
-			if q.reply, n, err = readWhole(r); err != nil {
+			if q.reply, n, err = readFullReply(r); err != nil {
 				ended = true
 			}
 			read += n
 			q.replyEnd = read
 		}
-		c.judge(proxied, batch, leaves)
-		if ended || leaves {
+		c.checkBatch(proxied, batch, disconnects)
+		if ended || disconnects {
 			return
 		}
 	}
 }
 
-// readWhole reads a reply, and returns how many bytes it took.
-func readWhole(r *bufio.Reader) (text string, n int, err error) {
+// readFullReply reads a reply, and returns how many bytes it took.
+func readFullReply(r *bufio.Reader) (text string, n int, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil || line[0] != '$' {
 		return strings.TrimSpace(line), len(line), err
@@ -262,51 +264,51 @@
 	return "$" + string(b[:size]), len(line) + len(b), err
 }
 
-// judge checks a batch against the rules.
-func (c *faultClient) judge(connection *faultproxy.Connection, batch []faultRequest, left bool) {
+// checkBatch checks a batch against the rules.
+func (c *faultClient) checkBatch(connection *faultproxy.Connection, batch []faultRequest, disconnected bool) {
 	w := c.run
-	if left { // what is out may still be written
+	if disconnected { // what is out may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
-	before := time.Time{} // when the reply before had come
+	previousReply := time.Time{} // when the reply before had come
 	for _, q := range batch {
-		came, arrived := connection.ToServer.Written.TimeOfByte(q.end)
-		c.judgeAttempts(q, came, arrived, connection.ToServer.Written.Ended())
-		if left || connection.EndedByProxy() || !arrived {
+		arrivedAt, arrived := connection.ToServer.Written.TimeOfByte(q.end)
+		c.checkAttempts(q, arrivedAt, arrived, connection.ToServer.Written.Ended())
+		if disconnected || connection.EndedByProxy() || !arrived {
 			continue
 		}
-		word, _, _ := strings.Cut(q.reply, " ")
+		kind, _, _ := strings.Cut(q.reply, " ")
 		switch {
 		case q.reply == "":
-			w.violate("%s: its connection ended without a whole reply", q.id)
+			w.addViolation("%s: its connection ended without a whole reply", q.id)
 			continue
 		case q.reply[0] == '$':
-			word = "value"
+			kind = "value"
 			if !strings.HasSuffix(q.reply, q.id) {
-				w.violate("%s: got a value that ends with %q", q.id, q.reply[max(0, len(q.reply)-20):])
+				w.addViolation("%s: got a value that ends with %q", q.id, q.reply[max(0, len(q.reply)-20):])
 			}
 		}
 		w.mu.Lock()
-		w.replies[word]++
-		ran := slices.ContainsFunc(w.attempts[q.id], func(a executedAttempt) bool { return a.executed })
+		w.replies[kind]++
+		wasExecuted := slices.ContainsFunc(w.attempts[q.id], func(a endpointAttempt) bool { return a.executed })
 		w.mu.Unlock()
-		if word == "-BUSY" && ran && q.class == "bill" {
-			w.violate("%s: rejected, and it was executed", q.id)
+		if kind == "-BUSY" && wasExecuted && q.class == "bill" {
+			w.addViolation("%s: rejected, and it was executed", q.id)
 		}
 		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
-		from := came
-		if before.After(from) { // the time behind the replies before it does not count
-			from = before
+		from := arrivedAt
+		if previousReply.After(from) { // the time behind the replies before it does not count
+			from = previousReply
 		}
-		if late := replied.Sub(came) - q.deadline; late > replySlack+w.slack() && replied.Sub(from) > replySlack {
-			w.violate("%s: replied %v after its deadline", q.id, late)
+		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+w.slack() && replied.Sub(from) > replySlack {
+			w.addViolation("%s: replied %v after its deadline", q.id, late)
 		}
-		before = replied
+		previousReply = replied
 	}
 }
 
-// judgeAttempts checks the attempts of a request against the rules.
-func (c *faultClient) judgeAttempts(q faultRequest, came time.Time, arrived bool, ended time.Time) {
+// checkAttempts checks the attempts of a request against the rules.
+func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
 	w := c.run
 	w.mu.Lock()
 	attempts := slices.Clone(w.attempts[q.id])
@@ -314,21 +316,21 @@
 	var first time.Time
 	for _, a := range attempts {
 		if !arrived {
-			w.violate("%s: attempted, though it never came whole", q.id)
+			w.addViolation("%s: attempted, though it never came whole", q.id)
 			continue
 		}
-		if over := a.timeout - (q.deadline - a.written.Sub(came)); over > timeoutSlack+w.slack() {
-			w.violate("%s: an attempt has %v too much time", q.id, over)
+		if excess := a.timeout - (q.deadline - a.written.Sub(arrivedAt)); excess > timeoutSlack+w.slack() {
+			w.addViolation("%s: an attempt has %v too much time", q.id, excess)
 		}
-		if !ended.IsZero() && a.written.Sub(ended) > disconnectSlack+w.slack() {
-			w.violate("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(ended))
+		if !disconnectedAt.IsZero() && a.written.Sub(disconnectedAt) > disconnectSlack+w.slack() {
+			w.addViolation("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(disconnectedAt))
 		}
 		switch {
 		case first.IsZero():
 		case q.class == "bill":
-			w.violate("%s: must not execute twice, and was attempted again", q.id)
-		case q.class == "save" && a.written.Sub(first) > keyWindow+w.slack():
-			w.violate("%s: attempted again %v after its first attempt", q.id, a.written.Sub(first))
+			w.addViolation("%s: must not execute twice, and was attempted again", q.id)
+		case q.class == "save" && a.written.Sub(first) > idempotencyWindow+w.slack():
+			w.addViolation("%s: attempted again %v after its first attempt", q.id, a.written.Sub(first))
 		}
 		if a.executed && first.IsZero() {
 			first = a.written
@@ -336,22 +338,22 @@
 	}
 }
 
-// playFaults plays one schedule of faults against one process.
-func playFaults(t *testing.T, seed uint64, suspends bool) *faultRun {
-	w := &faultRun{attempts: map[string][]executedAttempt{}, replies: map[string]int{}}
+// runFaultSchedule plays one schedule of faults against one process.
+func runFaultSchedule(t *testing.T, seed uint64, suspends bool) *faultRun {
+	w := &faultRun{attempts: map[string][]endpointAttempt{}, replies: map[string]int{}}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	go w.measureLag(stop)
-	rough := faultproxy.Schedule{
+	go w.measureTimerLag(stop)
+	schedule := faultproxy.Schedule{
 		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
 		Stall: 0.02, StallDuration: 150 * time.Millisecond, EndWithinBytes: 20_000,
 	}
 	var endpoints []string
 	for i := range faultEndpoints {
-		endpoints = append(endpoints, startFaultEndpoint(t, w, rough, seed<<8+uint64(i)))
+		endpoints = append(endpoints, startFaultEndpoint(t, w, schedule, seed<<8+uint64(i)))
 	}
 	p := startProgram(t, programConfig{endpoints: endpoints, classes: faultClasses, limits: faultLimits})
-	proxy, err := faultproxy.New(p.listen, rough, seed)
+	proxy, err := faultproxy.New(p.listen, schedule, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,7 +374,7 @@
 	clients.Wait()
 	select {
 	case err := <-p.ended:
-		w.violate("the program ended: %v", err)
+		w.addViolation("the program ended: %v", err)
 		p.ended <- err
 	default:
 	}
@@ -420,15 +422,15 @@
 // -faults.for, -faults.runs and -faults.seed play more of them.
 func TestRequestsUnderFaults(t *testing.T) {
 	for i := range *faultsRuns {
-		seed, suspends := *faultsFrom+uint64(i), i%2 == 1
+		seed, suspends := *faultsSeed+uint64(i), i%2 == 1
 		t.Run(fmt.Sprintf("seed %d, suspends %t", seed, suspends), func(t *testing.T) {
-			w := playFaults(t, seed, suspends)
-			t.Logf("%v, %d requests attempted, behind by %v at most", w.replies, len(w.attempts), time.Duration(w.lag.Load()))
+			w := runFaultSchedule(t, seed, suspends)
+			t.Logf("%v, %d requests attempted, behind by %v at most", w.replies, len(w.attempts), time.Duration(w.timerLag.Load()))
 			if w.replies["value"] == 0 {
 				t.Error("nothing was served")
 			}
-			for i, what := range w.violations {
-				if t.Error(what); i == 10 {
+			for i, violation := range w.violations {
+				if t.Error(violation); i == 10 {
 					break
 				}
 			}
