--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -12,10 +12,10 @@
 // The error is that of the last poll once all have failed, or that of ctx, whose end also ends the response.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
-	defer close(group.closed)
+	defer close(group.done)
 	due := make(chan struct{}, 1)
 	due <- struct{}{}
-	retry := c.options.AfterFunc(c.options.PollTimeout, func() {
+	retry := c.options.AfterFunc(c.options.PollRetryInterval, func() {
 		select {
 		case due <- struct{}{}:
 		default:
@@ -25,7 +25,7 @@
 	for {
 		select {
 		case <-due:
-			retry.Reset(c.options.PollTimeout)
+			retry.Reset(c.options.PollRetryInterval)
 			group.start(ctx)
 		case result := <-group.results:
 			if result.err == nil {
@@ -50,7 +50,7 @@
 	http    *http.Client
 	url     string
 	results chan pollResult
-	closed  chan struct{}        // closed when no result is received any more
+	done    chan struct{}        // closed when no result is received any more
 	cancels []context.CancelFunc // by the number of the poll
 	pending int                  // polls that have not failed
 }
@@ -65,15 +65,15 @@
 // newPollGroup takes the address from the client: a poll that outlives its group must not look at it.
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
-		http: c.http, url: "http://" + c.address + targetsPath + query,
-		results: make(chan pollResult), closed: make(chan struct{}),
+		http: c.http, url: "http://" + c.address + listPath + query,
+		results: make(chan pollResult), done: make(chan struct{}),
 	}
 }
 
 // start begins another poll, and cancels the oldest one after the first if too many are open.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
-	if oldest := number - maxOpenRetries; oldest > 0 {
+	if oldest := number - maxConcurrentRetries; oldest > 0 {
 		g.cancels[oldest]()
 	}
 	pollContext, cancel := context.WithCancel(ctx)
@@ -83,7 +83,7 @@
 		body, err := get(pollContext, g.http, g.url)
 		select {
 		case g.results <- pollResult{body, err, number}:
-		case <-g.closed:
+		case <-g.done:
 			cancel()
 			if body != nil {
 				_ = body.Close() // nobody has read it
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -14,7 +14,7 @@
 	options := p.discovery
 	options.DialContext = p.calls.DialContext
 	options.Notify = func(e discovery.Event) {
-		p.loop.Post(p.clock.Now(), func() { p.handleDiscovery(e) })
+		p.loop.Post(p.clock.Now(), func() { p.handleDiscoveryEvent(e) })
 	}
 	addresses := make(chan string)
 	go p.forwardAddresses(ctx, reloads, addresses)
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleDiscovery handles an event of the discovery client.
-func (p *Proxy) handleDiscovery(e discovery.Event) {
+// handleDiscoveryEvent handles an event of the discovery client.
+func (p *Proxy) handleDiscoveryEvent(e discovery.Event) {
 	switch e := e.(type) {
 	case discovery.Update:
 		p.applyList(e.List)
@@ -47,7 +47,7 @@
 		p.warn("endpoint entry skipped", "error", e.Err)
 	case discovery.WatchEnded:
 		p.warn("watch ended", "error", e.Err, "address", e.Address, "version", e.Version)
-		p.descriptors.freeAfter(e.Err)
+		p.descriptors.evictIfExhausted(e.Err)
 	}
 }
 
@@ -62,6 +62,6 @@
 		})
 	}
 	p.endpoints.apply(list)
-	p.startTimes.Forget(func(id string) bool { return p.endpoints.byID[id] != nil })
+	p.startTimes.RemoveUnlisted(func(id string) bool { return p.endpoints.byID[id] != nil })
 	p.decider.HandleEndpoints(p.loop.Now(), endpoints, list.Full)
 }
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,48 +2,52 @@
 
 import "slices"
 
-// awaitOwner has the request wait for its owner's grant. Where others of its customer wait already, it joins
-// the next report.
-func (q *quotaController) awaitOwner(r *request) {
+// awaitGrant queues the request until its customer's owner grants it, and asks the owner at once. If other
+// requests of the customer wait already, the next report asks for all of them.
+func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
 	if len(c.awaitingOwner) == 1 {
-		q.reporter.ask(c)
+		q.reporter.askForGrant(c)
 	}
 }
 
-// settleAwaiting ends the wait of the first count requests: those that fit go on, and the others wait for a
-// concurrency slot or are rejected.
-func (q *quotaController) settleAwaiting(c *customer, count int, fits func(*request) bool, ceilingPaid bool) {
-	settled := c.awaitingOwner[:count]
+// decideWaiters decides the first count requests that wait for the owner. It admits those for which
+// quotaAllows returns true, and queues the others for a concurrency slot or rejects them. Unless
+// ceilingReserved is set, an admitted request must also fit into this gateway's share of the ceiling.
+func (q *quotaController) decideWaiters(
+	c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool,
+) {
+	decided := c.awaitingOwner[:count]
 	c.awaitingOwner = slices.Clone(c.awaitingOwner[count:])
-	for _, r := range settled {
+	for _, r := range decided {
 		r.awaitingOwner = false
 		switch {
 		case r.done:
-		case fits(r) && (ceilingPaid || c.ceilingSplitHasCapacity(r.Units, q.clock.now)):
-			q.admitNow(r, ceilingPaid)
+		case quotaAllows(r) && (ceilingReserved || c.ceilingShareHasCapacity(r.Units, q.clock.now)):
+			q.admitNow(r, ceilingReserved)
 		default:
 			q.queueOrReject(r)
 		}
 	}
 }
 
-// retransmit repeats the reports without a reply. After several in a row their owner is unreachable, and the
-// report goes to the gateway after it on the ring; after the last, the local window decides.
+// retransmit repeats the reports whose reply is overdue. After maxUnansweredReports in a row, the owner
+// counts as unreachable and the report goes to the next gateway on the ring. After maxReportTransmissions,
+// the local window decides the waiting requests.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
-			q.reporter.repeat(c)
+			q.reporter.repeatReport(c)
 			return
 		}
-		fits := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
-		q.settleAwaiting(c, len(c.awaitingOwner), fits, false)
+		quotaAllows := func(r *request) bool { return c.reserveLocal(r.Units, q.clock.now) }
+		q.decideWaiters(c, len(c.awaitingOwner), quotaAllows, false)
 	})
 }
 
-// handleRecords replies to the reports in a message of another gateway, all in one message, and applies its
-// replies to reports of this one.
+// handleRecords handles the usage records of a message from another gateway. It replies to all reports in one
+// message, and applies the replies to reports of this gateway.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
@@ -62,7 +66,7 @@
 	q.protocol.send(from, replies)
 }
 
-// replyToReport returns the owner's reply to a member's report.
+// replyToReport applies a member's report at the owner and returns the reply.
 func (q *quotaController) replyToReport(report memberReport) usageRecord {
 	c := q.customers.byKey[report.key]
 	if c == nil {
@@ -72,36 +76,37 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply: it renews the view of the quota and settles the requests that the
-// report asked for.
+// applyGrant handles the owner's reply to a report: it updates the view of the quota and decides the requests
+// that the report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
-	// The owner has counted or reserved units up to this total of ours.
+	// The total up to which the owner has counted or reserved units for this gateway.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
-	c.quota.known, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
+	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
 	c.acknowledgedUnits = grantedTotal
 	if reply.wantedUnits > 0 && c.report.askedCount > 0 {
-		q.settleAsked(c, reply, grantedTotal)
+		q.decideAskedWaiters(c, reply, grantedTotal)
 	}
 	c.acknowledgedUnits = min(grantedTotal, c.totalUnits)
-	unasked := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
-	if grantedTotal > c.totalUnits || unasked { // what is not used is returned
+	hasUnaskedWaiters := len(c.awaitingOwner) > 0 && c.report.askedCount == 0
+	if grantedTotal > c.totalUnits || hasUnaskedWaiters { // to return unused units, or to ask for the others
 		q.reporter.scheduleReport(c, len(c.awaitingOwner) > 0)
 	}
-	q.reporter.finishReply(c)
+	q.reporter.recordReply(c)
 }
 
-// settleAsked settles the requests whose units the last report asked for, and with a backoff all others too.
-func (q *quotaController) settleAsked(c *customer, reply usageRecord, grantedTotal float64) {
+// decideAskedWaiters decides the requests whose units the last report asked for. If the reply has a backoff,
+// it denies all other waiting requests.
+func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
 	c.quota.backoffUntil = q.clock.now + reply.backoff
-	fits := func(r *request) bool {
-		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingSlack()
+	quotaAllows := func(r *request) bool {
+		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingTolerance()
 	}
-	q.settleAwaiting(c, asked, fits, reply.ceilingPool)
+	q.decideWaiters(c, asked, quotaAllows, reply.ceilingPool)
 	if reply.backoff > 0 {
-		none := func(*request) bool { return false }
-		q.settleAwaiting(c, len(c.awaitingOwner), none, false)
+		denyAll := func(*request) bool { return false }
+		q.decideWaiters(c, len(c.awaitingOwner), denyAll, false)
 	}
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Each retry of a request with an idempotency key carries the end of its window, as it may wait for a connection
-// until after that. The window counts from the first attempt that may have executed; one that can't have executed
-// opens none.
-func TestRetriesCarryTheEndOfTheIdempotencyWindow(t *testing.T) {
-	const window Seconds = 2 // of the class "put"
+// A retry with an idempotency key may wait for a connection until its window has ended, when endpoints no
+// longer drop duplicates. Each retry therefore carries the time left for writing it. The window starts with
+// the first attempt that may have executed.
+func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
+	const window Seconds = 2 // of class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
 	for name, tc := range map[string]struct {
 		class  string
@@ -20,12 +20,12 @@
 		"after a reset": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
 		}, []float64{0, remaining(100.3, 100)}},
-		"after one that can't have executed and one that may have": {"put", func(g *Gateway) {
+		"after a failed connection and an error": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.2, Outcome{RequestID: "k", Attempt: 0, Status: ConnectFailed})
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 1, Status: Error})
 		}, []float64{0, 0, remaining(100.3, 100.2)}},
-		"beside one that is in flight": {"put", func(g *Gateway) {
-			for i := range 13 { // hedged after four mean latencies
+		"hedge": {"put", func(g *Gateway) {
+			for i := range 13 { // hedged after hedgeLatencyMultiple mean latencies
 				g.HandleTimer(100+0.05*float64(i+1), 1)
 			}
 		}, []float64{0, remaining(100.65, 100)}},
@@ -34,7 +34,7 @@
 		}, []float64{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, recorded := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, withSingleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a"}}, true)
 			sendRequest(g, 100, "k", tc.class, "wide", 1)
 			tc.events(g)
@@ -44,22 +44,23 @@
 			}
 			for i, want := range tc.want {
 				if got := sends[i].writeWithin; got < want-1e-9 || got > want+1e-9 {
-					t.Errorf("send %d is to be written within %v, want %v", i, got, want)
+					t.Errorf("send %d has a writeWithin of %v, want %v", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// An endpoint list may change the group of the endpoint that may have executed a request. Nothing tells whether
-// its memory of keys moved along, so retries need its group at that time and its group by now.
-func TestEndpointListThatChangesGroupsMovesNoRepeat(t *testing.T) {
+// An endpoint list update may move the endpoint of the first attempt to another dedup group. It is unknown
+// whether the keys recorded there move along, so a retry needs an endpoint that shares both the old group and
+// the new one.
+func TestNoRetryOutsideTheDedupGroupAfterAnEndpointMoves(t *testing.T) {
 	for name, moved := range map[string]Endpoint{
 		"to another zone": {ID: "s1", Zone: "b", Cell: 1},
 		"to another cell": {ID: "s1", Zone: "a", Cell: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, recorded := newTestGateway(t, singleGateway)
+			g, recorded := newTestGateway(t, withSingleGateway)
 			g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", Cell: 1}}, true)
 			sendRequest(g, 100, "k", "cell", "wide", 1)
 			g.HandleEndpoints(100.1, []Endpoint{moved, {ID: "s2", Zone: "a", Cell: 1}, {ID: "s3", Zone: moved.Zone, Cell: moved.Cell}}, true)
@@ -68,42 +69,43 @@
 				g.HandleTimer(now, 1)
 			}
 			if sends := recorded.ofKind("send", "k"); len(sends) != 1 {
-				t.Errorf("sent again to %s", sends[1].endpoint)
+				t.Errorf("retried at %s", sends[1].endpoint)
 			}
 			if len(recorded.ofKind("fail", "k")) != 1 {
-				t.Error("no failure was replied")
+				t.Error("the request did not fail")
 			}
 		})
 	}
 }
 
-// Whatever becomes of the attempts and however late they are written, none goes out that could execute a request
-// a second time, nor a rejection behind one: over all classes, outcomes, scopes and windows.
-func TestNothingExecutesTwice(t *testing.T) {
+// Runs a request of each class against random outcomes, write delays, windows and endpoint list updates. No
+// attempt may execute the request a second time, and the request must not be rejected if a client retry could
+// do so.
+func TestNoRequestExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
-		newRepeatScenario(t, seed).run()
+		newRetryScenario(t, seed).run()
 	}
 }
 
-// recordedAttempt is an attempt as the network made it.
+// recordedAttempt is an attempt as seen on the network.
 type recordedAttempt struct {
 	endpoint  string
-	group     dedupGroup // when it was sent
-	writtenAt Seconds    // when its last byte went out
+	group     dedupGroup // dedup group of the endpoint when the attempt was sent
+	writtenAt Seconds    // time at which the last byte was written
 	status    AttemptStatus
 	done      bool
 }
 
-// end notes the outcome.
+// end records the outcome.
 func (a *recordedAttempt) end(status AttemptStatus) { a.status, a.done = status, true }
 
-// mayHaveExecuted tells whether the attempt may have executed, or may still do so.
+// mayHaveExecuted reports whether the attempt may have executed, or may still do so.
 func (a *recordedAttempt) mayHaveExecuted() bool {
 	return !a.done || a.status != Rejected && a.status != ConnectFailed && a.status != NotSent
 }
 
-// repeatScenario is one request of a random class, at endpoints whose list and outcomes are random, too.
-type repeatScenario struct {
+// retryScenario runs one request of a random class against endpoints with random list updates and outcomes.
+type retryScenario struct {
 	t                 *testing.T
 	seed              uint64
 	rng               *rand.Rand
@@ -111,31 +113,31 @@
 	gateway           *Gateway
 	recorder          *recorder
 	class             Class
-	groups            map[string]dedupGroup // of the endpoints, by the last list
+	groups            map[string]dedupGroup // by endpoint, as last listed
 	attempts          []*recordedAttempt
-	observed          int // actions of the recorder that were looked at
+	observed          int // number of recorded actions that were processed
 }
 
-const repeatScenarioRequest = "k"
+const retryScenarioRequest = "k"
 
-func newRepeatScenario(t *testing.T, seed uint64) *repeatScenario {
+func newRetryScenario(t *testing.T, seed uint64) *retryScenario {
 	t.Helper()
-	s := &repeatScenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]dedupGroup{}}
+	s := &retryScenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), groups: map[string]dedupGroup{}}
 	s.idempotencyWindow = []Seconds{0.02, clockUncertainty, 0.1, 0.3, 1, 3}[s.rng.IntN(6)]
 	s.gateway, s.recorder = newTestGateway(t, func(settings *Settings) {
 		settings.GatewayCount = 1
 		settings.MaxAttempts = 2 + s.rng.IntN(6)
 		settings.Hedging = s.rng.IntN(2) == 0
-		settings.Classes = repeatScenarioClasses(s.idempotencyWindow)
+		settings.Classes = retryScenarioClasses(s.idempotencyWindow)
 	})
 	s.listEndpoints(100)
 	s.class = s.gateway.settings.Classes[s.rng.IntN(4)]
-	sendRequest(s.gateway, 100, repeatScenarioRequest, s.class.Name, "wide", 1)
+	sendRequest(s.gateway, 100, retryScenarioRequest, s.class.Name, "wide", 1)
 	return s
 }
 
-// repeatScenarioClasses returns a class with an idempotency key for each scope, and one that is not idempotent.
-func repeatScenarioClasses(idempotencyWindow Seconds) []Class {
+// retryScenarioClasses returns a class with idempotency keys for each scope, and a non-idempotent class.
+func retryScenarioClasses(idempotencyWindow Seconds) []Class {
 	classes := []Class{
 		{Name: "all", Idempotency: IdempotencyKey, DedupScope: DedupFleet},
 		{Name: "zone", Idempotency: IdempotencyKey, DedupScope: DedupZone},
@@ -150,8 +152,8 @@
 	return classes
 }
 
-// listEndpoints gives the gateway a list of eight endpoints in random groups, of which some are draining.
-func (s *repeatScenario) listEndpoints(now Seconds) {
+// listEndpoints passes the gateway a list of eight endpoints in random groups, some of them draining.
+func (s *retryScenario) listEndpoints(now Seconds) {
 	var list []Endpoint
 	for i := range 8 {
 		entry := Endpoint{
@@ -166,8 +168,8 @@
 	s.gateway.HandleEndpoints(now, list, true)
 }
 
-// run plays the request until after its deadline.
-func (s *repeatScenario) run() {
+// run runs the scenario until after the deadline.
+func (s *retryScenario) run() {
 	s.t.Helper()
 	for now := 100.0; now < 104.5; now += 0.02 {
 		s.observeActions(now)
@@ -177,15 +179,15 @@
 		s.endSomeAttempts(now)
 		s.gateway.HandleTimer(now, 1)
 	}
-	rejections := s.recorder.ofKind("reject", repeatScenarioRequest)
-	failures := s.recorder.ofKind("fail", repeatScenarioRequest)
+	rejections := s.recorder.ofKind("reject", retryScenarioRequest)
+	failures := s.recorder.ofKind("fail", retryScenarioRequest)
 	if n := len(rejections) + len(failures); n != 1 {
-		s.t.Errorf("seed %d: %d final replies", s.seed, n)
+		s.t.Errorf("seed %d: %d final replies, want 1", s.seed, n)
 	}
 }
 
-// observeActions carries out and checks what the gateway asked for since the last call.
-func (s *repeatScenario) observeActions(now Seconds) {
+// observeActions carries out and checks the actions that the gateway requested since the last call.
+func (s *retryScenario) observeActions(now Seconds) {
 	s.t.Helper()
 	for ; s.observed < len(s.recorder.actions); s.observed++ {
 		switch observed := s.recorder.actions[s.observed]; observed.kind {
@@ -196,15 +198,15 @@
 		case "cancel":
 			if cancelled := s.attempts[observed.attempt]; !cancelled.done {
 				cancelled.end(Cancelled)
-				s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: observed.attempt, Status: Cancelled})
+				s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: observed.attempt, Status: Cancelled})
 			}
 		}
 	}
 }
 
-// observeSend writes an attempt, at once or somewhat later. As on the network, one that can't be written within
-// its time is not sent.
-func (s *repeatScenario) observeSend(now Seconds, send action) {
+// observeSend writes an attempt at once or after a random delay. An attempt that cannot be written within its
+// writeWithin is not sent.
+func (s *retryScenario) observeSend(now Seconds, send action) {
 	s.t.Helper()
 	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
 	if s.rng.IntN(2) == 0 {
@@ -212,16 +214,16 @@
 	}
 	if send.writeWithin > 0 && sent.writtenAt > now+send.writeWithin {
 		sent.end(NotSent)
-		s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: len(s.attempts), Status: NotSent})
+		s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: len(s.attempts), Status: NotSent})
 	} else {
-		s.checkRepeat(sent)
+		s.checkRetry(sent)
 	}
 	s.attempts = append(s.attempts, sent)
 }
 
-// checkRepeat fails the test if an attempt could execute the request a second time. The window counts from the
+// checkRetry fails the test if an attempt could execute the request a second time. The window starts with the
 // first attempt that may have executed.
-func (s *repeatScenario) checkRepeat(sent *recordedAttempt) {
+func (s *retryScenario) checkRetry(sent *recordedAttempt) {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
 		if !earlier.mayHaveExecuted() {
@@ -229,38 +231,38 @@
 		}
 		if s.class.Idempotency == NonIdempotent || !sameDedupGroup(s.class.DedupScope, earlier.group, sent.group) ||
 			sent.writtenAt > earlier.writtenAt+s.idempotencyWindow {
-			s.t.Fatalf("seed %d: %+v is sent behind %+v, class %s, window %v",
+			s.t.Fatalf("seed %d: %+v is sent after %+v, class %s, window %v",
 				s.seed, sent, earlier, s.class.Name, s.idempotencyWindow)
 		}
 		return
 	}
 }
 
-// checkRejection fails the test if the request is rejected, which lets the client send it again, although that
-// could execute it a second time.
-func (s *repeatScenario) checkRejection() {
+// checkRejection fails the test if the gateway rejects the request although a client retry could execute it a
+// second time.
+func (s *retryScenario) checkRejection() {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
 		if earlier.mayHaveExecuted() && (s.class.Idempotency == NonIdempotent || s.class.DedupScope != DedupFleet) {
-			s.t.Fatalf("seed %d: rejected behind %+v, class %s", s.seed, earlier, s.class.Name)
+			s.t.Fatalf("seed %d: rejected after %+v, class %s", s.seed, earlier, s.class.Name)
 		}
 	}
 }
 
-// endSomeAttempts ends attempts that were written, at random and with any outcome but OK.
-func (s *repeatScenario) endSomeAttempts(now Seconds) {
+// endSomeAttempts ends a random choice of the written attempts, with any status except OK and NotSent.
+func (s *retryScenario) endSomeAttempts(now Seconds) {
 	for i, sent := range s.attempts {
 		if !sent.done && now >= sent.writtenAt && s.rng.IntN(10) == 0 {
 			sent.end(AttemptStatus(1 + s.rng.IntN(6)))
-			s.gateway.HandleOutcome(now, Outcome{RequestID: repeatScenarioRequest, Attempt: i, Status: sent.status, Elapsed: now - sent.writtenAt})
+			s.gateway.HandleOutcome(now, Outcome{RequestID: retryScenarioRequest, Attempt: i, Status: sent.status, Elapsed: now - sent.writtenAt})
 		}
 	}
 }
 
-func TestRetriesWithAKeyStayInScopeAndWindow(t *testing.T) {
+func TestRetriesWithAKeyStayInDedupScopeAndWindow(t *testing.T) {
 	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
 	for seed := range 20 {
-		g, recorded := newTestGateway(t, singleGateway)
+		g, recorded := newTestGateway(t, withSingleGateway)
 		id := fmt.Sprint("k", seed)
 		sendRequest(g, 100, id, "put", "wide", 1)
 		first := recorded.ofKind("send", id)[0].endpoint
@@ -272,7 +274,7 @@
 			}
 		}
 	}
-	g, recorded := newTestGateway(t, singleGateway)
+	g, recorded := newTestGateway(t, withSingleGateway)
 	sendRequest(g, 100, "c", "cell", "wide", 1)
 	first := recorded.ofKind("send", "c")[0].endpoint
 	g.HandleOutcome(100.2, Outcome{RequestID: "c", Endpoint: first, Status: Error, Elapsed: 0.2})
@@ -281,7 +283,7 @@
 			t.Fatalf("retried at %s in another cell", a.endpoint)
 		}
 	}
-	g, recorded = newTestGateway(t, singleGateway)
+	g, recorded = newTestGateway(t, withSingleGateway)
 	sendRequest(g, 100, "t", "any", "wide", 1)
 	first = recorded.ofKind("send", "t")[0].endpoint
 	g.HandleOutcome(100.6, Outcome{RequestID: "t", Endpoint: first, Status: Error, Elapsed: 0.6})
@@ -296,11 +298,11 @@
 		other             dedupGroup
 		fleet, zone, cell bool
 	}{
-		"the same cell":              {here, true, true, true},
-		"another cell of the zone":   {dedupGroup{"a", 2}, true, true, false},
-		"a cell of another zone":     {dedupGroup{"b", 2}, true, false, false},
-		"that cell in another zone":  {dedupGroup{"b", 1}, true, false, false},
-		"a zone and cell not listed": {dedupGroup{}, true, false, false},
+		"the same cell":                      {here, true, true, true},
+		"another cell of the zone":           {dedupGroup{"a", 2}, true, true, false},
+		"a cell of another zone":             {dedupGroup{"b", 2}, true, false, false},
+		"the same cell number, another zone": {dedupGroup{"b", 1}, true, false, false},
+		"a zone and cell not listed":         {dedupGroup{}, true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for scope, want := range map[DedupScope]bool{DedupFleet: tc.fleet, DedupZone: tc.zone, DedupCell: tc.cell} {
@@ -312,8 +314,9 @@
 	}
 }
 
-// A rejection lets the client send the request again, so it must not be given where that could execute it twice.
-func TestClientMayRepeat(t *testing.T) {
+// A rejection invites the client to retry, so it must not be given if a retry could execute the request
+// twice.
+func TestClientMayRetry(t *testing.T) {
 	inFlight := func(r *request) { r.inFlight = 1 }
 	for name, tc := range map[string]struct {
 		class  Class
@@ -327,14 +330,14 @@
 		"key of all endpoints, executed":      {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, executedOnce, true},
 		"key of a zone, executed":             {Class{Idempotency: IdempotencyKey, DedupScope: DedupZone}, executedOnce, false},
 		"key of a cell, in flight":            {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, inFlight, false},
-		"key of a cell, nothing sent to any":  {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
+		"key of a cell, nothing sent":         {Class{Idempotency: IdempotencyKey, DedupScope: DedupCell}, func(*request) {}, true},
 		"key of all endpoints, one in flight": {Class{Idempotency: IdempotencyKey, DedupScope: DedupFleet}, inFlight, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{class: &class{Class: tc.class}}
 			tc.change(r)
-			if got := r.clientMayRepeat(); got != tc.want {
-				t.Errorf("clientMayRepeat = %v, want %v", got, tc.want)
+			if got := r.clientMayRetry(); got != tc.want {
+				t.Errorf("clientMayRetry = %v, want %v", got, tc.want)
 			}
 		})
 	}
