--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// maxLineBytes is the longest line of a log, in bytes.
+// maxLineBytes is the size of the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// attempt is one whose command was wholly written.
+// attempt is an attempt whose command was written in full, and its outcome.
 type attempt struct {
 	event
 	ended   bool
@@ -21,12 +21,13 @@
 	result  string
 }
 
-// knownNotExecuted tells whether the attempt was known at a time not to have executed.
+// knownNotExecuted reports whether the gateway knew at the given time that the attempt had not executed: only a
+// rejection by the endpoint says so.
 func (a *attempt) knownNotExecuted(at float64) bool {
 	return a.ended && a.endedAt <= at && a.result == rejectedStatus
 }
 
-// sameDedupGroup tells whether the endpoints of two attempts drop repeats of the same key.
+// sameDedupGroup reports whether the endpoints of two attempts deduplicate requests among each other.
 func (a *attempt) sameDedupGroup(b *attempt) bool {
 	switch a.dedupScope {
 	case "zone":
@@ -37,20 +38,20 @@
 	return true
 }
 
-// requestHistory is what became of one request at one gateway.
+// requestHistory holds the attempts that one gateway made for a request, and whether the request has completed.
 type requestHistory struct {
 	attempts  []*attempt
 	completed bool
 }
 
-// audit holds the counts over all logs.
+// audit counts attempts and collects violations over all logs.
 type audit struct {
 	attempts                int
-	retries                 int // attempts that are not the first of their request
-	keyedRetries            int // of them those that an idempotency key covers
-	attemptsAfterDisconnect int // attempts whose client had disconnected
+	retries                 int // attempts other than the first of their request
+	keyedRetries            int // retries under an idempotency key after an attempt that may have executed
+	attemptsAfterDisconnect int // attempts sent after the client had disconnected
 	maxAgeAfterDisconnect   float64
-	minWindowLeft           float64 // the least time that was left of an idempotency window at a retry
+	minWindowLeft           float64 // shortest remaining idempotency window at a retry, in seconds
 	violations              []string
 }
 
@@ -62,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading: nothing can be lost
 	return a.read(path, file)
 }
 
-// read replays the log of one gateway, which name stands for in violations, in its order.
+// read replays the log of one gateway line by line. Violations are reported under name.
 func (a *audit) read(name string, log io.Reader) error {
 	histories := map[string]*requestHistory{}
 	lines := bufio.NewScanner(log)
@@ -86,7 +87,7 @@
 	return lines.Err()
 }
 
-// apply takes in one event of a request.
+// apply checks one event of a request and adds it to the request's history.
 func (a *audit) apply(name string, e event, history *requestHistory) {
 	switch e.kind {
 	case attemptSent:
@@ -104,7 +105,7 @@
 	}
 }
 
-// recordEnd notes how an attempt ended.
+// recordEnd records the outcome of an attempt. Only the first outcome of an attempt counts.
 func (h *requestHistory) recordEnd(e event) {
 	for _, sent := range h.attempts {
 		if sent.attempt == e.attempt && !sent.ended {
@@ -113,7 +114,7 @@
 	}
 }
 
-// checkAttempt counts an attempt and checks it against all before it.
+// checkAttempt counts an attempt and checks it against the earlier attempts of its request.
 func (a *audit) checkAttempt(name string, next *attempt, history *requestHistory) {
 	a.attempts++
 	if next.clientClosed {
@@ -139,7 +140,8 @@
 	}
 }
 
-// checkRepeat tells why an attempt must not follow the first one that may have executed; "" if it may.
+// checkRepeat returns the rule that an attempt breaks by following first, the earliest attempt that may have
+// executed, or "" if the attempt is allowed.
 func (a *audit) checkRepeat(first, next *attempt) string {
 	if next.idempotency == nonIdempotent {
 		return "the class must not execute twice"
@@ -156,7 +158,8 @@
 	return ""
 }
 
-// checkRejection checks a rejection, which promises that nothing has executed or that a repeat does no harm.
+// checkRejection checks that a rejected request has not executed or can be repeated without harm, as clients may repeat
+// it.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
 		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
@@ -172,7 +175,7 @@
 	a.violations = append(a.violations, name+" "+requestID+": "+fmt.Sprintf(format, args...))
 }
 
-// report is the counts, and then the violations, a line each.
+// report returns the counts and the violations, one per line.
 func (a *audit) report() string {
 	var out strings.Builder
 	writeLine := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// logFormat is how a version words the lines that the tests need.
+// logFormat holds the log lines that the tests need, as one version of the gateway writes them. Placeholders: %T attempt
+// number, %E idempotency, %Z zone, %A time, %L whether the client had disconnected, %S status, %W kind of reply.
 type logFormat struct {
 	sent, ended, completed string
-	// The words of the version for the classes, a rejecting endpoint and a rejecting reply.
+	// The values for the three kinds of idempotency, and the status of an attempt that the endpoint rejected.
 	idempotent, key, nonIdempotent, rejected string
 }
 
@@ -30,13 +31,13 @@
 	},
 }
 
-// sentLine is the line of an attempt, with the given placeholders replaced, a pair of name and value each.
+// sentLine returns the line of a sent attempt. The pairs are placeholders and their values; others get defaults.
 func (f logFormat) sentLine(pairs ...string) string {
 	defaults := []string{"%T", "0", "%E", f.key, "%Z", "a", "%A", "100", "%L", "false"}
 	return strings.NewReplacer(append(pairs, defaults...)...).Replace(f.sent)
 }
 
-// endedLine is the line of the end of attempt 0.
+// endedLine returns the line that reports the outcome of attempt 0.
 func (f logFormat) endedLine(status, at string) string {
 	return strings.NewReplacer("%S", status, "%A", at).Replace(f.ended)
 }
@@ -45,7 +46,7 @@
 	return strings.Replace(f.completed, "%W", reply, 1)
 }
 
-// Guards against violations that the audit misses, and against false ones, in the lines of both versions.
+// The audit must report every violation and nothing else, in the log lines of both versions.
 func TestAuditReportsViolations(t *testing.T) {
 	for version, f := range formats {
 		for name, tc := range map[string]struct{ log, want string }{
@@ -92,7 +93,7 @@
 	}
 }
 
-// Guards against attempts for disconnected clients that are not counted.
+// An attempt sent after the client had disconnected must be counted, in the log lines of both versions.
 func TestAttemptsForDisconnectedClientsAreCounted(t *testing.T) {
 	for version, f := range formats {
 		t.Run(version, func(t *testing.T) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// Guards the reading of quoted values, and of words without a value.
+// A quoted value may contain blanks, a value may contain '=' or be empty, and a word without a value is skipped.
 func TestParseLine(t *testing.T) {
 	values := parseLine(`0.1 level=DEBUG msg="request completed" id=a=b reason="" word` + "\n")
 	want := logValues{"level": "DEBUG", "msg": "request completed", "id": "a=b", "reason": ""}
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// eventKind is what a line of the trace tells.
+// eventKind is the kind of event that a trace line records.
 type eventKind int
 
 const (
@@ -16,29 +16,29 @@
 	clientDisconnected
 )
 
-// event is a line of the trace. Times are in seconds of the process's own clock.
+// event is one line of the trace. Times are in seconds by the clock of the gateway that wrote the log.
 type event struct {
 	kind      eventKind
 	requestID string
 	at        float64
 
-	// Of attemptSent and attemptEnded.
+	// Set for attemptSent and attemptEnded.
 	attempt int
-	status  string // of attemptEnded, by the names of the present version
+	status  string // attemptEnded only; a value of the previous version is translated to the present one
 
-	// Of attemptSent.
+	// Set for attemptSent.
 	idempotency  idempotency
 	dedupScope   string  // "all", "zone" or "cell"
-	window       float64 // in which repeats of a key are dropped
+	window       float64 // time for which endpoints drop requests with a known key
 	endpoint     string
 	zone, cell   string
-	arrived      float64 // when the request's last byte had come
+	arrived      float64 // when the last byte of the request arrived
 	writeStarted float64
 	clientClosed bool
-	rejection    bool // of requestCompleted: the reply promises that nothing was executed
+	rejection    bool // requestCompleted only: the gateway rejected the request, so the client may repeat it
 }
 
-// idempotency is that of a request's class.
+// idempotency says whether a request of a class may execute more than once.
 type idempotency string
 
 const (
@@ -47,13 +47,14 @@
 	nonIdempotent  idempotency = "non_idempotent"
 )
 
-// rejectedStatus is the status of an attempt that the endpoint rejected unseen.
+// rejectedStatus is the status of an attempt that the endpoint rejected without executing it.
 const rejectedStatus = "rejected"
 
-// rejectionReply is the kind of the reply that rejects a request.
+// rejectionReply is the logged kind of a reply that rejects a request.
 const rejectionReply = "BUS"
 
-// kindByMessage are the kindByMessage of the trace: the present ones and, behind them, those of the version before.
+// kindByMessage maps the messages of the trace to event kinds: first the messages of the present version, then those
+// of the previous one.
 var kindByMessage = map[string]eventKind{
 	"attempt sent": attemptSent, "attempt ended": attemptEnded,
 	"request completed": requestCompleted, "client disconnected": clientDisconnected,
@@ -62,13 +63,13 @@
 	"answered": requestCompleted, "gone": clientDisconnected,
 }
 
-// presentValues are values of the version before, by those of the present one.
+// presentValues maps values of the previous version to those of the present one.
 var presentValues = map[string]string{
 	"safe": string(idempotent), "keyed": string(idempotencyKey), "unsafe": string(nonIdempotent),
 	"full": rejectedStatus,
 }
 
-// parseEvent reads a line of the log. Lines that are not of the trace give otherLine.
+// parseEvent parses a log line. A line that is not part of the trace gives otherEvent.
 func parseEvent(line string) event {
 	values := parseLine(line)
 	kind := kindByMessage[values["msg"]]
@@ -90,10 +91,10 @@
 	}
 }
 
-// logValues are the keys and values of a line.
+// logValues maps the keys of a log line to their values.
 type logValues map[string]string
 
-// text returns the value of the first key that the line has, in the words of the present version.
+// text returns the value of the first of keys that the line has, translated to the present version, or "".
 func (v logValues) text(keys ...string) string {
 	for _, key := range keys {
 		if value, ok := v[key]; ok {
@@ -106,7 +107,7 @@
 	return ""
 }
 
-// number is text as a number, 0 if it is none.
+// number is like text, but parses the value as a number. It returns 0 if that fails.
 func (v logValues) number(keys ...string) float64 {
 	x, err := strconv.ParseFloat(v.text(keys...), 64)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return x
 }
 
-// parseLine reads the key=value pairs of a line; values may be quoted as Go strings.
+// parseLine parses the key=value pairs of a line; values may be quoted as Go strings.
 func parseLine(line string) logValues {
 	values := logValues{}
 	for line != "" {
@@ -134,7 +135,7 @@
 	return values
 }
 
-// cutValue reads the value that text starts with, and returns the rest behind it.
+// cutValue parses the value at the start of text and returns it with the text after it.
 func cutValue(text string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(text); err == nil {
 		if value, err = strconv.Unquote(quoted); err == nil {
--- a/cmd/audit/main.go
+++ b/cmd/audit/main.go
@@ -1,9 +1,11 @@
-// Command audit reads the logs that the gateways of one fleet wrote at debug level and checks the attempts in them
-// against the rules: a request that must not execute twice is not attempted again, and no attempt begins for a client
-// that has disconnected. It prints the counts, and each violation with the request's id. It exits with 1 if there is
-// a violation, and with 2 if a log can't be read.
+// Command audit reads the debug logs of the gateways of one fleet and checks the attempts in them: a request that must
+// not execute twice is not attempted again, nothing is sent after the final reply, and a request is rejected only if it
+// has not executed or can be repeated safely. It also counts the attempts sent after their client had disconnected.
 //
-// It reads the lines of the present version and those of the version before it; see event.go.
+// It prints the counts, and each violation with the id of its request. The exit status is 1 if there are violations,
+// and 2 if a log can't be read.
+//
+// It understands the log lines of the present version and of the previous one; see event.go.
 package main
 
 import (
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,8 +1,8 @@
-// Command knownred reads KNOWN-RED.txt, which lists the tests that fail for a fault that is known and not fixed yet,
-// and the names of all tests from standard input. It prints the pattern by which go test skips exactly these, and on
-// standard error what is skipped and why.
+// Command knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault, and the names of all
+// tests from standard input. It prints the pattern that makes go test skip exactly the listed tests. On standard error
+// it prints the skipped tests and why they fail.
 //
-// A line of the file is a test's name, the cause and the issue, with a bar between them:
+// A line of the file holds a test name, the cause and the issue number, separated by " | ":
 //
 //	TestName | what is wrong | 8
 package main
@@ -18,15 +18,15 @@
 	"strings"
 )
 
-// maxKnownRed is how many tests may be listed; with more of them some have to be fixed first.
+// maxKnownRed is the number of tests that may be listed. It is small so that faults get fixed.
 const maxKnownRed = 3
 
-// Errors of the list.
+// Errors in the list.
 var (
-	errMalformedEntry = errors.New("want a test's name, the cause and the issue, with bars between them")
-	errUnknownTest    = errors.New("there is no test")
-	errDuplicateTest  = errors.New("is listed twice")
-	errTooMany        = errors.New("too many tests are listed")
+	errMalformedEntry = errors.New(`want "TestName | cause | issue number"`)
+	errUnknownTest    = errors.New("unknown test")
+	errDuplicateTest  = errors.New("is already listed")
+	errTooMany        = errors.New("too many tests listed")
 )
 
 func main() {
@@ -40,7 +40,8 @@
 	}
 }
 
-// run writes the pattern for the list in a file to out, and what is skipped to log.
+// run reads the list at path, and writes the skip pattern to out and the skipped tests to log. It writes no pattern
+// for an empty list.
 func run(path string, names io.Reader, out, log io.Writer) error {
 	list, err := os.ReadFile(path)
 	if err != nil {
@@ -76,12 +77,12 @@
 	return lines, scanner.Err()
 }
 
-// knownRed is an entry of the list.
+// knownRed is an entry of the list: a test, why it fails, and the number of the issue.
 type knownRed struct{ test, cause, issue string }
 
 var entryFormat = regexp.MustCompile(`^(Test\w+) \| (\S.*) \| (\d+)$`)
 
-// parseList reads the list, each of whose entries must name one of the tests.
+// parseList parses the list. Each entry must name one of tests.
 func parseList(list string, tests []string) ([]knownRed, error) {
 	var entries []knownRed
 	for i, line := range strings.Split(list, "\n") {
@@ -103,7 +104,7 @@
 		entries = append(entries, entry)
 	}
 	if len(entries) > maxKnownRed {
-		return nil, fmt.Errorf("%w: %d, %d at most", errTooMany, len(entries), maxKnownRed)
+		return nil, fmt.Errorf("%w: %d, at most %d allowed", errTooMany, len(entries), maxKnownRed)
 	}
 	return entries, nil
 }
