--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command reads the arguments of a client's request, as the settings allow it, and writes the request again
-// for an endpoint. It knows nothing of sockets; internal/resp finds where a command ends.
+// Package command parses and validates the arguments of a client's request, and encodes the request for an endpoint.
+// It does not read from connections; internal/resp finds the end of a command.
 package command
 
 import (
@@ -18,19 +18,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// The commands that are requests, in any case of their letters.
+// The commands that are requests. Their names are not case-sensitive.
 const (
-	Get  = "CALL.GET"  // of an idempotent class
-	Post = "CALL.POST" // of any other class, with a body
+	Get  = "CALL.GET"  // for idempotent classes
+	Post = "CALL.POST" // for all other classes, with a body
 )
 
-// The arguments of a request, by their index.
+// Indexes of a request's arguments, and the number of arguments of each command.
 const (
 	argName = iota
 	argCustomer
 	argID
 	argFields
-	argBody // of Post alone
+	argBody // Post only
 
 	getArgs  = argFields + 1
 	postArgs = argBody + 1
@@ -39,13 +39,13 @@
 // Bounds on the arguments of a request.
 const (
 	MaxIDLength     = 128     // bytes
-	MaxFieldsLength = 1 << 10 // bytes, of all fields together
-	MaxTimeoutMS    = 600_000 // milliseconds that a client may wait
+	MaxFieldsLength = 1 << 10 // bytes, all fields together
+	MaxTimeoutMS    = 600_000 // longest timeout of a request, in milliseconds
 
 	customerLength     = 16 // hex digits
 	customerNumberBits = 33
-	maxNumber          = 1 << 30 // of a field that the settings do not bound
-	maxQuotedBytes     = 40      // bytes of a client's input that an error quotes
+	maxNumber          = 1 << 30 // largest value of a field that the settings leave unbounded
+	maxQuotedBytes     = 40      // bytes of the client's input that an error message quotes
 )
 
 var (
@@ -54,26 +54,26 @@
 	errFields   = fmt.Errorf("the fields must be up to %d printable characters without spaces", MaxFieldsLength)
 )
 
-// Request is a client's request as it was read: what the decision module needs to know of it, and the arguments
-// that are forwarded to an endpoint.
+// Request is a parsed request of a client: the part that the decision module needs, and the arguments to forward to an
+// endpoint.
 type Request struct {
-	policy.Request                // without its deadline
-	Timeout        policy.Seconds // how long the client waits for a reply
-	Args           [][]byte       // command, customer, id, fields and, of Post, the body
-	Size           int            // bytes of all arguments
+	policy.Request                // Deadline is not set
+	Timeout        policy.Seconds // time after which the client stops waiting for a reply
+	Args           [][]byte       // command, customer, id, fields and, for Post, the body
+	Size           int            // bytes in all arguments together
 
-	timeoutValue span // where the value of the field d stands in the fields
+	timeoutValue span // position of the value of field d within the fields argument
 }
 
-// span is a part of a byte string, from start up to end.
+// span is the half-open range [start, end) of a byte slice.
 type span struct{ start, end int }
 
-// IsRequest reports whether a command of this name is a request.
+// IsRequest reports whether name, in any case, is the name of a request command.
 func IsRequest(name []byte) bool {
 	return bytes.EqualFold(name, []byte(Get)) || bytes.EqualFold(name, []byte(Post))
 }
 
-// CopyArgs copies the arguments, which lay in the buffer of a reader until then.
+// CopyArgs copies the arguments out of the read buffer that they point into, so that the buffer can be reused.
 func (r *Request) CopyArgs() {
 	content, args := make([]byte, 0, r.Size), make([][]byte, len(r.Args))
 	for i, arg := range r.Args {
@@ -84,8 +84,8 @@
 	r.Args = args
 }
 
-// AppendTo appends the request as an endpoint gets it: all arguments as they came, but for the field d, which
-// holds the time that remains, in whole milliseconds rounded up.
+// AppendTo appends the request, encoded for an endpoint, to b. Arguments are forwarded unchanged, except that field d
+// holds the remaining time in milliseconds, rounded up.
 func (r *Request) AppendTo(b []byte, remaining policy.Seconds) []byte {
 	fields := r.Args[argFields]
 	timeout := r.timeoutValue
@@ -107,15 +107,15 @@
 	return b
 }
 
-// Parser reads requests by the names and bounds of the settings. It never changes, and may be used by many goroutines.
+// Parser parses requests and checks them against the settings. It is immutable, and so safe for concurrent use.
 type Parser struct {
 	classes      map[string]policy.Class
 	plans        map[string]string
 	gatewayCount int
-	maxUnits     int // 0: not bounded
+	maxUnits     int // per request; 0 means no limit but maxNumber
 }
 
-// NewParser returns a parser for requests under the settings.
+// NewParser returns a parser that accepts the classes, plans, gateways and units of the settings.
 func NewParser(settings policy.Settings) *Parser {
 	p := &Parser{
 		classes: map[string]policy.Class{}, plans: map[string]string{},
@@ -130,8 +130,8 @@
 	return p
 }
 
-// Parse reads the arguments of a request, whose name must be one of Get and Post. The arguments are not copied. An
-// error is worded for the client.
+// Parse parses the arguments of a request. args[0] must be Get or Post, in any case. The Request refers to args without
+// copying them. The text of an error is meant for the client.
 func (p *Parser) Parse(args [][]byte) (*Request, error) {
 	post := bytes.EqualFold(args[argName], []byte(Post))
 	want := getArgs
@@ -164,13 +164,14 @@
 	return request, nil
 }
 
-// isCustomer reports whether b is the one spelling of a customer's number.
+// isCustomer reports whether b is the canonical spelling of a customer's number. A second spelling would count as
+// another customer with a quota of its own.
 func isCustomer(b []byte) bool {
 	number, err := strconv.ParseUint(string(b), 16, 64)
 	return err == nil && len(b) == customerLength && number < 1<<customerNumberBits && !bytes.ContainsAny(b, "ABCDEF")
 }
 
-// isPrintable reports whether b holds visible ASCII alone.
+// isPrintable reports whether b consists of visible ASCII characters.
 func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c > '~' {
@@ -180,8 +181,8 @@
 	return true
 }
 
-// parseDecimal reads a number from least to most in its one canonical spelling: digits alone, and no 0 ahead of
-// others.
+// parseDecimal parses a number between least and most. It accepts the canonical spelling only: digits without leading
+// zeros.
 func parseDecimal(text string, least, most int) (number int, ok bool) {
 	if text == "" || len(text) > 1 && text[0] == '0' || len(text) > len("1000000000") {
 		return 0, false
@@ -195,10 +196,10 @@
 	return number, number >= least && number <= most
 }
 
-// fieldSet is a set of the fields that are known, one bit each.
+// fieldSet is a bit set of known fields.
 type fieldSet uint
 
-// The fields that a request may hold, and those that each must.
+// The known fields, and the set that every request must have.
 const (
 	fieldClass fieldSet = 1 << iota
 	fieldPlan
@@ -212,10 +213,11 @@
 	requiredFields = fieldClass | fieldPlan | fieldTimeout | fieldUnits | fieldGatewayCount | fieldFirstGateway
 )
 
-// fieldNames are the names of the fields on the wire, in the order of their bits.
+// fieldNames holds the names of the known fields on the wire, in the order of their bits.
 var fieldNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
-// parseFields reads the list of names and values. Fields whose names are not known are forwarded unread.
+// parseFields parses a comma-separated list of name=value fields into request. Fields with unknown names are not
+// checked, and are forwarded to the endpoint.
 func (p *Parser) parseFields(request *Request, list string) error {
 	var seen fieldSet
 	start := 0
@@ -249,7 +251,7 @@
 	return nil
 }
 
-// parseField reads the value of one field and reports whether it is valid.
+// parseField stores the value of one field in request and reports whether the value is valid.
 func (p *Parser) parseField(request *Request, field fieldSet, value string) (ok bool) {
 	var number int
 	switch field {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,7 +14,7 @@
 	testFields   = "c=look,t=basic,d=480,units=2,spread=2,first=1"
 )
 
-// testParser is a parser for two gateways, one plan, and a class of each kind of idempotency.
+// testParser returns a parser for two gateways, one plan, and one class of each kind of idempotency.
 func testParser() *Parser {
 	return NewParser(policy.Settings{
 		GatewayCount: 2, MaxRequestUnits: 6,
@@ -27,7 +27,7 @@
 	})
 }
 
-// arguments are those of a request, as they lie in a buffer.
+// arguments returns the arguments of a command as byte slices.
 func arguments(args ...string) [][]byte {
 	list := make([][]byte, len(args))
 	for i, arg := range args {
@@ -36,14 +36,14 @@
 	return list
 }
 
-// parseGet parses a request for an idempotent class.
+// parseGet returns the error of parsing a Get request.
 func parseGet(customer, id, fields string) error {
 	_, err := testParser().Parse(arguments(Get, customer, id, fields))
 	return err
 }
 
-// FuzzParse guards what reaches the decision module and endpoints: what passes is in range, and is forwarded as a
-// command that reads the same but for the remaining time.
+// FuzzParse checks that every accepted request is within its bounds, and that parsing the command forwarded to the
+// endpoint gives the same request.
 func FuzzParse(f *testing.F) {
 	f.Add(Get, testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=2,first=1", "")
 	f.Add(Post, testCustomer, "a", "c=hold,t=basic,k=5c0f,d=1,units=2,spread=2,first=1,x=y", "body")
@@ -62,23 +62,23 @@
 		if request.Units < 1 || request.Units > 6 || request.GatewayCount < 1 || request.GatewayCount > 2 ||
 			request.FirstGateway < 0 || request.FirstGateway > 1 || request.Timeout <= 0 ||
 			request.Timeout > MaxTimeoutMS/1000 || request.Class == "" || request.Plan != "basic" {
-			t.Fatalf("passed: %+v", request)
+			t.Fatalf("accepted a request out of bounds: %+v", request)
 		}
 		request.CopyArgs()
 		sent := request.AppendTo(nil, request.Timeout)
 		again, n, err := resp.ParseCommand(sent, nil)
 		if n != len(sent) || err != nil || len(again) != len(args) {
-			t.Fatalf("sent %q: %d, %v", sent, n, err)
+			t.Fatalf("forwarded %q: ParseCommand returns size %d, %v", sent, n, err)
 		}
 		read, err := parser.Parse(again)
 		if err != nil || read.Request != request.Request || read.Timeout != request.Timeout {
-			t.Fatalf("sent %+v, %v; read %+v", read, err, request)
+			t.Fatalf("forwarded request parses as %+v, %v; want %+v", read, err, request)
 		}
 	})
 }
 
-// TestParseAcceptsOnlyCanonicalRequests guards against numbers and names that mean the same in more than one way, or
-// not what they say: an endpoint may read them otherwise, and a customer's other spelling would be another customer.
+// TestParseAcceptsOnlyCanonicalRequests guards against accepting a second spelling of a number or a customer: an
+// endpoint may parse it differently, and the customer would count as another one.
 func TestParseAcceptsOnlyCanonicalRequests(t *testing.T) {
 	if err := parseGet(testCustomer, "a", testFields); err != nil {
 		t.Fatal(err)
@@ -91,23 +91,23 @@
 		} {
 			fields := strings.Replace(testFields, field, name+"="+value, 1)
 			if parseGet(testCustomer, "a", fields) == nil {
-				t.Errorf("%s passes", fields)
+				t.Errorf("fields %s are accepted", fields)
 			}
 		}
 	}
 	for _, other := range []string{"00000000B4D65521", "+0000000b4d65521", "0x000000b4d65521", "b4d65521", ""} {
 		if parseGet(other, "a", testFields) == nil {
-			t.Errorf("customer %q passes", other)
+			t.Errorf("customer %q is accepted", other)
 		}
 	}
 	for _, id := range []string{"a b", "a\x00", "a\r\n", "\xff", "\u00a0", strings.Repeat("x", MaxIDLength+1)} {
 		if parseGet(testCustomer, id, testFields) == nil {
-			t.Errorf("id %q passes", id)
+			t.Errorf("id %q is accepted", id)
 		}
 	}
 	for _, more := range []string{",x=\r\n", ",x=\xff", ",x=" + strings.Repeat("y", MaxFieldsLength), ",k=", ",r=2"} {
 		if parseGet(testCustomer, "a", testFields+more) == nil {
-			t.Errorf("%.40q passes", fmt.Sprint("...", more))
+			t.Errorf("fields %.40q are accepted", fmt.Sprint("...", more))
 		}
 	}
 }
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -6,25 +6,25 @@
 	"reedlead/policy"
 )
 
-// maxPastReplies is how many replies a history keeps: a duplicate of an older one has come long before.
+// maxPastReplies is the number of replies that a history keeps. A duplicate follows its original within a few replies.
 const maxPastReplies = 8
 
 var hashSeed = maphash.MakeSeed()
 
-// History holds the last replies of one connection, by which a duplicate of one is known. The zero value is empty.
-// It belongs to the reader of the connection.
+// History remembers the last replies on one connection to detect duplicates of them. The zero value is empty. Only the
+// goroutine that reads the connection may use it.
 type History struct{ replies []pastReply } // oldest first
 
-// pastReply is what is kept of a reply.
+// pastReply identifies a reply by the hash of its bytes, so that the bytes need not be kept.
 type pastReply struct {
 	hash       uint64
 	status     policy.AttemptStatus
 	receivedAt policy.Seconds
 }
 
-// IsDuplicate reports whether a reply may be a duplicate of one that was received after a time: one of the same bytes.
-// A rejection is trusted least, and any other rejection since then will do: one that belonged to the command before
-// must not be taken for that of this command, which may be executing.
+// IsDuplicate reports whether reply b may be a duplicate of a reply received after since, that is, has the same bytes.
+// A rejection counts as a duplicate of any rejection received after since, whatever its bytes: if it were the duplicate
+// of the previous command's rejection, the present command might be executing, and a retry could execute it twice.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
 	hash := maphash.Bytes(hashSeed, b)
 	for _, past := range h.replies {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// Add notes a reply and when it was received.
+// Add records a reply, dropping the oldest one if the history is full.
 func (h *History) Add(b []byte, status policy.AttemptStatus, receivedAt policy.Seconds) {
 	if len(h.replies) == maxPastReplies {
 		h.replies = h.replies[1:]
--- a/internal/reply/history_test.go
+++ b/internal/reply/history_test.go
@@ -6,8 +6,8 @@
 	"reedlead/policy"
 )
 
-// TestHistoryDetectsDuplicates guards against a duplicate that is taken for a reply, and against a good reply that is
-// taken for a duplicate.
+// TestHistoryDetectsDuplicates guards against accepting a duplicate as a reply, and against rejecting a reply as a
+// duplicate.
 func TestHistoryDetectsDuplicates(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text   string
@@ -26,12 +26,12 @@
 		h.Add([]byte("-BUSY 1"), policy.Rejected, 11)
 		h.Add([]byte("-ERR 1"), policy.Error, 12)
 		if got := h.IsDuplicate([]byte(tc.text), tc.status, tc.since); got != tc.want {
-			t.Errorf("%s: %t", name, got)
+			t.Errorf("%s: IsDuplicate returns %t", name, got)
 		}
 	}
 }
 
-// TestHistoryIsBounded guards the memory of a connection on which many replies come.
+// TestHistoryIsBounded guards against a history that grows with the number of replies on a connection.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	h.Add([]byte("oldest"), policy.OK, 1)
@@ -39,6 +39,6 @@
 		h.Add([]byte("later"), policy.OK, 2)
 	}
 	if len(h.replies) != maxPastReplies || h.IsDuplicate([]byte("oldest"), policy.OK, 0) {
-		t.Errorf("%d replies are kept", len(h.replies))
+		t.Errorf("the history holds %d replies, or still knows the oldest", len(h.replies))
 	}
 }
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -1,6 +1,5 @@
-// Package reply reads the replies of endpoints: values, errors and rejections, with the load reports that come along,
-// and distinguishes a reply from a duplicate of an earlier one. It knows nothing of sockets; internal/resp finds where a
-// reply ends.
+// Package reply parses the replies of endpoints (values, errors and rejections, each with an optional load report) and
+// detects duplicates of earlier replies. It does not read from connections; internal/resp finds the end of a reply.
 package reply
 
 import (
@@ -16,28 +15,28 @@
 )
 
 var (
-	// ErrMissingValue is an array whose first element is not a value.
-	ErrMissingValue = errors.New("no value")
-	// ErrUnexpectedType is RESP that is no reply at all.
-	ErrUnexpectedType = errors.New("not a reply")
+	// ErrMissingValue reports an array whose first element is not a bulk string.
+	ErrMissingValue = errors.New("first element of the reply is not a bulk string")
+	// ErrUnexpectedType reports a RESP value other than an array, a bulk string that is not null, or an error.
+	ErrUnexpectedType = errors.New("reply is not an array, a bulk string or an error")
 )
 
-// rejectionCode is the code of the error by which an endpoint rejects a request unseen.
+// rejectionCode is the error code with which an endpoint rejects a request without executing it.
 const rejectionCode = "BUSY"
 
-// loadReportElement is the index of the load report in the array of a reply.
+// loadReportElement is the index of the load report in a reply with a value.
 const loadReportElement = 2
 
-// Reply is one complete reply of an endpoint that could be read.
+// Reply is a parsed reply of an endpoint.
 type Reply struct {
 	Status      policy.AttemptStatus // OK, Error or Rejected
-	Value       []byte               // of status OK: the value in RESP, as the endpoint wrote it
-	Load        *policy.LoadReport   // nil: none came that can be used
-	HealthCheck bool                 // it replies to a health check
+	Value       []byte               // set if Status is OK and HealthCheck is false: the value as RESP
+	Load        *policy.LoadReport   // nil if there is none or it is invalid
+	HealthCheck bool                 // the reply is to a health check
 }
 
-// Parse reads one complete reply. A value stands whatever its load report looks like. After an error the request may
-// have been executed.
+// Parse parses one complete reply. An invalid load report is dropped and does not invalidate the reply. Unless the
+// status is Rejected, the request may have executed, also if Parse returns an error.
 func Parse(b []byte) (Reply, error) {
 	_, element := redcon.ReadNextRESP(b)
 	switch element.Type {
@@ -53,7 +52,7 @@
 	return Reply{}, ErrUnexpectedType
 }
 
-// parseArray reads a reply with a value.
+// parseArray parses a reply with a value.
 func parseArray(array redcon.RESP) (Reply, error) {
 	var elements []redcon.RESP
 	array.ForEach(func(element redcon.RESP) bool {
@@ -70,7 +69,7 @@
 	return parsed, nil
 }
 
-// parseError reads an error or a rejection, whose last field may be a load report.
+// parseError parses an error or a rejection. The last word of its text may be a load report.
 func parseError(text string) Reply {
 	parsed := Reply{Status: policy.Error}
 	if code, _, _ := strings.Cut(text, " "); code == rejectionCode {
@@ -80,15 +79,15 @@
 	return parsed
 }
 
-// Bounds on the figures of a load report: what lies above them is invalid. Utilization is measured, and may come a
-// little above 1.
+// Upper bounds on the values of a load report. The bound on utilization is above 1 because endpoints measure their
+// utilization, and a measurement can exceed 1.
 const (
 	MaxLoadValue   = 1e6
 	MaxUtilization = 4
 )
 
-// parseLoadReport reads a load report. It returns nil if there is none, or if any figure of it is out of range: the
-// report was damaged then, and its other figures are worth no more.
+// parseLoadReport parses a load report. It returns nil if text has none, or if any value is out of range: the report is
+// then corrupt, and its other values can't be trusted either.
 func parseLoadReport(text string) *policy.LoadReport {
 	report, found := settings.EmptyLoadReport, false
 	for part := range strings.SplitSeq(text, ",") {
@@ -97,7 +96,7 @@
 		if err != nil {
 			continue
 		}
-		if !(number >= 0 && number <= MaxLoadValue) { // not a number either
+		if !(number >= 0 && number <= MaxLoadValue) { // the negation also catches NaN
 			return nil
 		}
 		settings.SetLoadValue(&report, name, number)
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// TestParse guards against good values dropped for the load report behind them, against figures out of all range, and
-// against values in replies that are none.
+// TestParse checks that an invalid load report is dropped without the value before it, and that a reply without a value
+// gives an error.
 func TestParse(t *testing.T) {
 	const noLoad = -1.0
 	for text, want := range map[string]struct {
@@ -33,12 +33,12 @@
 		"-BUSYNESS\r\n":                                               {status: policy.Error, utilization: noLoad},
 	} {
 		if n, err := resp.ReplySize([]byte(text)); n != len(text) || err != nil {
-			t.Fatalf("%q: ReplySize gives %d, %v", text, n, err)
+			t.Fatalf("%q: ReplySize returns %d, %v", text, n, err)
 		}
 		got, err := Parse([]byte(text))
 		if want.malformed {
 			if err == nil || got.Value != nil || got.Load != nil {
-				t.Errorf("%q: got %+v, %v", text, got, err)
+				t.Errorf("%q: got %+v, %v, want an error", text, got, err)
 			}
 			continue
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// FuzzParse guards the readers of backend connections, in which a panic would end the process: what is served is one
-// value that is not null.
+// FuzzParse guards against input that makes the parser panic, which would end the process, or that is accepted as a
+// value without being one bulk string that is not null. It also checks the bounds of load reports.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, err := resp.ReplySize(b)
 		if n < 0 || n > len(b) || n > 0 && err != nil {
-			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+			t.Fatalf("ReplySize returns %d for %d bytes, %v", n, len(b), err)
 		}
 		if n == 0 {
 			return
@@ -75,11 +75,11 @@
 		if err == nil && got.Status == policy.OK && !got.HealthCheck {
 			m, value := redcon.ReadNextRESP(got.Value)
 			if m != len(got.Value) || value.Type != redcon.Bulk || value.Data == nil {
-				t.Fatalf("%q is served as %q", b[:n], got.Value)
+				t.Fatalf("%q gives the value %q", b[:n], got.Value)
 			}
 		}
 		if load := got.Load; load != nil && !(load.Utilization <= MaxUtilization && load.ServiceTimeMS <= MaxLoadValue) {
-			t.Fatalf("load %+v", load)
+			t.Fatalf("load report out of range: %+v", load)
 		}
 	})
 }
