--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -1,4 +1,4 @@
-// Package readbuf gathers what is read from connections, within one budget of memory for all of them.
+// Package readbuf provides the read buffers of connections. All buffers share one memory budget.
 package readbuf
 
 import (
@@ -6,34 +6,35 @@
 	"sync/atomic"
 )
 
-// InitialSize is the first size of a buffer in bytes, which takes nothing from the budget. Each read has at least half of it
-// to read into.
+// InitialSize is the first size of a buffer in bytes. It is not charged to the budget. A buffer grows when less than half
+// of InitialSize is left to read into.
 const InitialSize = 4 << 10
 
-// ErrExhausted reports that the budget has no memory left for a buffer. A client gets its text.
+// ErrExhausted reports that the budget does not allow a buffer to grow. The client gets its text.
 var ErrExhausted = errors.New("no room for more input")
 
-// Budget bounds the bytes that readers and the event loop hold for others, beyond the first InitialSize bytes of each
-// connection. It is safe for use by many goroutines.
+// Budget bounds the memory for input in bytes: what buffers take beyond InitialSize, and the requests that wait for the
+// event loop or are open. It is safe for concurrent use.
 type Budget struct {
 	available        atomic.Int64
-	readAheadReserve int64 // never changes
+	readAheadReserve int64 // immutable
 }
 
-// NewBudget returns a budget of size bytes. Readers that only read ahead leave readAheadReserve of them to others.
+// NewBudget returns a budget of size bytes. Reading ahead is allowed only while more than readAheadReserve bytes are
+// available.
 func NewBudget(size, readAheadReserve int64) *Budget {
 	b := &Budget{readAheadReserve: readAheadReserve}
 	b.available.Store(size)
 	return b
 }
 
-// Available returns how many bytes can be reserved.
+// Available returns the number of bytes that can be reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// AllowsReadAhead reports whether more is available than the reserve, so that a reader may read ahead.
+// AllowsReadAhead reports whether more bytes are available than reading ahead must leave to other uses.
 func (b *Budget) AllowsReadAhead() bool { return b.available.Load() > b.readAheadReserve }
 
-// Reserve takes n bytes, and reports whether there were as many.
+// Reserve takes n bytes from the budget. It reports false, and takes nothing, if fewer are available.
 func (b *Budget) Reserve(n int) bool {
 	if b.available.Add(-int64(n)) < 0 {
 		b.available.Add(int64(n))
@@ -42,26 +43,27 @@
 	return true
 }
 
-// Release gives n bytes back.
+// Release returns n reserved bytes to the budget.
 func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
 
-// Buffer gathers what is read from one connection. It belongs to the reader of the connection.
+// Buffer holds the unprocessed input of one connection. Only the goroutine that reads the connection may use it.
 type Buffer struct {
 	content  []byte
 	budget   *Budget
-	reserved int // bytes of the budget
+	reserved int // bytes taken from the budget
 }
 
-// NewBuffer returns an empty buffer that grows beyond InitialSize at the cost of the budget.
+// NewBuffer returns an empty buffer that takes memory beyond InitialSize from the budget.
 func NewBuffer(budget *Budget) Buffer { return Buffer{budget: budget} }
 
-// Bytes returns what was read and not discarded yet. It is valid until the next call of another method.
+// Bytes returns the bytes that were read and not yet discarded. The slice is valid until the buffer is changed.
 func (b *Buffer) Bytes() []byte { return b.content }
 
-// Len returns the number of bytes that were read and not discarded yet.
+// Len returns the number of bytes that were read and not yet discarded.
 func (b *Buffer) Len() int { return len(b.content) }
 
-// Space returns the space to read into, nil if the budget has none left.
+// Space returns the free part of the buffer to read into, growing the buffer if necessary. It returns nil if the budget
+// does not allow that.
 func (b *Buffer) Space() []byte {
 	if cap(b.content)-len(b.content) < InitialSize/2 {
 		size := max(InitialSize, 2*len(b.content)+InitialSize/2)
@@ -76,10 +78,10 @@
 	return b.content[len(b.content):cap(b.content)]
 }
 
-// Commit notes that n bytes were read into the space.
+// Commit adds the first n bytes of the slice that Space returned to the buffer's content.
 func (b *Buffer) Commit(n int) { b.content = b.content[:len(b.content)+n] }
 
-// Discard drops the first n bytes, and frees a buffer that one large value made grow once it is empty.
+// Discard removes the first n bytes. A buffer that has grown beyond InitialSize is freed when it becomes empty.
 func (b *Buffer) Discard(n int) {
 	rest := b.content[n:]
 	if len(rest) == 0 && cap(b.content) > InitialSize {
@@ -89,7 +91,7 @@
 	b.content = b.content[:copy(b.content, rest)]
 }
 
-// Free drops all, and gives back what was reserved.
+// Free discards the content and returns the reserved memory to the budget.
 func (b *Buffer) Free() {
 	b.budget.Release(b.reserved)
 	b.content, b.reserved = nil, 0
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fill reads n bytes of a kind into a buffer, and reports whether there was space for them.
+// fill appends n bytes of value kind to a buffer, and reports whether there was space for all of them.
 func fill(b *Buffer, kind byte, n int) bool {
 	for n > 0 {
 		space := b.Space()
@@ -20,45 +20,45 @@
 	return true
 }
 
-// TestBufferGrowthIsBoundedByBudget guards against memory beyond the budget, and against a part of it that is never
-// given back.
+// TestBufferGrowthIsBoundedByBudget guards against buffers that grow beyond the budget, and against reserved memory that
+// is never released.
 func TestBufferGrowthIsBoundedByBudget(t *testing.T) {
 	const size = 4 * InitialSize
 	budget := NewBudget(size, size/2)
 	one, other := NewBuffer(budget), NewBuffer(budget)
 	if !fill(&one, 'a', InitialSize/2) || budget.Available() != size {
-		t.Errorf("a first read leaves %d of %d bytes", budget.Available(), size)
+		t.Errorf("%d of %d bytes are available after a first read, want all", budget.Available(), size)
 	}
 	if !fill(&one, 'b', 2*InitialSize) || budget.Available() >= size {
-		t.Errorf("%d bytes in a buffer leave %d of %d", one.Len(), budget.Available(), size)
+		t.Errorf("with %d bytes in a buffer, %d of %d bytes are available", one.Len(), budget.Available(), size)
 	}
 	if fill(&other, 'c', 8*InitialSize) {
-		t.Error("a buffer grows beyond the budget")
+		t.Error("a buffer grew beyond the budget")
 	}
 	if want := append(bytes.Repeat([]byte{'a'}, InitialSize/2), bytes.Repeat([]byte{'b'}, 2*InitialSize)...); !bytes.Equal(one.Bytes(), want) {
-		t.Error("the buffer has changed as it grew")
+		t.Error("the content changed as the buffer grew")
 	}
 	one.Discard(InitialSize / 2)
 	if !bytes.Equal(one.Bytes(), bytes.Repeat([]byte{'b'}, 2*InitialSize)) {
-		t.Error("a part that was not discarded has changed")
+		t.Error("the content changed after a partial discard")
 	}
 	one.Discard(one.Len())
 	other.Free()
 	if budget.Available() != size {
-		t.Errorf("%d of %d bytes are given back", budget.Available(), size)
+		t.Errorf("%d of %d bytes are available after both buffers were emptied", budget.Available(), size)
 	}
 }
 
-// TestBudgetReservesMemoryFromReadAhead guards the share of the budget that is not for reading ahead.
+// TestBudgetReservesMemoryFromReadAhead guards against reading ahead with the memory that is kept for other uses.
 func TestBudgetReservesMemoryFromReadAhead(t *testing.T) {
 	budget := NewBudget(100, 40)
 	if !budget.AllowsReadAhead() {
-		t.Error("nothing is reserved yet")
+		t.Error("an unused budget does not allow reading ahead")
 	}
 	if !budget.Reserve(60) || budget.AllowsReadAhead() {
-		t.Error("the reserve alone is left")
+		t.Error("reading ahead is allowed with only the reserve available")
 	}
 	if budget.Reserve(41) || budget.Available() != 40 {
-		t.Errorf("%d bytes are left after a refused reservation", budget.Available())
+		t.Errorf("%d bytes are available after a refused reservation of 41 bytes, want 40", budget.Available())
 	}
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp finds the bounds of RESP2 commands and replies in the bytes that have been read of a connection, and
-// rejects malformed ones before all of their bytes have come. Lengths, counts and nesting are bounded; the library
-// that encodes and decodes whole values has no bounds, and would wait for a value of any announced size.
+// Package resp finds the end of RESP2 commands and replies in the bytes read from a connection, and rejects malformed
+// ones as early as possible. It bounds lengths, counts and nesting. The library that encodes and decodes complete values
+// (redcon) has no such bounds and would wait for a value of any announced size.
 package resp
 
 import (
@@ -10,22 +10,22 @@
 	"strconv"
 )
 
-// Bounds on what is read from a socket, in bytes where they are sizes.
+// Bounds on the input from a connection. Sizes are in bytes.
 const (
-	// MaxBulkString is the size of one bulk string.
+	// MaxBulkString is the largest size of a bulk string.
 	MaxBulkString = 64 << 10
-	// MaxLine is the size of a line of text.
+	// MaxLine is the largest size of a line.
 	MaxLine = 1 << 10
-	// MaxMessage is the size of a whole command or reply: one value, and the shorter ones beside it.
+	// MaxMessage is the largest size of a complete command or reply: one large bulk string and several short elements.
 	MaxMessage = MaxBulkString + 8*MaxLine
 
-	maxElements   = 16 // of an array
-	maxDepth      = 4  // of arrays in arrays
-	maxHeaderLine = 16 // of a type and a length
+	maxElements   = 16 // in an array
+	maxDepth      = 4  // of nested arrays
+	maxHeaderLine = 16 // bytes in a line that holds a type and a length
 )
 
 var (
-	// ErrOversized is the error of a value, or a whole command or reply, beyond its bound.
+	// ErrOversized reports a bulk string larger than MaxBulkString, or a command or reply larger than MaxMessage.
 	ErrOversized = errors.New("value over 64 KiB")
 
 	errLength         = errors.New("invalid length")
@@ -37,7 +37,8 @@
 	errNumber         = errors.New("malformed number")
 )
 
-// SyntaxError makes the rest of a client's connection unreadable. Its text is the one that the client gets.
+// SyntaxError reports malformed input from a client. The rest of the connection can't be parsed after it. The client
+// gets its text.
 type SyntaxError struct{ Cause error }
 
 // Error implements error.
@@ -46,8 +47,8 @@
 // Unwrap returns the cause.
 func (e SyntaxError) Unwrap() error { return e.Cause }
 
-// parseHeader reads the line that b starts with: a type and a length, in digits alone. n is the line's size, 0 if it has
-// not come whole yet. A length of -1 gives null.
+// parseHeader parses the line at the start of b: a type byte and a decimal length without sign or leading zeros, or -1
+// for null. n is the size of the line, or 0 if b does not hold all of it.
 func parseHeader(b []byte) (length, n int, null bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeaderLine)], '\n')
 	line := b[1:min(len(b), maxHeaderLine)]
@@ -65,7 +66,7 @@
 			null = true
 		case null && i == 1 && c == '1':
 		case !null && c >= '0' && c <= '9' && (i == 0 || line[0] != '0'):
-			length = length*10 + int(c-'0') // of 14 digits at most
+			length = length*10 + int(c-'0') // can't overflow: maxHeaderLine leaves at most 14 digits
 		case end < 0 && c == '\r' && i == len(line)-1:
 		default:
 			return 0, 0, false, errLength
@@ -80,9 +81,9 @@
 	return length, end + 1, null, nil
 }
 
-// ParseCommand splits the command that b, which is not empty, starts with: an array of bulk strings. It returns its
-// size, 0 if it has not come whole yet, or what is wrong with it. Lengths are checked before the bytes that they
-// announce have come. The arguments are appended to args; they lie in b.
+// ParseCommand parses the command at the start of b, an array of bulk strings, and appends its arguments to args. They
+// point into b, which must not be empty. It returns the size of the command, or 0 if b does not hold all of it. An
+// invalid length is an error even if the bytes after it have not arrived.
 func ParseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
@@ -105,7 +106,8 @@
 	return args, n, nil
 }
 
-// parseArgument reads the bulk string at an offset of a command. It returns where it ends, 0 if it has not come whole yet.
+// parseArgument parses the bulk string at an offset of a command. end is the offset after it, or 0 if command does not
+// hold all of it.
 func parseArgument(command []byte, offset int) (value []byte, end int, err error) {
 	b := command[offset:]
 	if len(b) == 0 {
@@ -130,13 +132,13 @@
 	return b[start : start+size : start+size], offset + start + size + len(lineEnd), nil
 }
 
-// lineEnd ends lines and bulk strings.
+// lineEnd terminates lines and bulk strings.
 const lineEnd = "\r\n"
 
-// ReplySize returns the size of the reply that b starts with, 0 if it has not come whole yet, or what is wrong with it.
+// ReplySize returns the size of the reply at the start of b, or 0 if b does not hold all of it.
 func ReplySize(b []byte) (int, error) { return valueSize(b, 0) }
 
-// valueSize is ReplySize of a value inside arrays, depth of them.
+// valueSize is like ReplySize for a value that is nested in depth arrays.
 func valueSize(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -149,10 +151,10 @@
 	case '*':
 		return arraySize(b, depth)
 	}
-	return 0, fmt.Errorf("unknown type %q", b[0]) // reported at once: its line may never end
+	return 0, fmt.Errorf("unknown type %q", b[0]) // reported without waiting for the end of the line, which might never come
 }
 
-// bulkStringSize is ReplySize of a bulk string.
+// bulkStringSize is like ReplySize for a bulk string.
 func bulkStringSize(b []byte) (int, error) {
 	size, start, null, err := parseHeader(b)
 	switch {
@@ -170,7 +172,7 @@
 	return start + size + len(lineEnd), nil
 }
 
-// arraySize is ReplySize of an array.
+// arraySize is like valueSize for an array.
 func arraySize(b []byte, depth int) (int, error) {
 	count, end, null, err := parseHeader(b)
 	switch {
@@ -191,7 +193,7 @@
 	return end, nil
 }
 
-// lineSize is ReplySize of a line of text or a number.
+// lineSize is like ReplySize for a simple string, an error or an integer.
 func lineSize(b []byte) (int, error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxLine+1)], '\n')
 	switch {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// FuzzParseCommand guards the readers of clients, in which a panic would end the process: whatever comes, a command
-// is complete, unfinished or wrong, and the codec reads the same in what is taken for complete.
+// FuzzParseCommand guards against input that makes the parser panic, which would end the process, and against a command
+// that redcon parses differently. It also checks that a complete command less its last byte counts as incomplete.
 func FuzzParseCommand(f *testing.F) {
 	request := redcon.AppendArray(nil, 4)
 	for _, arg := range []string{
@@ -29,22 +29,22 @@
 		}
 		args, n, err := ParseCommand(b, nil)
 		if n < 0 || n > len(b) || n > 0 && err != nil {
-			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+			t.Fatalf("ParseCommand returns size %d for %d bytes, %v", n, len(b), err)
 		}
 		if n == 0 {
 			return
 		}
 		complete, codec, _, rest, err := redcon.ReadNextCommand(b[:n], nil)
 		if !complete || err != nil || len(rest) != 0 || len(codec) != len(args) {
-			t.Fatalf("the codec reads %q, %v in %q", codec, err, b[:n])
+			t.Fatalf("redcon returns %q, %v for %q", codec, err, b[:n])
 		}
 		for i := range args {
 			if !bytes.Equal(args[i], codec[i]) {
-				t.Fatalf("argument %d is %q, the codec reads %q", i, args[i], codec[i])
+				t.Fatalf("argument %d is %q, redcon returns %q", i, args[i], codec[i])
 			}
 		}
 		if _, m, err := ParseCommand(b[:n-1], nil); m != 0 || err != nil {
-			t.Fatalf("less its last byte it gives %d, %v", m, err)
+			t.Fatalf("without its last byte: got size %d, %v, want 0", m, err)
 		}
 	})
 }
