--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,42 +14,42 @@
 	"reedlead/internal/settings"
 )
 
-// Config is the configuration of a gateway.
+// Config holds the validated configuration of a gateway.
 type Config struct {
 	Name             string
 	ListenAddress    string // IP address and port for clients
 	DiscoveryAddress string // IP address and port of the discovery agent
 	Seed             uint64
-	MemoryMB         int // memory limit of the process in MiB; 0: not given
-	MaxDescriptors   int // file descriptors that the process may hold
+	MemoryMB         int // memory limit of the process in MiB; 0 means no limit is given
+	MaxDescriptors   int // maximum number of open file descriptors
 
-	// PeerListenAddress is where datagrams of other gateways come; not valid without peer messages.
+	// PeerListenAddress receives datagrams from other gateways. It is not valid if peer messages are disabled.
 	PeerListenAddress netip.AddrPort
-	// PeerAddresses are those of all gateways by their number.
+	// PeerAddresses holds the peer address of every gateway, indexed by the gateway's number.
 	PeerAddresses []netip.AddrPort
-	// BroadcastAddress reaches all of them; not valid if there is no such address.
+	// BroadcastAddress reaches all gateways with one datagram. It is not valid if there is none.
 	BroadcastAddress netip.AddrPort
 
-	// InitialEndpoints is the endpoint list that counts until discovery responds.
+	// InitialEndpoints is the endpoint list in use until discovery responds.
 	InitialEndpoints discovery.List
 	Settings         settings.Settings
 }
 
 const defaultMaxDescriptors = 1024
 
-// The causes of a FieldError, beside those of the parsers that are used.
+// Causes of a FieldError. It may also wrap the error of a parser.
 var (
-	// ErrMissing reports a field that has to be there.
+	// ErrMissing reports that a required field is missing.
 	ErrMissing = errors.New("missing")
-	// ErrNotPositive reports time-outs that must be above 0.
+	// ErrNotPositive reports timeouts that are not above 0.
 	ErrNotPositive = errors.New("limits.dialTimeoutS and limits.connIdleS must be above 0")
-	// ErrPeerCount reports a list of peers that has not one address for each gateway.
-	ErrPeerCount = errors.New("not one address for each gateway")
+	// ErrPeerCount reports that the number of peer addresses differs from the number of gateways.
+	ErrPeerCount = errors.New("want one address per gateway")
 )
 
-// FieldError reports a field of the configuration file that can't be used.
+// FieldError reports an invalid field of the configuration file.
 type FieldError struct {
-	Field string // by its name in the file
+	Field string // its name in the file
 	Err   error
 }
 
@@ -58,15 +58,15 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// RequiresRestart reports whether more differs than what a running gateway takes over from a configuration that is
-// read again, or than what is new with each start.
+// RequiresRestart reports whether a reloaded configuration differs from started, that of the running gateway, in a field
+// that takes effect only at a restart. A reload applies the discovery address. The initial endpoints and the seed are
+// ignored because they are new at every start.
 func (c Config) RequiresRestart(started Config) bool {
 	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = started.DiscoveryAddress, started.InitialEndpoints, started.Seed
 	return !reflect.DeepEqual(c, started)
 }
 
-// Read reads the configuration file. The error wraps a *FieldError where the file was read and a field can't
-// be used.
+// Read reads and parses the configuration file at path. The error wraps a *FieldError if a field is invalid.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return c, nil
 }
 
-// file is the JSON form of the configuration file; unknown keys are skipped.
+// file is the configuration file as it is encoded in JSON. Unknown keys are ignored.
 type file struct {
 	Name, Listen, Discovery, Seed string
 
@@ -94,7 +94,7 @@
 	Settings   json.RawMessage
 }
 
-// Parse reads the text of a configuration file.
+// Parse parses and validates the text of a configuration file.
 func Parse(text []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-// validateAddresses checks that the addresses for clients and of discovery can be parsed.
+// validateAddresses checks the listen address and the address of the discovery agent.
 func (f *file) validateAddresses(*Config) error {
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
 		return &FieldError{"listen", err}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// parseSeed reads the seed, a hexadecimal number.
+// parseSeed parses the seed, a hexadecimal number of up to 64 bits.
 func (f *file) parseSeed(c *Config) (err error) {
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return &FieldError{"seed", err}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// parseSettings reads the settings, and checks those that the network side uses.
+// parseSettings parses the settings, and checks the timeouts that the network side uses.
 func (f *file) parseSettings(c *Config) (err error) {
 	if len(f.Settings) == 0 {
 		return &FieldError{"settings", ErrMissing}
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// validateInitialEndpoints checks the entries of the initial endpoint list.
+// validateInitialEndpoints checks every entry of the initial endpoint list.
 func (f *file) validateInitialEndpoints(c *Config) error {
 	if err := c.InitialEndpoints.Validate(); err != nil {
 		return &FieldError{"known", err}
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// parsePeers reads the addresses of the other gateways, where there are peer messages.
+// parsePeers parses the peer addresses of all gateways. It does nothing if peer messages are disabled.
 func (f *file) parsePeers(c *Config) (err error) {
 	if !c.Settings.PeerMessages {
 		return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 "known":{"version":41,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"in_service"}]},
 "settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
 
-// TestParseNamesInvalidField guards the form of the configuration file, and that each field that can't be used is
-// named.
+// TestParseNamesInvalidField checks that Parse accepts a complete configuration file, and that its error names the field
+// that is invalid.
 func TestParseNamesInvalidField(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil {
@@ -38,11 +38,11 @@
 		t.Run(tc.want, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(goodConfig, tc.old, tc.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Fatalf("got %v, want %q", err, tc.want)
+				t.Fatalf("got error %v, want one with %q", err, tc.want)
 			}
 			var field *FieldError
 			if errors.As(err, &field) != (tc.field != "") || field != nil && field.Field != tc.field {
-				t.Errorf("got %#v, want an error of field %q", err, tc.field)
+				t.Errorf("got %#v, want an error for field %q", err, tc.field)
 			}
 		})
 	}
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -13,8 +13,8 @@
 // ErrExhausted reports that the budget does not allow a buffer to grow. The client gets its text.
 var ErrExhausted = errors.New("no room for more input")
 
-// Budget bounds the memory for input in bytes: what buffers take beyond InitialSize, and the requests that wait for the
-// event loop or are open. It is safe for concurrent use.
+// Budget bounds the memory that connections take, in bytes: buffer space beyond InitialSize, and what its other users
+// reserve. It is safe for concurrent use.
 type Budget struct {
 	available        atomic.Int64
 	readAheadReserve int64 // immutable
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the settings object that the simulator's ENLIST message and the configuration file of a
-// gateway both carry, and translates its words to those of the code. The words of the settings are used
-// nowhere else.
+// Package settings parses the settings object, which both the simulator's ENLIST message and the configuration file of a
+// gateway contain, and translates its keys and values into the terms of the code. No other package uses those keys.
 package settings
 
 import (
@@ -19,8 +18,8 @@
 	ErrUnknownScope  = errors.New("unknown keyScope")
 )
 
-// wireSettings is the settings object in the words of the wire. Unknown keys are skipped. Suffixes give the unit: S
-// for seconds, PerS for a second.
+// wireSettings is the settings object as it is encoded in JSON. Unknown keys are ignored. The suffix S stands for
+// seconds, PerS for "per second".
 type wireSettings struct {
 	Balancers  int    `json:"balancers"`
 	Me         int    `json:"me"`
@@ -92,22 +91,22 @@
 	"cell": policy.DedupCell,
 }
 
-// loadInHealthChecks is the value of feedback.how where endpoints report their load in replies to health checks alone.
+// loadInHealthChecks is the value of feedback.how if endpoints report their load only in replies to health checks.
 const loadInHealthChecks = "probe"
 
-// Settings are those of the decision module, and beside them what only the network side has to know.
+// Settings holds the settings of the decision module, and those that only the network side uses.
 type Settings struct {
 	policy.Settings
-	// DialTimeout bounds the time that a connection to an endpoint may take to be made.
+	// DialTimeout is the longest time to establish a connection to an endpoint.
 	DialTimeout time.Duration
-	// MaxOpenRequests bounds the requests without a final reply; 0 stands for no such bound.
+	// MaxOpenRequests is the maximum number of requests without a final reply; 0 means no limit.
 	MaxOpenRequests int
-	// DrainGrace is how long after it is told that an endpoint drains a gateway may still send to it; 0 stands
-	// for not given.
+	// DrainGrace is the time for which a gateway may still send to an endpoint after discovery reports it as draining;
+	// 0 means that none is given.
 	DrainGrace time.Duration
 }
 
-// Parse translates the settings. Whether their values make sense is for policy.New to say.
+// Parse parses the settings object. It does not check the ranges of values; policy.New does.
 func Parse(text []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -127,8 +126,8 @@
 	return s, nil
 }
 
-// seconds translates a number of seconds on the wire. A number that a duration can't hold gives the nearest duration of
-// the same sign, so that no setting above 0 becomes 0 or negative.
+// seconds converts a number of seconds to a duration. A number out of a duration's range gives the nearest duration of
+// the same sign, so that a setting above 0 does not become 0 or negative.
 func seconds(s float64) time.Duration {
 	nanoseconds := s * float64(time.Second)
 	switch {
@@ -142,7 +141,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// policySettings translates all but classes and plans.
+// policySettings translates all settings of the decision module except classes and plans.
 func (w *wireSettings) policySettings() policy.Settings {
 	return policy.Settings{
 		Self:         w.Me,
@@ -176,7 +175,7 @@
 	}
 }
 
-// classes translates the profiles. The error names the first that can't be translated.
+// classes translates the profiles. It returns an error for the first one with an unknown effect or key scope.
 func (w *wireSettings) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for _, p := range w.Profiles {
@@ -203,7 +202,7 @@
 	return classes, nil
 }
 
-// plans translates the packages.
+// plans translates the packages into plans.
 func (w *wireSettings) plans() []policy.Plan {
 	var plans []policy.Plan
 	for _, p := range w.Packages {
@@ -220,12 +219,12 @@
 	return plans
 }
 
-// EmptyLoadReport is a load report without any value.
+// EmptyLoadReport is a load report in which every value is unknown, which -1 stands for.
 var EmptyLoadReport = policy.LoadReport{
 	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
 }
 
-// SetLoadValue puts a value into a load report by its name on the wire; unknown names are ignored.
+// SetLoadValue sets the value with the given name on the wire in a load report. Unknown names are ignored.
 func SetLoadValue(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "busy_reqs":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("got %+v", s)
 	}
 	if len(s.Classes) != 1 || s.Classes[0].Idempotency != policy.NonIdempotent || len(s.Plans) != 1 || s.Plans[0].CeilingBurst != 147 {
-		t.Errorf("got %+v and %+v", s.Classes, s.Plans)
+		t.Errorf("got classes %+v and plans %+v", s.Classes, s.Plans)
 	}
 	for want, change := range map[string][2]string{
 		`unknown effect "mild"`: {"fragile", "mild"},
@@ -29,12 +29,13 @@
 		"unexpected end":        {text, "{"},
 	} {
 		if _, err := Parse([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want one with %q", err, want)
 		}
 	}
 }
 
-// Guards against a dial timeout that is refused at the start, or in force at once, as a duration can't hold it.
+// Guards against a dial timeout whose conversion to a duration overflows or rounds to 0: the gateway would refuse to
+// start, or every dial would time out immediately.
 func TestSecondsKeepTheirSign(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0":      0,
