--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the lines of the simulator's protocol: a message name and fields name=value,
-// parted by tabs. It knows the form of lines, not their meaning.
+// Package simwire reads and writes the lines of the simulator's protocol. A line holds a message name and name=value
+// fields, separated by tabs. The package does not interpret messages.
 package simwire
 
 import (
@@ -17,42 +17,42 @@
 const (
 	readBufferSize  = 1 << 20
 	writeBufferSize = 1 << 18
-	// maxNumber bounds numbers, in either direction.
+	// maxNumber bounds the absolute value of numbers that are read.
 	maxNumber = 1e18
-	// emptyBytes stands for a field of no bytes.
+	// emptyBytes is the value of a byte field without bytes.
 	emptyBytes = "-"
-	// endOfReply is the line that ends the reply to a batch.
+	// endOfReply is the line after the reply to a batch.
 	endOfReply = "NEXT\n"
-	// restOfLineField is the field whose value runs to the end of its line, tabs included.
+	// restOfLineField is the field whose value extends to the end of the line and may contain tabs.
 	restOfLineField = "settings"
 )
 
-// Errors of lines that can't be read, wrapped with the message and the field.
+// Causes of the errors of this package, which add the names of the message and the field.
 var (
 	ErrMalformed = errors.New("malformed")
 	ErrMissing   = errors.New("is missing")
 	ErrInvalid   = errors.New("cannot be read")
 )
 
-// Line is one message: a name and its fields in the order in which they came.
+// Line is one message: its name, and its fields in their order on the line.
 type Line struct {
 	Name   string
 	fields []field
 }
 
-// field is one field of a line, with its value as on the wire.
+// field is a field of a line. Its value is not decoded.
 type field struct{ name, value string }
 
-// Reader reads lines.
+// Reader reads lines of any length.
 type Reader struct {
 	buffered *bufio.Reader
-	longLine []byte // holds a line that is longer than the buffer
+	longLine []byte // the current line, if it is longer than the read buffer
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader { return &Reader{buffered: bufio.NewReaderSize(r, readBufferSize)} }
 
-// Next reads the next line into l. It returns io.EOF at the end of the input.
+// Next reads the next line into l. It returns io.EOF at the end of the input. The last line need not end with a newline.
 func (r *Reader) Next(l *Line) error {
 	raw, err := r.readLine()
 	if err != nil && (!errors.Is(err, io.EOF) || len(raw) == 0) {
@@ -61,8 +61,8 @@
 	return l.parse(string(bytes.TrimRight(raw, "\r\n")))
 }
 
-// readLine returns the next line, which lasts until the next call. At the end of the input it returns what is left
-// with io.EOF.
+// readLine returns the next line, which is valid until the next call. At the end of the input it returns an unterminated
+// last line together with io.EOF.
 func (r *Reader) readLine() ([]byte, error) {
 	raw, err := r.buffered.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -100,10 +100,10 @@
 	return nil
 }
 
-// Has tells whether the field came with the line.
+// Has reports whether the line has the named field.
 func (l *Line) Has(name string) bool { _, ok := l.get(name); return ok }
 
-// get returns the value of a field, and false if the line has none of the name.
+// get returns the value of the named field, and whether the line has it.
 func (l *Line) get(name string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == name {
@@ -113,17 +113,17 @@
 	return "", false
 }
 
-// missing is the error of a field that the line lacks.
+// missing returns the error for a required field that the line does not have.
 func (l *Line) missing(name string) error {
 	return fmt.Errorf("%s: field %s %w", l.Name, name, ErrMissing)
 }
 
-// InvalidField is the error of a field whose value can't be read.
+// InvalidField returns the error for a field whose value is invalid.
 func (l *Line) InvalidField(name, value string) error {
 	return fmt.Errorf("%s: field %s %w: %q", l.Name, name, ErrInvalid, value)
 }
 
-// Text returns a required text field.
+// Text returns a required text, which must not be empty.
 func (l *Line) Text(name string) (string, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
@@ -132,7 +132,7 @@
 	return v, nil
 }
 
-// Int returns a required whole number.
+// Int returns a required integer.
 func (l *Line) Int(name string) (int, error) {
 	if !l.Has(name) {
 		return 0, l.missing(name)
@@ -140,7 +140,7 @@
 	return l.OptionalInt(name)
 }
 
-// OptionalInt returns a whole number, 0 where it was left off.
+// OptionalInt returns an integer, or 0 if the field is missing.
 func (l *Line) OptionalInt(name string) (int, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -153,7 +153,7 @@
 	return n, nil
 }
 
-// Uint returns a required whole number of up to 64 bits.
+// Uint returns a required unsigned integer of up to 64 bits.
 func (l *Line) Uint(name string) (uint64, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -174,7 +174,7 @@
 	return l.OptionalFloat(name)
 }
 
-// OptionalFloat returns a number, 0 where it was left off.
+// OptionalFloat returns a number, or 0 if the field is missing.
 func (l *Line) OptionalFloat(name string) (float64, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -187,7 +187,7 @@
 	return x, nil
 }
 
-// OptionalBool returns a bool, false where it was left off.
+// OptionalBool returns a boolean (0 or 1), or false if the field is missing.
 func (l *Line) OptionalBool(name string) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "0" {
@@ -199,7 +199,7 @@
 	return true, nil
 }
 
-// Hex returns a required field of bytes.
+// Hex returns the bytes of a required field in hexadecimal.
 func (l *Line) Hex(name string) ([]byte, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -215,7 +215,7 @@
 	return b, nil
 }
 
-// Pairs calls do for each name:value of an optional field, and returns whether there is the field.
+// Pairs calls visit for each name:value pair of an optional field, and reports whether the line has the field.
 func (l *Line) Pairs(name string, visit func(name string, value float64)) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
@@ -232,7 +232,8 @@
 	return true, nil
 }
 
-// Writer gathers the lines of one reply. A line is begun, gets its fields, and is ended before the next one is begun.
+// Writer writes the lines of replies. Each line is started with Begin, gets its fields, and is finished with End. Flush
+// finishes a reply.
 type Writer struct {
 	buffered *bufio.Writer
 	line     []byte
@@ -243,49 +244,50 @@
 	return &Writer{buffered: bufio.NewWriterSize(w, writeBufferSize)}
 }
 
-// Begin starts a line for an instance.
+// Begin starts a line with a message name and the number of the gateway instance.
 func (w *Writer) Begin(name string, instance int) *Writer {
 	w.line = append(append(w.line[:0], name...), "\ti="...)
 	w.line = strconv.AppendInt(w.line, int64(instance), 10)
 	return w
 }
 
-// beginField begins a field.
+// beginField writes a field's name, after which its value must be appended.
 func (w *Writer) beginField(name string) {
 	w.line = append(append(append(w.line, '\t'), name...), '=')
 }
 
 var whitespaceReplacer = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Text adds a text field; line breaks and tabs become blanks.
+// Text adds a text field. Line breaks and tabs become blanks because they would end the line or the field.
 func (w *Writer) Text(name, v string) *Writer {
 	w.beginField(name)
 	w.line = append(w.line, whitespaceReplacer.Replace(v)...)
 	return w
 }
 
-// ID adds a field whose text came from the wire and goes back as it was.
+// ID adds a text field without replacing anything. The text must be free of line breaks
+// and tabs, as the values of a Line's fields are.
 func (w *Writer) ID(name, v string) *Writer {
 	w.beginField(name)
 	w.line = append(w.line, v...)
 	return w
 }
 
-// Int adds a whole number.
+// Int adds an integer.
 func (w *Writer) Int(name string, v int64) *Writer {
 	w.beginField(name)
 	w.line = strconv.AppendInt(w.line, v, 10)
 	return w
 }
 
-// Float adds a number, to the microsecond.
+// Float adds a number with 6 decimals: microseconds, for a time in seconds.
 func (w *Writer) Float(name string, v float64) *Writer {
 	w.beginField(name)
 	w.line = strconv.AppendFloat(w.line, v, 'f', 6, 64)
 	return w
 }
 
-// Hex adds a field of bytes.
+// Hex adds bytes in hexadecimal.
 func (w *Writer) Hex(name string, v []byte) *Writer {
 	w.beginField(name)
 	if len(v) == 0 {
@@ -295,14 +297,14 @@
 	return w
 }
 
-// End ends the line.
+// End finishes the line.
 func (w *Writer) End() {
 	w.line = append(w.line, '\n')
-	_, _ = w.buffered.Write(w.line) // the buffer keeps its first error for Flush
+	_, _ = w.buffered.Write(w.line) // Flush returns the first error of the buffer
 }
 
-// Flush ends the reply and writes it. It returns the first error since the last Flush.
+// Flush finishes the reply and writes it to the underlying writer. It returns the first write error of the Writer.
 func (w *Writer) Flush() error {
-	_, _ = w.buffered.WriteString(endOfReply) // see End
+	_, _ = w.buffered.WriteString(endOfReply) // an error is returned below
 	return w.buffered.Flush()
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestLines guards the form of a line: parts split by tabs, a field of text to the end, values longer than a buffer,
-// and a last line without its end.
+// TestLines checks how lines are split: fields separated by tabs, the settings field up to the end of the line, a value
+// longer than the read buffer, and a last line without a newline.
 func TestLines(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	lines, err := read(t, "CLOCK\ttimeS=8.5\r\nENLIST\ti=3\tsettings={\"a\":\"b=c\td\"}\nEMIT\tmsg="+long+"\nYOUR_TURN")
@@ -35,19 +35,19 @@
 		t.Errorf("got %q, %v", text, err)
 	}
 	if text, _ := lines[2].Text("msg"); text != long {
-		t.Errorf("a long value came as %d bytes", len(text))
+		t.Errorf("a long value is read as %d bytes", len(text))
 	}
 	if lines[3].Name != "YOUR_TURN" || lines[3].Has("i") {
 		t.Errorf("got %+v", lines[3])
 	}
 	for _, bad := range []string{"\ti=1\n", "CLOCK\ttimeS\n", "CLOCK\t=1\n"} {
 		if _, err := read(t, bad); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%q is read", bad)
+			t.Errorf("malformed line %q is accepted", bad)
 		}
 	}
 }
 
-// TestFields guards the types of fields: what is missing where it must come, and what can't be read.
+// TestFields checks the values of each field type, and the errors for a missing and for an invalid field.
 func TestFields(t *testing.T) {
 	lines, _ := read(t, "X\tn=7\tbig=9223372036854775808\tx=1.5\tyes=1\tno=0\tdata=00ff\tnone=-\tload=a:1,b:2.5\tbad=z\n")
 	l := lines[0]
@@ -70,31 +70,31 @@
 		t.Errorf("Hex: %x, %v", b, err)
 	}
 	if b, err := l.Hex("none"); len(b) != 0 || err != nil {
-		t.Errorf("Hex of nothing: %x, %v", b, err)
+		t.Errorf("Hex of an empty field: %x, %v", b, err)
 	}
 	sum := 0.0
 	if has, err := l.Pairs("load", func(_ string, v float64) { sum += v }); !has || sum != 3.5 || err != nil {
 		t.Errorf("Pairs: %v, %v, %v", has, sum, err)
 	}
 	if n, err := l.OptionalInt("absent"); n != 0 || err != nil {
-		t.Errorf("an optional field that is absent: %d, %v", n, err)
+		t.Errorf("OptionalInt of a missing field: %d, %v", n, err)
 	}
 	for name, err := range map[string]error{
-		"Int of nothing": second(l.Int("absent")), "Uint of nothing": second(l.Uint("absent")),
-		"Float of nothing": second(l.Float("absent")), "Text of nothing": second(l.Text("absent")),
+		"Int of a missing field": second(l.Int("absent")), "Uint of a missing field": second(l.Uint("absent")),
+		"Float of a missing field": second(l.Float("absent")), "Text of a missing field": second(l.Text("absent")),
 		"Int": second(l.Int("bad")), "Uint": second(l.Uint("bad")), "Float": second(l.Float("bad")),
 		"OptionalBool": second(l.OptionalBool("bad")), "Hex": second(l.Hex("bad")),
 		"Pairs": second(l.Pairs("bad", func(string, float64) {})),
 	} {
 		if err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error", name)
 		}
 	}
 }
 
 func second[T any](_ T, err error) error { return err }
 
-// TestWriter guards what is written against what is read.
+// TestWriter checks the encoding of each field type and the end of a reply.
 func TestWriter(t *testing.T) {
 	var b bytes.Buffer
 	w := NewWriter(&b)
