--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -5,7 +5,7 @@
 	"reedlead/policy"
 )
 
-// actions writes the actions of one gateway. It implements policy.Actions.
+// actions implements policy.Actions by writing the actions of one gateway as lines for the simulator.
 type actions struct {
 	out      *simwire.Writer
 	instance int
@@ -13,7 +13,8 @@
 
 var _ policy.Actions = actions{}
 
-// Send implements policy.Actions. The simulator writes attempts at once, so writeWithin holds by itself.
+// Send implements policy.Actions. It ignores the last parameter, the time within which the attempt must be written,
+// because the simulator writes attempts immediately.
 func (a actions) Send(id, endpoint string, timeout, _ policy.Seconds) {
 	line := a.out.Begin("FORWARD", a.instance).ID("id", id).ID("backend", endpoint)
 	if timeout != 0 {
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -9,25 +9,25 @@
 	"reedlead/policy"
 )
 
-// Errors of input that can't be carried out.
+// Errors for input that breaks the protocol.
 var (
 	errEndsWithinBatch = errors.New("input ended within a batch")
-	errOutsideBatch    = errors.New("outside a batch")
+	errOutsideBatch    = errors.New("want CLOCK at the start of a batch")
 	errUnknownMessage  = errors.New("unknown message")
-	errTruncatedList   = errors.New("the list ends early")
+	errTruncatedList   = errors.New("input ended within an endpoint list")
 )
 
-// adapter is what one process holds: its gateways by their instance, and the numbered endpoint lists.
+// adapter holds the state of the process: its gateways by instance, and the endpoint lists by id.
 type adapter struct {
 	now      policy.Seconds
 	in       *simwire.Reader
 	out      *simwire.Writer
-	line     simwire.Line // the line being handled
+	line     simwire.Line // the current line
 	gateways map[int]*policy.Gateway
 	lists    map[int][]policy.Endpoint
 }
 
-// run replies to the batches of in until it ends.
+// run reads batches from in until it ends, and writes the reply to each to out.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		in: simwire.NewReader(in), out: simwire.NewWriter(out),
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleBatch handles the lines from CLOCK, which has been read, to YOUR_TURN.
+// handleBatch handles one batch: the current line, which must be CLOCK, and the lines up to YOUR_TURN.
 func (a *adapter) handleBatch() error {
 	if a.line.Name != "CLOCK" {
 		return fmt.Errorf("%s: %w", a.line.Name, errOutsideBatch)
@@ -83,7 +83,8 @@
 	return a.handleEvent()
 }
 
-// handleEvent reads one event whole, then hands it to its gateway. A panic of the gateway costs the event alone.
+// handleEvent decodes one event completely, then delivers it to its gateway. A panic of the gateway is reported as a
+// FAULT, and the process goes on with the next event.
 func (a *adapter) handleEvent() error {
 	decode, known := decoders[a.line.Name]
 	if !known {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// registerList reads a numbered list and the entries that follow it.
+// registerList reads a REGISTER line and the ITEM lines after it, and stores the list under its id.
 func (a *adapter) registerList() error {
 	fields := fieldReader{line: &a.line}
 	id, count := fields.int("rosterId"), fields.int("lines")
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// readEntry reads the next line, an entry of an endpoint list.
+// readEntry reads the next line, which must be an ITEM, and returns the endpoint that it describes.
 func (a *adapter) readEntry() (policy.Endpoint, error) {
 	err := a.in.Next(&a.line)
 	if errors.Is(err, io.EOF) {
@@ -140,7 +141,7 @@
 		return policy.Endpoint{}, err
 	}
 	if a.line.Name != "ITEM" {
-		return policy.Endpoint{}, fmt.Errorf("%s: ITEM expected", a.line.Name)
+		return policy.Endpoint{}, fmt.Errorf("%s: want ITEM", a.line.Name)
 	}
 	fields := fieldReader{line: &a.line}
 	entry := policy.Endpoint{
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -7,13 +7,14 @@
 	"reedlead/policy"
 )
 
-// delivery hands a decoded event to its gateway.
+// delivery delivers a decoded event to its gateway.
 type delivery func(*policy.Gateway)
 
-// decoder reads the event on the adapter's line, for an instance. It returns nil where no gateway is to hear of it.
+// decoder decodes the event on the adapter's current line for an instance. The delivery is nil if there is nothing to
+// deliver to the gateway.
 type decoder func(a *adapter, instance int) (delivery, error)
 
-// decoders are those of all events, by the name of the message.
+// decoders holds the decoder of every event by message name.
 var decoders = map[string]decoder{
 	"ENLIST":       decodeGatewayStart,
 	"DOWN":         decodeGatewayStop,
@@ -56,7 +57,8 @@
 	return nil, nil
 }
 
-// How a list came: whole, as the changes alone, or not at all.
+// How the gateway got an endpoint list: the complete list from discovery or from its configuration, only the changes,
+// or not at all.
 const (
 	listComplete  = "Complete"
 	listPersisted = "Persisted"
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -8,7 +8,7 @@
 	"reedlead/policy"
 )
 
-// fieldReader reads fields of a line and keeps the first error.
+// fieldReader reads fields of a line and keeps the first error, so that callers can check for errors once.
 type fieldReader struct {
 	line *simwire.Line
 	err  error
@@ -76,7 +76,7 @@
 	return status
 }
 
-// loadReport returns nil where none came.
+// loadReport returns nil if the line has no load report.
 func (r *fieldReader) loadReport() *policy.LoadReport {
 	report := settings.EmptyLoadReport
 	found, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,8 +1,9 @@
-// Command simadapter runs the decision module in the simulator: it translates between the simulator's lines and the
-// policy package, and decides nothing. One process may hold many gateways, which share nothing.
+// Command simadapter runs the decision module in the simulator. It translates between the simulator's lines and the API
+// of the policy package, and makes no decisions of its own. One process may run many gateways, which share no state.
 //
-// The simulator sends events in batches, from a CLOCK line to a YOUR_TURN line; the reply to a batch is the actions
-// that its events gave, in their order. The replies derive from the input alone.
+// The simulator sends events in batches, each from a CLOCK line to a YOUR_TURN line. The reply to a batch holds the
+// actions that the gateways took for its events, in that order. Replies depend on the input only, so runs can be
+// repeated.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,7 +13,7 @@
 	`"profiles":[{"name":"read","aimS":1,"deadlineS":2,"effect":"retryable","worth":1,"unknown":[1]}],` +
 	`"packages":[{"name":"basic","unitsPerS":2,"peakUnits":8,"pays":1,"excessCost":1}],"later":{"x":1}}`
 
-// startBatch is a batch that starts instance i and gives it a list.
+// startBatch returns a batch that starts instance i and gives it a list of one endpoint.
 func startBatch(i int) string {
 	return fmt.Sprintf("CLOCK\ttimeS=10\nENLIST\ti=%d\tentropy=7\tsettings="+settingsText+"\n", i, i) +
 		"REGISTER\trosterId=0\tlines=1\nITEM\tbackend=10.0.0.1:80\thall=a\tflavor=k\tunitGroup=0\tstatus=U\tshare=1\n" +
@@ -63,7 +63,7 @@
 		"ENLIST: field settings":                    "ENLIST\ti=0\tentropy=1\tsettings={\n",
 		"setting GatewayCount: out of range: is 0":  "ENLIST\ti=0\tentropy=1\tsettings={}\n",
 		"input ended within a batch":                "",
-		"ITEM: the list ends early":                 "REGISTER\trosterId=0\tlines=1\n",
+		"ITEM: input ended within an endpoint list": "REGISTER\trosterId=0\tlines=1\n",
 	} {
 		_, err := runAdapter(t, "CLOCK\ttimeS=1\n"+in)
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -71,14 +71,14 @@
 		}
 	}
 	if _, err := runAdapter(t, requestLine(0, "a")); err == nil {
-		t.Error("an event outside a batch was taken")
+		t.Error("an event outside a batch was accepted")
 	}
 	if _, err := runAdapter(t, ""); err != nil {
-		t.Errorf("the end of the input is no error: %v", err)
+		t.Errorf("empty input: got error %v", err)
 	}
 }
 
-// The same events give the same actions, however instances are spread over processes.
+// An instance must take the same actions for the same events whether or not another instance runs in the process.
 func TestInstancesShareNothing(t *testing.T) {
 	var bothInput, aloneInput strings.Builder
 	bothInput.WriteString(startBatch(0))
@@ -108,7 +108,7 @@
 	}
 	a, b := actionsOfInstance0(both), actionsOfInstance0(alone)
 	if len(a) < 50 || strings.Join(a, "") != strings.Join(b, "") {
-		t.Fatalf("instance 0 acts otherwise beside another: %d and %d actions", len(a), len(b))
+		t.Fatalf("instance 0 acts differently beside another instance: %d and %d actions", len(a), len(b))
 	}
 }
 
