--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -57,8 +57,8 @@
 	return nil, nil
 }
 
-// How the gateway got an endpoint list: the complete list from discovery or from its configuration, only the changes,
-// or not at all.
+// Kinds of PEERS_KNOWN messages: a complete list (the first two), the entries that changed, and a failed fetch, which
+// has no list.
 const (
 	listComplete  = "Complete"
 	listPersisted = "Persisted"
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,7 @@
-// Package faultproxy is a TCP proxy on loopback for tests. It injects what networks do to connections: it splits,
-// delays and holds up what passes, resets and half-closes. Each connection follows a schedule that its seed gives. The
-// proxy records when which byte passed, so that a test can tell what either end had done by when.
+// Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits, delays and stalls
+// the data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy
+// records when it read and wrote each byte, so that a test can find out what either end had sent or received at a given
+// time.
 package faultproxy
 
 import (
@@ -12,32 +13,32 @@
 	"time"
 )
 
-// Schedule gives the probability of each fault, of a connection or of a chunk (what one read returned).
+// Schedule holds the probability of each fault, per connection or per chunk (the data that one read returned).
 type Schedule struct {
-	Reset          float64       // of a connection: it is reset
-	HalfClose      float64       // of a connection: one direction of it ends early
-	EndWithinBytes int           // a reset or half-close comes within this many bytes
-	Split          float64       // of a chunk: it is written in several parts
-	Delay          float64       // of a chunk: it is delayed
-	MaxDelay       time.Duration // longest delay
-	Stall          float64       // of a chunk: it is held up
-	StallDuration  time.Duration // for this time
+	Reset          float64       // per connection: both sides are reset
+	HalfClose      float64       // per connection: one direction ends early
+	EndWithinBytes int           // a reset or half-close happens within this many bytes
+	Split          float64       // per chunk: it is written in several parts
+	Delay          float64       // per chunk: it is delayed by a random time
+	MaxDelay       time.Duration // upper bound of a delay
+	Stall          float64       // per chunk: it is held back for StallDuration
+	StallDuration  time.Duration
 }
 
-// progress is the time by which a number of bytes had passed.
+// progress is the time at which the total number of bytes was reached.
 type progress struct {
 	bytes int
 	at    time.Time
 }
 
-// Transfer records what passed at one end of a direction. It may be used by several goroutines.
+// Transfer records when bytes were read or written on one side of the proxy. It is safe for concurrent use.
 type Transfer struct {
 	mu      sync.Mutex
 	history []progress
 	ended   time.Time
 }
 
-// recordBytes records that n more bytes passed now.
+// recordBytes records that n more bytes were transferred now.
 func (p *Transfer) recordBytes(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +49,7 @@
 	p.history = append(p.history, progress{before + n, time.Now()})
 }
 
-// TimeOfByte returns when the first bytes, a number of them, had passed; false if they never did.
+// TimeOfByte returns the time at which the given number of bytes had been transferred, or false if fewer have been.
 func (p *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,14 +61,14 @@
 	return time.Time{}, false
 }
 
-// Ended returns when the direction ended, zero if it has not.
+// Ended returns the time at which the transfer ended, or the zero time if it has not.
 func (p *Transfer) Ended() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// recordEnd records that the direction has ended, the first time that it is called.
+// recordEnd records that the transfer ends now. Only the first call has an effect.
 func (p *Transfer) recordEnd() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,12 +77,12 @@
 	}
 }
 
-// Direction is one direction of a connection: what the proxy has read, and what it has written.
+// Direction records one direction of a connection: what the proxy read from one end and wrote to the other.
 type Direction struct {
 	Read, Written Transfer
 }
 
-// Connection is one proxied connection. To leads to the server, From back.
+// Connection records one proxied connection in both directions.
 type Connection struct {
 	ToServer, ToClient Direction
 	acceptedAt         time.Time
@@ -89,34 +90,34 @@
 	endedByProxy       bool
 }
 
-// EndedByProxy tells whether the proxy itself has ended the connection, or a direction of it.
+// EndedByProxy reports whether the proxy ended the connection, or one direction of it, as an injected fault.
 func (l *Connection) EndedByProxy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.endedByProxy
 }
 
-// markEndedByProxy notes that the proxy itself has ended the connection, or a direction of it.
+// markEndedByProxy records that the proxy ended the connection, or one direction of it, as an injected fault.
 func (l *Connection) markEndedByProxy() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endedByProxy = true
 }
 
-// Proxy forwards connections to one server. It starts a goroutine for its listener, which ends with Close, and some
-// for each connection, which end with that.
+// Proxy forwards connections to one server. It runs a goroutine that accepts connections until Close, and several
+// goroutines per connection, which end with the connection.
 type Proxy struct {
 	listener    net.Listener
 	server      string
 	schedule    Schedule
 	mu          sync.Mutex
 	rng         *rand.Rand
-	accepted    *sync.Cond             // of mu; signalled for each new connection
-	connections map[string]*Connection // the newest by the address of the end that connected
-	client      map[string]net.Addr    // that address, by the one from which the server is connected to
+	accepted    *sync.Cond             // uses mu; signalled for each new connection
+	connections map[string]*Connection // by client address; an address that is used again has the newest one
+	client      map[string]net.Addr    // client address by the local address of the proxy's connection to the server
 }
 
-// New starts a proxy for a server.
+// New starts a proxy for the server at an address.
 func New(server string, schedule Schedule, seed uint64) (*Proxy, error) {
 	p, err := newProxy(server, schedule, seed)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return p, nil
 }
 
-// newProxy makes a proxy that listens, and accepts nothing yet.
+// newProxy returns a proxy that listens but does not accept connections yet.
 func newProxy(server string, schedule Schedule, seed uint64) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,10 +144,10 @@
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Close ends the listener. Connections go on.
-func (p *Proxy) Close() { _ = p.listener.Close() } // it is gone either way
+// Close closes the listener. Connections that were accepted stay open.
+func (p *Proxy) Close() { _ = p.listener.Close() } // after an error there is nothing left to close
 
-// Connection returns that of the connection which was made from an address, nil if there is none.
+// Connection returns the newest connection from a client address, or nil if there is none.
 func (p *Proxy) Connection(clientAddr net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,8 +157,8 @@
 	return p.connections[clientAddr.String()]
 }
 
-// WaitConnection returns the record of a connection that was made from an address after a time, and waits until the proxy has
-// accepted it. An earlier connection may have had the same address.
+// WaitConnection waits until the proxy has accepted a connection that was dialled from clientAddr at dialledAt, and
+// returns it. It ignores earlier connections from the same address.
 func (p *Proxy) WaitConnection(clientAddr net.Addr, dialledAt time.Time) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,14 +170,15 @@
 	}
 }
 
-// ClientAddr returns the address that a connection was made from, by the one at which it reaches the server.
+// ClientAddr returns the address of the client whose connection reaches the server from proxyAddr, or nil if there is
+// none.
 func (p *Proxy) ClientAddr(proxyAddr net.Addr) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.client[proxyAddr.String()]
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts and serves connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -193,7 +195,7 @@
 	}
 }
 
-// serve forwards one connection.
+// serve connects to the server and forwards one client connection in both directions until both have ended.
 func (p *Proxy) serve(client *net.TCPConn, connection *Connection, rng *rand.Rand) {
 	defer func() { _ = client.Close() }()
 	serverConn, err := net.Dial("tcp", p.server)
@@ -224,28 +226,28 @@
 	both.Wait()
 }
 
-// pipe is one direction.
+// pipe forwards one direction of a connection.
 type pipe struct {
 	schedule   Schedule
 	connection *Connection
 	direction  *Direction
 	rng        *rand.Rand
-	endAfter   int // bytes after which it ends; 0: never
+	endAfter   int // bytes after which the proxy ends the direction; 0 means never
 	reset      bool
 }
 
 const (
-	// maxQueuedChunks is how many chunks may wait to be written. They are read at once, so that it is known when they
-	// came, however long the ones before are held up.
+	// maxQueuedChunks is the number of chunks that may wait to be written. The queue is long so that chunks are read,
+	// and their arrival is recorded, while earlier ones are delayed.
 	maxQueuedChunks = 1 << 12
 	chunkSize       = 16 << 10
 )
 
-// copy forwards what comes until it ends, and ends the other side in the same way.
+// copy forwards the data of one direction until it ends. It passes on the way it ended: a half-close or a reset.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
-	var readErr error // of the reads; set before chunks is closed
+	var readErr error // written before chunks is closed, read after
 	go func() {
 		defer close(chunks)
 		for {
@@ -263,7 +265,7 @@
 		}
 	}()
 	if !p.forward(chunks, from, to) {
-		for range chunks { // the reader ends with the connection
+		for range chunks { // unblocks the reader, which ends with the connection
 		}
 	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
@@ -272,7 +274,8 @@
 	}
 }
 
-// forward writes chunks to their end, or until the schedule or a failed write ends it. It returns whether it wrote all.
+// forward writes chunks until the channel is closed, an injected fault ends the direction, or a write fails. It reports
+// whether it wrote all chunks.
 func (p *pipe) forward(chunks <-chan []byte, from, to *net.TCPConn) (all bool) {
 	passed := 0
 	for chunk := range chunks {
@@ -299,7 +302,7 @@
 	return true
 }
 
-// send writes one chunk with the faults that the schedule gives it.
+// send writes one chunk, injecting the faults that are drawn for it.
 func (p *pipe) send(to *net.TCPConn, chunk []byte) error {
 	if p.rng.Float64() < p.schedule.Delay && p.schedule.MaxDelay > 0 {
 		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.MaxDelay))))
@@ -325,11 +328,11 @@
 	return nil
 }
 
-// reset ends a connection with a reset. One that has ended by itself fails these calls, which makes no difference.
+// reset closes a connection with a reset. Errors are ignored: they mean that the connection has already ended.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// closeWrite ends the sending side of a connection; see reset for its error.
+// closeWrite closes the sending side of a connection. An error means that the connection has already ended.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against the records of an earlier connection: a new one may come from the same address, and be judged before
-// the proxy has accepted it.
+// A test may look for the record of its connection before the proxy has accepted it, and an earlier connection may have
+// had the same client address. WaitConnection must not return the earlier record.
 func TestWaitConnectionIgnoresEarlierConnectionFromSameAddress(t *testing.T) {
 	p, err := newProxy("127.0.0.1:1", Schedule{}, 1)
 	if err != nil {
