--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -222,8 +222,8 @@
 	g.HandleRequest(now, Request{ID: id, Class: "read", Deadline: now + g.classes.byName["read"].Timeout, GatewayCount: 1, Units: 1})
 }
 
-// newTestMemberWithSlots returns a newTestMember whose plan allows two concurrent attempts, in a fleet of
-// 100.
+// newTestMemberWithSlots is like newTestMember, with 100 gateways and a plan that allows two concurrent
+// attempts.
 func newTestMemberWithSlots(t *testing.T) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	return newTestMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// recordOutcome updates scores and ejection after an attempt.
+// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint after consecutive
+// lost connections or rejections.
 func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -91,7 +91,8 @@
 	return credit
 }
 
-// updateEstimates updates the estimates of work and capacity.
+// updateEstimates decays the counts of work to the current time, and recomputes the mean work and the
+// capacities.
 func (s *slowStart) updateEstimates(classes []*class, endpoints []*endpoint) {
 	decay := math.Exp((s.estimatedAt - s.clock.now) / max(s.duration, demandTimeConstant))
 	s.estimatedAt = s.clock.now
