--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// admission is the decision of a customer's quota and ceiling on a request.
+// admission is the decision whether a customer's quota and ceiling admit a request.
 type admission int
 
 const (
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -13,7 +13,7 @@
 
 // ledger is the owner's account of a customer's usage at all gateways, counted against the whole quota.
 type ledger struct {
-	window    tokenBucket // remaining units; below 0 if grants and local admissions exceeded the quota
+	window    tokenBucket // remaining units; below 0 if the gateways together exceeded the quota
 	createdAt Seconds
 	demand    demandMeter // total of all members
 	members   map[int]*member
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -63,12 +63,13 @@
 
 // The largest values that are encoded in a record. Units are scaled so that the values of the settings fit.
 const (
-	maxRequestSteps = 48.0    // wire units of one request; wantedUnits may be the sum of several requests
+	// maxRequestSteps leaves room in wantedUnits, which holds up to 63.75, for more than one request.
+	maxRequestSteps = 48.0    // wire units of one request
 	maxWindowSteps  = 7500.0  // wire units of one quota window
 	maxRateSteps    = 15000.0 // wire units per second of one quota
 
-	minRemainingSteps = -256.0 // quarters of a wire unit
-	maxRemainingSteps = 32000.0
+	minRemainingSteps = -256.0  // quarters of a wire unit
+	maxRemainingSteps = 32000.0 // quarters of a wire unit
 
 	plansInFlags = 32   // plans that the flags byte can distinguish
 	maxPlans     = 8192 // plans that a record with planHighOffset can distinguish
@@ -139,7 +140,7 @@
 	}
 	largestRequest := float64(settings.MaxRequestUnits)
 	if largestRequest <= 0 {
-		largestRequest = largestBurst // a larger request always exceeds its quota
+		largestRequest = largestBurst // no quota admits a larger request
 	}
 	format.unitsPerStep = max(format.unitsPerStep, largestRequest/maxRequestSteps, largestBurst/maxWindowSteps)
 	return format
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -9,7 +9,8 @@
 	// maxUnansweredReports is the number of consecutive reports without a reply after which a peer counts as
 	// unreachable. It tolerates two reports or replies that are lost by chance.
 	maxUnansweredReports = 3
-	// unreachablePeriod is the time after the last unanswered report until an unreachable peer is tried again.
+	// unreachablePeriod is the time since its last unanswered report after which an unreachable peer is tried
+	// again.
 	unreachablePeriod Seconds = 1.0
 	// unboundedMessageRate, in messages per second, is used if Settings.PeerMessageRate sets no limit.
 	unboundedMessageRate = 1e6
