--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,8 +12,8 @@
 	"reedlead/internal/discovery/discoverytest"
 )
 
-// TestSilentAgentIsPolledAgain guards against a list that comes late after an outage: a poll of an agent that is down
-// may never be responded to, so another one is made beside it, and the response to any of them is read.
+// TestSilentAgentIsPolledAgain guards against a list that arrives late after an outage. An agent that is down may never
+// respond to a poll, so the client must start further polls and use the first response to any of them.
 func TestSilentAgentIsPolledAgain(t *testing.T) {
 	list := discoverytest.ListJSON(7, false, "x", "in_service")
 	pollOften := func(o *Options) { o.PollRetryInterval = 75 * time.Millisecond }
@@ -21,7 +21,7 @@
 		first, second = receive(t, polls), receive(t, polls)
 		select {
 		case <-first.Cancelled:
-			t.Fatal("the first poll was given up before the second one")
+			t.Fatal("the first poll was cancelled before the second one")
 		default:
 		}
 		return first, second
@@ -31,7 +31,7 @@
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
 		go second.Write(list)
-		go func() { // however late this test runs, one of them gets a response in time
+		go func() { // responds to the later polls as well, in case the second one is cancelled before its response
 			for {
 				select {
 				case poll := <-polls:
@@ -42,13 +42,13 @@
 			}
 		}()
 		client.wantUpdate("[x in_service]")
-		receive(t, first.Cancelled) // and is given up now
+		receive(t, first.Cancelled)
 	})
 	t.Run("response to the first poll", func(t *testing.T) {
 		address, polls := discoverytest.NewManualAgent(t)
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
-		for range maxConcurrentRetries { // it outlasts those that came right after it
+		for range maxConcurrentRetries { // until the second poll, unlike the first, is cancelled
 			receive(t, polls)
 		}
 		first.Write(list)
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestSilentWatchIsReopened guards against a watch that has fallen silent: it is broken, and opened anew from where it
-// stood. So is a complete list that breaks off.
+// TestSilentWatchIsReopened guards against a client that stays on a broken connection. Without input for ReadTimeout, a
+// watch must be opened again from the last version, and a complete list must be polled again.
 func TestSilentWatchIsReopened(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
 	client := runClient(t, address, func(o *Options) { o.ReadTimeout = 200 * time.Millisecond })
@@ -69,7 +69,7 @@
 		}
 		watch.Write(discoverytest.ListJSON(version+5, false, "x", "in_service"))
 		receive(t, client.updates)
-		receive(t, watch.Cancelled) // though the test never ends it
+		receive(t, watch.Cancelled) // by the client, as the test does not end the response
 	}
 	receive(t, polls).Write("nonsense ")
 	for range 2 {
@@ -82,17 +82,16 @@
 	}
 }
 
-// TestEndedWatchIsReopenedWithinDrainGrace guards against a watch that is opened later and later: watches that end
-// while the list is quiet, and an agent that refuses for long, must not put the next poll off beyond the grace period
-// for draining endpoints.
+// TestEndedWatchIsReopenedWithinDrainGrace guards against backoffs that grow beyond the grace period for draining
+// endpoints, after many watches that ended without an update or while the agent refuses connections.
 func TestEndedWatchIsReopenedWithinDrainGrace(t *testing.T) {
-	quiet := discoverytest.NewScriptedAgent(t, func(string) []string { return nil }) // an empty line, and the end
+	quiet := discoverytest.NewScriptedAgent(t, func(string) []string { return nil }) // an empty line, then the end
 	for _, tc := range []struct {
 		name, address, switchTo string
 	}{
 		{"quiet", quiet.Address(), ""},
 		{"refusing", "127.0.0.1:2", ""},
-		{"switched, refusing", "127.0.0.1:2", "127.0.0.1:3"}, // the complete list is polled at another address
+		{"switched, refusing", "127.0.0.1:2", "127.0.0.1:3"}, // polls the complete list at the second address
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			backoffs, free := make(chan time.Duration, 64), make(chan time.Time)
@@ -106,17 +105,17 @@
 			}
 			for range 12 {
 				if d := receive(t, backoffs); d > 100*time.Millisecond {
-					t.Errorf("a backoff of %v, half of the grace period at most is wanted", d)
+					t.Errorf("got a backoff of %v, want at most half of the grace period", d)
 				}
 				free <- time.Time{}
 			}
-			receive(t, backoffs) // it waits for good
+			receive(t, backoffs) // the client stays in this backoff until the test ends
 		})
 	}
 }
 
-// TestUnusableListsBackOff guards against complete lists that are polled for at full speed while none of them can be
-// read.
+// TestUnusableListsBackOff guards against a client that polls the complete list without growing backoffs while none of
+// the lists can be used.
 func TestUnusableListsBackOff(t *testing.T) {
 	var backoffs []time.Duration
 	backoffStarted, free := make(chan time.Duration), make(chan time.Time)
@@ -130,11 +129,11 @@
 	}
 	receive(t, backoffStarted)
 	if !slices.IsSorted(backoffs) || backoffs[9] != maxUnusableBackoff {
-		t.Errorf("backoffs of %v", backoffs)
+		t.Errorf("got backoffs of %v, want them to grow to the maximum", backoffs)
 	}
 }
 
-// indent returns a JSON value over several lines.
+// indent returns a JSON value indented over several lines.
 func indent(t *testing.T, value string) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -144,8 +143,8 @@
 	return b.String()
 }
 
-// TestWatchDecodesIndentedAndSplitLists guards against lists that are indented, or come in pieces, being taken for
-// malformed: each is one value, wherever its lines end, and blank lines may come between two.
+// TestWatchDecodesIndentedAndSplitLists guards against valid lists that are taken for malformed because they are
+// indented, arrive in several parts, or have blank lines between them.
 func TestWatchDecodesIndentedAndSplitLists(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
 	client := runClient(t, address, nil)
@@ -159,12 +158,12 @@
 	client.wantUpdate("[y draining]")
 	watch.End()
 	if next := receive(t, polls); next.URI != "/api/targets?watch=1&after=7" {
-		t.Errorf("then %q was polled", next.URI)
+		t.Errorf("polled %q after the watch, want a watch after version 7", next.URI)
 	}
 }
 
-// TestEndlessListIsBounded guards the memory against a value without end; the change in it is lost, so the complete
-// list is polled.
+// TestEndlessListIsBounded guards against unbounded memory use by a value that does not end. The client must give up the
+// value, and poll the complete list because a change in the value is lost.
 func TestEndlessListIsBounded(t *testing.T) {
 	const partSize = 4 << 10
 	address, polls := discoverytest.NewManualAgent(t)
@@ -185,7 +184,8 @@
 	client.wantUpdate("[z in_service]")
 }
 
-// TestAddressSwitchPollsImmediately guards against another address that waits for what is under way at the old one.
+// TestAddressSwitchPollsImmediately guards against a client that is given a new address, but first waits for the end of
+// a poll, a response or a backoff at the old one.
 func TestAddressSwitchPollsImmediately(t *testing.T) {
 	backingOff := make(chan struct{}, 1)
 	for _, tc := range []struct {
@@ -224,7 +224,7 @@
 						return time.After(d)
 					}
 					backingOff <- struct{}{}
-					return nil // for good
+					return nil // the backoff never ends
 				}
 			})
 			tc.reach(t, client, oldPolls)
@@ -239,7 +239,8 @@
 	}
 }
 
-// TestPollRetryIntervalByDrainGrace guards against a long grace period for draining endpoints that puts off the next poll.
+// TestPollRetryIntervalByDrainGrace guards against poll intervals that are too long for a short grace period for
+// draining endpoints, or that exceed their maximum for a long one.
 func TestPollRetryIntervalByDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: 75 * time.Millisecond, 250 * time.Millisecond: 75 * time.Millisecond,
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// patience bounds how long a test waits for what must come. It decides nothing but when to give up.
-const patience = 20 * time.Second
+// testTimeout is the time after which a test that waits for an event fails.
+const testTimeout = 20 * time.Second
 
-// refusingAddress is one where nobody listens.
+// refusingAddress is an address at which no process listens.
 const refusingAddress = "127.0.0.1:1"
 
 // receive waits for the next value of a channel.
@@ -20,21 +20,21 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("timeout while waiting for a value")
 		panic("unreachable")
 	}
 }
 
-// runningClient is a client that runs until the end of its test.
+// runningClient is a client that runs until the end of the test.
 type runningClient struct {
 	t         *testing.T
-	updates   chan []string // of each update the ids and states
+	updates   chan []string // ids and states of each update
 	addresses chan string
 }
 
-// runClient starts a client that has version 4 of the list. Its poll timeout is so long that a test that is
-// slow polls once, unless change sets another one.
+// runClient starts a client that has version 4 of the list. Unless change sets a shorter one, its poll retry interval is
+// so long that even a slow test gets only one poll.
 func runClient(t *testing.T, address string, change func(*Options)) *runningClient {
 	t.Helper()
 	r := &runningClient{t: t, updates: make(chan []string, 64), addresses: make(chan string)}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestEndpointErrorNamesItsCause guards the error of an entry that is skipped: it says which fault it has.
+// TestEndpointErrorNamesItsCause checks that the error of an invalid entry has the id of the entry and wraps the cause.
 func TestEndpointErrorNamesItsCause(t *testing.T) {
 	cases := map[string]struct {
 		entry Endpoint
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -10,8 +10,8 @@
 // to the polls that were sent meanwhile. So poll starts another one after each PollRetryInterval, and uses the first
 // response to any of them. The first poll stays open in case the agent is only slow.
 //
-// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and also
-// the response that was returned.
+// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and
+// also the response that was returned.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -15,7 +15,7 @@
 	"reedlead/internal/discovery/discoverytest"
 )
 
-// fakeClock stands in for the timers of a client. It moves only when the test says so, to the next timer.
+// fakeClock replaces the timers of a client. Its time advances only when the test calls step.
 type fakeClock struct {
 	mu     sync.Mutex
 	now    time.Duration
@@ -28,14 +28,14 @@
 	run   func()
 }
 
-// AfterFunc stands in for time.AfterFunc.
+// AfterFunc replaces time.AfterFunc.
 func (c *fakeClock) AfterFunc(d time.Duration, f func()) Timer {
 	timer := &fakeTimer{clock: c, run: f}
 	timer.Reset(d)
 	return timer
 }
 
-// After stands in for time.After.
+// After replaces time.After.
 func (c *fakeClock) After(d time.Duration) <-chan time.Time {
 	fired := make(chan time.Time, 1)
 	c.AfterFunc(d, func() { fired <- time.Time{} })
@@ -61,7 +61,7 @@
 	return len(t.clock.timers) < n
 }
 
-// step moves to the timer that is due first and runs it, or by a second if that is less.
+// step advances the clock to the first timer and runs it, or advances it by one second if no timer is due by then.
 func (c *fakeClock) step() {
 	c.mu.Lock()
 	if len(c.timers) == 0 {
@@ -86,23 +86,23 @@
 	return c.now
 }
 
-// brokenAgent fails in one way until it is healthy; what was polled before stays as it is.
+// brokenAgent is an agent that fails each poll in the same way until it recovers. Connections that failed before the
+// recovery stay as they are.
 type brokenAgent struct {
 	mu      sync.Mutex
 	healthy bool
 	fail    func(*agentConn)
-	trickle []*agentConn // each gets a byte more with each step
+	trickle []*agentConn // connections that get one more byte with each step
 }
 
-// agentConn is a connection to a client. Writes to a client that has disconnected fail, which is what some tests are
-// about.
+// agentConn is a connection from a client. Its writes ignore errors, as some tests let the client disconnect.
 type agentConn struct{ *net.TCPConn }
 
 const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func (c *agentConn) write(text string) { _, _ = io.WriteString(c.TCPConn, text) }
 
-// writeChunks writes an HTTP header, and parts of a body that does not end.
+// writeChunks writes an HTTP header and the first parts of a body, without the end of the body.
 func (c *agentConn) writeChunks(parts ...string) {
 	text := chunkedHeader
 	for _, part := range parts {
@@ -115,7 +115,7 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// listen starts the agent and returns its address. It ends with the test.
+// listen starts the agent and returns its address. The agent is stopped at the end of the test.
 func (a *brokenAgent) listen(t *testing.T) string {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -149,7 +149,7 @@
 	a.fail(conn)
 }
 
-// step sends a byte more on each connection that trickles.
+// step sends one more byte on each connection in trickle.
 func (a *brokenAgent) step() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,12 +164,12 @@
 	a.healthy = true
 }
 
-// failureMode is a way in which an agent fails, or connections to it.
+// failureMode is a way in which an agent, or the dial to it, fails.
 type failureMode struct {
 	name string
-	fail func(*brokenAgent, *agentConn) // nil: no connection comes up
+	fail func(*brokenAgent, *agentConn) // handles a poll; nil if dial makes no connection
 	dial func(context.Context) (net.Conn, error)
-	// updates is how many updates come before the failure.
+	// updates is the number of updates that the client gets before the failure.
 	updates int
 }
 
@@ -208,11 +208,11 @@
 	}
 }
 
-// recovery is how the change comes to be reachable.
+// recovery is a way in which the change becomes available to the client.
 type recovery struct {
 	name          string
-	extraSteps    int  // before it
-	switchAddress bool // to a healthy agent
+	extraSteps    int  // steps of the clock before the recovery, beyond recoverySteps
+	switchAddress bool // the client gets the address of a healthy agent; otherwise its agent recovers
 }
 
 var recoveries = []recovery{
@@ -222,9 +222,9 @@
 	{name: "SIGHUP, a wait later", extraSteps: 1, switchAddress: true},
 }
 
-// TestChangeIsAppliedInTimeAfterAnyFailure guards the time within which a change of the list is acted on, whatever was
-// before: 6 s after discovery has it and can be reached, here with a third of that to spare. Each way of failing goes
-// on until the backoffs between polls have grown as far as they do, and the change comes right after one more of them.
+// TestChangeIsAppliedInTimeAfterAnyFailure guards against a change that is applied too late after a failure. The client
+// must act on a change within 6 s of the time at which the agent has it and can be reached; the test allows two thirds
+// of that. Each failure lasts until the backoffs between polls have reached their maximum.
 func TestChangeIsAppliedInTimeAfterAnyFailure(t *testing.T) {
 	for _, mode := range failureModes() {
 		for _, recovery := range recoveries {
@@ -236,14 +236,14 @@
 	}
 }
 
-// recoveryTest is a client of an agent that fails.
+// recoveryTest is a client with a fake clock, and its failing agent.
 type recoveryTest struct {
 	agent   *brokenAgent
 	address string
 	clock   *fakeClock
 	client  *runningClient
-	healthy chan struct{} // closed when connections to the agent come up
-	dials   chan struct{} // one for each connection
+	healthy chan struct{} // closed when dials to the agent succeed
+	dials   chan struct{} // receives a value for each dial
 }
 
 const (
@@ -251,7 +251,7 @@
 	maxRecoveryConnections = 50
 	recoverySteps          = 21
 	maxStepsToChange       = 200
-	// stepSettleTime is the real time within which most has come that comes without a step of the clock.
+	// stepSettleTime is the real time that the client and the agent get after a step of the clock to act on it.
 	stepSettleTime = 10 * time.Millisecond
 )
 
@@ -291,10 +291,10 @@
 	rt.clock.step()
 }
 
-// recover makes the change reachable.
-func (rt *recoveryTest) recover(t *testing.T, how recovery) {
+// recover makes the change available to the client.
+func (rt *recoveryTest) recover(t *testing.T, recoveredBy recovery) {
 	t.Helper()
-	if how.switchAddress {
+	if recoveredBy.switchAddress {
 		other := &brokenAgent{healthy: true}
 		rt.client.addresses <- other.listen(t)
 		return
@@ -303,7 +303,7 @@
 	rt.agent.recover()
 }
 
-// awaitChange steps the clock until the change has come.
+// awaitChange steps the clock until the client has received the change.
 func (rt *recoveryTest) awaitChange(t *testing.T) {
 	t.Helper()
 	for steps := 0; ; {
@@ -314,27 +314,27 @@
 			}
 		case <-time.After(20 * stepSettleTime):
 			if steps++; steps > maxStepsToChange {
-				t.Fatal("the change never came")
+				t.Fatal("the client has not received the change")
 			}
 			rt.step()
 		}
 	}
 }
 
-func testRecoveryTime(t *testing.T, mode failureMode, how recovery) {
+func testRecoveryTime(t *testing.T, mode failureMode, recoveredBy recovery) {
 	rt := startRecoveryTest(t, mode)
 	for range mode.updates {
 		receive(t, rt.client.updates)
 	}
-	for range recoverySteps + how.extraSteps {
+	for range recoverySteps + recoveredBy.extraSteps {
 		rt.step()
 		time.Sleep(stepSettleTime)
 	}
 	from := rt.clock.time()
-	rt.recover(t, how)
+	rt.recover(t, recoveredBy)
 	rt.awaitChange(t)
 	if took := rt.clock.time() - from; took > maxRecoveryTime {
-		t.Errorf("the change came after %v", took)
+		t.Errorf("the client received the change after %v", took)
 	}
 	if n := len(rt.dials); n > maxRecoveryConnections {
 		t.Errorf("%d connections were made in %v", n, rt.clock.time())
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// clockStepThreshold is the change of the offset between two samples above which the wall clock is taken to have been
-	// stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
+	// clockStepThreshold is the change of the offset between two samples above which the wall clock is taken to have
+	// been stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
 	clockStepThreshold policy.Seconds = 0.25
 	// maxEpochs is the number of epochs that are kept. A start is announced at most some seconds after it happened, and
 	// the wall clock is stepped only a few times within such a period.
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -8,10 +8,10 @@
 	"reedlead/policy"
 )
 
-// steppedClock is a wall clock that is stepped at some event times.
+// steppedClock is a wall clock that is stepped at given event times.
 type steppedClock struct {
-	start float64             // of the wall clock less event time
-	steps map[float64]float64 // the size of each step by its event time
+	start float64             // wall clock minus event time before any step
+	steps map[float64]float64 // size of each step in seconds, by its event time
 }
 
 func (c steppedClock) wall(now float64) float64 {
@@ -24,21 +24,22 @@
 	return wall
 }
 
-// unixMS is what discovery gives for a start at an event time.
+// unixMS returns the start time that the endpoint list states for a start at a given event time.
 func (c steppedClock) unixMS(at float64) int64 { return int64(math.Round(c.wall(at) * 1000)) }
 
-// stepCase is one step of the wall clock and one start of an endpoint, all in event time.
+// stepCase is a step of the wall clock by step seconds at stepAt, and the start of an endpoint at startAt. Both times are
+// event times.
 type stepCase struct {
 	step, stepAt, startAt float64
 }
 
 const (
-	listedAt  = 105.0 // when the start is listed
+	listedAt  = 105.0 // when the endpoint is first listed
 	restartAt = 111.0
 )
 
-// TestStartTimesAcrossClockSteps guards the age of an endpoint against a wall clock that is stepped, before or after
-// the start, and before or after it is listed.
+// TestStartTimesAcrossClockSteps guards against a wrong start time of an endpoint after a step of the wall clock, which
+// comes before or after the start, and before or after the endpoint is first listed.
 func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []float64{-3600, -90, -2, 2, 90, 3600} {
 		for _, startAt := range []float64{60, 102.5, 104.5} {
@@ -59,20 +60,21 @@
 	unixMS := clock.unixMS(tc.startAt)
 	got := starts.EventTime("a", unixMS)
 	if want := tc.want(); math.Abs(got-want) > 0.01 {
-		t.Errorf("the start is taken for %v, want %v", got, want)
+		t.Errorf("got the start time %v, want %v", got, want)
 	}
 	for now := listedAt; now < restartAt+1; now++ {
 		starts.Sample(now, clock.wall(now))
 	}
 	if later := starts.EventTime("a", unixMS); later != got {
-		t.Errorf("the start moved from %v to %v", got, later)
+		t.Errorf("the start time changed from %v to %v", got, later)
 	}
 	if restart := starts.EventTime("a", clock.unixMS(restartAt)); restart != restartAt {
-		t.Errorf("a restart at %v is taken for %v", restartAt, restart)
+		t.Errorf("after a restart at %v: got the start time %v", restartAt, restart)
 	}
 }
 
-// want is the start that is to be found. Where the wall clock showed the same time twice, the later one is safe.
+// want returns the expected start time. If the wall clock has shown the listed time twice, it is the later occurrence,
+// with which the endpoint is not overloaded.
 func (tc stepCase) want() float64 {
 	shownAgainAt := tc.startAt - tc.step
 	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && shownAgainAt >= tc.stepAt-1 && shownAgainAt <= listedAt
@@ -82,28 +84,29 @@
 	return tc.startAt
 }
 
-// TestStartTimesAfterProcessRestart guards a process that starts after a step back: what was started before it lies in
-// the future, and must not keep its endpoint warming up until that has come.
+// TestStartTimesAfterProcessRestart guards against an endpoint whose slow start lasts for as long as the wall clock was
+// set back. If this process starts after such a step, the listed start of an endpoint that started before the step lies
+// in the future. It must be taken for now.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
 	if got := starts.EventTime("a", 1e12+3_600_000); got != 100 {
-		t.Errorf("a start in an hour is taken for %v", got)
+		t.Errorf("listed start one hour ahead: got the start time %v, want 100", got)
 	}
 	starts.Sample(120, 1e9+20)
 	if got := starts.EventTime("a", 1e12+3_600_000); got != 100 {
-		t.Errorf("later it is taken for %v", got)
+		t.Errorf("20 s later: got the start time %v, want 100", got)
 	}
 	if got := starts.EventTime("b", 0); got != 0 {
-		t.Errorf("a start of long ago is taken for %v", got)
+		t.Errorf("unknown start: got the start time %v, want 0", got)
 	}
 	starts.RemoveUnlisted(func(id string) bool { return id == "b" })
 	if len(starts.translated) != 0 {
-		t.Errorf("%d starts are kept of endpoints that are gone", len(starts.translated))
+		t.Errorf("the start times of %d unlisted endpoints are kept", len(starts.translated))
 	}
 }
 
-// attemptCounter stands in for the network side: each attempt succeeds at once.
+// attemptCounter is a policy.Actions that counts attempts. Each attempt succeeds at once.
 type attemptCounter struct {
 	outcomes []policy.Outcome
 	attempts map[string]int // by endpoint
@@ -122,11 +125,11 @@
 func (c *attemptCounter) HealthCheck(string)                    {}
 func (c *attemptCounter) SendToPeer(int, []byte)                {}
 
-// attemptCounts counts the attempts on an endpoint that joins: in the first 2 s after it is listed, while it warms
-// up, when it is warm, and in the first 2 s after it is listed again, which is after a restart.
+// attemptCounts counts the attempts on a joining endpoint in three periods of 2 s: directly after it is listed, after
+// its slow start, and directly after it is listed with a new start time.
 type attemptCounts struct{ warmingUp, warm, restarted int }
 
-// count adds the attempts of an event at a time.
+// count adds attempts that were made at a given time to the period that contains it.
 func (j *attemptCounts) count(now float64, attempts int) {
 	switch {
 	case now >= 10.5 && now < 12.5:
@@ -138,7 +141,7 @@
 	}
 }
 
-// slowStartSimulation is a gateway with an endpoint that joins, under a wall clock that is stepped.
+// slowStartSimulation simulates a gateway with a joining endpoint while the wall clock is stepped.
 type slowStartSimulation struct {
 	clock   steppedClock
 	gateway *policy.Gateway
@@ -147,7 +150,7 @@
 }
 
 const (
-	requestsPerSecond = 200 // requests
+	requestsPerSecond = 200
 	simulatedSeconds  = 45
 )
 
@@ -168,10 +171,11 @@
 	return p
 }
 
-// sample has the start times follow the clocks.
+// sample samples the clocks for the translation of start times.
 func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
 
-// list applies a change of the endpoint list: entries by their id, with their start in event time or 0.
+// list applies a change of the endpoint list. The entries are start times in event time by endpoint id; 0 stands for an
+// unknown start.
 func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
 	p.sample(now)
 	var endpoints []policy.Endpoint
@@ -185,7 +189,7 @@
 	p.gateway.HandleEndpoints(now, endpoints, false)
 }
 
-// request plays request number i, whose attempts succeed, and returns how many of them went to the joining endpoint.
+// request simulates request number i, whose attempts succeed, and returns how many attempts the joining endpoint got.
 func (p *slowStartSimulation) request(now float64, i int) (attempts int) {
 	before := p.counter.attempts["new"]
 	p.gateway.HandleRequest(now, policy.Request{
@@ -202,7 +206,7 @@
 	return attempts
 }
 
-// simulateSlowStart plays an endpoint that joins at 10, is listed at 10.5 and restarts at 40.
+// simulateSlowStart simulates an endpoint that starts at 10 s and restarts at 40 s. It is listed 0.5 s after each start.
 func simulateSlowStart(t *testing.T, clock steppedClock) (attempts attemptCounts) {
 	t.Helper()
 	p := newSlowStartSimulation(t, clock)
@@ -223,19 +227,20 @@
 	return attempts
 }
 
-// TestSlowStartAcrossClockSteps guards against endpoints that are not spared, or spared for good, as the wall clock was
-// stepped: what a joining endpoint gets is the same within a third, whatever the step and whenever it came.
+// TestSlowStartAcrossClockSteps guards against a slow start that is skipped, or lasts too long, because the wall clock
+// was stepped. In each period, the number of attempts on a joining endpoint must be within a third of the number without
+// a step.
 func TestSlowStartAcrossClockSteps(t *testing.T) {
 	want := simulateSlowStart(t, steppedClock{start: 1e9})
 	if want.warmingUp == 0 || want.warm < 2*want.warmingUp {
-		t.Fatalf("no step: %+v", want)
+		t.Fatalf("no slow start without a step of the clock: attempts are %+v", want)
 	}
 	near := func(n, want int) bool { return 3*n >= 2*want && 3*n <= 4*want }
 	for _, step := range []float64{-3600, -5, 5, 3600} {
 		for _, stepAt := range []float64{9.2, 10.2, 11, 20, 40.2} {
 			got := simulateSlowStart(t, steppedClock{start: 1e9, steps: map[float64]float64{stepAt: step}})
 			if !near(got.warmingUp, want.warmingUp) || !near(got.warm, want.warm) || !near(got.restarted, want.restarted) {
-				t.Errorf("step of %v at %v: attempts of %+v; %+v without", step, stepAt, got, want)
+				t.Errorf("step of %v at %v: attempts are %+v, want about %+v as without a step", step, stepAt, got, want)
 			}
 		}
 	}
