--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// maxLine is the longest line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the size of the longest log line that can be read.
+const maxLineBytes = 1 << 20
 
-// attempt is one whose command was wholly written.
+// attempt is an attempt whose command was written in full, and its outcome.
 type attempt struct {
 	event
 	ended   bool
@@ -21,12 +21,13 @@
 	result  string
 }
 
-// knownNotExecuted tells whether the attempt was known at a time not to have executed.
+// knownNotExecuted reports whether the gateway knew at the given time that the attempt had not executed: only a
+// rejection by the endpoint says so.
 func (a *attempt) knownNotExecuted(at float64) bool {
 	return a.ended && a.endedAt <= at && a.result == rejectedStatus
 }
 
-// sameDedupGroup tells whether the endpoints of two attempts drop repeats of the same key.
+// sameDedupGroup reports whether the endpoints of two attempts deduplicate requests among each other.
 func (a *attempt) sameDedupGroup(b *attempt) bool {
 	switch a.dedupScope {
 	case "zone":
@@ -37,24 +38,24 @@
 	return true
 }
 
-// requestHistory is what became of one request at one gateway.
+// requestHistory holds the attempts that one gateway made for a request, and whether the request has completed.
 type requestHistory struct {
 	attempts  []*attempt
 	completed bool
 }
 
-// audit holds the counts over all logs.
+// audit counts attempts and collects violations over all logs.
 type audit struct {
-	attempts       int
-	retries        int // attempts that are not the first of their request
-	keyedRetries   int // of them those that an idempotency key covers
-	forGoneClients int // attempts whose client had disconnected
-	longestForGone float64
-	leastWindow    float64 // the least time that was left of an idempotency window at a retry
-	violations     []string
+	attempts                int
+	retries                 int // attempts other than the first of their request
+	keyedRetries            int // retries under an idempotency key after an attempt that may have executed
+	attemptsAfterDisconnect int // attempts sent after the client had disconnected
+	maxAgeAfterDisconnect   float64
+	minWindowLeft           float64 // shortest remaining idempotency window at a retry, in seconds
+	violations              []string
 }
 
-func newAudit() *audit { return &audit{leastWindow: math.Inf(1)} }
+func newAudit() *audit { return &audit{minWindowLeft: math.Inf(1)} }
 
 // readFile replays the log of one gateway.
 func (a *audit) readFile(path string) error {
@@ -62,18 +63,18 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading: nothing can be lost
 	return a.read(path, file)
 }
 
-// read replays the log of one gateway, which name stands for in violations, in its order.
+// read replays the log of one gateway line by line. Violations are reported under name.
 func (a *audit) read(name string, log io.Reader) error {
 	histories := map[string]*requestHistory{}
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		e := parseEvent(lines.Text())
-		if e.kind == otherLine {
+		if e.kind == otherEvent {
 			continue
 		}
 		history := histories[e.requestID]
@@ -86,13 +87,13 @@
 	return lines.Err()
 }
 
-// apply takes in one event of a request.
+// apply checks one event of a request and adds it to the request's history.
 func (a *audit) apply(name string, e event, history *requestHistory) {
 	switch e.kind {
 	case attemptSent:
 		a.checkAttempt(name, &attempt{event: e}, history)
 	case attemptEnded:
-		history.end(e)
+		history.recordEnd(e)
 	case requestCompleted:
 		history.completed = true
 		if e.rejection {
@@ -100,12 +101,12 @@
 		}
 	case clientDisconnected:
 		history.completed = true
-	case otherLine:
+	case otherEvent:
 	}
 }
 
-// end notes how an attempt ended.
-func (h *requestHistory) end(e event) {
+// recordEnd records the outcome of an attempt. Only the first outcome of an attempt counts.
+func (h *requestHistory) recordEnd(e event) {
 	for _, sent := range h.attempts {
 		if sent.attempt == e.attempt && !sent.ended {
 			sent.ended, sent.result, sent.endedAt = true, e.status, e.at
@@ -113,15 +114,15 @@
 	}
 }
 
-// checkAttempt counts an attempt and checks it against all before it.
+// checkAttempt counts an attempt and checks it against the earlier attempts of its request.
 func (a *audit) checkAttempt(name string, next *attempt, history *requestHistory) {
 	a.attempts++
-	if next.clientHadGone {
-		a.forGoneClients++
-		a.longestForGone = max(a.longestForGone, next.writeStarted-next.arrived)
+	if next.clientClosed {
+		a.attemptsAfterDisconnect++
+		a.maxAgeAfterDisconnect = max(a.maxAgeAfterDisconnect, next.writeStarted-next.arrived)
 	}
 	if history.completed {
-		a.violate(name, next.requestID, "attempt %d was sent after the final reply", next.attempt)
+		a.addViolation(name, next.requestID, "attempt %d was sent after the final reply", next.attempt)
 	}
 	if len(history.attempts) > 0 {
 		a.retries++
@@ -133,13 +134,14 @@
 		return
 	}
 	first := history.attempts[i]
-	if why := a.checkRepeat(first, next); why != "" {
-		a.violate(name, next.requestID, "attempt %d at %.3f to %s after attempt %d at %.3f to %s: %s",
-			next.attempt, next.at, next.endpoint, first.attempt, first.at, first.endpoint, why)
+	if problem := a.checkRepeat(first, next); problem != "" {
+		a.addViolation(name, next.requestID, "attempt %d at %.3f to %s after attempt %d at %.3f to %s: %s",
+			next.attempt, next.at, next.endpoint, first.attempt, first.at, first.endpoint, problem)
 	}
 }
 
-// checkRepeat tells why an attempt must not follow the first one that may have executed; "" if it may.
+// checkRepeat returns the rule that an attempt breaks by following first, the earliest attempt that may have
+// executed, or "" if the attempt is allowed.
 func (a *audit) checkRepeat(first, next *attempt) string {
 	if next.idempotency == nonIdempotent {
 		return "the class must not execute twice"
@@ -149,42 +151,43 @@
 	}
 	left := first.at + first.window - next.at
 	a.keyedRetries++
-	a.leastWindow = min(a.leastWindow, left)
+	a.minWindowLeft = min(a.minWindowLeft, left)
 	if left < 0 {
 		return fmt.Sprintf("%.3f s after the idempotency window", -left)
 	}
 	return ""
 }
 
-// checkRejection checks a rejection, which promises that nothing has executed or that a repeat does no harm.
+// checkRejection checks that a rejected request has not executed or can be repeated without harm, as clients may repeat
+// it.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
-		harmless := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
-		if harmless || sent.knownNotExecuted(e.at) {
+		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
+		if safeToRepeat || sent.knownNotExecuted(e.at) {
 			continue
 		}
-		a.violate(name, e.requestID, "rejected at %.3f, though attempt %d may have executed", e.at, sent.attempt)
+		a.addViolation(name, e.requestID, "rejected at %.3f, though attempt %d may have executed", e.at, sent.attempt)
 		return
 	}
 }
 
-func (a *audit) violate(name, requestID, format string, args ...any) {
+func (a *audit) addViolation(name, requestID, format string, args ...any) {
 	a.violations = append(a.violations, name+" "+requestID+": "+fmt.Sprintf(format, args...))
 }
 
-// report is the counts, and then the violations, a line each.
+// report returns the counts and the violations, one per line.
 func (a *audit) report() string {
 	var out strings.Builder
-	say := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
-	say("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
+	writeLine := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
+	writeLine("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
 	if a.keyedRetries > 0 {
-		say("least time left of an idempotency window: %.3f s", a.leastWindow)
+		writeLine("least time left of an idempotency window: %.3f s", a.minWindowLeft)
 	}
-	say("attempts for disconnected clients: %d, %.3f s after the request had arrived at most",
-		a.forGoneClients, a.longestForGone)
-	say("violations: %d", len(a.violations))
+	writeLine("attempts for disconnected clients: %d, %.3f s after the request had arrived at most",
+		a.attemptsAfterDisconnect, a.maxAgeAfterDisconnect)
+	writeLine("violations: %d", len(a.violations))
 	for _, violation := range a.violations {
-		say("%s", violation)
+		writeLine("%s", violation)
 	}
 	return out.String()
 }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -7,30 +7,31 @@
 	"reedlead/policy"
 )
 
-// delivery hands a decoded event to its gateway.
+// delivery delivers a decoded event to its gateway.
 type delivery func(*policy.Gateway)
 
-// decoder reads the event on the adapter's line, for an instance. It returns nil where no gateway is to hear of it.
+// decoder decodes the event on the adapter's current line for an instance. The delivery is nil if there is nothing to
+// deliver to the gateway.
 type decoder func(a *adapter, instance int) (delivery, error)
 
-// decoders are those of all events, by the name of the message.
+// decoders holds the decoder of every event by message name.
 var decoders = map[string]decoder{
-	"ENLIST":       startGateway,
-	"DOWN":         stopGateway,
+	"ENLIST":       decodeGatewayStart,
+	"DOWN":         decodeGatewayStop,
 	"PEERS_KNOWN":  decodeEndpoints,
 	"REQUEST":      decodeRequest,
 	"FLOWING":      decodeStreamStarted,
 	"VERDICT":      decodeOutcome,
-	"HANGUP":       decodeClientGone,
+	"HANGUP":       decodeClientDisconnected,
 	"ALARM":        decodeTimer,
 	"CHECK_RESULT": decodeHealthCheck,
 	"DATAGRAM":     decodePeerMessage,
-	"TALLY_BACK":   ignore,
+	"TALLY_BACK":   ignoreEvent,
 }
 
-func ignore(*adapter, int) (delivery, error) { return nil, nil }
+func ignoreEvent(*adapter, int) (delivery, error) { return nil, nil }
 
-func startGateway(a *adapter, instance int) (delivery, error) {
+func decodeGatewayStart(a *adapter, instance int) (delivery, error) {
 	seed, err := a.line.Uint("entropy")
 	if err != nil {
 		return nil, err
@@ -51,12 +52,13 @@
 	return nil, nil
 }
 
-func stopGateway(a *adapter, instance int) (delivery, error) {
+func decodeGatewayStop(a *adapter, instance int) (delivery, error) {
 	delete(a.gateways, instance)
 	return nil, nil
 }
 
-// How a list came: whole, as the changes alone, or not at all.
+// Kinds of PEERS_KNOWN messages: a complete list (the first two), the entries that changed, and a failed fetch, which
+// has no list.
 const (
 	listComplete  = "Complete"
 	listPersisted = "Persisted"
@@ -113,7 +115,7 @@
 	return func(g *policy.Gateway) { g.HandleOutcome(a.now, outcome) }, fields.err
 }
 
-func decodeClientGone(a *adapter, _ int) (delivery, error) {
+func decodeClientDisconnected(a *adapter, _ int) (delivery, error) {
 	id, err := a.line.Text("id")
 	return func(g *policy.Gateway) { g.HandleClientDisconnected(a.now, id) }, err
 }
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -8,7 +8,7 @@
 	"reedlead/policy"
 )
 
-// fieldReader reads fields of a line and keeps the first error.
+// fieldReader reads fields of a line and keeps the first error, so that callers can check for errors once.
 type fieldReader struct {
 	line *simwire.Line
 	err  error
@@ -76,11 +76,11 @@
 	return status
 }
 
-// loadReport returns nil where none came.
+// loadReport returns nil if the line has no load report.
 func (r *fieldReader) loadReport() *policy.LoadReport {
 	report := settings.EmptyLoadReport
-	came, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
-	if !keepError(r, came, err) {
+	found, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
+	if !keepError(r, found, err) {
 		return nil
 	}
 	return &report
