--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,8 +21,8 @@
 	DefaultReadTimeout = 2500 * time.Millisecond
 
 	// pollRetryShare is the time after which a poll without a response is retried, as a fraction of the grace period
-	// for attempts on draining endpoints. That period starts when the agent has the change, whether or not a watch is
-	// open, so a recovered agent must be found within a fraction of it.
+	// for attempts on draining endpoints. The attempts must end within that period, which starts when the agent has the
+	// change, whether or not a watch is open. So a recovered agent must be found within a fraction of it.
 	pollRetryShare       = 0.3
 	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -75,7 +75,7 @@
 	for range 2 {
 		poll := receive(t, polls)
 		if poll.URI != "/api/targets" {
-			t.Fatalf("polled %q", poll.URI)
+			t.Fatalf("polled %q, want the complete list", poll.URI)
 		}
 		poll.Write(`{"version":9,`)
 		receive(t, poll.Cancelled)
@@ -177,7 +177,7 @@
 	}()
 	poll := receive(t, polls)
 	if poll.URI != "/api/targets" {
-		t.Fatalf("polled %q", poll.URI)
+		t.Fatalf("polled %q, want the complete list", poll.URI)
 	}
 	poll.Write(discoverytest.ListJSON(8, true, "z", "in_service"))
 	poll.End()
@@ -203,7 +203,7 @@
 			receive(t, polls).Write("nonsense ")
 			poll := receive(t, polls)
 			if poll.URI != "/api/targets" {
-				t.Fatalf("polled %q", poll.URI)
+				t.Fatalf("polled %q, want the complete list", poll.URI)
 			}
 			poll.Write(`{"version":9,`)
 		}},
@@ -231,7 +231,7 @@
 			client.addresses <- newAddress
 			poll := receive(t, newPolls)
 			if poll.URI != "/api/targets" {
-				t.Errorf("the new address was polled for %q", poll.URI)
+				t.Errorf("polled %q at the new address, want the complete list", poll.URI)
 			}
 			poll.Write(discoverytest.ListJSON(2, true, "y", "in_service"))
 			client.wantUpdate("[y in_service]")
@@ -247,7 +247,7 @@
 		50 * time.Millisecond: 15 * time.Millisecond, time.Second: 300 * time.Millisecond, time.Minute: 500 * time.Millisecond,
 	} {
 		if got := PollRetryIntervalFor(grace).Round(time.Microsecond); got != want {
-			t.Errorf("grace %v: polled again after %v, want %v", grace, got, want)
+			t.Errorf("grace period of %v: polled again after %v, want %v", grace, got, want)
 		}
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,7 +10,7 @@
 
 // List is an endpoint list in the JSON form of the discovery API, which the configuration file also uses.
 type List struct {
-	// Version is the number of the list's version. Versions of different discovery agents are not comparable.
+	// Version counts the changes of the list. The versions of different discovery agents are not comparable.
 	Version int64 `json:"version"`
 	// Full is set if the list is complete and replaces all earlier ones. Otherwise it holds only what has changed.
 	Full      bool       `json:"full"`
@@ -58,7 +58,7 @@
 	return state
 }
 
-// Causes of an EndpointError. The error of an address that can't be parsed is another one.
+// Causes of an EndpointError, in addition to the parse error of an address.
 var (
 	// ErrMissingID reports that an entry has no id.
 	ErrMissingID = errors.New("missing id")
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -52,7 +52,7 @@
 	http    *http.Client
 	url     string
 	results chan pollResult
-	done    chan struct{}        // closed when Client.poll receives no further result
+	done    chan struct{}        // closed when Client.poll returns
 	cancels []context.CancelFunc // indexed by the number of the poll
 	pending int                  // number of polls that have not failed
 }
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -334,9 +334,9 @@
 	rt.recover(t, recoveredBy)
 	rt.awaitChange(t)
 	if took := rt.clock.time() - from; took > maxRecoveryTime {
-		t.Errorf("the client received the change after %v", took)
+		t.Errorf("the client received the change too late, after %v", took)
 	}
 	if n := len(rt.dials); n > maxRecoveryConnections {
-		t.Errorf("%d connections were made in %v", n, rt.clock.time())
+		t.Errorf("too many dials: %d in %v", n, rt.clock.time())
 	}
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -171,10 +171,10 @@
 	return p
 }
 
-// sample samples the clocks for the translation of start times.
+// sample records a reading of both clocks.
 func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
 
-// list applies a change of the endpoint list. The entries are start times in event time by endpoint id; 0 stands for an
+// list applies a change of the endpoint list. It gets the start times in event time by endpoint id; 0 stands for an
 // unknown start.
 func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
 	p.sample(now)
--- a/internal/eventloop/lag.go
+++ b/internal/eventloop/lag.go
@@ -7,7 +7,7 @@
 	// that happened before the timer was due may still be unread in the sockets. The threshold is well below the 50 ms
 	// by which the specification lets replies and attempts exceed their limits.
 	StallThreshold policy.Seconds = 0.02
-	// StallWindow is the time after a stall in which the bytes read from a socket may have arrived during the stall.
+	// StallWindow is the time after a stall in which bytes that arrived during the stall may still be read.
 	StallWindow policy.Seconds = 0.1
 )
 
@@ -15,8 +15,8 @@
 // The event loop writes the record, and the goroutines that read connections use it to bound arrival times. The zero
 // value is ready for use.
 type StallDetector struct {
-	nextTimerDue AtomicTime // 0: no timer is set
-	stallStart   AtomicTime // of the last stall that the event loop has recorded
+	nextTimerDue AtomicTime // 0 if no timer is set
+	stallStart   AtomicTime // start of the last recorded stall
 	stallEnd     AtomicTime
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -25,7 +25,7 @@
 }
 
 // Loop runs timers, and the events that other goroutines post, in the order in which they were posted. The goroutine
-// that calls Run owns the loop: only functions that it runs may call the methods, or any goroutine before Run. Post,
+// that calls Run owns the loop: after the start of Run, only functions that the loop runs may call its methods. Post,
 // Ended and StallDetector are safe for concurrent use.
 type Loop struct {
 	clock     Clock
@@ -91,7 +91,7 @@
 // Ended returns a channel that is closed when Run has returned.
 func (l *Loop) Ended() <-chan struct{} { return l.ended }
 
-// StallDetector returns the record of stalls, for readers of sockets.
+// StallDetector returns the record of stalls, for the goroutines that read sockets.
 func (l *Loop) StallDetector() *StallDetector { return &l.stalls }
 
 // QueuedEvents returns the number of events in the queue.
--- a/internal/netcalls/calls.go
+++ b/internal/netcalls/calls.go
@@ -56,7 +56,7 @@
 func accept(listener *net.TCPListener) (Conn, error) {
 	conn, err := listener.AcceptTCP()
 	if err != nil {
-		return nil, err // conn is a nil *net.TCPConn, which as a Conn would not equal nil
+		return nil, err // a nil *net.TCPConn in a Conn would not compare equal to nil
 	}
 	return conn, nil
 }
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The functions of this file except WriteAll do not block and ignore deadlines, so the event loop can call them on
-// connections whose deadlines other goroutines own.
+// Except for WriteAll, the functions of this file do not block, and ignore the deadlines of the connection. So the
+// event loop can call them on connections whose deadlines other goroutines own.
 
 // progressCheckInterval limits how long one write blocks before WriteAll checks whether any bytes were written.
 const progressCheckInterval = time.Second
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -18,8 +18,8 @@
 //   - The event loop owns the fields after writeErr, and closes the connection.
 //   - The reader posts each reply, and the end of the connection, to the event loop. The event loop starts it after the
 //     dial, and it ends with the connection.
-//   - The writer writes the rest of a command of which the socket did not accept all at once, and owns the write
-//     deadline. The event loop starts it, and it ends with the write, at the deadline, or with the connection.
+//   - The writer writes the part of a command that the socket did not accept at once, and owns the write deadline. The
+//     event loop starts it, and it ends with the write, at the deadline, or with the connection.
 //
 // There is no read deadline: attempts have timers, and idle connections are closed by the event loop.
 //
@@ -27,7 +27,7 @@
 // running, commandWritten is final only after the connection was closed and writeMu was locked to wait for the writer.
 type backendConn struct {
 	services *services
-	set      *endpointSet // contains endpoint
+	set      *endpointSet // the set that contains endpoint
 	endpoint *endpoint
 	dialedAs discovery.Endpoint // the entry of the endpoint list at the time of the dial
 	conn     netcalls.Conn
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -35,15 +35,16 @@
 }
 
 // usable reports whether the connection may carry another command. The endpoint must be in service, and must have the
-// same address, start time and dedup group as when it was dialed, as the decision module chose it for that group.
+// same address, start time, zone and cell as when it was dialed: the decision module chooses an endpoint as a member of
+// its dedup group.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign writes the attempt that has waited longest to a connection. Without such an attempt, it returns the connection
-// to the pool.
+// assign gives a connection to the attempt that has waited longest, after it has ended those that must not be written
+// any more. If no attempt is waiting, it returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -25,8 +25,8 @@
 )
 
 // backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. The
-// event loop starts its goroutine, which owns it, and ends with the connection or after input that is not a valid
-// reply.
+// event loop starts the goroutine that owns it. That goroutine ends with the connection, or after input that is not a
+// valid reply.
 type backendReader struct {
 	conn     *backendConn
 	services *services
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,7 +12,8 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its client had left when the write started, which may be at most 0.15 s too much.
+	// states the time that its client had left when the write started, and that may exceed the time that is left at
+	// the end of the write by at most 0.15 s.
 	writeTimeout policy.Seconds = 0.1
 	// A command longer than longCommandSize bytes may take longer to write. It states less remaining time than its
 	// client has: the time is reduced by writeReserveShare, but by at most maxWriteReserve.
@@ -24,8 +25,8 @@
 )
 
 // writeCommand writes the command of an attempt: what the socket accepts at once, and the rest on a writer goroutine.
-// No byte is written after the deadlines of the attempt. They are compared with the clock, as event time may be well
-// behind it, and a dial or an endpoint that reads slowly takes time as well. Event loop only.
+// No byte is written after the deadlines of the attempt, which may pass during a dial or while the endpoint reads
+// slowly. They are compared with the clock, as event time may be well behind it. Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
 	shared := c.services
 	startedAt := shared.clock.Now()
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestEndpointStartTimesAfterWallClockStep guards against start times of endpoints that reach the decision module with
-// the step of the wall clock in them.
+// TestEndpointStartTimesAfterWallClockStep guards against start times that reach the decision module shifted by a step
+// of the wall clock.
 func TestEndpointStartTimesAfterWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3600, 3600} {
 		h := startProxy(t, testConfig(), nil)
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -26,7 +26,8 @@
 	err       error
 }
 
-// newInjectedFailures makes the first n calls fail with an error number, which is wrapped as in package net.
+// newInjectedFailures returns failures of the first n calls. The error number is wrapped in the same way as by package
+// net.
 func newInjectedFailures(n int, number syscall.Errno, call string) *injectedFailures {
 	f := &injectedFailures{err: &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, number)}}
 	f.remaining.Store(int32(n))
@@ -79,7 +80,7 @@
 	return n, nil
 }
 
-// shortenRetryPauses shortens the pauses before retries of calls to 1 µs.
+// shortenRetryPauses shortens the pause before a call is retried to 1 µs.
 func shortenRetryPauses(h *harness) {
 	h.proxy.calls.Sleep = func(time.Duration) { time.Sleep(time.Microsecond) }
 }
@@ -353,7 +354,7 @@
 			buf := make([]byte, peerlink.MaxDatagramSize)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
-				t.Errorf("the peer got %q, %v", buf[:n], err)
+				t.Errorf("the peer got %q, error %v, want there", buf[:n], err)
 			}
 			if _, err := peer.WriteToUDPAddrPort([]byte("back"), h.proxy.peers.LocalAddr()); err != nil {
 				t.Fatal(err)
