--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -14,8 +14,8 @@
 
 // acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. It prefers the most
 // recently used connection among those that have been idle for minReuseDelay, and otherwise takes the one that has been
-// idle for longest. It checks the sockets for unsolicited bytes and for the end of the stream, which the readers may not
-// have detected yet, and closes connections that have either.
+// idle for longest. It checks the sockets for unsolicited bytes and for the end of the stream, which the readers may
+// not have detected yet, and closes connections that have either.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
@@ -35,15 +35,16 @@
 }
 
 // usable reports whether the connection may carry another command. The endpoint must be in service, and must have the
-// same address, start time and dedup group as when it was dialed, as the decision module chose it for that group.
+// same address, start time, zone and cell as when it was dialed: the decision module chooses an endpoint as a member of
+// its dedup group.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign writes the attempt that has waited longest to a connection. Without such an attempt, it returns the connection
-// to the pool.
+// assign gives a connection to the attempt that has waited longest, after it has ended those that must not be written
+// any more. If no attempt is waiting, it returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
@@ -128,8 +129,8 @@
 	return c, nil
 }
 
-// handleDialResult handles the end of a dial, which has returned either a connection or an error. Attempts that are left
-// without a dial get an idle connection, or fail. Event loop only.
+// handleDialResult handles the end of a dial, which has returned either a connection or an error. Attempts that are
+// left without a dial get an idle connection, or fail. Event loop only.
 func (s *endpointSet) handleDialResult(e *endpoint, c *backendConn, err error) {
 	e.pendingDials--
 	var failure policy.AttemptStatus // of attempts that are left without a dial
@@ -159,9 +160,9 @@
 	return policy.ConnectFailed
 }
 
-// dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable. It returns the status
-// of the attempts that are left without a dial: NotSent if the endpoint has changed since the dial, and otherwise
-// ConnectFailed.
+// dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable. It returns the
+// status of the attempts that are left without a dial: NotSent if the endpoint has changed since the dial, and
+// otherwise ConnectFailed.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
