--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -8,13 +8,13 @@
 	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. In
 	// the whole fleet, as many messages are received as are sent, so the rest is left for replies.
 	reportFraction = 0.45
-	// minUrgentTokens and minBatchTokens are the numbers of messages that the budget must hold before an
-	// urgent or another batch is sent. Each batch uses one message.
+	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch, and
+	// minBatchTokens the number to send any other batch. Each batch uses one message.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
-	// grantTimeout is the time without a reply after which a report that requests wait for is repeated.
+	// grantTimeout is the time after which an unanswered report is repeated if requests wait for a grant.
 	grantTimeout Seconds = 0.08
-	// reportTimeout is the time without a reply after which any other report is repeated.
+	// reportTimeout is the time after which any other unanswered report is repeated.
 	reportTimeout Seconds = 0.3
 	// maxReportTransmissions is the number of consecutive reports without a reply after which the local window
 	// decides.
@@ -38,7 +38,7 @@
 type reportBatch struct {
 	customers []*customer
 	pending   bool // the gateway is in usageReporter.pending
-	// urgent is set if a request waits for a grant, or for a slot that this gateway has freed.
+	// urgent is set if a request waits for a grant, or if a freed concurrency slot is to be reported.
 	urgent bool
 	sentAt Seconds
 }
@@ -192,10 +192,10 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report is
-// not repeated any more.
+// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report must
+// not be repeated any more.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
-	if !c.report.scheduled { // a report still in a batch was not sent
+	if !c.report.scheduled { // otherwise the report is still in a batch
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
 	c.report.transmissions++
