--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	faultsFor  = flag.Duration("faults.for", 3*time.Second, "how long each schedule of faults is played")
-	faultsSeed = flag.Uint64("faults.seed", 1, "the first seed of the schedules of faults")
-	faultsRuns = flag.Int("faults.runs", 3, "how many schedules of faults are played")
+	faultsFor  = flag.Duration("faults.for", 3*time.Second, "duration of each run with faults")
+	faultsSeed = flag.Uint64("faults.seed", 1, "seed of the first run with faults")
+	faultsRuns = flag.Int("faults.runs", 3, "number of runs with faults")
 )
 
 const (
@@ -32,36 +32,38 @@
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
 	idempotencyWindow = 800 * time.Millisecond
-	disconnectSlack   = 100 * time.Millisecond // after its client has closed, in which an attempt may still begin
+	disconnectSlack   = 100 * time.Millisecond // by which an attempt may begin after its client has disconnected
 	suspendEvery      = 600 * time.Millisecond
-	suspendFor        = 140 * time.Millisecond // under the 0.15 s that a standstill between the clock and the write may last
-	faultEndpoints    = 3
-	faultClients      = 24
+	// Less than timeoutSlack: a suspension after the gateway has computed a timeout and before it has written it makes the
+	// timeout too long by the suspension.
+	suspendFor     = 140 * time.Millisecond
+	faultEndpoints = 3
+	faultClients   = 24
 )
 
-// endpointAttempt is a command that an endpoint received whole.
+// endpointAttempt is an attempt whose command an endpoint has received completely.
 type endpointAttempt struct {
-	timeout  time.Duration // that the command gives
-	written  time.Time     // when the gateway had written its last byte
-	executed bool          // else it was rejected
+	timeout  time.Duration // from field d of the command
+	written  time.Time     // when the gateway wrote its last byte, by the proxy's record
+	executed bool          // false if the endpoint rejected it
 }
 
-// faultRequest is a request as its client knows it.
+// faultRequest is a request that a client sent, and its reply.
 type faultRequest struct {
 	id, class string
 	deadline  time.Duration
-	end       int // of its command on the connection
-	replyEnd  int // of its reply on the connection
+	end       int // offset after its command in the bytes sent on the connection
+	replyEnd  int // offset after its reply in the bytes received on the connection
 	reply     string
 }
 
-// faultRun is what one run of a schedule records: the attempts by request, and the violations of the rules.
+// faultRun records one run with faults: the attempts of each request, and the violations of the rules.
 type faultRun struct {
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
 	violations []string
-	replies    map[string]int // by the reply's first word
-	timerLag   atomic.Int64   // nanoseconds by which this process was behind its own timers, at most
+	replies    map[string]int // counts by the first word of the reply
+	timerLag   atomic.Int64   // largest delay of this process's timers in nanoseconds
 }
 
 func (w *faultRun) addViolation(format string, args ...any) {
@@ -70,10 +72,10 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// slack is what a busy machine may add to a time that this process measures.
+// slack is the measurement error to allow on a busy machine.
 func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.timerLag.Load()) }
 
-// measureTimerLag measures by how much this process is behind its own timers.
+// measureTimerLag records the largest delay of this process's timers until stop is closed.
 func (w *faultRun) measureTimerLag(stop <-chan struct{}) {
 	const every = 5 * time.Millisecond
 	for {
@@ -89,8 +91,8 @@
 	}
 }
 
-// faultEndpoint replies to commands behind its proxy: with values that name their request, errors, rejections, no
-// reply, or the end of the connection.
+// faultEndpoint is an endpoint behind a fault proxy. At random, it replies to a command with a value that ends with the
+// request's id, with an error or with a rejection, does not reply, or closes the connection.
 type faultEndpoint struct {
 	run   *faultRun
 	proxy *faultproxy.Proxy
@@ -138,12 +140,12 @@
 	}
 }
 
-// clientAddr is the address by which the proxy knows the connection that reaches the endpoint as conn.
+// clientAddr returns the gateway's address of the connection that reaches the endpoint, through the proxy, as conn.
 func (e *faultEndpoint) clientAddr(conn net.Conn) net.Addr {
 	return e.proxy.ClientAddr(conn.RemoteAddr())
 }
 
-// readCommand reads a command, and returns how many bytes it took.
+// readCommand reads a command and returns its arguments and its size in bytes.
 func readCommand(r *bufio.Reader) (args []string, n int, err error) {
 	line := func() string {
 		s, failed := r.ReadString('\n')
@@ -164,7 +166,7 @@
 	return args, n, err
 }
 
-// faultClient sends requests on one connection after the other until the time is over.
+// faultClient sends requests on one connection after the other.
 type faultClient struct {
 	run    *faultRun
 	proxy  *faultproxy.Proxy
@@ -173,7 +175,7 @@
 	sent   int
 }
 
-// request makes a request of any class, and its command.
+// request returns a new request of a random class and its command. A body has less than bodyMax bytes.
 func (c *faultClient) request(bodyMax int) (faultRequest, string) {
 	c.sent++
 	q := faultRequest{
@@ -194,7 +196,7 @@
 	return q, b.String()
 }
 
-// connection sends batches of requests, and reads the replies or disconnects.
+// connection opens a connection, sends batches of requests on it, and reads the replies or disconnects.
 func (c *faultClient) connection(t *testing.T) {
 	dialledAt := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
@@ -211,8 +213,8 @@
 		var text strings.Builder
 		commands, bodyMax := 1+c.rng.IntN(6), 20_000
 		if c.rng.Float64() < 0.1 {
-			// More than may be open at once, but no more than the ingress reads on: else the end of the connection
-			// would not come to it before the rest of them is read.
+			// More requests than may be open on a connection, but few enough that the gateway reads all of them ahead.
+			// If it did not, it would notice the end of the connection only after reading the rest.
 			commands, bodyMax = 48, 16_000
 		}
 		for range commands {
@@ -252,7 +254,7 @@
 	}
 }
 
-// readFullReply reads a reply, and returns how many bytes it took.
+// readFullReply reads a reply and returns its text and its size in bytes.
 func readFullReply(r *bufio.Reader) (text string, n int, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil || line[0] != '$' {
@@ -264,13 +266,13 @@
 	return "$" + string(b[:size]), len(line) + len(b), err
 }
 
-// checkBatch checks a batch against the rules.
+// checkBatch checks the replies and attempts of a batch against the rules.
 func (c *faultClient) checkBatch(connection *faultproxy.Connection, batch []faultRequest, disconnected bool) {
 	w := c.run
-	if disconnected { // what is out may still be written
+	if disconnected { // until the last attempts that may still begin have begun
 		time.Sleep(3 * disconnectSlack)
 	}
-	previousReply := time.Time{} // when the reply before had come
+	previousReply := time.Time{} // when the reply to the previous request arrived
 	for _, q := range batch {
 		arrivedAt, arrived := connection.ToServer.Written.TimeOfByte(q.end)
 		c.checkAttempts(q, arrivedAt, arrived, connection.ToServer.Written.Ended())
@@ -280,7 +282,7 @@
 		kind, _, _ := strings.Cut(q.reply, " ")
 		switch {
 		case q.reply == "":
-			w.addViolation("%s: its connection ended without a whole reply", q.id)
+			w.addViolation("%s: the connection ended before a complete reply", q.id)
 			continue
 		case q.reply[0] == '$':
 			kind = "value"
@@ -293,11 +295,11 @@
 		wasExecuted := slices.ContainsFunc(w.attempts[q.id], func(a endpointAttempt) bool { return a.executed })
 		w.mu.Unlock()
 		if kind == "-BUSY" && wasExecuted && q.class == "bill" {
-			w.addViolation("%s: rejected, and it was executed", q.id)
+			w.addViolation("%s: rejected although it was executed", q.id)
 		}
 		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
 		from := arrivedAt
-		if previousReply.After(from) { // the time behind the replies before it does not count
+		if previousReply.After(from) { // the time spent waiting for earlier replies does not count
 			from = previousReply
 		}
 		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+w.slack() && replied.Sub(from) > replySlack {
@@ -307,7 +309,8 @@
 	}
 }
 
-// checkAttempts checks the attempts of a request against the rules.
+// checkAttempts checks the attempts of a request against the rules. arrivedAt is set if arrived, disconnectedAt if the
+// client has disconnected.
 func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
 	w := c.run
 	w.mu.Lock()
@@ -316,11 +319,11 @@
 	var first time.Time
 	for _, a := range attempts {
 		if !arrived {
-			w.addViolation("%s: attempted, though it never came whole", q.id)
+			w.addViolation("%s: attempted although the gateway did not receive all of it", q.id)
 			continue
 		}
 		if excess := a.timeout - (q.deadline - a.written.Sub(arrivedAt)); excess > timeoutSlack+w.slack() {
-			w.addViolation("%s: an attempt has %v too much time", q.id, excess)
+			w.addViolation("%s: the timeout of an attempt is %v too long", q.id, excess)
 		}
 		if !disconnectedAt.IsZero() && a.written.Sub(disconnectedAt) > disconnectSlack+w.slack() {
 			w.addViolation("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(disconnectedAt))
@@ -328,9 +331,9 @@
 		switch {
 		case first.IsZero():
 		case q.class == "bill":
-			w.addViolation("%s: must not execute twice, and was attempted again", q.id)
+			w.addViolation("%s: attempted again although it must not execute twice", q.id)
 		case q.class == "save" && a.written.Sub(first) > idempotencyWindow+w.slack():
-			w.addViolation("%s: attempted again %v after its first attempt", q.id, a.written.Sub(first))
+			w.addViolation("%s: attempted again %v after the first attempt that executed", q.id, a.written.Sub(first))
 		}
 		if a.executed && first.IsZero() {
 			first = a.written
@@ -338,7 +341,8 @@
 	}
 }
 
-// runFaultSchedule plays one schedule of faults against one process.
+// runFaultSchedule runs one gateway process with faults drawn from seed, and returns what it recorded. The process is
+// also suspended repeatedly if suspends is true.
 func runFaultSchedule(t *testing.T, seed uint64, suspends bool) *faultRun {
 	w := &faultRun{attempts: map[string][]endpointAttempt{}, replies: map[string]int{}}
 	stop := make(chan struct{})
@@ -374,14 +378,14 @@
 	clients.Wait()
 	select {
 	case err := <-p.ended:
-		w.addViolation("the program ended: %v", err)
+		w.addViolation("the gateway process ended: %v", err)
 		p.ended <- err
 	default:
 	}
 	return w
 }
 
-// suspendRepeatedly suspends the process now and then.
+// suspendRepeatedly suspends the process for suspendFor, every suspendEvery, until stop is closed.
 func suspendRepeatedly(p *program, stop <-chan struct{}) {
 	for {
 		select {
@@ -389,13 +393,13 @@
 			return
 		case <-time.After(suspendEvery):
 		}
-		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended, which playFaults reports
+		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // the process may have ended, which runFaultSchedule reports
 		time.Sleep(suspendFor)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// startFaultEndpoint starts an endpoint behind a proxy, and returns the proxy's address.
+// startFaultEndpoint starts an endpoint behind a fault proxy and returns the proxy's address.
 func startFaultEndpoint(t *testing.T, w *faultRun, schedule faultproxy.Schedule, seed uint64) string {
 	t.Helper()
 	l := listen(t)
@@ -415,19 +419,18 @@
 	return proxy.Addr()
 }
 
-// TestRequestsUnderFaults plays seeded schedules of faults on real connections, and checks what clients and endpoints
-// saw against the rules: each request that was accepted has exactly one whole, right and timely reply, none executes
-// again beyond what its class allows, and none is attempted after its client has disconnected or with more time than
-// the client has left.
-// -faults.for, -faults.runs and -faults.seed play more of them.
+// TestRequestsUnderFaults injects seeded faults into real connections and checks what clients and endpoints saw. Each
+// accepted request must get one complete and correct reply in time. A request must not execute again unless its class
+// allows it, and must not be attempted after its client has disconnected or with a longer timeout than the client has
+// left. The flags -faults.for, -faults.runs and -faults.seed select longer, more and other runs.
 func TestRequestsUnderFaults(t *testing.T) {
 	for i := range *faultsRuns {
 		seed, suspends := *faultsSeed+uint64(i), i%2 == 1
 		t.Run(fmt.Sprintf("seed %d, suspends %t", seed, suspends), func(t *testing.T) {
 			w := runFaultSchedule(t, seed, suspends)
-			t.Logf("%v, %d requests attempted, behind by %v at most", w.replies, len(w.attempts), time.Duration(w.timerLag.Load()))
+			t.Logf("replies %v, %d requests attempted, timers late by up to %v", w.replies, len(w.attempts), time.Duration(w.timerLag.Load()))
 			if w.replies["value"] == 0 {
-				t.Error("nothing was served")
+				t.Error("no request got a value")
 			}
 			for i, violation := range w.violations {
 				if t.Error(violation); i == 10 {
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -28,7 +28,7 @@
 		`{"listen":"127.0.0.1:0"}`:     "discovery: ",
 		`{"listen":"a","discovery":1}`: "cannot unmarshal",
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"balancers":1,` +
-			`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`: "at least one class is required",
+			`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`: "no classes given",
 	} {
 		path := ""
 		if text != "" {
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The project's test command: format, vet, lint, build, tests. It needs no network beyond Go's modules.
+# Runs all checks of the project: format, vet, lint, build and tests. The network is needed only to download Go modules.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -24,7 +24,7 @@
 fi
 go test -race -count=1 ${red[@]+"${red[@]}"} ./...
 
-# The deploy file names each file of the decision module, and none has long lines.
+# The deploy file must list every source file of the decision module, and no line of those may be too long.
 listed=$(deploy_value policy | tr -d '" ' | tr ',' '\n' | sort)
 present=$(ls policy/*.go | grep -v _test.go | sort)
 [ "$listed" = "$present" ] || { echo "deploy/balancer.toml does not list the files of policy:"; diff <(echo "$listed") <(echo "$present"); exit 1; }
