--- a/policy/api.go
+++ b/policy/api.go
@@ -6,17 +6,17 @@
 // current time, the random seed is a parameter of New, and effects are calls of the Actions interface. The
 // same settings, seed and events produce the same actions, byte for byte.
 //
-// A hash ring of gateways assigns each customer to one gateway, its owner. The owner alone counts the
-// customer's usage over all gateways against the quota. The other gateways are members: they send usage
-// reports to the owner in batches, admit requests from their share of the remaining units that the owner
-// last reported, and fall back to a local window while the owner does not reply.
+// A hash ring of gateways assigns each customer to one gateway, its owner. The owner counts the customer's
+// usage at all gateways against the quota. The other gateways are members. A member sends usage reports to
+// the owner in batches. It admits requests from its share of the units that remained at the owner's last
+// reply, and falls back to a local window while the owner does not reply.
 //
 // This file declares the types of the package's interface. Gateway handles the events.
 package policy
 
-// Seconds is a duration, or a point in time on the same scale as the now argument of all events. It is an
-// alias of float64, so that arithmetic with times and rates needs no conversion. Every time in this package
-// has this unit except LoadReport.ServiceTimeMS.
+// Seconds is a duration, or a point in time on the clock that the now arguments of the event methods come
+// from. It is an alias of float64, so that arithmetic with times and rates needs no conversion. All times in
+// this package are in seconds, except LoadReport.ServiceTimeMS.
 type Seconds = float64
 
 // Idempotency specifies whether requests of a class may be executed more than once.
@@ -25,7 +25,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent     Idempotency = iota // may be executed any number of times
-	IdempotencyKey                    // dedup groups of endpoints drop duplicates of a key for a limited time
+	IdempotencyKey                    // endpoints drop duplicates of a key for a limited time
 	NonIdempotent                     // must not be executed twice
 )
 
@@ -80,13 +80,14 @@
 	// LateWeightFraction is the fraction of PriorityWeight that a reply earns after the objective.
 	LateWeightFraction float64
 	Idempotency        Idempotency
-	// DedupScope and IdempotencyWindow apply to IdempotencyKey only: the endpoints that drop duplicates of a
-	// key, and the time for which they do.
+	// DedupScope specifies which endpoints drop duplicates of a key, and IdempotencyWindow is the time for
+	// which they do. Both apply to IdempotencyKey only.
 	DedupScope        DedupScope
 	IdempotencyWindow Seconds
 }
 
-// Plan is the quota of each customer of the plan, summed over all gateways.
+// Plan holds the limits of each customer of the plan. They apply to the customer's usage at all gateways
+// together.
 type Plan struct {
 	Name string
 	// Rate is the rate at which the quota refills, in units per second; 0 means no quota.
@@ -97,8 +98,8 @@
 	MaxConcurrent int
 	// WeightFactor multiplies the PriorityWeight of the class.
 	WeightFactor float64
-	// CeilingRate, in units per second, and CeilingBurst bound the units that are forwarded regardless of the
-	// quota; a rate of 0 means no ceiling.
+	// CeilingRate, in units per second, and CeilingBurst are a second limit on the units. Unlike the quota, it
+	// holds even if messages are lost or gateways restart. A rate of 0 means no ceiling.
 	CeilingRate  float64
 	CeilingBurst float64
 }
@@ -119,12 +120,13 @@
 	PeerMessageRate float64
 
 	// Each of these enables an optional feature: messages between gateways, health checks, cancellation of
-	// attempts, hedged requests, and the retryAfter of rejections.
+	// attempts, hedged requests, and a retryAfter in the replies to rejected requests. Only the network side
+	// uses RetryAfter.
 	PeerMessages, HealthChecks, Cancellation, Hedging, RetryAfter bool
 
 	// MaxAttempts is the maximum number of attempts of a request.
 	MaxAttempts int
-	// MaxRetryAfter is the longest retryAfter of a rejection.
+	// MaxRetryAfter is the upper limit of the retryAfter of rejections. All rejections use this value.
 	MaxRetryAfter Seconds
 	// LoadReportInHealthCheck is set if endpoints report their load only in replies to health checks.
 	LoadReportInHealthCheck bool
@@ -132,7 +134,7 @@
 	// ReplySlack is the time after the deadline within which a final reply still counts as on time. Only the
 	// network side uses it.
 	ReplySlack Seconds
-	// The capacity of an endpoint rises from the fraction SlowStartMinCapacity at its start to 1 after
+	// The capacity of an endpoint rises linearly from the fraction SlowStartMinCapacity at its start to 1 after
 	// SlowStartDuration.
 	SlowStartMinCapacity float64
 	SlowStartDuration    Seconds
@@ -140,11 +142,11 @@
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
-	// CrossZoneCost is the cost of an attempt in another zone and HandshakeCost that of a new connection, both
-	// in the unit of the prices in the settings.
+	// CrossZoneCost is the cost of an attempt in another zone, and HandshakeCost is the cost of a new
+	// connection. Both have the unit of the configured prices.
 	CrossZoneCost float64
 	HandshakeCost float64
-	// ConnectionIdleTimeout is the time after which an idle connection is closed.
+	// ConnectionIdleTimeout is the time after which endpoints close an idle connection.
 	ConnectionIdleTimeout Seconds
 }
 
@@ -177,8 +179,8 @@
 	Cell     int
 	State    EndpointState
 	Weight   float64 // in the endpoint list; not used by this package
-	// StartedAt is the time at which the endpoint's process started; 0 means long ago. It changes when the
-	// process restarts.
+	// StartedAt is the time at which the endpoint's process started. It changes when the process restarts. 0
+	// means that the time is unknown; the endpoint then counts as warm.
 	StartedAt Seconds
 }
 
@@ -198,8 +200,8 @@
 // AttemptStatus is the result of an attempt or a health check.
 type AttemptStatus int
 
-// The statuses of an attempt. Whether the endpoint may have executed the attempt determines whether the
-// request may be retried.
+// The statuses of an attempt. Whether the request may be retried depends on whether the endpoint may have
+// executed the attempt.
 const (
 	OK            AttemptStatus = iota
 	Error                       // the endpoint replied with an error; may have executed
@@ -267,12 +269,12 @@
 // Reason explains why a request gets a final reply that does not come from an endpoint.
 type Reason string
 
-// Reasons for rejecting a request. A request that may have executed fails with the same reasons if a retry by
-// the client is not safe.
+// Reasons for rejecting a request. A request is failed for the same reasons if it may have executed and a
+// retry by the client is not safe.
 const (
 	QuotaExceeded           Reason = "quota_exceeded"            // the customer exceeds its quota or a ceiling
 	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // the customer has too many attempts in flight
-	DeadlineTooClose        Reason = "deadline_too_close"        // a reply is not expected in time to be useful
+	DeadlineTooClose        Reason = "deadline_too_close"        // no reply is expected in time to be useful
 	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had free capacity in time
 	AttemptsExhausted       Reason = "attempts_exhausted"        // no further attempt is allowed
 	OwnerUnreachable        Reason = "owner_unreachable"         // no grant from the owner arrived in time
@@ -282,17 +284,17 @@
 // Broadcast as the gateway argument of SendToPeer addresses all other gateways.
 const Broadcast = -1
 
-// Actions carries out the decisions of a Gateway on the network. The Gateway calls these methods only from
-// within its event methods, and they must take effect in the order of the calls.
+// Actions carries out the decisions of a Gateway on the network. The Gateway calls these methods only within
+// New and its event methods. They must take effect in the order of the calls.
 type Actions interface {
-	// Send starts the next attempt of a request. The attempt times out after timeout, or at the deadline of the
-	// request if timeout is 0; if timeout is negative, it has timed out already. The last byte must be written
-	// within writeWithin, or the attempt is not sent; 0 means no limit.
+	// Send starts the next attempt of a request. The attempt times out after timeout. A timeout of 0 lasts
+	// until the deadline of the request, and a negative one has expired already. The last byte must be written
+	// within writeWithin, or the attempt is not sent. A writeWithin of 0 means no limit.
 	Send(id, endpoint string, timeout, writeWithin Seconds)
-	// Reject gives the final reply that the client may safely send the request again after retryAfter, because
-	// the request did not execute or a second execution does no harm.
+	// Reject gives the final reply to a request that the client may safely send again after retryAfter: the
+	// request did not execute, or a second execution does no harm.
 	Reject(id string, retryAfter Seconds, reason Reason)
-	// Fail gives the final reply that the request failed and may have executed.
+	// Fail gives the final reply to a request that failed. The request may have executed.
 	Fail(id string, reason Reason)
 	// Cancel cancels an attempt in flight.
 	Cancel(id string, attempt int)
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -2,7 +2,7 @@
 
 const (
 	// noReplyLatencyMultiple is the number of mean latencies after which an attempt without a reply counts as a
-	// failure of its endpoint for the class, unless the endpoint replies to later attempts of the class.
+	// failure of its endpoint. It does not count if another attempt of the class has succeeded there since.
 	noReplyLatencyMultiple = 6.0
 	// minNoReplyDuration is the minimum time without a reply after which an attempt counts as a failure, for
 	// classes with short latencies.
@@ -42,8 +42,8 @@
 	}
 }
 
-// rejectOnGrantTimeout rejects a request that waits for a grant of the owner beyond the last tick at which it
-// could still be sent. It reports whether it rejected the request.
+// rejectOnGrantTimeout rejects a request that waits for a grant from the owner if the next tick would be too
+// late to send it. It reports whether it rejected the request.
 func (w *attemptWatcher) rejectOnGrantTimeout(r *request) bool {
 	sendBy := min(r.lastUsefulReplyAt()-r.class.meanLatency, r.firstWriteBy)
 	if !r.awaitingOwner || w.clock.now+timerInterval <= sendBy {
@@ -71,9 +71,9 @@
 }
 
 // attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none.
-// After hedgeObjectiveFraction of the objective, an attempt at a suspected outlier qualifies. Any other
-// attempt also needs to have taken hedgeLatencyMultiple mean latencies, and qualifies only if hedged requests
-// are allowed and the dispatch queue is empty.
+// No attempt qualifies before hedgeObjectiveFraction of the objective. After that, an attempt at a suspected
+// outlier qualifies. An attempt at any other endpoint qualifies after hedgeLatencyMultiple mean latencies,
+// if hedged requests are allowed and the dispatch queue is empty.
 func (w *attemptWatcher) attemptToHedge(r *request) *attempt {
 	if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 		return nil
@@ -97,7 +97,7 @@
 // attempt or no other endpoint has capacity.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
-	r.recordPossibleExecution(slow) // restricts picker and retry policy to safe endpoints
+	r.recordPossibleExecution(slow) // so that retries and picker treat the hedge like a retry
 	var other *endpoint
 	if w.retries.allowsAttempt(r) {
 		other = w.picker.pick(r)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,7 +6,7 @@
 // attempt is one transmission of a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
-	group           dedupGroup // at sentAt; the endpoint may move later
+	group           dedupGroup // of the endpoint at sentAt; the endpoint may move later
 	sentAt          Seconds
 	done            bool
 	cancelled       bool // by this gateway
@@ -31,7 +31,7 @@
 	slowStart    *slowStart
 	idleTimeout  Seconds // of connections
 	cancellation bool    // whether attempts can be cancelled
-	// adjustInFlight adds change to the attempts in flight of the request's customer.
+	// adjustInFlight adds change to the number of attempts in flight of the request's customer.
 	adjustInFlight func(r *request, change int)
 }
 
@@ -54,8 +54,8 @@
 	r.attempts = append(r.attempts, attempt{endpoint: e, group: e.dedupGroup(), sentAt: s.clock.now})
 }
 
-// end counts the attempt that ended with the outcome as no longer in flight. It returns nil, nil if no such
-// attempt is in flight.
+// end marks the attempt of an outcome as ended, and returns it with its request. It returns nil, nil if no
+// such attempt is in flight.
 func (s *attemptSender) end(outcome Outcome) (*request, *attempt) {
 	r := s.requests.find(outcome.RequestID)
 	if r == nil || outcome.Attempt < 0 || outcome.Attempt >= len(r.attempts) {
@@ -94,7 +94,7 @@
 
 // writeWithin returns the time within which an attempt sent now must be written, or 0 for no limit. A retry
 // with an idempotency key may wait for a connection, but must not be written after the idempotency window,
-// when endpoints no longer drop it as a duplicate.
+// because endpoints then no longer drop it as a duplicate.
 func (r *request) writeWithin(now Seconds) Seconds {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return 0
--- a/policy/class.go
+++ b/policy/class.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// recordLatency adds the latency of a successful attempt to the mean: an arithmetic mean at first, and an
-// exponentially weighted one once the weight of a new latency has fallen to minLatencyGain.
+// recordLatency adds the latency of a successful attempt to the mean. The mean is arithmetic at first. It
+// becomes exponentially weighted once the weight of a new latency has fallen to minLatencyGain.
 func (c *class) recordLatency(latency Seconds) {
 	c.successes++
 	c.meanLatency += (latency - c.meanLatency) * max(minLatencyGain, 1/float64(c.successes+1))
@@ -65,8 +65,8 @@
 	return table
 }
 
-// priorityDeficit returns the difference between the largest priority weight and that of the class, as a
-// fraction of the largest: 0 for the classes of the highest priority, and close to 1 for low priorities.
+// priorityDeficit returns 1 minus the ratio of the priority weight of the class to the largest one. It is 0
+// for the classes of the highest priority and close to 1 for low priorities.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
 	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -9,8 +9,8 @@
 	// remainingBins is the number of histogram bins, which cover remaining times from 0 to the timeout of the
 	// class.
 	remainingBins = 101
-	// firstAttemptFraction is the minimum fraction of observations near a remaining time for that time to be
-	// typical of first attempts.
+	// firstAttemptFraction is the fraction of the observations that must be near a remaining time for the
+	// detector to consider it typical of first attempts.
 	firstAttemptFraction = 0.4
 )
 
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,11 +1,11 @@
 package policy
 
-// stallThreshold is the time between two events above which this gateway is assumed to have stalled. Its
-// timer otherwise causes an event every timerInterval.
+// stallThreshold is the maximum time between two events of a running gateway, whose timer causes an event
+// every timerInterval. After a longer time, the gateway is assumed to have stalled.
 const stallThreshold Seconds = 0.1
 
-// clockUncertainty is the safety margin for the age of anything that another process did or reported, which
-// may be older than measured.
+// clockUncertainty is the safety margin for the measured age of an execution or report of another process.
+// The true age may be up to this much higher.
 const clockUncertainty Seconds = 0.05
 
 // eventClock holds the time of the current event. All components of a Gateway share it; only Gateway advances
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// The limit counts the attempts of this gateway. The per-endpoint constants count the attempts of all
-// gateways; each gateway gets an equal share of them.
+// The concurrency limit applies to the attempts of this gateway. The per-endpoint constants count the
+// attempts of all gateways; each gateway gets an equal share of them.
 const (
 	initialConcurrencyPerEndpoint = 3.0 // attempts of all gateways
 	minConcurrencyPerEndpoint     = 3.0
@@ -12,14 +12,14 @@
 	limitIncrease   = 0.1  // attempts added by a fast reply
 	limitDecrease   = 0.03 // fraction of one endpoint's share removed by a slow reply
 	timeoutDecrease = 0.15 // fraction of one endpoint's share removed by a timeout
-	limitReachedGap = 1.5  // attempts in flight may be this far below the limit for it to grow
+	limitReachedGap = 1.5  // the limit grows only if the attempts in flight are at most this far below it
 
 	lowLatencyRatio  = 0.15 // latencyRatio below which replies count as fast
 	highLatencyRatio = 0.22 // latencyRatio above which replies count as slow
 	lowUtilization   = 0.8  // mean utilization below which endpoints have spare capacity
 	latencyMeanGain  = 0.1  // weight of one attempt in meanAttemptDuration and latencyRatio
 
-	// burstDeviations is the upper bound of burstAllowance, which grows with the size of the fleet.
+	// burstDeviations is the upper limit of burstAllowance, which grows with the number of gateways.
 	burstDeviations = 4.0
 )
 
@@ -54,16 +54,17 @@
 	}
 }
 
-// resize scales the limit from before to after endpoints.
+// resize scales the limit when the number of endpoints changes from before to after.
 func (l *concurrencyLimiter) resize(before, after int) {
 	l.endpointsPerGateway = float64(after) / float64(l.gatewayCount)
 	l.limit *= float64(max(1, after)) / float64(max(1, before))
 }
 
-// atLimit reports whether an attempt of a class with the given mean latency must wait. If less than one
-// attempt is free, an attempt may still start while replies are fast. While they are slow, it waits for a
-// time inversely proportional to the free fraction, which keeps the mean within the limit: if all gateways of
-// a large fleet rounded their limit up, they would overload the endpoints.
+// atLimit reports whether an attempt of a class with the given mean latency must wait. If only a fraction of
+// an attempt is free, the attempt may start while replies are fast. While replies are slow, it must wait
+// until a pause after the last attempt is over. The pause is inversely proportional to the free fraction,
+// which keeps the mean within the limit. Without it, all gateways of a large fleet would round their limits
+// up, and together overload the endpoints.
 func (l *concurrencyLimiter) atLimit(meanLatency Seconds) bool {
 	free := l.limit + l.burstAllowance*math.Sqrt(l.limit) - float64(l.inFlight)
 	if free <= 0 {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// dispatchQueued sends the queued requests for which an endpoint has capacity, and rejects those that can no
-// longer get a reply within their objective.
+// dispatchQueued sends the queued requests for which an endpoint has capacity. It rejects those that can no
+// longer get a reply within their objective, and those for which no further attempt is allowed.
 func (d *dispatcher) dispatchQueued() {
 	d.queue.dequeueFunc(func(r *request) bool {
 		if r.done || d.clock.now+r.class.meanLatency > r.objectiveAt || !d.retries.allowsAttempt(r) {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -7,13 +7,13 @@
 	// remain usable. It is below 1 because an endpoint may close connections early.
 	reusableIdleFraction = 0.4
 
-	// inFlightTimeConstant is the time constant of endpoint.meanInFlight.
+	// inFlightTimeConstant is the time constant of the decay of endpoint.meanInFlight.
 	inFlightTimeConstant Seconds = 1.0
 
 	minLatencyFactor = 0.3
-	maxLatencyFactor = 4.0 // also the ratio that a timeout counts as
-	latencyGain      = 0.1 // weight of a reply in latencyFactor
-	timeoutGain      = 0.15
+	maxLatencyFactor = 4.0  // also the ratio assumed for a timeout
+	latencyGain      = 0.1  // weight of a reply in latencyFactor
+	timeoutGain      = 0.15 // weight of a timeout in latencyFactor
 )
 
 // endpoint is the state of an endpoint as known to this gateway.
@@ -26,7 +26,7 @@
 	inFlight        int
 	lastSentAt      Seconds
 	openConnections int     // estimated from the ends of attempts; includes idle connections
-	meanInFlight    float64 // exponentially weighted mean at the time lastSentAt
+	meanInFlight    float64 // exponentially weighted mean of inFlight, as of lastSentAt
 	latencyFactor   float64 // mean ratio of an attempt's latency to the mean latency of its class
 
 	// The last load report, received by this gateway or through gossip.
@@ -43,7 +43,7 @@
 	ejectedUntil                  Seconds
 
 	// Slow start.
-	slowStartCredit   float64 // mean attempts that this gateway may send while the endpoint warms up, at most 1
+	slowStartCredit   float64 // in attempts of mean work, at most 1; see slowStart
 	slowStartCreditAt Seconds // time of the last accrual
 }
 
@@ -112,8 +112,8 @@
 	return math.Exp((e.lastSentAt - now) / inFlightTimeConstant)
 }
 
-// observeLatency updates latencyFactor from an attempt whose duration was ratio times the mean latency of its
-// class. Only replies and timeouts say something about the latency.
+// observeLatency updates latencyFactor from an attempt whose duration was ratio times the mean latency of
+// its class. Only successes and timeouts count, because other outcomes say nothing about the latency.
 func (e *endpoint) observeLatency(status AttemptStatus, ratio float64) {
 	switch status {
 	case OK:
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -9,7 +9,7 @@
 	// minEndpointsConsidered is the minimum number of endpoints below suspectScore that are compared for an
 	// attempt.
 	minEndpointsConsidered = 2
-	// minNonIdempotentWarmUp is the fraction of its capacity that a warming endpoint needs to receive
+	// minNonIdempotentWarmUp is the warm-up fraction from which on a warming endpoint may receive
 	// non-idempotent requests.
 	minNonIdempotentWarmUp = 0.35
 )
@@ -40,8 +40,8 @@
 	idleTimeout                  Seconds // after which endpoints close idle connections
 }
 
-// pick returns the endpoint for the next attempt of a request, or nil if none has capacity. The first call
-// for a request that is below the concurrency limit also accrues its slow-start credits.
+// pick returns the endpoint for the next attempt of a request, or nil if none has capacity. It also accrues
+// the slow-start credits of the request, unless the gateway is at its concurrency limit.
 func (p *endpointPicker) pick(r *request) *endpoint {
 	if p.limiter.atLimit(r.class.meanLatency) {
 		return nil
@@ -105,10 +105,11 @@
 	return cheapest
 }
 
-// eligible reports whether the request may be sent to the endpoint now. Excluded are endpoints that are not
-// in service or are ejected, that might execute a retry twice, that have reached their share of the
-// concurrency limit, or that are warming up without a credit. In a large fleet all warming endpoints are
-// excluded, because pickWarming handles them. A high outlier score only raises the cost.
+// eligible reports whether the request may be sent to the endpoint now. An endpoint is not eligible if it is
+// out of service or ejected, if it might not recognize a retry with an idempotency key as a duplicate, if it
+// has reached its share of the concurrency limit, or if it is warming up and has no credit. In a large fleet
+// no warming endpoint is eligible, because pickWarming handles them. A high outlier score only raises the
+// cost.
 func (p *endpointPicker) eligible(e *endpoint, r *request) bool {
 	if !e.available(p.clock.now) || !r.deduplicates(e) {
 		return false
@@ -126,8 +127,9 @@
 	return math.Ceil(p.limiter.limit / float64(len(p.endpoints.listed)) / e.latencyFactor)
 }
 
-// cost returns the estimated load that an attempt would compete with at the endpoint, weighted by the latency
-// and the outlier score of the endpoint.
+// cost returns the cost of sending an attempt of the request to the endpoint. It adds the weighted
+// disadvantages to the estimated attempts in flight there, and multiplies the sum by the latency factor and
+// by a factor that grows with the outlier score.
 func (p *endpointPicker) cost(e *endpoint, r *request, score float64) float64 {
 	load := p.estimatedInFlight(e)
 	if e.Zone != p.zone {
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -8,7 +8,8 @@
 // loadReportExpiry is the age at which a load report is no longer used.
 const loadReportExpiry Seconds = 3.0
 
-// endpointTable holds the listed endpoints, and the removed ones that still have attempts in flight.
+// endpointTable holds the endpoints of the endpoint list. It keeps a removed endpoint until evictRemoved
+// finds no attempts of it in flight.
 type endpointTable struct {
 	classCount    int
 	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -34,8 +34,8 @@
 	f.finish(r)
 }
 
-// finish marks a request as needing no final reply, and removes it once no attempt is in flight. It refunds
-// the units of a request that was never sent.
+// finish marks a request as done and removes it if no attempt is in flight. It refunds the units of a
+// request that was never sent.
 func (f *finalReplier) finish(r *request) {
 	r.done = true
 	if r.charged && len(r.attempts) == 0 {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -18,26 +18,28 @@
 // dispatches each event to them. It is not safe for concurrent use: the caller passes events one at a time,
 // with times that never decrease.
 //
-// Each component has its own file:
+// The components form three groups:
 //
-//   - The request side: classTable holds the classes with their mean latencies and client retry detectors,
-//     requestTable the open requests with their attempts. requestAdmitter admits new requests together with
-//     the quota side. dispatcher sends admitted requests through attemptSender, or queues them, as
-//     retryPolicy allows. attemptWatcher detects endpoints that do not reply and hedges slow attempts.
-//     finalReplier rejects and closes requests.
-//   - The endpoint side: endpointTable holds the endpoint list, outlierDetector scores the endpoints,
-//     gossipBuffer holds health updates for other gateways, slowStart limits the attempts at warming
-//     endpoints, concurrencyLimiter limits all attempts in flight, healthChecker limits the rate of health
-//     checks. endpointPicker chooses an endpoint with the help of the others.
-//   - The quota side: quotaController admits requests. It holds the customers with their quotas, from the
-//     view of a member or, in their ledgers, of the owner; the usageReporter, which reports to the owners
-//     through peerProtocol; and the slotQueue of requests that wait for a concurrency slot. ownerDirectory
-//     finds the owner of a customer.
+//   - The request side: classTable holds the classes with their mean latencies and client retry detectors.
+//     requestTable holds the open requests with their attempts. requestAdmitter decides with the quota
+//     side whether to admit, queue or reject a new request. dispatcher sends admitted requests through
+//     attemptSender, or queues them. retryPolicy decides whether an attempt may be sent. attemptWatcher
+//     detects endpoints that do not reply, and hedges slow attempts. finalReplier rejects and closes
+//     requests.
+//   - The endpoint side: endpointTable holds the endpoint list. outlierDetector scores the endpoints.
+//     gossipBuffer holds health updates for other gateways. slowStart limits the attempts at warming
+//     endpoints. concurrencyLimiter limits all attempts in flight. healthChecker limits the rate of health
+//     checks. endpointPicker uses these components to choose the endpoint of an attempt.
+//   - The quota side: quotaController checks the limits of the customers' plans. It holds a quota view for
+//     each customer that another gateway owns, and a ledger for each customer that this gateway owns.
+//     usageReporter reports to the owners through peerProtocol. slotQueue holds the customers with requests
+//     that wait for a concurrency slot. ownerDirectory finds the owner of a customer.
 //
-// Each event is processed in this order: the clock advances, the components record the event, the request
-// that it concerns proceeds, and then waiting work is retried: the dispatch queue first, then the requests
-// that wait for a concurrency slot, and then the usage reports. The order determines which request gets the
-// last free capacity and in which order random numbers are drawn, so changing it changes the decisions.
+// An event method advances the clock, updates the state that the event is about, and then lets the request
+// of the event proceed. After that it retries waiting work: first the dispatch queue, then the requests that
+// wait for a concurrency slot, and then the usage reports. Each method does only the steps that its event
+// needs. A change of the order would change the decisions: the order determines which request gets the last
+// free capacity, and which random numbers each decision uses.
 type Gateway struct {
 	settings Settings
 	actions  Actions
@@ -69,7 +71,7 @@
 }
 
 // New returns a Gateway without endpoints; HandleEndpoints provides the list. All random numbers derive from
-// seed. The error is ErrNoActions or a SettingError.
+// seed. The error is ErrNoActions or a *SettingError.
 func New(settings Settings, seed uint64, now Seconds, actions Actions) (*Gateway, error) {
 	if actions == nil {
 		return nil, ErrNoActions
@@ -153,8 +155,8 @@
 	g.quota.requests = requestActions{g.dispatcher, g.replies}
 }
 
-// HandleRequest admits, queues or rejects a client's request. A request with the ID of an open request is
-// ignored.
+// HandleRequest admits, queues or rejects a client's request. It fails a request of an unknown class, and
+// ignores a request with the ID of an open one.
 func (g *Gateway) HandleRequest(now Seconds, incoming Request) {
 	g.clock.advance(now)
 	if g.requests.find(incoming.ID) != nil {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -10,7 +10,7 @@
 
 	maxGossip                = 64  // health updates held in the buffer
 	gossipPerMessage         = 6   // health updates sent per message, at most
-	gossipExpiry     Seconds = 2.0 // age from which on health updates are not sent
+	gossipExpiry     Seconds = 2.0 // age at which health updates are no longer sent
 )
 
 // healthUpdate is the information about an endpoint that gateways exchange: its outlier score for a class, or
@@ -36,7 +36,8 @@
 	}
 }
 
-// recent returns the newest unexpired updates, newest first and at most limit.
+// recent returns the newest updates, newest first and at most limit. It omits expired updates, and scores of
+// classes whose index does not fit in a message.
 func (b *gossipBuffer) recent(limit int, now Seconds) (updates []healthUpdate) {
 	oldest := max(0, len(b.updates)-gossipPerMessage)
 	for i := len(b.updates) - 1; i >= oldest && len(updates) < limit; i-- {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -5,7 +5,7 @@
 	// new one.
 	healthCheckInterval Seconds = 1.0
 
-	healthChecksPerRequest = 0.25 // keeps the additional load proportional to the traffic
+	healthChecksPerRequest = 0.25 // credits; keeps the load of health checks proportional to the traffic
 	maxHealthCheckCredits  = 2.0
 )
 
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -33,7 +33,8 @@
 }
 
 // deduplicates reports whether the endpoint would drop the request as a duplicate if it has executed before.
-// It returns true if no deduplication is needed; mayBeRetriedAt covers the classes without idempotency keys.
+// It returns true if the request cannot have executed. It also returns true for a class without idempotency
+// keys: mayBeRetriedAt decides whether such a request is retried.
 //
 // An endpoint list update may move the endpoint of the first execution to another group. It is unknown
 // whether the keys recorded there move along, so the endpoint must share both the old group and the current
@@ -47,8 +48,8 @@
 		sameDedupGroup(scope, r.firstExecution.endpoint.dedupGroup(), group)
 }
 
-// idempotencyWindowEnd returns the time at which endpoints may stop dropping duplicates of the first
-// execution. It is early by clockUncertainty.
+// idempotencyWindowEnd returns the time until which endpoints drop duplicates of the first execution, less
+// clockUncertainty as a safety margin.
 func (r *request) idempotencyWindowEnd() Seconds {
 	return r.firstExecution.sentAt + r.class.IdempotencyWindow - clockUncertainty
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 )
 
-// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class.
-// The constants are thresholds of scores, and amounts by which failures raise a score.
+// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class. A
+// failure raises the score by a fraction of its distance to 1, the severity.
 const (
-	suspectScore       = 0.3 // threshold of suspected outliers, at which attempts are hedged early
-	singleFailureScore = 0.1 // for one lost connection, which may not be the endpoint's fault
-	errorScore         = 0.5 // for an error, and for each further lost connection in a row
-	repeatedErrorScore = 0.9 // for errors in a row: failing fast makes an endpoint look idle
-	noReplyScore       = 1.0 // for an attempt that got no reply for a long time
+	suspectScore       = 0.3 // above it an endpoint is a suspected outlier, and attempts there are hedged early
+	singleFailureScore = 0.1 // severity of one lost connection, which may not be the endpoint's fault
+	errorScore         = 0.5 // severity of an error, and of each further lost connection in a row
+	repeatedErrorScore = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
+	noReplyScore       = 1.0 // severity of an attempt without a reply for a long time
 
 	// repeatedErrors is the number of errors in a row at which repeatedErrorScore replaces errorScore.
 	repeatedErrors = 2
@@ -39,7 +39,7 @@
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially from level, which it had at the time at.
+// outlierScore is a score that decays exponentially. level is its value at the time at.
 type outlierScore struct {
 	level float64
 	at    Seconds
@@ -60,7 +60,7 @@
 	// attemptWeight is the weight of one attempt of this gateway in the score. In a large fleet, where many
 	// gateways share their scores, it is below 1, so that the score approaches the fraction of attempts that
 	// get no reply. At weight 1, a single timeout at an overloaded endpoint would make all gateways move to the
-	// next endpoint at once and overload that.
+	// next endpoint at once and overload it.
 	attemptWeight float64
 }
 
@@ -107,7 +107,8 @@
 	}
 }
 
-// recordSuccess lowers the score for a class by attemptWeight, and publishes it if it is significant.
+// recordSuccess lowers the score for a class by the fraction attemptWeight, and publishes a result above
+// minPublishedScore.
 func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
 	level := d.score(e, classIndex) * (1 - d.attemptWeight)
@@ -157,7 +158,8 @@
 	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
 }
 
-// recordRejection ejects the endpoint for a period that doubles with each consecutive rejection.
+// recordRejection ejects the endpoint for a period that doubles with each consecutive rejection, up to
+// maxRejectionBackoff.
 func (d *outlierDetector) recordRejection(e *endpoint) {
 	e.consecutiveRejections++
 	backoff := min(minRejectionBackoff*math.Exp2(float64(e.consecutiveRejections-1)), maxRejectionBackoff)
--- a/policy/request.go
+++ b/policy/request.go
@@ -6,7 +6,7 @@
 )
 
 // firstWriteFraction is the fraction of the time from arrival to deadline after which a request is rejected
-// if no part of it was written to an endpoint. An early rejection leaves the client time for a retry.
+// unless it has been written to an endpoint. An early rejection leaves the client time for a retry.
 const firstWriteFraction = 0.45
 
 // request is a client's request from its arrival until it has its final reply and no attempts in flight.
@@ -18,9 +18,10 @@
 
 	// objectiveAt is the time until which a reply earns the full priority weight.
 	objectiveAt Seconds
-	// firstWriteBy is the time at which the request is rejected if no part of it was written to an endpoint.
+	// firstWriteBy is the time after which the request is rejected unless it has been written to an endpoint.
 	firstWriteBy Seconds
-	// priority is the weight that a reply earns per second of work. Queues serve the highest priority first.
+	// priority is the value of priorityAt at the arrival of the request: the weight that a reply earns per unit
+	// of work. Queues serve the highest priority first.
 	priority float64
 	// priorityDeficit is the classTable.priorityDeficit of the class.
 	priorityDeficit float64
@@ -37,7 +38,7 @@
 	streaming      bool // whether the reply is being streamed to the client, which rules out retries
 	awaitingOwner  bool // whether it waits for a grant from the owner of the customer
 	charged        bool // whether its units are charged to the customer
-	done           bool // whether it needs no final reply any more
+	done           bool // whether it no longer needs a final reply
 }
 
 // lastUsefulReplyAt returns the time until which a reply is worth waiting for: the objective, plus the
@@ -72,7 +73,7 @@
 	t.arrived = append(t.arrived, r)
 }
 
-// remove deletes a request that has ended from the index by ID.
+// remove deletes a request that has ended from byID.
 func (t *requestTable) remove(r *request) { delete(t.byID, r.ID) }
 
 // open returns the requests that have not ended, in order of arrival.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,6 +1,6 @@
 package policy
 
-// retryPolicy decides whether a request may have another attempt: the first one, a retry or a hedge.
+// retryPolicy decides whether an attempt of a request may be sent: the first one, a retry or a hedge.
 type retryPolicy struct {
 	maxAttempts int // per request
 	clock       *eventClock
@@ -11,8 +11,8 @@
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
 
-// allowsAttempt reports whether the request may have another attempt at some endpoint. Which endpoints
-// qualify is checked by request.deduplicates.
+// allowsAttempt reports whether an attempt of the request may be sent to some endpoint. request.deduplicates
+// checks each endpoint.
 func (p *retryPolicy) allowsAttempt(r *request) bool {
 	switch {
 	case len(r.attempts) >= p.maxAttempts:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -26,13 +26,14 @@
 // start, during which it has only a fraction of its capacity. An endpoint fails if all gateways together
 // exceed OverloadMultiple times that capacity within OverloadWindow.
 //
-// Each request adds a credit to every warming endpoint: the fraction of this gateway's work that the endpoint
-// may receive at its current capacity. At a credit of 1, which stands for the work of one mean attempt, this
-// gateway may send the endpoint one attempt. Gateways start with evenly spread credits, so that their
-// attempts do not coincide. The attempts of all gateways thus add up to the sum of the credits, which stays
-// within the overload limit without coordination. This holds even if most endpoints are warming and demand
-// exceeds their capacity, because requests wait if no endpoint has a credit. Retries of this gateway and of
-// clients spend credits but add none, because retries are most frequent when endpoints are overloaded.
+// Each new request adds a credit to every warming endpoint: the fraction of this gateway's work that the
+// endpoint may receive at its current capacity. A credit of 1 stands for the work of one mean attempt. Once
+// an endpoint has this credit, the gateway may send it one attempt. Gateways start with evenly spread
+// credits, so that their attempts do not coincide. The attempts of all gateways thus add up to the sum of
+// the credits, which stays within the overload limit without coordination. This holds even if most endpoints
+// are warming and demand exceeds their capacity, because requests wait if no endpoint has a credit. Retries
+// of this gateway and of clients spend credits but add none, because retries are most frequent when
+// endpoints are overloaded.
 //
 // Work is measured in seconds of mean latency, and credits in mean attempts.
 type slowStart struct {
@@ -67,7 +68,8 @@
 	}
 }
 
-// warmUpFraction returns the minimum fraction of its capacity that an endpoint has at its current age.
+// warmUpFraction returns the fraction of its full capacity that an endpoint has at its current age,
+// according to the settings.
 func (s *slowStart) warmUpFraction(e *endpoint) float64 {
 	age := s.clock.now - e.StartedAt
 	if e.StartedAt <= 0 || age >= s.duration || s.duration <= 0 {
@@ -164,10 +166,10 @@
 // completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and may receive
 // overloadMultiple times as much before it fails.
 //
-// In a large fleet a gateway does not see the load at an endpoint, which varies randomly around that share.
-// There the endpoint gets only reducedShare while the other endpoints have capacity for the rest. As the
-// fraction of warming capacity grows, requiredShare rises towards maxShare, because fewer warm endpoints are
-// left.
+// A gateway of a large fleet does not see the load that the other gateways send to an endpoint, and this
+// load varies randomly. It therefore limits the share to reducedShare while the other endpoints have
+// capacity for the rest. As the fraction of warming capacity grows, fewer warm endpoints are left, and
+// requiredShare rises towards maxShare.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
 	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
