--- a/policy/api.go
+++ b/policy/api.go
@@ -207,10 +207,10 @@
 	Error                       // the endpoint replied with an error; may have executed
 	Rejected                    // the endpoint rejected the attempt without processing it; did not execute
 	Timeout                     // no reply within the timeout; may have executed
-	ConnectFailed               // no connection to the endpoint; did not execute
+	ConnectFailed               // no connection, or not completely written to it; did not execute
 	Reset                       // the connection was lost; may have executed
 	Cancelled                   // cancelled by this gateway; may have executed
-	NotSent                     // never written to a connection; did not execute
+	NotSent                     // not sent, for a reason at this gateway; did not execute
 )
 
 // String returns the name used in logs.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -16,7 +16,7 @@
 // replied reports whether the attempt ended with a reply from the endpoint.
 func (s AttemptStatus) replied() bool { return s == OK || s == Error || s == Rejected }
 
-// written reports whether any bytes of the attempt may have reached the endpoint.
+// written reports whether the attempt may have been completely written to the endpoint.
 func (s AttemptStatus) written() bool { return s != ConnectFailed && s != NotSent }
 
 // mayHaveExecuted reports whether the endpoint may have executed the attempt.
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// When clients change their timeout, first attempts with the new timeout must no longer be rejected as
-// retries once the detector has observed enough of them.
+// TestNewClientTimeoutIsNotTakenForRetries checks that the gateway adapts when clients change their timeout.
+// After maxRemainingObservations requests, it must no longer take first attempts with the new timeout for
+// retries and reject them.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
@@ -32,8 +33,8 @@
 	}
 }
 
-// A client's retry has only the time that its first attempt left. If the gateway expects to miss the
-// objective of such a retry, it must reject it instead of serving it late.
+// TestClientRetriesAreDetected checks that a client's retry is rejected if its reply is expected after the
+// latency objective. The objective of a retry starts with the first attempt, whose deadline the retry keeps.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	for i := range 40 {
@@ -55,7 +56,7 @@
 	if sent, _ := send("soon", "x", 1.7); sent != 1 {
 		t.Fatal("a retry that can still meet its objective was rejected")
 	}
-	for i := range 4 { // simultaneous requests, each worth half a second of the rate
+	for i := range 4 { // four units at once raise the demand above the rate of 2 units per second
 		send(fmt.Sprint("many", i), "y", 2)
 	}
 	if sent, _ := send("over", "y", 0.8); sent != 0 {
@@ -63,7 +64,8 @@
 	}
 }
 
-// observeEach calls observe for the given remaining times, rounds times over.
+// observeEach calls observe with each of the remaining times in turn, and repeats this for the number of
+// rounds.
 func observeEach(detector *clientRetryDetector, rounds int, remaining ...Seconds) {
 	for range rounds {
 		for _, seconds := range remaining {
@@ -100,17 +102,17 @@
 	}
 }
 
-// After at most maxRemainingObservations requests with a new client timeout, the detector must treat it as
-// the timeout of first attempts.
+// TestClientRetryDetectorLearnsANewTimeout checks that the detector no longer detects retries after
+// maxRemainingObservations requests with a new client timeout.
 func TestClientRetryDetectorLearnsANewTimeout(t *testing.T) {
 	detector := newClientRetryDetector(2)
 	observeEach(&detector, 2000, 2)
 	if !detector.observe(0.9) {
-		t.Fatal("the first request with the new timeout is not detected as a retry, which the test needs")
+		t.Fatal("the first request with the new timeout is not detected as a retry, the test needs it to be")
 	}
 	observeEach(&detector, maxRemainingObservations, 0.9)
 	if detector.observe(0.9) {
-		t.Error("the new timeout still looks like a retry")
+		t.Error("a request with the new timeout is still detected as a retry")
 	}
 	if detector.observations >= maxRemainingObservations {
 		t.Errorf("%d observations are kept, want fewer than %d", detector.observations, maxRemainingObservations)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Guards against a limit that stays the same when endpoints are added: in a fleet that grew from 37 to 189
-// endpoints, the new capacity was not used.
+// TestLimitFollowsTheNumberOfEndpoints checks that the limit is proportional to the number of endpoints.
+// With a limit that stayed the same, a fleet that grew from 37 to 189 endpoints did not use the new
+// capacity.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	g, _ := newTestGateway(t, withSingleGateway)
 	before := g.limiter.limit
@@ -16,7 +17,7 @@
 		more = append(more, Endpoint{ID: fmt.Sprint("m", i), Zone: "a"})
 	}
 	if g.HandleEndpoints(101, more, false); g.limiter.limit != 10*before {
-		t.Fatalf("the limit is %v with 3 endpoints, %v with 30", before, g.limiter.limit)
+		t.Fatalf("the limit is %v with 3 endpoints and %v with 30, want 10 times as much", before, g.limiter.limit)
 	}
 	g.HandleEndpoints(102, nil, true)
 	if g.HandleEndpoints(103, more, true); g.limiter.limit <= 0 {
@@ -24,8 +25,9 @@
 	}
 }
 
-// Guards against requests that wait while most endpoints are idle: a gateway of a large fleet has a limit of
-// a few attempts and needs the burst allowance when several requests arrive at once.
+// TestSmallLimitAllowsShortBursts checks that a gateway of a large fleet sends several requests that arrive
+// at once. Its limit is a few attempts. Without the burst allowance, requests would wait while most
+// endpoints are idle.
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
@@ -46,7 +48,7 @@
 	}
 }
 
-// A gateway of a small fleet has no burst allowance.
+// TestSmallFleetKeepsToItsLimit checks that a gateway of a small fleet has no burst allowance.
 func TestSmallFleetKeepsToItsLimit(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	g.limiter.latencyRatio = 2 * highLatencyRatio
@@ -114,8 +116,9 @@
 	}
 }
 
-// Guards against overload by many gateways that each round a fractional limit up to a whole attempt while
-// replies are slow.
+// TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow checks that attempts are spaced out while replies are
+// slow and the limit is below 1. If each of many gateways rounded its limit up to one attempt, they would
+// overload the endpoints.
 func TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow(t *testing.T) {
 	limiter := newTestLimiter(1, 1)
 	limiter.limit = 0.5
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Guards against a gateway of a large fleet that uses every endpoint in turn, and so needs a new connection
-// for almost every attempt. With a handshake cost it must prefer endpoints with an idle connection.
+// TestEndpointsWithAConnectionArePreferredByHandshakeCost checks that a handshake cost makes a gateway
+// prefer endpoints with an idle connection. Without the preference, a gateway of a large fleet spreads its
+// attempts over all endpoints, and needs a new connection for almost every attempt.
 func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
 	for _, cost := range []float64{0, 0.08} {
 		s, r := testSettings(), &recorder{}
@@ -35,8 +36,8 @@
 	}
 }
 
-// An attempt without a reply closes its connection, and endpoints close connections after the idle timeout.
-// Such connections must not count as idle ones.
+// TestIdleConnectionsCountWhileTheyLast checks that closed connections do not count as idle connections. An
+// attempt without a reply closes its connection, and an endpoint closes a connection after the idle timeout.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	g.settings.ConnectionIdleTimeout = 10
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -18,12 +18,12 @@
 	fmt.Printf("%s: send %s to %s\n", p.name, id, endpoint)
 }
 
-func (p *printingActions) Reject(id string, _ policy.Seconds, why policy.Reason) {
-	fmt.Printf("%s: reject %s, %s\n", p.name, id, why)
+func (p *printingActions) Reject(id string, _ policy.Seconds, reason policy.Reason) {
+	fmt.Printf("%s: reject %s, %s\n", p.name, id, reason)
 }
 
-func (p *printingActions) Fail(id string, why policy.Reason) {
-	fmt.Printf("%s: fail %s, %s\n", p.name, id, why)
+func (p *printingActions) Fail(id string, reason policy.Reason) {
+	fmt.Printf("%s: fail %s, %s\n", p.name, id, reason)
 }
 
 func (p *printingActions) Cancel(string, int)              {}
@@ -52,7 +52,7 @@
 	}
 }
 
-// One gateway from its creation to a final reply. The quota suffices for one of two requests.
+// A single gateway receives two requests. The quota of the customer suffices for one of them.
 func ExampleGateway() {
 	actions := &printingActions{name: "gateway"}
 	gateway, err := policy.New(exampleSettings(0, 1), 42, 10, actions)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -21,10 +21,10 @@
 	networkDelay        Seconds = 0.01
 
 	listDelay       Seconds = 0.5 // maximum time until a gateway learns of a restart
-	faultyListDelay Seconds = 3
+	faultyListDelay Seconds = 3   // listDelay with faults
 
-	burstDuration       Seconds = 3 // duration of the burst after restartAt, with faults
-	burstFactor                 = 2.0
+	burstDuration       Seconds = 3   // duration of the burst of requests that starts at restartAt, with faults
+	burstFactor                 = 2.0 // multiplies the request rate during the burst
 	gatewayRestartShare         = 0.9 // fraction of the gateways that restart with faults
 	gatewayRestartDelay Seconds = 4   // maximum time from restartAt to the restart of a gateway
 
@@ -79,9 +79,9 @@
 	return OK, e.busyUntil + networkDelay
 }
 
-// maxSentWithin returns the largest number of attempts sent within a window as a multiple of the bound, and a
-// description of that window.
-func (e *simulatedEndpoint) maxSentWithin(window Seconds, bound func(from Seconds) float64) (ratio float64, what string) {
+// maxSentWithin counts the attempts sent in each window since the last restart. It returns the largest ratio
+// of such a count to the bound of the window, and a description of that window.
+func (e *simulatedEndpoint) maxSentWithin(window Seconds, bound func(from Seconds) float64) (ratio float64, windowDescription string) {
 	for i, from := range e.sent {
 		if e.restartedAt == 0 || from < e.restartedAt {
 			continue
@@ -92,10 +92,10 @@
 		}
 		if r := float64(count) / bound(from); r > ratio {
 			ratio = r
-			what = fmt.Sprintf("%s got %d attempts in the window starting %.2f s after its restart, the bound is %.1f", e.id, count, from-e.restartedAt, bound(from))
+			windowDescription = fmt.Sprintf("%s got %d attempts in the window starting %.2f s after its restart, the bound is %.1f", e.id, count, from-e.restartedAt, bound(from))
 		}
 	}
-	return ratio, what
+	return ratio, windowDescription
 }
 
 // simulationEvent is a scheduled function. Events of the same time run in the order of their numbers.
@@ -137,7 +137,7 @@
 	settings       Settings
 	random         *rand.Rand
 	gateways       []*simulatedGateway
-	weights        []float64 // cumulative weights of the gateways in the traffic
+	weights        []float64 // cumulative traffic weights of the gateways
 	list           []Endpoint
 	endpoints      map[string]*simulatedEndpoint
 	clientAttempts map[string]clientAttempt // by request ID
@@ -216,8 +216,9 @@
 	f.announceRestarts(gateway)
 }
 
-// announceRestarts schedules a random time for each restart at which the gateway learns of it. With faults,
-// it also schedules the restart of most gateways.
+// announceRestarts schedules the times at which the gateway learns of the restarts of endpoints, a random
+// time for each endpoint. With faults, it also schedules a restart of the gateway, with the probability
+// gatewayRestartShare.
 func (f *fleetSimulation) announceRestarts(gateway *simulatedGateway) {
 	delay := listDelay
 	if f.faults {
@@ -250,30 +251,30 @@
 }
 
 // request sends a request to a random gateway, chosen by weight.
-func (f *fleetSimulation) request(now Seconds, try clientAttempt) {
+func (f *fleetSimulation) request(now Seconds, attempt clientAttempt) {
 	drawn, gateway := f.random.Float64()*f.weights[len(f.weights)-1], 0
 	for f.weights[gateway] < drawn {
 		gateway++
 	}
 	f.number++
 	id := fmt.Sprint("q", f.number)
-	f.clientAttempts[id] = try
+	f.clientAttempts[id] = attempt
 	f.gateways[gateway].policy.HandleRequest(now, Request{
-		ID: id, Class: "read", Deadline: try.deadline, GatewayCount: 1, Units: 1,
+		ID: id, Class: "read", Deadline: attempt.deadline, GatewayCount: 1, Units: 1,
 	})
 }
 
-// retry sends a rejected request to a random gateway again, with the probability clientRetryRate and if
-// enough time is left.
+// retry sends a rejected request again, to a random gateway. It does so with the probability
+// clientRetryRate, at most maxClientRetry times, and only if enough time is left.
 func (f *fleetSimulation) retry(id string) {
-	try := f.clientAttempts[id]
+	attempt := f.clientAttempts[id]
 	delete(f.clientAttempts, id)
-	if f.random.Float64() > clientRetryRate || try.previousAttempts >= maxClientRetry {
+	if f.random.Float64() > clientRetryRate || attempt.previousAttempts >= maxClientRetry {
 		return
 	}
 	f.schedule(f.now+0.1+0.3*f.random.Float64(), func(now Seconds) {
-		if now < try.deadline-0.05 {
-			f.request(now, clientAttempt{deadline: try.deadline, previousAttempts: try.previousAttempts + 1})
+		if now < attempt.deadline-0.05 {
+			f.request(now, clientAttempt{deadline: attempt.deadline, previousAttempts: attempt.previousAttempts + 1})
 		}
 	})
 }
@@ -288,16 +289,16 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstOverload returns the largest number of attempts that a warming endpoint got in a window, as a multiple
-// of the bound, and a description of that window.
-func (f *fleetSimulation) worstOverload() (ratio float64, what string) {
+// worstOverload calls maxSentWithin for each endpoint, with windows of OverloadWindow and overloadBound as
+// the bound. It returns the largest ratio and the description of its window.
+func (f *fleetSimulation) worstOverload() (ratio float64, windowDescription string) {
 	for _, e := range f.endpoints {
 		bound := func(from Seconds) float64 { return f.overloadBound(e, from) }
 		if r, description := e.maxSentWithin(f.settings.OverloadWindow, bound); r > ratio {
-			ratio, what = r, description
+			ratio, windowDescription = r, description
 		}
 	}
-	return ratio, what
+	return ratio, windowDescription
 }
 
 // sentToRestarted returns the number of attempts sent to restarted endpoints since their restart.
@@ -334,7 +335,7 @@
 	policy.HandleEndpoints(now, list, true)
 }
 
-// tick calls HandleTimer, less often while the gateway is idle to save time.
+// tick calls HandleTimer and schedules the next tick. To save time, an idle gateway ticks less often.
 func (g *simulatedGateway) tick(now Seconds) {
 	g.policy.HandleTimer(now, 1)
 	interval := timerInterval
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -72,12 +72,12 @@
 			e.setUtilization(0.1, 99)
 			e.lastSuccessAt[1] = 99
 			buffer.merge(table, healthUpdate{endpointHash: e.hash, class: tc.class, value: 0.7, at: tc.at})
-			if passedOn := len(buffer.updates) == 1; passedOn != tc.want {
-				t.Errorf("forwarded: %t, want %t", passedOn, tc.want)
+			if forwarded := len(buffer.updates) == 1; forwarded != tc.want {
+				t.Errorf("forwarded: %t, want %t", forwarded, tc.want)
 			}
-			taken := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
-			if taken != tc.want {
-				t.Errorf("applied: %t, want %t", taken, tc.want)
+			applied := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
+			if applied != tc.want {
+				t.Errorf("applied: %t, want %t", applied, tc.want)
 			}
 		})
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -120,7 +120,7 @@
 	return newGatewayPairWith(t, func(*Settings) {})
 }
 
-// newGatewayPairWith is like newGatewayPair but changes the settings.
+// newGatewayPairWith is like newGatewayPair, with settings modified by change.
 func newGatewayPairWith(t *testing.T, change func(*Settings)) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
 	for i := range 2 {
@@ -153,8 +153,8 @@
 	return ids
 }
 
-// newTestMember returns a gateway, its recorder, and a function that passes it a request of a customer that
-// another gateway owns.
+// newTestMember returns a gateway that is a member for a customer, its recorder, and a function that passes
+// the gateway a request of that customer.
 func newTestMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -177,8 +177,8 @@
 // withGatewayCount sets the size of the fleet.
 func withGatewayCount(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
-// ownerReply returns a reply of the owner to the last usage report that the gateway has sent, modified by
-// change.
+// ownerReply returns the owner's reply to the last usage report that the gateway has sent, and the number of
+// the owner. change modifies the reply before it is encoded.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
 	sent := r.ofKind("send_to_peer", "")
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A retry with an idempotency key may wait for a connection until its window has ended, when endpoints no
-// longer drop duplicates. Each retry therefore carries the time left for writing it. The window starts with
-// the first attempt that may have executed.
+// TestRetriesMustBeWrittenWithinTheIdempotencyWindow checks that each retry with an idempotency key carries
+// the time left for writing it. Such a retry may wait for a connection, but endpoints drop duplicates only
+// until the end of the idempotency window. The window starts with the first attempt that may have executed.
 func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
 	const window Seconds = 2 // IdempotencyWindow of class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
@@ -78,9 +78,9 @@
 	}
 }
 
-// Runs a request of each class against random outcomes, write delays, windows and endpoint list updates. No
-// attempt may execute the request a second time, and the request must not be rejected if a client retry could
-// do so.
+// TestNoRequestExecutesTwice runs requests of random classes with random outcomes, write delays, idempotency
+// windows and endpoint list updates. It checks that no attempt can execute a request a second time. It also
+// checks that a request is not rejected if a client retry could execute it a second time.
 func TestNoRequestExecutesTwice(t *testing.T) {
 	for seed := range uint64(400) {
 		newRetryScenario(t, seed).run()
@@ -96,7 +96,7 @@
 	done      bool
 }
 
-// end records the outcome.
+// end marks the attempt as ended with the status.
 func (a *recordedAttempt) end(status AttemptStatus) { a.status, a.done = status, true }
 
 // mayHaveExecuted reports whether the attempt may have executed, or may still do so.
@@ -314,8 +314,8 @@
 	}
 }
 
-// A rejection invites the client to retry, so it must not be given if a retry could execute the request
-// twice.
+// TestClientMayRetry checks that clientMayRetry returns false if a retry by the client could execute the
+// request a second time. Clients may retry after a rejection, so the gateway must not reject such a request.
 func TestClientMayRetry(t *testing.T) {
 	inFlight := func(r *request) { r.inFlight = 1 }
 	for name, tc := range map[string]struct {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Attempts must not be wasted on an endpoint that rejects all attempts or breaks all connections: it is
-// ejected and retried only after the ejection period.
+// TestRejectingOrBrokenEndpointsAreEjected checks that only a few attempts are sent to an endpoint that
+// rejects all attempts or breaks all connections. Such an endpoint is ejected, and gets another attempt only
+// after the ejection period.
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
 	const maxSent = 24
 	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
@@ -95,8 +96,9 @@
 	}
 }
 
-// Guards against a single timeout that raises the score above suspectScore: through gossip, all gateways
-// would leave the endpoint at once and overload the others.
+// TestLargeFleetScoresByTheTimeoutFraction checks that in a large fleet a single timeout does not raise the
+// score to suspectScore, and a single success does not reset it. If one timeout raised it that far, gossip
+// would make all gateways leave the endpoint at once and overload the others.
 func TestLargeFleetScoresByTheTimeoutFraction(t *testing.T) {
 	g, _ := newLargeFleetGateway(t)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestRetryPolicy(t *testing.T) {
-	const lastSend = 101.5 - 0.1 // a reply is useful until halfway between objective and deadline
+	const lastSend = 101.5 - 0.1 // the last useful reply is at 101.5, halfway between objective and deadline
 	for name, tc := range map[string]struct {
 		idempotency Idempotency
 		change      func(*request)
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Checks that the gateways of a fleet together never exceed the overload limit of a warming endpoint in any
-// window of OverloadWindow. Gateways get uneven traffic and learn of restarts at different times; one, some
-// or most of the endpoints restart; and the load is up to 1.2 times the capacity of all endpoints. With
-// faults, there are also bursts of requests, late endpoint lists and restarts of gateways. Retries and hedges
-// of gateways and retries of clients count. Attempts from gateways that have not learned of a restart do not
-// count. Warming endpoints must also get a minimum number of attempts, so that sending them nothing does not
-// pass.
+// TestFleetKeepsToTheSlowStartBound checks that the gateways of a fleet together never exceed the overload
+// limit of a warming endpoint in any window of OverloadWindow. One, some or most of the endpoints restart.
+// Gateways get uneven traffic and learn of the restarts at different times. The load is up to 1.2 times the
+// capacity of all endpoints. With faults, there is also a burst of requests, endpoint lists arrive late, and
+// gateways restart. The count includes retries and hedges of gateways and retries of clients. It excludes
+// attempts from gateways that have not learned of a restart. Warming endpoints must also get a minimum
+// number of attempts, so that a gateway that sends them nothing fails the test.
 func TestFleetKeepsToTheSlowStartBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, endpoints int
@@ -75,13 +75,13 @@
 	}
 }
 
-// checkSlowStart fails the test if a warming endpoint got more attempts than the bound, or all of them
-// together got fewer than a minimum.
+// checkSlowStart fails the test if a warming endpoint got more attempts than the bound, or if all warming
+// endpoints together got fewer than a minimum.
 func (f *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
-	ratio, what := f.worstOverload()
+	ratio, windowDescription := f.worstOverload()
 	if ratio > 1 {
-		t.Errorf("load %.1f: %s", f.load, what)
+		t.Errorf("load %.1f: %s", f.load, windowDescription)
 	}
 	t.Logf("load %.1f: %.2f of the bound", f.load, ratio)
 	warming := float64(f.restartingEndpoints())
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// Guards against a deadlock in a rollout that replaces all endpoints: with no completed work left, the share
-// of the warming endpoints fell to 0, and no requests were sent to them.
+// TestWarmingEndpointsServeTheLoadAlone checks that requests are still sent after a rollout has replaced all
+// endpoints. With no warm endpoint left, no work was completed, the share of the warming endpoints fell to
+// 0, and no requests were sent to them.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
@@ -45,7 +46,7 @@
 		}
 		g.HandleEndpoints(now, all, true)
 	}
-	due := map[int][]action{} // by the step of the reply, which comes 0.1 s after the attempt
+	due := map[int][]action{} // attempts by the step at which their reply arrives, 0.1 s after they were sent
 	seen := 0
 	sendFor := func(from, until Seconds) (sent int) {
 		for i := int(from * 50); i < int(until*50); i++ {
@@ -62,7 +63,7 @@
 		}
 		return sent
 	}
-	replaceEndpoints(50, "old") // warmed up long before 100
+	replaceEndpoints(50, "old") // fully warm by 100
 	if n := sendFor(100, 106); n < 290 {
 		t.Fatalf("%d of 300 requests were sent to warm endpoints", n)
 	}
@@ -72,8 +73,9 @@
 	}
 }
 
-// Guards against warming endpoints that stay idle at gateways with little traffic, while warm endpoints are
-// overloaded: the work sent to them was once proportional to the square of the gateway's request rate.
+// TestWarmingEndpointsGetTheirShareFromEveryGateway checks that gateways with little traffic send enough
+// work to warming endpoints. When this work was proportional to the square of the request rate of a gateway,
+// warming endpoints stayed idle while warm endpoints were overloaded.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
 		g, r := newLargeFleetGateway(t)
@@ -105,9 +107,9 @@
 				r.actions = nil
 			}
 		}
-		part := 30 * fraction / (30*fraction + 30)
-		if got := float64(warming) / float64(all); got < 0.4*part || got > 0.9*part {
-			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, part)
+		capacityFraction := 30 * fraction / (30*fraction + 30)
+		if got := float64(warming) / float64(all); got < 0.4*capacityFraction || got > 0.9*capacityFraction {
+			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, capacityFraction)
 		}
 	}
 }
@@ -167,11 +169,11 @@
 	}
 }
 
-// Guards against gateways that all start with the same credit and so send to a warming endpoint at the same
-// time.
+// TestInitialCreditsAreSpreadOverTheGateways checks that the initial credits of the gateways are spread
+// evenly. With equal credits, all gateways would send to a warming endpoint at the same time.
 func TestInitialCreditsAreSpreadOverTheGateways(t *testing.T) {
 	const gateways = 100
-	var credits [10]int // number of gateways by tenth
+	var credits [10]int // number of gateways by tenth of a credit
 	for self := range gateways {
 		s := newTestSlowStart(gateways)
 		s.self = self
@@ -213,8 +215,8 @@
 	}
 }
 
-// Guards against bursts: credits that many gateways could not spend for some time must not be spent all at
-// once.
+// TestUnspentCreditsExpire checks that a credit expires if it is not spent within the overload window.
+// Otherwise many gateways could spend old credits at the same time and overload the endpoint.
 func TestUnspentCreditsExpire(t *testing.T) {
 	s := newTestSlowStart(1)
 	classes := []*class{newClass(testSettings().Classes[0], 0)}
