--- a/policy/api.go
+++ b/policy/api.go
@@ -11,7 +11,7 @@
 // the owner in batches. It admits requests from its share of the units that remained at the owner's last
 // reply, and falls back to a local window while the owner does not reply.
 //
-// This file declares the types of the package's interface. Gateway handles the events.
+// Gateway handles the events. Actions carries out its decisions.
 package policy
 
 // Seconds is a duration, or a point in time on the clock that the now arguments of the event methods come
@@ -98,8 +98,8 @@
 	MaxConcurrent int
 	// WeightFactor multiplies the PriorityWeight of the class.
 	WeightFactor float64
-	// CeilingRate, in units per second, and CeilingBurst are a second limit on the units. Unlike the quota, it
-	// holds even if messages are lost or gateways restart. A rate of 0 means no ceiling.
+	// CeilingRate, in units per second, and CeilingBurst limit the units in addition to the quota. Unlike the
+	// quota, this limit holds even if messages are lost or gateways restart. A rate of 0 means no ceiling.
 	CeilingRate  float64
 	CeilingBurst float64
 }
@@ -116,7 +116,7 @@
 	MaxRequestUnits int
 	// ActualUnitsInReply is set if Request.Units is an estimate and the reply reports the actual units.
 	ActualUnitsInReply bool
-	// PeerMessageRate is the number of peer messages per second that a gateway can receive.
+	// PeerMessageRate is the number of peer messages per second that a gateway can receive; 0 means no limit.
 	PeerMessageRate float64
 
 	// Each of these enables an optional feature: messages between gateways, health checks, cancellation of
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -16,9 +16,9 @@
 
 // clientRetryDetector distinguishes retries of clients from first attempts, for one class. It assumes that a
 // client keeps one deadline for all attempts of a call. First attempts then arrive with one of a few
-// remaining times until the deadline, each frequent among recent requests, while retries arrive with
-// arbitrary smaller ones. If no remaining time is frequent, for example because clients choose a new timeout
-// for each attempt, it detects no retries.
+// remaining times until the deadline, each of which is frequent among recent requests. Retries arrive with
+// arbitrary smaller remaining times. If no remaining time is frequent, for example because clients choose a
+// new timeout for each attempt, it detects no retries.
 //
 // The detector keeps a histogram of the remaining times of recent requests.
 type clientRetryDetector struct {
@@ -77,10 +77,10 @@
 	}
 }
 
-// likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected one of its
-// requests less than timeout ago, or its demand exceeds its rate. Only then does a short remaining time count
-// as a sign of a retry; otherwise first attempts with short deadlines would be rejected although they are
-// within the quota.
+// likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected a request of
+// the customer less than timeout ago, or the customer's demand exceeds its rate. Only then does a short
+// remaining time count as a sign of a retry. Otherwise first attempts with short deadlines would be rejected
+// although they are within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
 		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -34,7 +34,8 @@
 }
 
 // TestClientRetriesAreDetected checks that a client's retry is rejected if its reply is expected after the
-// latency objective. The objective of a retry starts with the first attempt, whose deadline the retry keeps.
+// latency objective. A retry keeps the deadline of the first attempt, and its latency objective starts with
+// that attempt.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	for i := range 40 {
@@ -108,7 +109,7 @@
 	detector := newClientRetryDetector(2)
 	observeEach(&detector, 2000, 2)
 	if !detector.observe(0.9) {
-		t.Fatal("the first request with the new timeout is not detected as a retry, the test needs it to be")
+		t.Fatal("the first request with the new timeout is not detected as a retry")
 	}
 	observeEach(&detector, maxRemainingObservations, 0.9)
 	if detector.observe(0.9) {
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -9,7 +9,7 @@
 	minConcurrencyPerEndpoint     = 3.0
 	maxConcurrencyPerEndpoint     = 64.0
 
-	limitIncrease   = 0.1  // attempts added by a fast reply
+	limitIncrease   = 0.1  // attempts added by a fast reply, fewer if the limit is below 1
 	limitDecrease   = 0.03 // fraction of one endpoint's share removed by a slow reply
 	timeoutDecrease = 0.15 // fraction of one endpoint's share removed by a timeout
 	limitReachedGap = 1.5  // the limit grows only if the attempts in flight are at most this far below it
@@ -31,9 +31,9 @@
 
 	limit float64 // of attempts in flight from this gateway
 	// burstAllowance is the number of standard deviations by which the attempts in flight may exceed the limit.
-	// The limit is a gateway's share of the attempts of all gateways, so it should bound the mean. In a large
-	// fleet the share is a few attempts, and the number in flight varies randomly by about its square root.
-	// Gateways above their share are offset by others below it.
+	// The limit is this gateway's share of the attempts of all gateways. In a large fleet the share is only a
+	// few attempts, and the number in flight varies randomly by about the square root of the share. Gateways
+	// that exceed their share are offset by others that stay below it.
 	burstAllowance      float64
 	endpointsPerGateway float64
 
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -25,8 +25,8 @@
 	// Attempts of this gateway.
 	inFlight        int
 	lastSentAt      Seconds
-	openConnections int     // estimated from the ends of attempts; includes idle connections
-	meanInFlight    float64 // exponentially weighted mean of inFlight, as of lastSentAt
+	openConnections int     // estimated from the attempts; includes idle connections
+	meanInFlight    float64 // estimated mean of inFlight, as of lastSentAt; see observeSend
 	latencyFactor   float64 // mean ratio of an attempt's latency to the mean latency of its class
 
 	// The last load report, received by this gateway or through gossip.
@@ -100,8 +100,8 @@
 	return e.openConnections > e.inFlight && now-e.lastSentAt <= reusableIdleFraction*idleTimeout
 }
 
-// observeSend adds an attempt of a class with the given mean latency to meanInFlight. It must be called
-// before startAttempt, which updates lastSentAt.
+// observeSend decays meanInFlight to now and adds the expected duration of an attempt of a class with the
+// given mean latency. It must be called before startAttempt, which updates lastSentAt.
 func (e *endpoint) observeSend(now, meanLatency Seconds) {
 	expected := min(e.latencyFactor*meanLatency/inFlightTimeConstant, 1)
 	e.meanInFlight = e.meanInFlight*e.inFlightDecay(now) + expected
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -80,9 +80,9 @@
 	return true
 }
 
-// pickCheapest returns the endpoint of the lowest cost among the eligible ones, starting at a random one.
-// Gateways of a large fleet compare only a few: if all compared every endpoint, the same gossip would lead
-// them to the same endpoint.
+// pickCheapest returns the eligible endpoint of the lowest cost, or nil. It compares the endpoints from a
+// random one on. A gateway of a large fleet compares only a few: if all gateways compared every endpoint,
+// the same gossip would lead them to the same endpoint.
 func (p *endpointPicker) pickCheapest(r *request) *endpoint {
 	listed := p.endpoints.listed
 	remaining := max(minEndpointsConsidered, len(listed)*smallFleetSize/p.gatewayCount)
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -9,7 +9,7 @@
 const loadReportExpiry Seconds = 3.0
 
 // endpointTable holds the endpoints of the endpoint list. It keeps a removed endpoint until evictRemoved
-// finds no attempts of it in flight.
+// finds it without attempts in flight.
 type endpointTable struct {
 	classCount    int
 	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
--- a/policy/endpoint_table_test.go
+++ b/policy/endpoint_table_test.go
@@ -12,7 +12,7 @@
 		sendRequest(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
 	if len(g.dispatcher.queue.requests) == 0 {
-		t.Fatal("no request is queued, the test needs some")
+		t.Fatal("no request is queued, want some")
 	}
 	g.HandleEndpoints(100.1, []Endpoint{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
 	before := len(r.actions)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -35,11 +35,11 @@
 //     usageReporter reports to the owners through peerProtocol. slotQueue holds the customers with requests
 //     that wait for a concurrency slot. ownerDirectory finds the owner of a customer.
 //
-// An event method advances the clock, updates the state that the event is about, and then lets the request
-// of the event proceed. After that it retries waiting work: first the dispatch queue, then the requests that
-// wait for a concurrency slot, and then the usage reports. Each method does only the steps that its event
-// needs. A change of the order would change the decisions: the order determines which request gets the last
-// free capacity, and which random numbers each decision uses.
+// An event method advances the clock, records the event in the components, and lets the request of the event
+// proceed. After that it retries waiting work: first the dispatch queue, then the requests that wait for a
+// concurrency slot, and then the usage reports. Each method does only the steps that its event needs. A
+// change of the order would change the decisions: the order determines which request gets the last free
+// capacity, and which random numbers each decision uses.
 type Gateway struct {
 	settings Settings
 	actions  Actions
@@ -67,7 +67,7 @@
 	owners   *ownerDirectory
 	protocol peerProtocol
 
-	nextEvictionAt Seconds // time of the next eviction
+	nextEvictionAt Seconds // see evictExpired
 }
 
 // New returns a Gateway without endpoints; HandleEndpoints provides the list. All random numbers derive from
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,11 +1,11 @@
 package policy
 
 const (
-	// healthCheckInterval is the minimum age of an endpoint's last load report before a health check requests a
-	// new one.
+	// healthCheckInterval is the minimum time from the last load report or health check of an endpoint to the
+	// next health check.
 	healthCheckInterval Seconds = 1.0
 
-	healthChecksPerRequest = 0.25 // credits; keeps the load of health checks proportional to the traffic
+	healthChecksPerRequest = 0.25 // credits per request; keeps the checks in proportion to the traffic
 	maxHealthCheckCredits  = 2.0
 )
 
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -17,15 +17,15 @@
 // possibleExecution describes an attempt that may have executed. The zero value means that there is none.
 type possibleExecution struct {
 	endpoint *endpoint
-	group    dedupGroup // at sentAt; the endpoint may move later
+	group    dedupGroup // of the endpoint at sentAt; the endpoint may move later
 	sentAt   Seconds
 }
 
 // mayHaveExecuted reports whether any attempt is recorded as possibly executed.
 func (r *request) mayHaveExecuted() bool { return r.firstExecution.endpoint != nil }
 
-// recordPossibleExecution records that an attempt may have executed, unless an earlier one is recorded
-// already.
+// recordPossibleExecution records an attempt that may have executed as the first execution. It does nothing
+// if an earlier attempt is recorded.
 func (r *request) recordPossibleExecution(a *attempt) {
 	if !r.mayHaveExecuted() {
 		r.firstExecution = possibleExecution{endpoint: a.endpoint, group: a.group, sentAt: a.sentAt}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -12,13 +12,13 @@
 	singleFailureScore = 0.1 // severity of one lost connection, which may not be the endpoint's fault
 	errorScore         = 0.5 // severity of an error, and of each further lost connection in a row
 	repeatedErrorScore = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
-	noReplyScore       = 1.0 // severity of an attempt without a reply for a long time
+	noReplyScore       = 1.0 // severity of an attempt without a reply; see recordNoReply
 
 	// repeatedErrors is the number of errors in a row at which repeatedErrorScore replaces errorScore.
 	repeatedErrors = 2
 
-	// minPublishedScore is the score up to which a success is not published: such a score hardly affects the
-	// cost of the endpoint, so other gateways need no correction.
+	// minPublishedScore is the score above which the score after a success is published. A lower score hardly
+	// affects the cost of the endpoint, so other gateways need no correction.
 	minPublishedScore = singleFailureScore / 2
 
 	// outlierTimeConstant is the time constant of the decay of scores.
@@ -30,8 +30,8 @@
 
 // Ejection of an endpoint, which applies to all classes.
 const (
-	// consecutiveFailuresToEject is the number of consecutive lost connections at which an endpoint is ejected.
-	// A single one may be a fault of the connection rather than of the endpoint.
+	// consecutiveFailuresToEject is the number of consecutive refused or lost connections at which an endpoint
+	// is ejected. A single failure may be a fault of the connection rather than of the endpoint.
 	consecutiveFailuresToEject = 2
 
 	ejectionPeriod      Seconds = 0.5  // minimum; multiplied by a random factor from 1 to 2
@@ -50,8 +50,8 @@
 	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
 
-// outlierDetector scores endpoints by the outcomes of attempts, and ejects those with consecutive lost
-// connections or rejections.
+// outlierDetector scores endpoints by the outcomes of attempts. It ejects an endpoint after a rejection, and
+// after consecutive connection failures.
 type outlierDetector struct {
 	clock  *eventClock
 	random *rand.Rand
@@ -118,8 +118,7 @@
 	}
 }
 
-// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint after consecutive
-// lost connections or rejections.
+// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint if necessary.
 func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
@@ -147,7 +146,7 @@
 }
 
 // recordConnectionFailure records a refused or lost connection. It raises the score for all classes, and
-// ejects the endpoint after consecutiveFailuresToEject in a row.
+// ejects the endpoint from the consecutiveFailuresToEject-th failure in a row on.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -46,7 +46,7 @@
 	overloadWindow   Seconds
 
 	estimatedAt     Seconds // time of the last update of the estimates below
-	offeredWork     Seconds // of first attempts; decays over about the slow start duration
+	offeredWork     Seconds // of first attempts; decays as updateEstimates specifies
 	completedWork   Seconds // of successful attempts; decays like offeredWork
 	meanWork        Seconds // work of the average first attempt
 	totalCapacity   float64 // sum of the warm-up fractions of all endpoints in service
@@ -93,8 +93,9 @@
 	return credit
 }
 
-// updateEstimates decays the counts of work to the current time, and recomputes the mean work and the
-// capacities.
+// updateEstimates decays offeredWork and completedWork to the current time, and recomputes the mean work and
+// the capacities. The time constant of the decay is the slow start duration, but at least
+// demandTimeConstant.
 func (s *slowStart) updateEstimates(classes []*class, endpoints []*endpoint) {
 	decay := math.Exp((s.estimatedAt - s.clock.now) / max(s.duration, demandTimeConstant))
 	s.estimatedAt = s.clock.now
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -35,8 +35,9 @@
 }
 
 // TestWarmingEndpointsServeTheLoadAlone checks that requests are still sent after a rollout has replaced all
-// endpoints. With no warm endpoint left, no work was completed, the share of the warming endpoints fell to
-// 0, and no requests were sent to them.
+// endpoints. The share of warming endpoints depends on the completed work. Without the lower bound
+// minCompletedFraction, it would fall to 0 once no warm endpoint completes work, and no requests would be
+// sent.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
@@ -74,8 +75,8 @@
 }
 
 // TestWarmingEndpointsGetTheirShareFromEveryGateway checks that gateways with little traffic send enough
-// work to warming endpoints. When this work was proportional to the square of the request rate of a gateway,
-// warming endpoints stayed idle while warm endpoints were overloaded.
+// work to warming endpoints. If this work were proportional to the square of the gateway's request rate,
+// warming endpoints would stay almost idle while warm endpoints are overloaded.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
 		g, r := newLargeFleetGateway(t)
