--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -94,10 +94,10 @@
 		{"switched, refusing", "127.0.0.1:2", "127.0.0.1:3"}, // polls the complete list at the second address
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			backoffs, free := make(chan time.Duration, 64), make(chan time.Time)
+			backoffs, endBackoff := make(chan time.Duration, 64), make(chan time.Time)
 			client := runClient(t, tc.address, func(o *Options) {
 				o.PollRetryInterval = PollRetryIntervalFor(200 * time.Millisecond)
-				o.After = func(d time.Duration) <-chan time.Time { backoffs <- d; return free }
+				o.After = func(d time.Duration) <-chan time.Time { backoffs <- d; return endBackoff }
 			})
 			if tc.switchTo != "" {
 				receive(t, backoffs)
@@ -107,7 +107,7 @@
 				if d := receive(t, backoffs); d > 100*time.Millisecond {
 					t.Errorf("got a backoff of %v, want at most half of the grace period", d)
 				}
-				free <- time.Time{}
+				endBackoff <- time.Time{}
 			}
 			receive(t, backoffs) // the client stays in this backoff until the test ends
 		})
@@ -118,14 +118,14 @@
 // the lists can be used.
 func TestUnusableListsBackOff(t *testing.T) {
 	var backoffs []time.Duration
-	backoffStarted, free := make(chan time.Duration), make(chan time.Time)
+	backoffStarted, endBackoff := make(chan time.Duration), make(chan time.Time)
 	agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{"nonsense"} })
 	runClient(t, agent.Address(), func(o *Options) {
-		o.After = func(d time.Duration) <-chan time.Time { backoffStarted <- d; return free }
+		o.After = func(d time.Duration) <-chan time.Time { backoffStarted <- d; return endBackoff }
 	})
 	for range 10 {
 		backoffs = append(backoffs, receive(t, backoffStarted))
-		free <- time.Time{}
+		endBackoff <- time.Time{}
 	}
 	receive(t, backoffStarted)
 	if !slices.IsSorted(backoffs) || backoffs[9] != maxUnusableBackoff {
--- a/internal/netcalls/errors.go
+++ b/internal/netcalls/errors.go
@@ -7,9 +7,9 @@
 )
 
 // isErrno reports whether an error wraps one of the given error numbers.
-func isErrno(err error, numbers ...syscall.Errno) bool {
-	var number syscall.Errno
-	return errors.As(err, &number) && slices.Contains(numbers, number)
+func isErrno(err error, errnos ...syscall.Errno) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
 // IsOutOfDescriptors reports whether a call failed because this process or the machine has no free file descriptor.
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -13,7 +13,7 @@
 func TestRetryAtStartGivesUp(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		number   syscall.Errno
+		errno    syscall.Errno
 		maxCalls int
 		took     time.Duration
 	}{
@@ -27,9 +27,9 @@
 				t.Context(),
 				func(d time.Duration) { now = now.Add(d) },
 				func() time.Time { return now },
-				func() (int, error) { calls++; return 0, tc.number },
+				func() (int, error) { calls++; return 0, tc.errno },
 			)
-			if !errors.Is(err, tc.number) || calls != tc.maxCalls || now.Sub(begun) != tc.took {
+			if !errors.Is(err, tc.errno) || calls != tc.maxCalls || now.Sub(begun) != tc.took {
 				t.Errorf("got the error %v after %d calls in %v", err, calls, now.Sub(begun))
 			}
 		})
@@ -39,7 +39,7 @@
 // TestErrorClassification guards against a changed classification of error numbers, which docs/endings.md lists.
 func TestErrorClassification(t *testing.T) {
 	for _, tc := range []struct {
-		number                                       syscall.Errno
+		errno                                        syscall.Errno
 		outOfDescriptors, shortage, transient, local bool
 	}{
 		{syscall.EMFILE, true, true, true, true},
@@ -62,10 +62,10 @@
 		{syscall.EHOSTUNREACH, false, false, false, false},
 		{syscall.EPIPE, false, false, false, false},
 	} {
-		err := fmt.Errorf("wrapped: %w", tc.number)
+		err := fmt.Errorf("wrapped: %w", tc.errno)
 		if IsOutOfDescriptors(err) != tc.outOfDescriptors || IsShortage(err) != tc.shortage ||
 			IsTransient(err) != tc.transient || IsLocalFault(err) != tc.local {
-			t.Errorf("%v: out of descriptors %v, shortage %v, transient %v, local fault %v", tc.number,
+			t.Errorf("%v: out of descriptors %v, shortage %v, transient %v, local fault %v", tc.errno,
 				IsOutOfDescriptors(err), IsShortage(err), IsTransient(err), IsLocalFault(err))
 		}
 	}
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -147,23 +147,23 @@
 		"draining": func(h *harness) {
 			h.changeEndpoint(func(e *discovery.Endpoint) { e.State = discovery.StateTerminating })
 		},
-		"gone": func(h *harness) { h.proxy.applyList(discovery.List{Full: true}) },
-		"over": func(h *harness) { h.proxy.Reject("a", 0, policy.QuotaExceeded) },
+		"removed":          func(h *harness) { h.proxy.applyList(discovery.List{Full: true}) },
+		"request rejected": func(h *harness) { h.proxy.Reject("a", 0, policy.QuotaExceeded) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			dialing, free := make(chan struct{}), make(chan struct{})
+			dialing, unblockDial := make(chan struct{}), make(chan struct{})
 			h := startProxy(t, testConfig(addr), func(h *harness) {
 				sendEachRequest(0)(h)
 				h.beforeDial(func(string) error {
 					close(dialing)
-					<-free
+					<-unblockDial
 					return nil
 				})
 			})
 			h.client().send(lookCommand("a")...)
 			receive(t, dialing)
 			h.onLoop(func() { change(h) })
-			close(free)
+			close(unblockDial)
 			h.wantOutcome(policy.NotSent)
 			h.wantNoCommand(receive(t, conns))
 		})
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -68,7 +68,7 @@
 				t.Fatalf("the new connection got %q, want the command", got)
 			}
 			b.write(valueReply)
-			client.wantValue("on a new connection")
+			client.wantValue("reply on the new connection")
 			if unsolicited != "" && old.readCommand() != nil {
 				t.Error("a command was written to the connection with unsolicited bytes")
 			}
@@ -138,13 +138,13 @@
 	b := receive(t, conns)
 	b.readCommand()
 	b.write(valueReply)
-	c.wantValue("the first")
+	c.wantValue("reply to the first request")
 	receive(t, h.decider.outcomes)
 	waitForClock(h.proxy, h.proxy.clock.Now()+0.002)
 	c.send(lookCommand("b")...)
 	b.readCommand()
 	b.write(valueReply)
-	c.wantValue("the second")
+	c.wantValue("reply to the second request")
 }
 
 // TestConnectionsOfMovedEndpointAreNotPooled guards against a command that is written to a process which is no longer
@@ -167,7 +167,7 @@
 				h.changeEndpoint(change)
 			})
 			b.write(valueReply)
-			c.wantValue("the reply to the attempt in flight")
+			c.wantValue("reply to the attempt in flight")
 			c.send(lookCommand("b")...)
 			next := moved
 			if name == "restarted" {
@@ -178,7 +178,7 @@
 				t.Fatal("the new connection did not get the next command")
 			}
 			b.write(valueReply)
-			c.wantValue("the next one")
+			c.wantValue("reply to the next request")
 		})
 	}
 }
@@ -193,17 +193,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			free := make(chan struct{})
+			unblockDials := make(chan struct{})
 			h := startProxy(t, testConfig(addr), func(h *harness) {
 				sendEachRequest(0)(h)
-				h.blockDials(free)
+				h.blockDials(unblockDials)
 			})
 			h.client().send(lookCommand("a")...)
 			receive(t, h.decider.requests)
 			h.onLoop(func() {
 				h.changeEndpoint(change)
 			})
-			close(free)
+			close(unblockDials)
 			h.wantOutcome(policy.NotSent)
 			receive(t, conns).wantNoCommand()
 		})
@@ -236,7 +236,7 @@
 	c.send(lookCommand("b")...)
 	receive(t, dialed)
 	b.write(valueReply)
-	c.wantValue("the first")
+	c.wantValue("reply to the first request")
 	if o := receive(t, h.decider.outcomes); o.Status != policy.OK {
 		t.Fatalf("got the outcome %+v, want OK", o)
 	}
@@ -245,5 +245,5 @@
 		t.Fatalf("the idle connection got %q, want the command of request b", got)
 	}
 	b.write(valueReply)
-	c.wantValue("the second")
+	c.wantValue("reply to the second request")
 }
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	h, c, b, _ = startWithAttempt(t)
 	b.write(valueReply)
-	c.wantValue("the first")
+	c.wantValue("reply to the first request")
 	receive(t, h.decider.requests)
 	receive(t, h.decider.outcomes)
 	h.onLoop(func() { h.decider.onRequest = nil })
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -28,8 +28,8 @@
 
 // newInjectedFailures returns failures of the first n calls. The error number is wrapped in the same way as by package
 // net.
-func newInjectedFailures(n int, number syscall.Errno, call string) *injectedFailures {
-	f := &injectedFailures{err: &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, number)}}
+func newInjectedFailures(n int, errno syscall.Errno, call string) *injectedFailures {
+	f := &injectedFailures{err: &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}}
 	f.remaining.Store(int32(n))
 	return f
 }
@@ -101,12 +101,12 @@
 // TestAcceptErrorsAreRetried guards against a gateway that stops accepting connections after a temporary error of
 // accept, or that counts a failed accept as an open connection.
 func TestAcceptErrorsAreRetried(t *testing.T) {
-	for _, number := range []syscall.Errno{
+	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EINTR, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
 	} {
-		t.Run(number.Error(), func(t *testing.T) {
-			fault := newInjectedFailures(3, number, "accept")
+		t.Run(errno.Error(), func(t *testing.T) {
+			fault := newInjectedFailures(3, errno, "accept")
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 				shortenRetryPauses(h)
 				rejectEachRequest(h)
@@ -134,14 +134,14 @@
 // TestListenErrorsAtStart guards against a process that exits at its start because a call to open a socket fails
 // temporarily. The calls must be retried.
 func TestListenErrorsAtStart(t *testing.T) {
-	for _, number := range []syscall.Errno{
+	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR,
 	} {
-		t.Run(number.Error(), func(t *testing.T) {
+		t.Run(errno.Error(), func(t *testing.T) {
 			calls := netcalls.System()
 			calls.Sleep = func(time.Duration) {}
-			tcp, udp := newInjectedFailures(3, number, "bind"), newInjectedFailures(3, number, "socket")
+			tcp, udp := newInjectedFailures(3, errno, "bind"), newInjectedFailures(3, errno, "socket")
 			listen, listenPacket := calls.Listen, calls.ListenPacket
 			calls.Listen = func(a *net.TCPAddr) (*net.TCPListener, error) {
 				if err := tcp.next(); err != nil {
@@ -168,9 +168,9 @@
 // local fault, and against the reverse. Dials that fail because of a local fault must be retried for a while.
 func TestDialErrors(t *testing.T) {
 	for _, tc := range []struct {
-		number syscall.Errno
-		times  int
-		want   policy.AttemptStatus
+		errno syscall.Errno
+		times int
+		want  policy.AttemptStatus
 	}{
 		{syscall.ENOBUFS, 3, policy.OK},
 		{syscall.EADDRNOTAVAIL, 3, policy.OK},
@@ -189,9 +189,9 @@
 		{syscall.EHOSTUNREACH, 1, policy.ConnectFailed},
 		{syscall.ECONNRESET, 1, policy.ConnectFailed},
 	} {
-		t.Run(fmt.Sprint(tc.number, " ", tc.times), func(t *testing.T) {
+		t.Run(fmt.Sprint(tc.errno, " ", tc.times), func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
-			fault := newInjectedFailures(tc.times, tc.number, "connect")
+			fault := newInjectedFailures(tc.times, tc.errno, "connect")
 			h := startProxy(t, testConfig(addr), func(h *harness) {
 				shortenRetryPauses(h)
 				sendEachRequest(0)(h)
@@ -220,14 +220,14 @@
 // read or write fails temporarily. It also guards against commands and replies that are garbled because they are read
 // or written in small parts.
 func TestTransientReadAndWriteErrors(t *testing.T) {
-	for _, number := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
+	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
-			t.Run(fmt.Sprint(number, " ", partSize), func(t *testing.T) {
+			t.Run(fmt.Sprint(errno, " ", partSize), func(t *testing.T) {
 				addr, conns := listenEndpoint(t)
 				h := startProxy(t, testConfig(addr), func(h *harness) {
 					shortenRetryPauses(h)
 					sendEachRequest(0)(h)
-					failReadsAndWrites(h, number, partSize)
+					failReadsAndWrites(h, errno, partSize)
 				})
 				h.replyToEachCommand(conns)
 				c := h.client()
@@ -245,15 +245,15 @@
 
 // failReadsAndWrites makes the first reads and writes of each connection fail, and every second write of the event
 // loop. All reads and writes are limited to partSize bytes; 0 for no limit.
-func failReadsAndWrites(h *harness, number syscall.Errno, partSize int) {
+func failReadsAndWrites(h *harness, errno syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
-		return &faultyConn{conn, newInjectedFailures(5, number, "read"), newInjectedFailures(5, number, "write"), partSize}
+		return &faultyConn{conn, newInjectedFailures(5, errno, "read"), newInjectedFailures(5, errno, "write"), partSize}
 	}
 	wrapConns(h, faulty)
 	var calls atomic.Int32
 	h.proxy.calls.Write = func(fd int, b []byte) (int, error) {
 		if calls.Add(1)%2 == 1 {
-			return -1, number
+			return -1, errno
 		}
 		if partSize > 0 && len(b) > partSize {
 			b = b[:partSize]
@@ -294,11 +294,11 @@
 // count as a disconnect of the client, and one on a backend connection must end the attempt as Reset, as the endpoint
 // may have executed the command.
 func TestConnectionErrors(t *testing.T) {
-	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		failAfterRead := func(conn netcalls.Conn) netcalls.Conn {
-			return &failAfterReadConn{conn, newInjectedFailures(1, number, "read").err}
+			return &failAfterReadConn{conn, newInjectedFailures(1, errno, "read").err}
 		}
-		t.Run("client, "+number.Error(), func(t *testing.T) {
+		t.Run("client, "+errno.Error(), func(t *testing.T) {
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { wrapClientConns(h, failAfterRead) })
 			h.client().send(lookCommand("a")...)
 			if id := receive(t, h.decider.disconnected); id != "a" {
@@ -306,7 +306,7 @@
 			}
 			h.eventually("all clients are closed and no request is open", func() bool { return h.allClientsClosed() && len(h.proxy.requests.byID) == 0 })
 		})
-		t.Run("endpoint, "+number.Error(), func(t *testing.T) {
+		t.Run("endpoint, "+errno.Error(), func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
 			h := startProxy(t, testConfig(addr), func(h *harness) {
 				sendEachRequest(0)(h)
@@ -339,15 +339,15 @@
 // TestDatagramErrors guards against a link to the other gateways that stops, or retries without a pause, when reads and
 // writes of datagrams fail.
 func TestDatagramErrors(t *testing.T) {
-	for _, number := range []syscall.Errno{
+	for _, errno := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNREFUSED, syscall.ENETUNREACH,
 		syscall.EHOSTUNREACH, syscall.EINTR, syscall.EPERM,
 	} {
-		t.Run(number.Error(), func(t *testing.T) {
+		t.Run(errno.Error(), func(t *testing.T) {
 			peer, address := listenUDP(t)
 			var sleeps atomic.Int32
 			h := startProxy(t, peerConfig(address), func(h *harness) {
-				failDatagrams(h, number)
+				failDatagrams(h, errno)
 				h.proxy.calls.Sleep = func(time.Duration) { sleeps.Add(1) }
 			})
 			h.onLoop(func() { h.proxy.SendToPeer(1, []byte("lost")); h.proxy.SendToPeer(1, []byte("there")) })
@@ -370,8 +370,8 @@
 }
 
 // failDatagrams makes the first three reads and the first write of the link to the other gateways fail.
-func failDatagrams(h *harness, number syscall.Errno) {
-	readFault, writeFault := newInjectedFailures(3, number, "recvfrom"), newInjectedFailures(1, number, "sendto")
+func failDatagrams(h *harness, errno syscall.Errno) {
+	readFault, writeFault := newInjectedFailures(3, errno, "recvfrom"), newInjectedFailures(1, errno, "sendto")
 	read, write := h.proxy.calls.ReadPacket, h.proxy.calls.WritePacket
 	h.proxy.calls.ReadPacket = func(c *net.UDPConn, b []byte) (int, netip.AddrPort, error) {
 		if err := readFault.next(); err != nil {
@@ -390,15 +390,15 @@
 // TestDiscoveryCallErrors guards against a client that stops polling the endpoint list after dials to the agent have
 // failed.
 func TestDiscoveryCallErrors(t *testing.T) {
-	for _, number := range []syscall.Errno{
+	for _, errno := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 		syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EINTR,
 	} {
-		t.Run(number.Error(), func(t *testing.T) {
+		t.Run(errno.Error(), func(t *testing.T) {
 			agent := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{discoverytest.ListJSON(7, true, "s1", "in_service")} })
 			cfg := testConfig()
 			cfg.DiscoveryAddress = agent.Address()
-			fault := newInjectedFailures(4, number, "connect")
+			fault := newInjectedFailures(4, errno, "connect")
 			h := startProxy(t, cfg, func(h *harness) {
 				h.proxy.discovery.After = func(time.Duration) <-chan time.Time { return time.After(0) }
 				dial := h.proxy.calls.DialContext
