--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -29,7 +29,7 @@
 	send(peer, bytes.Repeat([]byte("x"), peerlink.MaxDatagramSize+1))
 	send(peer, []byte("hello"))
 	if m := receive(t, h.decider.messages); m != (peerMessage{1, "hello"}) {
-		t.Errorf("the decision module got the message %+v, want hello from gateway 1", m)
+		t.Errorf("the decision module got the message %+v, want \"hello\" from gateway 1", m)
 	}
 	h.onLoop(func() {
 		h.proxy.SendToPeer(1, make([]byte, peerlink.MaxDatagramSize+1))
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -354,13 +354,13 @@
 			buf := make([]byte, peerlink.MaxDatagramSize)
 			n, _, err := peer.ReadFromUDP(buf)
 			if err != nil || string(buf[:n]) != "there" {
-				t.Errorf("the peer got %q, error %v, want there", buf[:n], err)
+				t.Errorf("the peer got %q, error %v, want \"there\"", buf[:n], err)
 			}
 			if _, err := peer.WriteToUDPAddrPort([]byte("back"), h.proxy.peers.LocalAddr()); err != nil {
 				t.Fatal(err)
 			}
 			if m := receive(t, h.decider.messages); m.from != 1 || m.data != "back" {
-				t.Errorf("the decision module got the message %+v, want back from gateway 1", m)
+				t.Errorf("the decision module got the message %+v, want \"back\" from gateway 1", m)
 			}
 			if n := sleeps.Load(); n != 3 {
 				t.Errorf("%d pauses after 3 failed reads, want 3", n)
