--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -13,7 +13,7 @@
 // maxLineBytes is the size of the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// attempt is an attempt whose command was written in full, and its outcome.
+// attempt is an attempt that was sent, with its outcome once that is logged.
 type attempt struct {
 	event
 	ended   bool
@@ -21,13 +21,14 @@
 	result  string
 }
 
-// knownNotExecuted reports whether the gateway knew at the given time that the attempt had not executed: only a
-// rejection by the endpoint says so.
+// knownNotExecuted reports whether the gateway knew at the given time that the attempt had not executed, because the
+// endpoint had rejected it.
 func (a *attempt) knownNotExecuted(at float64) bool {
 	return a.ended && a.endedAt <= at && a.result == rejectedStatus
 }
 
-// sameDedupGroup reports whether the endpoints of two attempts deduplicate requests among each other.
+// sameDedupGroup reports whether the endpoints of two attempts belong to the same dedup group, which executes a request
+// with a given idempotency key only once.
 func (a *attempt) sameDedupGroup(b *attempt) bool {
 	switch a.dedupScope {
 	case "zone":
@@ -38,7 +39,7 @@
 	return true
 }
 
-// requestHistory holds the attempts that one gateway made for a request, and whether the request has completed.
+// requestHistory holds what one gateway has logged about a request so far.
 type requestHistory struct {
 	attempts  []*attempt
 	completed bool
@@ -47,10 +48,10 @@
 // audit counts attempts and collects violations over all logs.
 type audit struct {
 	attempts                int
-	retries                 int // attempts other than the first of their request
-	keyedRetries            int // retries under an idempotency key after an attempt that may have executed
-	attemptsAfterDisconnect int // attempts sent after the client had disconnected
-	maxAgeAfterDisconnect   float64
+	retries                 int     // attempts other than the first of their request
+	keyedRetries            int     // retries under an idempotency key after an attempt that may have executed
+	attemptsAfterDisconnect int     // attempts sent after the client had disconnected
+	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to such an attempt, in seconds
 	minWindowLeft           float64 // shortest remaining idempotency window at a retry, in seconds
 	violations              []string
 }
@@ -63,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // opened for reading: nothing can be lost
+	defer func() { _ = file.Close() }() // the file is only read, so an error loses no data
 	return a.read(path, file)
 }
 
@@ -158,8 +159,8 @@
 	return ""
 }
 
-// checkRejection checks that a rejected request has not executed or can be repeated without harm, as clients may repeat
-// it.
+// checkRejection checks a rejected request. Clients may repeat a rejected request, so it must not have executed unless
+// repeating it is harmless.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
 		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -86,7 +86,7 @@
 				}
 				got := strings.Join(a.violations, "\n")
 				if (tc.want == "") != (got == "") || !strings.Contains(got, tc.want) {
-					t.Errorf("got %q, want %q", got, tc.want)
+					t.Errorf("got violations %q, want %q", got, tc.want)
 				}
 			})
 		}
@@ -104,7 +104,7 @@
 			}
 			for _, want := range []string{"disconnected clients: 1, 0.500 s", "attempts 2, of them retries 1"} {
 				if got := a.report(); !strings.Contains(got, want) {
-					t.Errorf("got %q, want %q", got, want)
+					t.Errorf("got report %q, want it to contain %q", got, want)
 				}
 			}
 		})
@@ -116,11 +116,11 @@
 	values := parseLine(`0.1 level=DEBUG msg="request completed" id=a=b reason="" word` + "\n")
 	want := logValues{"level": "DEBUG", "msg": "request completed", "id": "a=b", "reason": ""}
 	if len(values) != len(want) {
-		t.Errorf("got %v, want %v", values, want)
+		t.Errorf("got values %v, want %v", values, want)
 	}
 	for key, value := range want {
 		if values[key] != value {
-			t.Errorf("%s: got %q, want %q", key, values[key], value)
+			t.Errorf("value of %s: got %q, want %q", key, values[key], value)
 		}
 	}
 }
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -29,7 +29,7 @@
 	// Set for attemptSent.
 	idempotency  idempotency
 	dedupScope   string  // "all", "zone" or "cell"
-	window       float64 // time for which endpoints drop requests with a known key
+	window       float64 // idempotency window in seconds, within which endpoints drop repeats of a key
 	endpoint     string
 	zone, cell   string
 	arrived      float64 // when the last byte of the request arrived
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// maxKnownRed is the number of tests that may be listed. It is small so that faults get fixed.
+// maxKnownRed is the largest number of listed tests. When it is reached, a test must be fixed before another is listed.
 const maxKnownRed = 3
 
 // Errors in the list.
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -33,7 +33,7 @@
 			var out, log strings.Builder
 			err := run(path, strings.NewReader(names), &out, &log)
 			if (err == nil) != (tc.err == "") || err != nil && !strings.Contains(err.Error(), tc.err) {
-				t.Errorf("got error %v, want %q", err, tc.err)
+				t.Errorf("got error %v, want one with %q", err, tc.err)
 			}
 			if out.String() != tc.out || !strings.Contains(log.String(), tc.log) {
 				t.Errorf("got pattern %q and log %q", out.String(), log.String())
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -68,14 +68,14 @@
 }
 
 const (
-	timeoutSlack = 150 * time.Millisecond // by which an attempt's timeout may exceed the time that the client has left
-	replySlack   = 500 * time.Millisecond // by which a reply may be later than the deadline of its request
+	timeoutSlack = 150 * time.Millisecond // tolerance for an attempt's timeout above the time that the client has left
+	replySlack   = 500 * time.Millisecond // tolerance for a reply after the deadline of its request
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
-// TestDeadlineCountsFromArrivalBehindOpenRequests guards against attempts whose timeout exceeds the time that
-// the client has left. A request may wait in the socket while earlier ones of its connection are open; that time must
-// count.
+// TestDeadlineCountsFromArrivalBehindOpenRequests guards against giving an attempt more time than its client has left.
+// A request may wait in the socket while earlier requests of its connection are open, and that wait must count toward
+// its deadline.
 func TestDeadlineCountsFromArrivalBehindOpenRequests(t *testing.T) {
 	t.Parallel()
 	for _, commands := range []int{60, 400} {
@@ -93,7 +93,7 @@
 			r := bufio.NewReader(conn)
 			for i := range commands {
 				if line, _, err := readReply(r); err != nil {
-					t.Fatalf("reply %d: %q, %v", i, line, err)
+					t.Fatalf("reply %d: got %q, %v", i, line, err)
 				}
 			}
 			if took := time.Since(sent); took > deadline+replySlack {
@@ -110,9 +110,9 @@
 // suspension is the time for which the tests suspend the whole process.
 const suspension = 600 * time.Millisecond
 
-// TestDeadlineCountsFromArrivalAfterSuspension guards against attempts whose timeout exceeds the time that
-// the client has left, after the whole process was suspended. A request that arrived during the suspension must count
-// from its arrival, also if another request arrived before it and a PING after it.
+// TestDeadlineCountsFromArrivalAfterSuspension guards against giving an attempt more time than its client has left after
+// the whole process was suspended. The deadline of a request that arrives during the suspension must count from its
+// arrival, whether it arrives alone or between another request and a PING.
 func TestDeadlineCountsFromArrivalAfterSuspension(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
@@ -133,14 +133,14 @@
 	r := bufio.NewReader(conn)
 	writeText(conn, pingCommand)
 	if line, _, err := readReply(r); line != "+PONG" {
-		t.Fatalf("got %q, %v", line, err)
+		t.Fatalf("reply to PING: got %q, %v", line, err)
 	}
 	p.suspend()
 	sent := time.Now()
 	for i := range requestsAhead + 1 {
 		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
 	}
-	if requestsAhead > 0 { // a late command: the arrival of the last bytes is not that of the requests
+	if requestsAhead > 0 { // a late command, so that the last bytes arrive later than the requests
 		time.Sleep(suspension - 50*time.Millisecond)
 		writeText(conn, pingCommand)
 	}
@@ -148,7 +148,7 @@
 	p.signal(syscall.SIGCONT)
 	for i := range requestsAhead + 1 {
 		if line, _, err := readReply(r); err != nil {
-			t.Fatalf("reply %d: %q, %v", i, line, err)
+			t.Fatalf("reply %d: got %q, %v", i, line, err)
 		}
 	}
 	if took := time.Since(sent); took > deadline+replySlack {
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -90,7 +90,7 @@
 
 // Guards against idle clients that take all file descriptors while discovery is down, so that the gateway can't connect
 // to discovery and endpoints or read its configuration afterwards. The clients reconnect as soon as they are closed. The
-// limit of the process is the configured number of descriptors, or far fewer.
+// process may open as many descriptors as are configured, or far fewer.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("%d of %d", descriptorLimit, configured), func(t *testing.T) {
@@ -117,7 +117,7 @@
 	writeConfig(first)
 	p := launch(t, path, descriptorLimit)
 	idle := startIdleClients(t, listen)
-	eventually(t, "clients use the descriptors that they may", func() bool { return len(idle) > descriptorLimit })
+	eventually(t, "idle clients take the available descriptors", func() bool { return len(idle) > descriptorLimit })
 	if configured > descriptorLimit {
 		eventually(t, "no descriptor is left", func() bool { return p.log.has("no descriptor left") })
 	}
@@ -137,7 +137,7 @@
 	eventually(t, "a request is served after the reload", func() bool { return requestOnce(listen) == "$1\r\n" })
 	select {
 	case err := <-p.ended:
-		t.Errorf("the program ended: %v", err)
+		t.Errorf("the gateway process ended: %v", err)
 		p.ended <- err
 	default:
 	}
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -52,8 +52,8 @@
 type faultRequest struct {
 	id, class string
 	deadline  time.Duration
-	end       int // offset after its command in the bytes sent on the connection
-	replyEnd  int // offset after its reply in the bytes received on the connection
+	end       int // offset of the end of its command in the bytes sent on the connection
+	replyEnd  int // offset of the end of its reply in the bytes received on the connection
 	reply     string
 }
 
@@ -72,7 +72,7 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// slack is the measurement error to allow on a busy machine.
+// slack is the tolerance for times that this process measures. It grows with the lag of the process's timers.
 func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.timerLag.Load()) }
 
 // measureTimerLag records the largest delay of this process's timers until stop is closed.
@@ -140,7 +140,7 @@
 	}
 }
 
-// clientAddr returns the gateway's address of the connection that reaches the endpoint, through the proxy, as conn.
+// clientAddr returns the address from which the gateway connected to the proxy for the endpoint's connection conn.
 func (e *faultEndpoint) clientAddr(conn net.Conn) net.Addr {
 	return e.proxy.ClientAddr(conn.RemoteAddr())
 }
@@ -213,8 +213,8 @@
 		var text strings.Builder
 		commands, bodyMax := 1+c.rng.IntN(6), 20_000
 		if c.rng.Float64() < 0.1 {
-			// More requests than may be open on a connection, but few enough that the gateway reads all of them ahead.
-			// If it did not, it would notice the end of the connection only after reading the rest.
+			// More requests than may be open on a connection. They are small enough for the gateway to read all of them
+			// ahead: otherwise it would notice a disconnect only after reading the rest.
 			commands, bodyMax = 48, 16_000
 		}
 		for range commands {
@@ -229,7 +229,7 @@
 		if disconnects {
 			time.Sleep(time.Duration(c.rng.IntN(100)) * time.Millisecond)
 			if c.rng.IntN(2) == 0 {
-				_ = conn.(*net.TCPConn).SetLinger(0) // a reset
+				_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 			}
 			closeQuietly(conn)
 		}
@@ -269,7 +269,7 @@
 // checkBatch checks the replies and attempts of a batch against the rules.
 func (c *faultClient) checkBatch(connection *faultproxy.Connection, batch []faultRequest, disconnected bool) {
 	w := c.run
-	if disconnected { // until the last attempts that may still begin have begun
+	if disconnected { // attempts in progress may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
 	previousReply := time.Time{} // when the reply to the previous request arrived
@@ -422,7 +422,7 @@
 // TestRequestsUnderFaults injects seeded faults into real connections and checks what clients and endpoints saw. Each
 // accepted request must get one complete and correct reply in time. A request must not execute again unless its class
 // allows it, and must not be attempted after its client has disconnected or with a longer timeout than the client has
-// left. The flags -faults.for, -faults.runs and -faults.seed select longer, more and other runs.
+// left. The flags -faults.for, -faults.runs and -faults.seed set the duration, the number and the first seed of the runs.
 func TestRequestsUnderFaults(t *testing.T) {
 	for i := range *faultsRuns {
 		seed, suspends := *faultsSeed+uint64(i), i%2 == 1
--- a/cmd/reedlead/log_test.go
+++ b/cmd/reedlead/log_test.go
@@ -28,10 +28,10 @@
 	}
 	defer func() {
 		_ = cmd.Process.Kill() // the process may have ended
-		_ = cmd.Wait()         // killed
+		_ = cmd.Wait()         // the error only says that the process was killed
 	}()
 	closeQuietly(write)
-	if _, err := bufio.NewReader(read).ReadString('\n'); err != nil { // the failed dial of discovery is logged
+	if _, err := bufio.NewReader(read).ReadString('\n'); err != nil { // the gateway logs that discovery is unreachable
 		t.Fatal(err)
 	}
 	closeQuietly(read)
@@ -42,7 +42,7 @@
 	for range 3 { // each request writes to the log
 		writeText(conn, requestCommand("q-log", 1000))
 		if line, _, err := readReply(r); err != nil {
-			t.Fatalf("got %q, %v", line, err)
+			t.Fatalf("request after the log pipe was closed: got %q, %v", line, err)
 		}
 	}
 }
--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// maxProcs is the value of GOMAXPROCS. A gateway has one core, on which a second thread costs more processor time and
-	// serves no more requests.
+	// maxProcs is the value of GOMAXPROCS. A gateway runs on one core, where a second thread costs processor time and has
+	// no benefit.
 	maxProcs = 1
 	// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the configured memory. The garbage
 	// collector runs more often as the process nears the soft limit.
@@ -81,7 +81,7 @@
 	}
 }
 
-// newLogger returns a logger that adds the gateway's name to every line. An empty levelName stands for INFO.
+// newLogger returns a logger to standard error that adds the gateway's name to every line. An empty levelName means INFO.
 func newLogger(name, levelName string) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if levelName != "" {
@@ -95,7 +95,7 @@
 
 // reloadOnSignal reads the configuration after each signal and sends it to reloads, until done is closed. If the file
 // can't be read or is invalid, it logs the error and the gateway keeps its configuration. running is the configuration
-// of the start.
+// that the gateway started with.
 func reloadOnSignal(
 	signals <-chan os.Signal, done <-chan struct{}, path string, running config.Config,
 	reloads chan<- config.Config, log *slog.Logger,
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -65,13 +65,13 @@
 	write(`{"listen":`)
 	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "level=ERROR") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("logged %q", got)
+		t.Errorf("got log line %q", got)
 	}
 	write(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"balancers":1,` +
 		`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`)
 	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "a reload applies only the discovery address") {
-		t.Errorf("logged %q", got)
+		t.Errorf("got log line %q", got)
 	}
 	if cfg := <-reloads; cfg.DiscoveryAddress != "127.0.0.1:2" || len(reloads) > 0 {
 		t.Errorf("got reload %+v and %d more", cfg, len(reloads))
@@ -82,7 +82,7 @@
 const testTimeout = 20 * time.Second
 
 // Guards against a reload that ends the process or interrupts clients. Three SIGHUPs are sent, the second with a
-// malformed file. After each of the others, the gateway must watch the agent whose address is configured then.
+// malformed file. After each of the other two, the gateway must open a watch at the newly configured agent.
 func TestReloadsWhileClientsAreServed(t *testing.T) {
 	fallback := make(chan os.Signal, 8) // a second receiver, or SIGHUP would end the test binary if run did not handle it
 	signal.Notify(fallback, syscall.SIGHUP)
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	signalSelf(t, syscall.SIGHUP)
-	writeConfig(2) // the signal before may be handled after this write; the last file holds either way
+	writeConfig(2) // the previous signal may be handled before or after this write; agent 2 is watched either way
 	signalSelf(t, syscall.SIGHUP)
 	agents.expectWatch(t, 2)
 	close(stop)
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// program is a gateway that runs in a process of its own.
+// program is a gateway that runs as a separate process.
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -123,7 +123,7 @@
 	}
 	p := launch(t, path, 1024, "EDGE_LOG=DEBUG")
 	p.listen = listen
-	eventually(t, "the program is ready", func() bool {
+	eventually(t, "the gateway is ready", func() bool {
 		conn, err := net.Dial("tcp", p.listen)
 		if err != nil {
 			return false
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out, "NEXT\n"); n != 5 {
-		t.Fatalf("%d replies to 5 batches:\n%s", n, out)
+		t.Fatalf("got %d replies to 5 batches:\n%s", n, out)
 	}
 	if strings.Count(out, "FORWARD\ti=0\tid=a\tbackend=10.0.0.1:80\twithinS=") != 1 {
 		t.Fatalf("want one FORWARD of a:\n%s", out)
@@ -119,6 +119,6 @@
 	defer delete(decoders, "BOOM")
 	out, err := runAdapter(t, startBatch(0)+"CLOCK\ttimeS=11\nBOOM\ti=0\nYOUR_TURN\n")
 	if err != nil || !strings.Contains(out, "FAULT\ti=0\tmsg=broken module\nNEXT\n") {
-		t.Fatalf("want a FAULT with the text, got %v\n%s", err, out)
+		t.Fatalf("want a FAULT with the text of the panic, got %v\n%s", err, out)
 	}
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -112,7 +112,7 @@
 	classes      map[string]policy.Class
 	plans        map[string]string
 	gatewayCount int
-	maxUnits     int // per request; 0 means no limit but maxNumber
+	maxUnits     int // largest number of units per request; 0 stands for maxNumber
 }
 
 // NewParser returns a parser that accepts the classes, plans, gateways and units of the settings.
@@ -131,7 +131,7 @@
 }
 
 // Parse parses the arguments of a request. args[0] must be Get or Post, in any case. The Request refers to args without
-// copying them. The text of an error is meant for the client.
+// copying them. The client gets the text of the error.
 func (p *Parser) Parse(args [][]byte) (*Request, error) {
 	post := bytes.EqualFold(args[argName], []byte(Post))
 	want := getArgs
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,11 +23,11 @@
 	MemoryMB         int // memory limit of the process in MiB; 0 means no limit is given
 	MaxDescriptors   int // maximum number of open file descriptors
 
-	// PeerListenAddress receives datagrams from other gateways. It is not valid if peer messages are disabled.
+	// PeerListenAddress receives datagrams from other gateways. It is the zero AddrPort if peer messages are disabled.
 	PeerListenAddress netip.AddrPort
 	// PeerAddresses holds the peer address of every gateway, indexed by the gateway's number.
 	PeerAddresses []netip.AddrPort
-	// BroadcastAddress reaches all gateways with one datagram. It is not valid if there is none.
+	// BroadcastAddress reaches all gateways with one datagram. It is the zero AddrPort if none is configured.
 	BroadcastAddress netip.AddrPort
 
 	// InitialEndpoints is the endpoint list in use until discovery responds.
@@ -58,9 +58,9 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// RequiresRestart reports whether a reloaded configuration differs from started, that of the running gateway, in a field
-// that takes effect only at a restart. A reload applies the discovery address. The initial endpoints and the seed are
-// ignored because they are new at every start.
+// RequiresRestart reports whether c, a reloaded configuration, differs from started, the configuration of the running
+// gateway, in a field that takes effect only at a restart. It ignores the discovery address, which a reload applies, and
+// the initial endpoints and the seed, which are new for every start.
 func (c Config) RequiresRestart(started Config) bool {
 	c.DiscoveryAddress, c.InitialEndpoints, c.Seed = started.DiscoveryAddress, started.InitialEndpoints, started.Seed
 	return !reflect.DeepEqual(c, started)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || len(c.PeerAddresses) != 2 || c.MaxDescriptors != 1024 || !c.InitialEndpoints.Full || c.InitialEndpoints.Version != 41 {
-		t.Errorf("got %+v", c)
+		t.Errorf("got configuration %+v", c)
 	}
 	for _, tc := range []struct{ old, new, field, want string }{
 		{goodConfig, "{", "", "unexpected end"},
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -31,7 +31,7 @@
 	at    time.Time
 }
 
-// Transfer records when bytes were read or written on one side of the proxy. It is safe for concurrent use.
+// Transfer records when the proxy read bytes from one end, or wrote bytes to it. It is safe for concurrent use.
 type Transfer struct {
 	mu      sync.Mutex
 	history []progress
@@ -68,7 +68,7 @@
 	return p.ended
 }
 
-// recordEnd records that the transfer ends now. Only the first call has an effect.
+// recordEnd records that the transfer ended now. Only the first call has an effect.
 func (p *Transfer) recordEnd() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +145,7 @@
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Close closes the listener. Connections that were accepted stay open.
-func (p *Proxy) Close() { _ = p.listener.Close() } // after an error there is nothing left to close
+func (p *Proxy) Close() { _ = p.listener.Close() } // an error means that it is already closed
 
 // Connection returns the newest connection from a client address, or nil if there is none.
 func (p *Proxy) Connection(clientAddr net.Addr) *Connection {
@@ -157,8 +157,8 @@
 	return p.connections[clientAddr.String()]
 }
 
-// WaitConnection waits until the proxy has accepted a connection that was dialled from clientAddr at dialledAt, and
-// returns it. It ignores earlier connections from the same address.
+// WaitConnection waits until the proxy has accepted a connection from clientAddr, no earlier than dialledAt, and returns
+// it. It ignores earlier connections from the same address.
 func (p *Proxy) WaitConnection(clientAddr net.Addr, dialledAt time.Time) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -247,7 +247,7 @@
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
-	var readErr error // written before chunks is closed, read after
+	var readErr error // the error that ended the reads; set before chunks is closed
 	go func() {
 		defer close(chunks)
 		for {
@@ -265,7 +265,7 @@
 		}
 	}()
 	if !p.forward(chunks, from, to) {
-		for range chunks { // unblocks the reader, which ends with the connection
+		for range chunks { // drained so that the reader does not block before its connection ends
 		}
 	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -6,7 +6,8 @@
 	"reedlead/policy"
 )
 
-// maxPastReplies is the number of replies that a history keeps. A duplicate follows its original within a few replies.
+// maxPastReplies is the number of replies that a history keeps. Duplicates arrive soon after their originals, so older
+// replies are not needed.
 const maxPastReplies = 8
 
 var hashSeed = maphash.MakeSeed()
@@ -22,9 +23,9 @@
 	receivedAt policy.Seconds
 }
 
-// IsDuplicate reports whether reply b may be a duplicate of a reply received after since, that is, has the same bytes.
-// A rejection counts as a duplicate of any rejection received after since, whatever its bytes: if it were the duplicate
-// of the previous command's rejection, the present command might be executing, and a retry could execute it twice.
+// IsDuplicate reports whether reply b may be a duplicate of a reply received after since. It is one if its bytes are the
+// same, or if both replies are rejections, even with different bytes: if a duplicate were taken for the rejection of the
+// present command, the command would be retried while it may be executing.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
 	hash := maphash.Bytes(hashSeed, b)
 	for _, past := range h.replies {
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -17,8 +17,8 @@
 var (
 	// ErrMissingValue reports an array whose first element is not a bulk string.
 	ErrMissingValue = errors.New("first element of the reply is not a bulk string")
-	// ErrUnexpectedType reports a RESP value other than an array, a bulk string that is not null, or an error.
-	ErrUnexpectedType = errors.New("reply is not an array, a bulk string or an error")
+	// ErrUnexpectedType reports a RESP value other than an array, a non-null bulk string or an error.
+	ErrUnexpectedType = errors.New("reply is not an array, a non-null bulk string or an error")
 )
 
 // rejectionCode is the error code with which an endpoint rejects a request without executing it.
@@ -35,8 +35,8 @@
 	HealthCheck bool                 // the reply is to a health check
 }
 
-// Parse parses one complete reply. An invalid load report is dropped and does not invalidate the reply. Unless the
-// status is Rejected, the request may have executed, also if Parse returns an error.
+// Parse parses one complete reply. An invalid load report is dropped and does not invalidate the reply. Unless Parse
+// returns a reply with status Rejected, the request may have executed.
 func Parse(b []byte) (Reply, error) {
 	_, element := redcon.ReadNextRESP(b)
 	switch element.Type {
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// TestParse checks that an invalid load report is dropped without the value before it, and that a reply without a value
-// gives an error.
+// TestParse checks that an invalid load report is dropped but the value before it is kept, that only the error code BUSY
+// counts as a rejection, and that a malformed reply gives an error.
 func TestParse(t *testing.T) {
 	const noLoad = -1.0
 	for text, want := range map[string]struct {
@@ -53,8 +53,8 @@
 	}
 }
 
-// FuzzParse guards against input that makes the parser panic, which would end the process, or that is accepted as a
-// value without being one bulk string that is not null. It also checks the bounds of load reports.
+// FuzzParse guards against input that makes the parser panic, which would end the process, and against values that are
+// not exactly one non-null bulk string. It also checks the bounds of load reports.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -37,7 +37,7 @@
 	errNumber         = errors.New("malformed number")
 )
 
-// SyntaxError reports malformed input from a client. The rest of the connection can't be parsed after it. The client
+// SyntaxError reports malformed input from a client, after which the rest of the connection can't be parsed. The client
 // gets its text.
 type SyntaxError struct{ Cause error }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if s.GatewayCount != 3 || s.Self != 1 || s.ConnectionIdleTimeout != 15 || s.DialTimeout != 250*time.Millisecond || s.MaxOpenRequests != 20000 || s.MaxAttempts != 5 {
-		t.Errorf("got %+v", s)
+		t.Errorf("got settings %+v", s)
 	}
 	if len(s.Classes) != 1 || s.Classes[0].Idempotency != policy.NonIdempotent || len(s.Plans) != 1 || s.Plans[0].CeilingBurst != 147 {
 		t.Errorf("got classes %+v and plans %+v", s.Classes, s.Plans)
@@ -47,7 +47,7 @@
 	} {
 		s, err := Parse([]byte(`{"limits":{"dialTimeoutS":` + text + `}}`))
 		if err != nil || s.DialTimeout != want {
-			t.Errorf("%s s: got %v, %v, want %v", text, s.DialTimeout, err, want)
+			t.Errorf("dial timeout of %s s: got %v, %v, want %v", text, s.DialTimeout, err, want)
 		}
 	}
 }
@@ -58,6 +58,6 @@
 		SetLoadValue(&l, name, float64(i))
 	}
 	if l != (policy.LoadReport{InFlight: 0, Queued: 1, Utilization: 2, ServiceTimeMS: 3, ServedPerS: 4, FailedPerS: 5}) {
-		t.Errorf("got %+v", l)
+		t.Errorf("got load report %+v", l)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -265,8 +265,8 @@
 	return w
 }
 
-// ID adds a text field without replacing anything. The text must be free of line breaks
-// and tabs, as the values of a Line's fields are.
+// ID adds a text field without replacing anything. The text must be free of line breaks and tabs, as the values of a
+// Line's fields are.
 func (w *Writer) ID(name, v string) *Writer {
 	w.beginField(name)
 	w.line = append(w.line, v...)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -26,7 +26,7 @@
 	long := strings.Repeat("x", 3<<20)
 	lines, err := read(t, "CLOCK\ttimeS=8.5\r\nENLIST\ti=3\tsettings={\"a\":\"b=c\td\"}\nEMIT\tmsg="+long+"\nYOUR_TURN")
 	if !errors.Is(err, io.EOF) || len(lines) != 4 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("got %d lines, %v, want 4 lines and EOF", len(lines), err)
 	}
 	if at, err := lines[0].Float("timeS"); lines[0].Name != "CLOCK" || at != 8.5 || err != nil {
 		t.Errorf("got %+v, %v", lines[0], err)
@@ -35,7 +35,7 @@
 		t.Errorf("got %q, %v", text, err)
 	}
 	if text, _ := lines[2].Text("msg"); text != long {
-		t.Errorf("a long value is read as %d bytes", len(text))
+		t.Errorf("a value longer than the buffer is read as %d bytes", len(text))
 	}
 	if lines[3].Name != "YOUR_TURN" || lines[3].Has("i") {
 		t.Errorf("got %+v", lines[3])
