--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -10,8 +10,8 @@
 // to the polls that were sent meanwhile. So poll starts another one after each PollRetryInterval, and uses the first
 // response to any of them. The first poll stays open in case the agent is only slow.
 //
-// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and also
-// the response that was returned.
+// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and
+// also the response that was returned.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
@@ -52,7 +52,7 @@
 	http    *http.Client
 	url     string
 	results chan pollResult
-	done    chan struct{}        // closed when Client.poll receives no further result
+	done    chan struct{}        // closed when Client.poll returns
 	cancels []context.CancelFunc // indexed by the number of the poll
 	pending int                  // number of polls that have not failed
 }
@@ -64,8 +64,8 @@
 	number int
 }
 
-// newPollGroup returns a group without polls. It copies the address of the client, as a poll may outlive Client.poll and
-// must not read the client then.
+// newPollGroup returns a group without polls. It copies the address of the client, as a poll may outlive Client.poll
+// and must not read the client then.
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
 		http: c.http, url: "http://" + c.address + listPath + query,
