--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -50,7 +50,7 @@
 	attempts                int
 	retries                 int     // attempts other than the first of their request
 	keyedRetries            int     // retries under an idempotency key after an attempt that may have executed
-	attemptsAfterDisconnect int     // attempts sent after the client had disconnected
+	attemptsAfterDisconnect int     // attempts sent after the client had closed its connection
 	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to such an attempt, in seconds
 	minWindowLeft           float64 // shortest remaining idempotency window at a retry, in seconds
 	violations              []string
@@ -167,7 +167,7 @@
 		if safeToRepeat || sent.knownNotExecuted(e.at) {
 			continue
 		}
-		a.addViolation(name, e.requestID, "rejected at %.3f, though attempt %d may have executed", e.at, sent.attempt)
+		a.addViolation(name, e.requestID, "rejected at %.3f although attempt %d may have executed", e.at, sent.attempt)
 		return
 	}
 }
@@ -182,9 +182,9 @@
 	writeLine := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
 	writeLine("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
 	if a.keyedRetries > 0 {
-		writeLine("least time left of an idempotency window: %.3f s", a.minWindowLeft)
+		writeLine("shortest remaining idempotency window at a retry: %.3f s", a.minWindowLeft)
 	}
-	writeLine("attempts for disconnected clients: %d, %.3f s after the request had arrived at most",
+	writeLine("attempts for disconnected clients: %d, %.3f s or less after the request had arrived",
 		a.attemptsAfterDisconnect, a.maxAgeAfterDisconnect)
 	writeLine("violations: %d", len(a.violations))
 	for _, violation := range a.violations {
--- a/cmd/audit/main.go
+++ b/cmd/audit/main.go
@@ -1,6 +1,7 @@
-// Command audit reads the debug logs of the gateways of one fleet and checks the attempts in them: a request that must
-// not execute twice is not attempted again, nothing is sent after the final reply, and a request is rejected only if it
-// has not executed or can be repeated safely. It also counts the attempts sent after their client had disconnected.
+// Command audit reads the debug logs of the gateways of one fleet and checks the attempts in them against these rules: a
+// request that must not execute twice is not attempted again; no attempt is sent after the final reply, or after the
+// gateway has noticed that the client disconnected; and a request is rejected only if it has not executed or can be
+// repeated safely. It also counts the attempts that were sent after the client had closed its connection.
 //
 // It prints the counts, and each violation with the id of its request. The exit status is 1 if there are violations,
 // and 2 if a log can't be read.
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	slowValueSize  = 60_000
+	slowValueSize  = 60_000 // bytes
 	slowDeadlineMS = 15_000
 	// Longer than 5 s, the write timeout of an earlier version, which dropped slow clients.
 	readPause = 5500 * time.Millisecond
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -25,7 +25,7 @@
 	StallDuration  time.Duration
 }
 
-// progress is the time at which the total number of bytes was reached.
+// progress is the time at which a transfer reached a total number of bytes.
 type progress struct {
 	bytes int
 	at    time.Time
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -1,4 +1,4 @@
-// Package readbuf provides the read buffers of connections. All buffers share one memory budget.
+// Package readbuf provides the read buffers of connections, which take their memory from a shared budget.
 package readbuf
 
 import (
@@ -31,7 +31,7 @@
 // Available returns the number of bytes that can be reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// AllowsReadAhead reports whether more bytes are available than reading ahead must leave to other uses.
+// AllowsReadAhead reports whether more bytes are available than the reserve that reading ahead must not use.
 func (b *Budget) AllowsReadAhead() bool { return b.available.Load() > b.readAheadReserve }
 
 // Reserve takes n bytes from the budget. It reports false, and takes nothing, if fewer are available.
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -20,7 +20,7 @@
 	MaxMessage = MaxBulkString + 8*MaxLine
 
 	maxElements   = 16 // in an array
-	maxDepth      = 4  // of nested arrays
+	maxDepth      = 4  // levels of nested arrays
 	maxHeaderLine = 16 // bytes in a line that holds a type and a length
 )
 
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,7 +8,7 @@
 )
 
 // FuzzParseCommand guards against input that makes the parser panic, which would end the process, and against a command
-// that redcon parses differently. It also checks that a complete command less its last byte counts as incomplete.
+// that redcon parses differently. It also checks that a complete command without its last byte counts as incomplete.
 func FuzzParseCommand(f *testing.F) {
 	request := redcon.AppendArray(nil, 4)
 	for _, arg := range []string{
--- a/test.sh
+++ b/test.sh
@@ -27,8 +27,8 @@
 # The deploy file must list every source file of the decision module, and no line of those may be too long.
 listed=$(deploy_value policy | tr -d '" ' | tr ',' '\n' | sort)
 present=$(ls policy/*.go | grep -v _test.go | sort)
-[ "$listed" = "$present" ] || { echo "deploy/balancer.toml does not list the files of policy:"; diff <(echo "$listed") <(echo "$present"); exit 1; }
+[ "$listed" = "$present" ] || { echo "the policy files in deploy/balancer.toml differ from the files in policy/:"; diff <(echo "$listed") <(echo "$present"); exit 1; }
 for f in $listed; do
   long=$(awk '{ gsub(/\t/, " ") } length($0) > 110 { print NR }' "$f")
-  [ -z "$long" ] || { echo "$f: over 110 characters in lines" $long; exit 1; }
+  [ -z "$long" ] || { echo "$f: more than 110 characters in lines:" $long; exit 1; }
 done
