--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -54,7 +54,7 @@
 			"retry within the window":      {f.sentLine() + f.sentLine("%T", "1", "%A", "100.9"), ""},
 			"retry after the window":       {f.sentLine() + f.sentLine("%T", "1", "%A", "101.25"), "0.250 s after the idempotency window"},
 			"retry in another dedup group": {f.sentLine() + f.sentLine("%T", "1", "%Z", "b"), "outside the deduplication scope"},
-			"window counts from the first that may have executed": {
+			"window starts at the first attempt that may have executed": {
 				f.sentLine() + f.endedLine(f.rejected, "100.1") +
 					f.sentLine("%T", "1", "%A", "100.5") + f.sentLine("%T", "2", "%A", "101.25"), "",
 			},
@@ -66,7 +66,7 @@
 				f.sentLine("%E", f.nonIdempotent) + f.endedLine(f.rejected, "100.1") +
 					f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2"), "",
 			},
-			"non-idempotent before the rejection came": {
+			"non-idempotent before the rejection": {
 				f.sentLine("%E", f.nonIdempotent) + f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2") +
 					f.endedLine(f.rejected, "100.3"), "must not execute twice",
 			},
@@ -74,7 +74,7 @@
 			"rejected though it may have executed": {
 				f.sentLine() + f.endedLine("reset", "100.1") + f.completedLine("BUS"), "rejected at 102.000",
 			},
-			"rejected where nothing has executed": {
+			"rejected without having executed": {
 				f.sentLine() + f.endedLine(f.rejected, "100.1") + f.completedLine("BUS"), "",
 			},
 			"attempt after the final reply": {f.completedLine("value") + f.sentLine(), "after the final reply"},
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -117,7 +117,7 @@
 	t.Parallel()
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
 		for _, requestsAhead := range []int{0, 1} {
-			t.Run(fmt.Sprintf("%v behind %d", deadline, requestsAhead), func(t *testing.T) {
+			t.Run(fmt.Sprintf("deadline %v, %d requests ahead", deadline, requestsAhead), func(t *testing.T) {
 				checkArrivalAfterSuspension(t, deadline, requestsAhead)
 			})
 		}
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -93,7 +93,7 @@
 // process may open as many descriptors as are configured, or far fewer.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
-		t.Run(fmt.Sprintf("%d of %d", descriptorLimit, configured), func(t *testing.T) {
+		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
 			checkIdleClientsLeaveDescriptors(t, configured)
 		})
 	}
