--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -54,7 +54,7 @@
 			"retry within the window":      {f.sentLine() + f.sentLine("%T", "1", "%A", "100.9"), ""},
 			"retry after the window":       {f.sentLine() + f.sentLine("%T", "1", "%A", "101.25"), "0.250 s after the idempotency window"},
 			"retry in another dedup group": {f.sentLine() + f.sentLine("%T", "1", "%Z", "b"), "outside the deduplication scope"},
-			"window counts from the first that may have executed": {
+			"window starts at the first attempt that may have executed": {
 				f.sentLine() + f.endedLine(f.rejected, "100.1") +
 					f.sentLine("%T", "1", "%A", "100.5") + f.sentLine("%T", "2", "%A", "101.25"), "",
 			},
@@ -66,7 +66,7 @@
 				f.sentLine("%E", f.nonIdempotent) + f.endedLine(f.rejected, "100.1") +
 					f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2"), "",
 			},
-			"non-idempotent before the rejection came": {
+			"non-idempotent before the rejection": {
 				f.sentLine("%E", f.nonIdempotent) + f.sentLine("%E", f.nonIdempotent, "%T", "1", "%A", "100.2") +
 					f.endedLine(f.rejected, "100.3"), "must not execute twice",
 			},
@@ -74,7 +74,7 @@
 			"rejected though it may have executed": {
 				f.sentLine() + f.endedLine("reset", "100.1") + f.completedLine("BUS"), "rejected at 102.000",
 			},
-			"rejected where nothing has executed": {
+			"rejected without having executed": {
 				f.sentLine() + f.endedLine(f.rejected, "100.1") + f.completedLine("BUS"), "",
 			},
 			"attempt after the final reply": {f.completedLine("value") + f.sentLine(), "after the final reply"},
@@ -86,7 +86,7 @@
 				}
 				got := strings.Join(a.violations, "\n")
 				if (tc.want == "") != (got == "") || !strings.Contains(got, tc.want) {
-					t.Errorf("got %q, want %q", got, tc.want)
+					t.Errorf("got violations %q, want %q", got, tc.want)
 				}
 			})
 		}
@@ -104,7 +104,7 @@
 			}
 			for _, want := range []string{"disconnected clients: 1, 0.500 s", "attempts 2, of them retries 1"} {
 				if got := a.report(); !strings.Contains(got, want) {
-					t.Errorf("got %q, want %q", got, want)
+					t.Errorf("got report %q, want it to contain %q", got, want)
 				}
 			}
 		})
@@ -116,11 +116,11 @@
 	values := parseLine(`0.1 level=DEBUG msg="request completed" id=a=b reason="" word` + "\n")
 	want := logValues{"level": "DEBUG", "msg": "request completed", "id": "a=b", "reason": ""}
 	if len(values) != len(want) {
-		t.Errorf("got %v, want %v", values, want)
+		t.Errorf("got values %v, want %v", values, want)
 	}
 	for key, value := range want {
 		if values[key] != value {
-			t.Errorf("%s: got %q, want %q", key, values[key], value)
+			t.Errorf("value of %s: got %q, want %q", key, values[key], value)
 		}
 	}
 }
