--- a/policy/api.go
+++ b/policy/api.go
@@ -124,7 +124,7 @@
 	// uses RetryAfter.
 	PeerMessages, HealthChecks, Cancellation, Hedging, RetryAfter bool
 
-	// MaxAttempts is the maximum number of attempts of a request.
+	// MaxAttempts is the maximum number of attempts of a request. Values below 1 count as 1.
 	MaxAttempts int
 	// MaxRetryAfter is the upper limit of the retryAfter of rejections. All rejections use this value.
 	MaxRetryAfter Seconds
@@ -274,7 +274,7 @@
 const (
 	QuotaExceeded           Reason = "quota_exceeded"            // the customer exceeds its quota or a ceiling
 	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // the customer has too many attempts in flight
-	DeadlineTooClose        Reason = "deadline_too_close"        // no reply is expected in time to be useful
+	DeadlineTooClose        Reason = "deadline_too_close"        // no useful reply is expected in time
 	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had free capacity in time
 	AttemptsExhausted       Reason = "attempts_exhausted"        // no further attempt is allowed
 	OwnerUnreachable        Reason = "owner_unreachable"         // no grant from the owner arrived in time
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -92,9 +92,9 @@
 	return last
 }
 
-// hedge sends a hedged request to another endpoint beside a slow attempt. If hedged requests are not allowed,
-// it cancels the slow attempt, whose outcome then leads to a retry. It does nothing if retryPolicy allows no
-// attempt or no other endpoint has capacity.
+// hedge sends a hedged request to another endpoint in addition to a slow attempt. If hedged requests are not
+// allowed, it cancels the slow attempt, whose outcome then leads to a retry. It does nothing if retryPolicy
+// allows no attempt or no other endpoint has capacity.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
 	r.recordPossibleExecution(slow) // so that retries and picker treat the hedge like a retry
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -25,11 +25,11 @@
 		return sent
 	}
 	if n := send(2000, 2); n != 2000 {
-		t.Fatalf("%d of 2000 requests sent", n)
+		t.Fatalf("%d of 2000 requests sent, want all", n)
 	}
 	send(maxRemainingObservations, 0.9)
 	if n := send(200, 0.9); n != 200 {
-		t.Errorf("%d of 200 requests sent after the detector has adapted to the new timeout", n)
+		t.Errorf("%d of 200 requests sent after the detector has adapted to the new timeout, want all", n)
 	}
 }
 
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -31,14 +31,14 @@
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
-		t.Fatalf("the limit is %.2f, the test needs one below 3", g.limiter.limit)
+		t.Fatalf("the limit is %.2f, want a limit below 3", g.limiter.limit)
 	}
 	g.limiter.latencyRatio = 2 * highLatencyRatio // slow replies must not prevent a burst
 	for i := range 5 {
 		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); n != 5 {
-		t.Fatalf("%d of 5 requests sent at once", n)
+		t.Fatalf("%d of 5 requests sent at once, want all", n)
 	}
 	for i := range 60 {
 		sendUnlimited(g, 100, fmt.Sprint("more", i))
@@ -106,13 +106,13 @@
 		limiter.observe(0.01, 1, false, true)
 	}
 	if limiter.limit != 10*maxConcurrencyPerEndpoint {
-		t.Errorf("fast replies raise the limit to %v", limiter.limit)
+		t.Errorf("fast replies raise the limit to %v, want the maximum", limiter.limit)
 	}
 	for range 10_000 {
 		limiter.observe(1, 1, true, false)
 	}
 	if limiter.limit != 10*minConcurrencyPerEndpoint {
-		t.Errorf("timeouts lower the limit to %v", limiter.limit)
+		t.Errorf("timeouts lower the limit to %v, want the minimum", limiter.limit)
 	}
 }
 
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -36,10 +36,10 @@
 	sendRequest(g, 100, "a", "any", "wide", 1) // objective 3 s, timeout 4 s
 	g.HandleTimer(101.5, 1)
 	if len(recorded.ofKind("reject", "a")) != 0 {
-		t.Error("rejected before firstWriteFraction of its time")
+		t.Error("the request was rejected before firstWriteFraction of its time")
 	}
 	if g.HandleTimer(101.9, 1); len(recorded.ofKind("reject", "a")) != 1 {
-		t.Error("not rejected in the first half of its time")
+		t.Error("the request was not rejected in the first half of its time")
 	}
 }
 
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -31,7 +31,7 @@
 			g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: sent[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
 		}
 		if n := len(used); cost == 0 && n < 40 || cost > 0 && (n > 30 || n < 4) {
-			t.Errorf("with a handshake cost of %v, 100 requests used %d of 60 endpoints", cost, n)
+			t.Errorf("with a handshake cost of %v, 100 requests used %d of 60 endpoints, want at least 40 without the cost and 4 to 30 with it", cost, n)
 		}
 	}
 }
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("the mean is %v after an attempt of 0.3 s in 1 s, want 0.3", e.meanInFlight)
 	}
 	if got := e.meanInFlight * e.inFlightDecay(100+2*inFlightTimeConstant); math.Abs(got-0.3*math.Exp(-2)) > 1e-9 {
-		t.Errorf("the mean is %v after two time constants", got)
+		t.Errorf("the mean is %v after two time constants, want 0.3 × exp(-2)", got)
 	}
 	e.observeSend(101, 100)
 	if want := 0.3*math.Exp(-1) + 1; math.Abs(e.meanInFlight-want) > 1e-9 {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -262,7 +262,7 @@
 	g.evictExpired()
 }
 
-// evictExpired removes idle customers and removed endpoints once per evictionInterval.
+// evictExpired evicts idle customers and removed endpoints once per evictionInterval.
 func (g *Gateway) evictExpired() {
 	if g.clock.now <= g.nextEvictionAt {
 		return
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -15,10 +15,10 @@
 	b.HandlePeerMessage(100.01, 0, ra.ofKind("send_to_peer", "")[0].data)
 	outlier, loaded := b.endpoints.byID["s2"], b.endpoints.byID["s1"]
 	if score := b.outliers.score(outlier, b.classes.byName["pay"].index); score < 0.9 {
-		t.Fatalf("the score for the failed class is %.2f", score)
+		t.Fatalf("the score for the failed class is %.2f, want at least 0.9", score)
 	}
 	if score := b.outliers.score(outlier, b.classes.byName["read"].index); score > 0 {
-		t.Fatalf("the score for another class is %.2f", score)
+		t.Fatalf("the score for another class is %.2f, want 0", score)
 	}
 	if u := loaded.utilization; u < 0.59 || u > 0.61 {
 		t.Fatalf("the utilization is %v, want 0.6", u)
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -48,6 +48,6 @@
 		checked[a.endpoint]++
 	}
 	if checked["s1"] > 0 || checked["s2"] == 0 {
-		t.Errorf("health checks by endpoint: %v", checked)
+		t.Errorf("health checks by endpoint are %v, want none at s1 and some at s2", checked)
 	}
 }
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -54,7 +54,8 @@
 	return r.firstExecution.sentAt + r.class.IdempotencyWindow - clockUncertainty
 }
 
-// mayBeRetriedAt reports whether the request may be sent at the given time even though it may have executed.
+// mayBeRetriedAt reports whether the request may be sent at the given time without the risk of a harmful
+// second execution.
 func (r *request) mayBeRetriedAt(now Seconds) bool {
 	switch {
 	case !r.mayHaveExecuted(), r.class.Idempotency == Idempotent:
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -69,7 +69,7 @@
 				g.HandleTimer(now, 1)
 			}
 			if sends := recorded.ofKind("send", "k"); len(sends) != 1 {
-				t.Errorf("retried at %s", sends[1].endpoint)
+				t.Errorf("the request was retried at %s, which is not in both dedup groups", sends[1].endpoint)
 			}
 			if len(recorded.ofKind("fail", "k")) != 1 {
 				t.Error("the request did not fail")
@@ -270,7 +270,7 @@
 		g.HandleOutcome(100.2, Outcome{RequestID: id, Endpoint: first, Status: Reset, Elapsed: 0.2})
 		for _, a := range recorded.ofKind("send", id) {
 			if zone[a.endpoint] != zone[first] {
-				t.Fatalf("retried at %s in another zone, after %s", a.endpoint, first)
+				t.Fatalf("the request was retried at %s in another zone, after %s", a.endpoint, first)
 			}
 		}
 	}
@@ -280,7 +280,7 @@
 	g.HandleOutcome(100.2, Outcome{RequestID: "c", Endpoint: first, Status: Error, Elapsed: 0.2})
 	for _, a := range recorded.ofKind("send", "c") {
 		if a.endpoint != first {
-			t.Fatalf("retried at %s in another cell", a.endpoint)
+			t.Fatalf("the request was retried at %s in another cell", a.endpoint)
 		}
 	}
 	g, recorded = newTestGateway(t, withSingleGateway)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -39,7 +39,8 @@
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially. level is its value at the time at.
+// outlierScore is a score that decays exponentially. The field level is its value at the time in the field
+// at.
 type outlierScore struct {
 	level float64
 	at    Seconds
@@ -90,7 +91,7 @@
 	d.publishScore(e, classIndex, level)
 }
 
-// setScore sets the score for a class as of now.
+// setScore sets the score for a class at the current time.
 func (d *outlierDetector) setScore(e *endpoint, classIndex int, level float64) {
 	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -35,7 +35,7 @@
 			g.HandleTimer(now, 1)
 		}
 		if sent["s1"] < 1 || sent["s1"] > maxSent || sent["s2"] < 100 {
-			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v", status, sent)
+			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v, want few at s1", status, sent)
 		}
 	}
 }
@@ -70,10 +70,10 @@
 		g.HandleTimer(now, 1)
 	}
 	if score := g.outliers.score(outlier, g.classes.byName["read"].index); score < 0.9 {
-		t.Fatalf("the score for the class without replies is %.2f", score)
+		t.Fatalf("the score for the class without replies is %.2f, want at least 0.9", score)
 	}
 	if score := g.outliers.score(outlier, g.classes.byName["pay"].index); score > 0 {
-		t.Fatalf("the score for another class is %.2f", score)
+		t.Fatalf("the score for another class is %.2f, want 0", score)
 	}
 	if a := r.ofKind("send", "q"); len(a) != 1 || a[0].endpoint == "s1" {
 		t.Fatalf("the attempt without a reply was not hedged at another endpoint: %v", a)
@@ -111,14 +111,14 @@
 	}
 	attempt(100, "a", Timeout)
 	if score := g.outliers.score(e, requestClass.index); score <= 0 || score >= suspectScore {
-		t.Fatalf("the score is %.2f after one attempt without a reply: all other gateways would avoid it", score)
+		t.Fatalf("the score is %.2f after one attempt without a reply, want a score above 0 and below suspectScore", score)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
 	high := g.outliers.score(e, requestClass.index)
 	if high < 0.8 {
-		t.Fatalf("the score is %.2f after thirteen attempts without a reply", high)
+		t.Fatalf("the score is %.2f after thirteen attempts without a reply, want at least 0.8", high)
 	}
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
@@ -137,7 +137,7 @@
 	g.outliers.recordFailure(e, requestClass.index, errorScore)
 	g.outliers.recordSuccess(e, requestClass.index)
 	if score := g.outliers.score(e, requestClass.index); score != 0 {
-		t.Fatalf("the score is %.2f after a reply", score)
+		t.Fatalf("the score is %.2f after a reply, want 0", score)
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -25,7 +25,7 @@
 	return r.mayBeRetriedAt(p.clock.now)
 }
 
-// inTime reports whether an attempt sent now is expected to get a reply in time for it to be useful.
+// inTime reports whether an attempt sent now is expected to get a useful reply; see lastUsefulReplyAt.
 func (p *retryPolicy) inTime(r *request) bool {
 	return p.clock.now+r.class.meanLatency <= r.lastUsefulReplyAt()
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -163,9 +163,9 @@
 // creditPerRequest returns the credit that a request of mean work adds to a warming endpoint: the fraction of
 // this gateway's work that the endpoint may receive.
 //
-// The upper limit maxShare assumes that a warm endpoint has at least the capacity for its equal share of the
-// completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and may receive
-// overloadMultiple times as much before it fails.
+// maxShare is the upper limit. It assumes that the capacity of a warm endpoint is at least an equal share of
+// the completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and fails if it
+// receives overloadMultiple times as much.
 //
 // A gateway of a large fleet does not see the load that the other gateways send to an endpoint, and this
 // load varies randomly. It therefore limits the share to reducedShare while the other endpoints have
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if warming > warm/2 {
-		t.Fatalf("the warming endpoint got %d attempts, the two warm ones got %d", warming, warm)
+		t.Fatalf("the warming endpoint got %d attempts and the two warm ones got %d, want at most half as many", warming, warm)
 	}
 }
 
@@ -66,11 +66,11 @@
 	}
 	replaceEndpoints(50, "old") // fully warm by 100
 	if n := sendFor(100, 106); n < 290 {
-		t.Fatalf("%d of 300 requests were sent to warm endpoints", n)
+		t.Fatalf("%d of 300 requests were sent to warm endpoints, want at least 290", n)
 	}
 	replaceEndpoints(106, "new")
 	if n := sendFor(106, 111); n < 240 {
-		t.Errorf("%d of 250 requests were sent while all endpoints were warming", n)
+		t.Errorf("%d of 250 requests were sent while all endpoints were warming, want at least 240", n)
 	}
 }
 
@@ -136,10 +136,10 @@
 		return n
 	}
 	if young, old := float64(count("read", 0.5))/0.24, float64(count("read", 8))/0.84; young > 0.6*old || young == 0 {
-		t.Errorf("attempts relative to capacity: %.0f at a new endpoint, %.0f at an older one", young, old)
+		t.Errorf("attempts relative to capacity: %.0f at a new endpoint and %.0f at an older one, want some but at most 0.6 times as many", young, old)
 	}
 	if young, old := count("pay", 0.5), count("pay", 8); young > 0 || old == 0 {
-		t.Errorf("non-idempotent attempts: %d at a new endpoint, %d at an older one", young, old)
+		t.Errorf("non-idempotent attempts: %d at a new endpoint and %d at an older one, want none and some", young, old)
 	}
 }
 
@@ -196,7 +196,7 @@
 	first := &request{class: classes[0]}
 	s.accrueCredits(first, endpoints)
 	credit := warming.slowStartCredit
-	// The credit is 0.6 of the capacity × OverloadMultiple 3 / 3 endpoints × minCompletedFraction 0.5.
+	// The credit is 0.6 (warm-up fraction) × 3 (OverloadMultiple) / 3 (endpoints) × 0.5 (minCompletedFraction).
 	if math.Abs(credit-0.3) > 1e-9 {
 		t.Fatalf("a request adds a credit of %v, want 0.3", credit)
 	}
