--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// DefaultReadTimeout is the time without input after which a response is ended. A watch sends a heartbeat, an
-	// empty line, every 2 s, and its connection is taken for broken soon after one is missing. The agent responds at
-	// once, so a needless poll costs little.
+	// DefaultReadTimeout is the time without input after which the client ends a response. On a watch, the agent sends
+	// a heartbeat, an empty line, every 2 s. The client takes the connection for broken soon after a heartbeat is
+	// missing: the agent responds at once, so a needless poll costs little.
 	DefaultReadTimeout = 2500 * time.Millisecond
 
-	// pollRetryShare is the time after which a poll without a response is retried, as a fraction of the grace period
-	// for attempts on draining endpoints. The attempts must end within that period, which starts when the agent has the
-	// change, whether or not a watch is open. So a recovered agent must be found within a fraction of it.
+	// pollRetryShare is the interval between the polls of a silent agent, as a fraction of the grace period for
+	// attempts on draining endpoints. These attempts must end within that period, which starts when the agent has the
+	// change, even if no watch is open. So the client must reach a recovered agent within a fraction of the period.
 	pollRetryShare       = 0.3
 	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
 	maxConcurrentRetries = 3 // open polls besides the first
 	maxBackoff           = 50 * time.Millisecond
 	minUnusableBackoff   = 50 * time.Millisecond
-	maxUnusableBackoff   = time.Second // the agent spends work on each complete list
+	maxUnusableBackoff   = time.Second // each complete list costs the agent work
 	maxValueSize         = 4 << 20     // bytes of one JSON value
 	listPath             = "/api/targets"
 	completeListQuery    = ""
@@ -39,7 +39,7 @@
 var (
 	// ErrValueTooLong reports a value of more than 4 MiB.
 	ErrValueTooLong = errors.New("list value over 4 MiB")
-	// ErrUnusableList reports that a list, or the beginning of one, was received and can't be used.
+	// ErrUnusableList reports that a list, or a part of one, was received but can't be used.
 	ErrUnusableList = errors.New("unusable list")
 )
 
@@ -68,8 +68,8 @@
 // SkippedEndpoint reports an invalid entry that was left out of a complete list.
 type SkippedEndpoint struct{ Err error }
 
-// WatchEnded reports that a watch has ended, or that it or the poll before it has failed. The client opens another one
-// after a backoff.
+// WatchEnded reports that a watch has ended or failed, or that the poll of the complete list before it has failed. The
+// client opens another watch after a backoff.
 type WatchEnded struct {
 	Err     error
 	Address string
@@ -113,8 +113,8 @@
 }
 
 // PollRetryIntervalFor returns the PollRetryInterval for a grace period for attempts on draining endpoints; 0 stands
-// for the default grace period. The interval is at most 0.5 s: after any failure, a change must be acted on within 6 s
-// of the time at which the agent has it and can be reached. docs/endings.md adds up the waits.
+// for the default grace period. The interval is at most 0.5 s, so that the client acts on a change within 6 s of the
+// time at which the agent has it and can be reached, whatever has failed before. docs/endings.md adds up the waits.
 func PollRetryIntervalFor(drainGrace time.Duration) time.Duration {
 	grace := cmp.Or(drainGrace, defaultDrainGrace)
 	return min(time.Duration(grace.Seconds()*pollRetryShare*float64(time.Second)), maxPollRetryInterval)
@@ -128,7 +128,7 @@
 	address         string
 	version         int64         // version of the last update
 	resync          bool          // changes may have been missed: the complete list has to be polled
-	unusableBackoff time.Duration // backoff after the next watch that brings no update and an unusable value
+	unusableBackoff time.Duration // minimum backoff after the next unusable list
 }
 
 // New returns a client that starts with a watch for the changes after a version of the list.
@@ -142,8 +142,8 @@
 	}
 }
 
-// Run follows the list until ctx ends. When it receives an address from addresses, which may be nil, it switches to
-// that agent at once. It polls the complete list there, as each agent may number its versions differently.
+// Run follows the list until ctx ends. When it receives an address from addresses, which may be nil, it switches to the
+// agent at that address at once. It polls the complete list there, as each agent may number its versions differently.
 func (c *Client) Run(ctx context.Context, addresses <-chan string) {
 	for ctx.Err() == nil {
 		before := c.version
@@ -162,7 +162,8 @@
 	}
 }
 
-// watchUntilSwitched runs a watch until it ends or another address is received.
+// watchUntilSwitched runs a watch until it ends or another address is received. It reports whether an address was
+// received, and otherwise returns the error of the watch.
 func (c *Client) watchUntilSwitched(ctx context.Context, addresses <-chan string) (switched bool, err error) {
 	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -183,9 +184,9 @@
 	}
 }
 
-// nextBackoff returns the backoff after a watch that ended with an error. An agent that refuses connections or is
-// silent is polled again soon. Unusable lists in a row double the backoff, as the agent spends work on each complete
-// list.
+// nextBackoff returns the backoff after a watch that ended with an error. The backoff is short if the agent refuses
+// connections or is silent. It doubles with each unusable list in a row, up to maxUnusableBackoff, as each complete
+// list costs the agent work.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusableList) {
@@ -197,7 +198,8 @@
 	return backoff
 }
 
-// waitUntilSwitched waits until a duration has passed, another address is received or ctx ends.
+// waitUntilSwitched waits until a duration has passed, another address is received or ctx ends. It reports whether an
+// address was received.
 func (c *Client) waitUntilSwitched(ctx context.Context, addresses <-chan string, d time.Duration) (switched bool) {
 	select {
 	case <-ctx.Done():
@@ -210,8 +212,8 @@
 	}
 }
 
-// switchAddress switches to another agent. The endpoints of the last update stay in use until the complete list of that
-// agent was received.
+// switchAddress switches to another agent. The endpoints of the last update stay in use until the new agent has sent
+// its complete list.
 func (c *Client) switchAddress(address string) {
 	c.address, c.resync = address, true
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -39,7 +39,7 @@
 	StateTerminated  State = "terminated"
 )
 
-// PolicyState returns the state as the decision module represents it, and whether the API has such a state.
+// PolicyState returns the state as the decision module represents it, and whether the API defines the state.
 func (s State) PolicyState() (state policy.EndpointState, known bool) {
 	switch s {
 	case StateInService:
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -6,12 +6,12 @@
 	"net/http"
 )
 
-// poll polls the agent until it responds, and returns the body of the response. An agent that is down may never respond
-// to the polls that were sent meanwhile. So poll starts another one after each PollRetryInterval, and uses the first
+// poll polls the agent until it responds, and returns the body of the response. An agent may never respond to polls
+// that were sent while it was down. So poll starts another poll after each PollRetryInterval, and uses the first
 // response to any of them. The first poll stays open in case the agent is only slow.
 //
-// Once all polls have failed, poll returns the error of the one that failed last. The end of ctx ends the polls, and
-// also the response that was returned.
+// Once all polls have failed, poll returns the error of the poll that failed last. The end of ctx ends the polls and
+// the response that was returned.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
@@ -46,7 +46,7 @@
 // noPoll is the argument with which cancelAllBut cancels all polls.
 const noPoll = -1
 
-// pollGroup is a group of polls with the same URL, of which the first to get a response is used. The goroutine of
+// pollGroup is a group of polls of the same URL, and uses the first response to any of them. The goroutine of
 // Client.poll owns it. Each poll runs on its own goroutine, which ends with the response or when the poll is cancelled.
 type pollGroup struct {
 	http    *http.Client
@@ -64,8 +64,8 @@
 	number int
 }
 
-// newPollGroup returns a group without polls. It copies the address of the client, as a poll may outlive Client.poll
-// and must not read the client then.
+// newPollGroup returns a group without polls. The group has its own copy of the client's address: a poll may still run
+// after Client.poll has returned, and must not read the client then.
 func newPollGroup(c *Client, query string) *pollGroup {
 	return &pollGroup{
 		http: c.http, url: "http://" + c.address + listPath + query,
@@ -73,7 +73,8 @@
 	}
 }
 
-// start starts another poll. If too many are open, it cancels the oldest except the first.
+// start starts another poll. If more than maxConcurrentRetries polls besides the first would then be open, it cancels
+// the oldest of them.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
 	if oldest := number - maxConcurrentRetries; oldest > 0 {
@@ -133,7 +134,7 @@
 	return response.Body, nil
 }
 
-// responseBody is the body of a response that releases the context of its poll when it is closed.
+// responseBody is the body of a response. Closing it also releases the context of the poll.
 type responseBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// clockStepThreshold is the change of the offset between two samples above which the wall clock is taken to have
-	// been stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
+	// clockStepThreshold is the change of the clock offset since the last sample above which the wall clock is taken to
+	// have been stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
 	clockStepThreshold policy.Seconds = 0.25
-	// maxEpochs is the number of epochs that are kept. A start is announced at most some seconds after it happened, and
-	// the wall clock is stepped only a few times within such a period.
+	// maxEpochs is the maximum number of epochs that are kept. An endpoint is listed at most a few seconds after its
+	// start, and the wall clock is stepped only a few times within such a period.
 	maxEpochs = 16
 	// startTolerance is the time by which a start may lie outside of an epoch, or in the future, because endpoints and
 	// this process read their clocks at different moments.
@@ -34,8 +34,8 @@
 // clockEpoch is a period between two steps of the wall clock.
 type clockEpoch struct {
 	offset        policy.Seconds // wall clock minus event time
-	latestStart   policy.Seconds // event time of its first sample: it started at that time or earlier
-	earliestStart policy.Seconds // event time of the last sample before it; -Inf for the first epoch
+	latestStart   policy.Seconds // event time of its first sample; the epoch started then or earlier
+	earliestStart policy.Seconds // event time of the last sample before the epoch; -Inf for the first epoch
 }
 
 // startTime is the start of an endpoint in Unix time and in event time.
@@ -58,8 +58,8 @@
 	s.sampledAt = now
 }
 
-// EventTime returns the start of an endpoint in event time; 0 stands for long ago. Sample must be called right before
-// it.
+// EventTime returns the event time of an endpoint's start, which the endpoint list states as unixMS; 0 stands for long
+// ago. Sample must be called right before it.
 func (s *StartTimes) EventTime(id string, unixMS int64) policy.Seconds {
 	if unixMS <= 0 {
 		return 0
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -95,9 +95,9 @@
 }
 
 // valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Input restarts
-// the read timer only while no value is incomplete, as with the blank lines that are the heartbeat of a watch. This
-// limits the time in which a value must arrive: one that arrives slowly would otherwise delay the next poll without
-// bound. The size of a value is limited as well.
+// the read timer only between values: a blank line, which is the heartbeat of a watch, or the first part of a value.
+// The rest of the value must arrive before the timer fires, as a value that arrives byte by byte would otherwise delay
+// the next poll without bound. The size of a value is limited as well.
 type valueReader struct {
 	source         io.Reader
 	decoder        *json.Decoder
@@ -107,7 +107,8 @@
 	inValue        bool // part of the current value was received
 }
 
-// newValueReader returns a reader of the values in source. The timeout is that of readTimer, which ends the response.
+// newValueReader returns a reader of the values in source. It resets readTimer, which ends the response, to the
+// timeout.
 func newValueReader(source io.Reader, readTimer Timer, timeout time.Duration) *valueReader {
 	r := &valueReader{source: source, readTimer: readTimer, timeout: timeout, remainingBytes: maxValueSize}
 	r.decoder = json.NewDecoder(r)
@@ -130,7 +131,8 @@
 // decode reads the next value.
 func (r *valueReader) decode(value any) error { return r.decoder.Decode(value) }
 
-// endValue restarts the limits for the next value, the start of which may already have been read with the last one.
+// endValue restarts the limits for the next value. The start of that value may already have been read together with the
+// last one.
 func (r *valueReader) endValue() {
 	r.readTimer.Reset(r.timeout)
 	r.remainingBytes = maxValueSize
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// Clock shows the Unix time of its creation plus the time that has passed since on the monotonic clock, so later
-// steps of the wall clock do not affect it. It is safe for concurrent use.
+// Clock returns the Unix time at which it was created plus the monotonic time since then, so later steps of the wall
+// clock do not affect it. It is safe for concurrent use.
 type Clock struct {
 	base     time.Time
 	baseUnix policy.Seconds
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -12,8 +12,8 @@
 
 const (
 	queueSize = 1024
-	// After a stall the loop sleeps for readerPause so that the goroutines that read sockets can post events. It does
-	// so at least twice, until a pause brings no event, and at most maxReaderPauses times.
+	// After a stall, the loop sleeps for readerPause at a time so that the goroutines that read sockets can post
+	// events. It sleeps at least twice and at most maxReaderPauses times, and stops once a pause brings no event.
 	readerPause     = 200 * time.Microsecond
 	maxReaderPauses = 10
 )
@@ -24,9 +24,9 @@
 	run func()
 }
 
-// Loop runs timers, and the events that other goroutines post, in the order in which they were posted. The goroutine
-// that calls Run owns the loop: after the start of Run, only functions that the loop runs may call its methods. Post,
-// Ended and StallDetector are safe for concurrent use.
+// Loop runs timers in the order in which they are due, and events in the order in which other goroutines posted them.
+// The goroutine that calls Run owns the loop: after the start of Run, only functions that the loop runs may call its
+// methods. Post, Ended and StallDetector are the exceptions, and are safe for concurrent use.
 type Loop struct {
 	clock     Clock
 	events    chan event
@@ -43,8 +43,8 @@
 	PauseForReaders func()
 }
 
-// New returns a loop whose event time is that of a clock. A panic ends only the event that caused it: the loop
-// recovers it and calls onPanic.
+// New returns a loop that takes event time from a clock. A panic ends only the event that caused it: the loop recovers
+// it and calls onPanic.
 func New(clock Clock, onPanic func(cause any, stack []byte)) *Loop {
 	return &Loop{
 		clock: clock, now: clock.Now(), onPanic: onPanic,
@@ -54,8 +54,8 @@
 	}
 }
 
-// Run handles events and timers until finished returns true. It calls finished before each of them, and onShutdown once
-// when shutdown is closed.
+// Run handles events and timers until finished returns true. It calls finished each time before it waits, and calls
+// onShutdown once when shutdown is closed.
 func (l *Loop) Run(finished func() bool, shutdown <-chan struct{}, onShutdown func()) {
 	defer close(l.ended)
 	for !finished() {
@@ -140,7 +140,7 @@
 }
 
 // resetWakeTimer makes wakeTimer fire when the first timer is due, and publishes that time to the stall detector. It
-// leaves a wakeTimer that fires earlier as it is.
+// does nothing if wakeTimer will already fire by then.
 func (l *Loop) resetWakeTimer() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -3,9 +3,9 @@
 import "reedlead/policy"
 
 const (
-	// StallThreshold is how late a timer may run before the process is taken to have stalled. After a stall, events
-	// that happened before the timer was due may still be unread in the sockets. The threshold is well below the 50 ms
-	// by which the specification lets replies and attempts exceed their limits.
+	// StallThreshold is the lateness of a timer above which the process is taken to have stalled. After a stall, the
+	// sockets may still hold unread events from before the timer was due. The threshold is well below the 50 ms by
+	// which the specification lets replies and attempts exceed their limits.
 	StallThreshold policy.Seconds = 0.02
 	// StallWindow is the time after a stall in which bytes that arrived during the stall may still be read.
 	StallWindow policy.Seconds = 0.1
--- a/internal/netcalls/errors.go
+++ b/internal/netcalls/errors.go
@@ -15,8 +15,8 @@
 // IsOutOfDescriptors reports whether a call failed because this process or the machine has no free file descriptor.
 func IsOutOfDescriptors(err error) bool { return isErrno(err, syscall.EMFILE, syscall.ENFILE) }
 
-// IsShortage reports whether a call failed because this machine lacked a resource that may soon be available again, or
-// was interrupted. A connection stays usable after a read or a write that failed in this way.
+// IsShortage reports whether a call was interrupted, or failed because this machine lacked a resource that may soon be
+// available again. A connection stays usable after a read or a write that failed in this way.
 func IsShortage(err error) bool {
 	return IsOutOfDescriptors(err) || isErrno(err, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR)
 }
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// RetryInterval is the pause between a call that failed because of a shortage and its retry.
+	// RetryInterval is the pause between a failed call and its retry.
 	RetryInterval = 5 * time.Millisecond
-	// startRetryTimeout limits the retries of the calls that get the sockets and the configuration at the start. The
-	// process has to be ready 30 s after its start.
+	// startRetryTimeout limits the time for which the process retries to open its sockets and read its configuration at
+	// the start. The process has to be ready 30 s after its start.
 	startRetryTimeout = 20 * time.Second
 )
 
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -15,10 +15,10 @@
 // progressCheckInterval limits how long one write blocks before WriteAll checks whether any bytes were written.
 const progressCheckInterval = time.Second
 
-// WriteAll writes all of b. It calls onProgress each time that some bytes were written but not all, and gives up with
-// an error that wraps os.ErrDeadlineExceeded once stallTimeout has passed without progress. The deadline may also have
-// passed because this process was stopped for a while, so WriteAll tries to write once more before it gives up. It
-// leaves no write deadline on the connection.
+// WriteAll writes all of b. At least once per second it checks its progress, and calls onProgress if some bytes were
+// written but not all. Once stallTimeout has passed without progress, it gives up with an error that wraps
+// os.ErrDeadlineExceeded. It first tries to write once more, as the time may have passed because this process was
+// stopped for a while. It leaves no write deadline on the connection.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // fails only on a closed connection
 	lastProgress := time.Now()
@@ -49,8 +49,8 @@
 	}
 }
 
-// TryWrite writes as much of b as the socket accepts without blocking, and returns 0 if that is nothing. It ignores the
-// deadline of the connection.
+// TryWrite writes as much of b as the socket accepts without blocking. It returns 0 without an error if the socket
+// accepts nothing or a resource is short. It ignores the deadline of the connection.
 func (c *Calls) TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
@@ -62,8 +62,8 @@
 	return max(n, 0), err
 }
 
-// TryRead reads the bytes that have arrived on a connection, without blocking. At the end of the stream it returns
-// io.EOF.
+// TryRead reads the bytes that have arrived on a connection, without blocking. It returns EAGAIN if there are none, and
+// io.EOF at the end of the stream.
 func TryRead(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -15,8 +15,8 @@
 const (
 	// MaxDatagramSize is the maximum size of a datagram in bytes.
 	MaxDatagramSize = 256
-	// extraQueueSize is the capacity of the send queue beyond one datagram for each gateway. Datagrams to all gateways
-	// may be queued at the same time.
+	// extraQueueSize is the capacity of the send queue in addition to one datagram for each gateway. The decision
+	// module may send a datagram to each gateway at the same time.
 	extraQueueSize = 64
 )
 
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("no gateway has the number %d", e.Number)
 }
 
-// UnsendableError reports that a datagram exceeds MaxDatagramSize, or has no valid address: a broadcast is not possible
-// if the link has no broadcast address.
+// UnsendableError reports that a datagram exceeds MaxDatagramSize or has no valid address. A broadcast has none if the
+// link has no broadcast address.
 type UnsendableError struct {
 	Bytes int
 	To    netip.AddrPort
@@ -53,7 +53,7 @@
 // Dropped reports a received datagram that was dropped because it is too long or its sender is not a gateway.
 type Dropped struct {
 	From  netip.AddrPort
-	Bytes int // at most MaxDatagramSize+1
+	Bytes int // number of bytes read, at most MaxDatagramSize+1
 }
 
 func (Message) isEvent() {}
@@ -63,7 +63,7 @@
 type Link struct {
 	conn      *net.UDPConn
 	calls     *netcalls.Calls
-	peers     []netip.AddrPort // by the number of the gateway
+	peers     []netip.AddrPort // indexed by the number of the gateway
 	broadcast netip.AddrPort   // reaches all gateways; invalid if there is no such address
 	queue     chan datagram
 }
@@ -82,7 +82,8 @@
 	return link
 }
 
-// Close closes the socket, which ends Receive, and the send queue. Send must not be called after Close.
+// Close closes the socket and the send queue, which ends Receive and the goroutine that sends. Send must not be called
+// after Close.
 func (l *Link) Close() {
 	_ = l.conn.Close() // an error could only lose datagrams, which may be lost anyway
 	close(l.queue)
@@ -91,8 +92,8 @@
 // LocalAddr returns the address of the socket.
 func (l *Link) LocalAddr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Send queues a datagram to the gateway with a number, or to all gateways if the number is policy.Broadcast. It does
-// not block. The error is ErrQueueFull, an *UnknownPeerError or an *UnsendableError.
+// Send queues a datagram to the gateway with the given number, or to all gateways if the number is policy.Broadcast. It
+// does not block. The error is ErrQueueFull, an *UnknownPeerError or an *UnsendableError.
 func (l *Link) Send(gateway int, data []byte) error {
 	to := l.broadcast
 	if gateway != policy.Broadcast {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,8 +13,8 @@
 	number        int       // index among the attempts of the request
 	kind          attemptKind
 	sentAt        policy.Seconds
-	timeoutAt     policy.Seconds   // when the attempt ends without a reply
-	writeDeadline policy.Seconds   // for the last byte, by the clock and not by event time; +Inf if none
+	timeoutAt     policy.Seconds   // when the attempt times out
+	writeDeadline policy.Seconds   // clock time by which the last byte must be written; +Inf for no limit
 	timer         *eventloop.Timer // fires at timeoutAt
 	conn          *backendConn     // carries the attempt; nil before the write starts and after the attempt has ended
 	done          bool
@@ -29,7 +29,7 @@
 	hedge        attemptKind = "hedge" // an earlier attempt is in flight
 )
 
-// nextAttemptKind returns the kind of a request's next attempt.
+// nextAttemptKind derives the kind of a request's next attempt from its earlier attempts.
 func nextAttemptKind(r *request) attemptKind {
 	switch {
 	case len(r.attempts) == 0:
@@ -40,12 +40,12 @@
 	return retry
 }
 
-// attemptResult is the result of an attempt or a health check.
+// attemptResult describes how an attempt or a health check ended.
 type attemptResult struct {
 	status    policy.AttemptStatus
 	value     []byte // RESP encoding of the value, as the endpoint sent it; set if status is OK
 	load      *policy.LoadReport
-	malformed error // why the reply can't be used; nil if it can
+	malformed error // why the reply can't be used; nil if it can, or if there is none
 }
 
 // malformedReply returns the result of an attempt whose reply can't be used. Its status is Error: the endpoint was
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,11 +9,11 @@
 	"reedlead/policy"
 )
 
-// healthCheckTimeout is the time from the start of a health check to its timeout.
+// healthCheckTimeout limits a health check, including the dial.
 const healthCheckTimeout policy.Seconds = 0.25
 
-// attemptRunner makes attempts and health checks: it chooses a connection, and reports the outcome exactly once. The
-// event loop owns it.
+// attemptRunner runs attempts and health checks. It chooses a connection for each, and reports each outcome exactly
+// once. The event loop owns it.
 type attemptRunner struct {
 	services  *services
 	settings  *settings.Settings
@@ -22,8 +22,9 @@
 	trace     *tracer
 }
 
-// send makes an attempt of a request. With a timeout of 0 the attempt has until the request's deadline, and with a
-// negative one it times out at once.
+// send makes an attempt of a request. A timeout of 0 leaves the attempt until the request's deadline. With a negative
+// timeout, the attempt times out at once. The attempt ends as NotSent if the request already has the maximum number of
+// attempts, or if mustNotStart or hasPendingEnd reports true.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
@@ -40,7 +41,7 @@
 	}
 }
 
-// newAttempt returns the next attempt of a request, which has not started yet.
+// newAttempt creates the next attempt of a request without starting it.
 func (runner *attemptRunner) newAttempt(r *request, endpointID string, timeout, writeWithin policy.Seconds) *attempt {
 	now := runner.services.loop.Now()
 	a := &attempt{
@@ -56,14 +57,14 @@
 	return a
 }
 
-// cancel cancels the attempt of a request with the given number, unless it has ended.
+// cancel cancels an attempt of a request by its number. It does nothing if the attempt has ended or does not exist.
 func (runner *attemptRunner) cancel(r *request, number int) {
 	if number >= 0 && number < len(r.attempts) && !r.attempts[number].done {
 		runner.finishDeferred(r.attempts[number], policy.Cancelled)
 	}
 }
 
-// checkHealth starts a health check of an endpoint.
+// checkHealth starts a health check of an endpoint, unless the endpoint is not listed.
 func (runner *attemptRunner) checkHealth(endpointID string) {
 	now := runner.services.loop.Now()
 	a := &attempt{
@@ -77,8 +78,8 @@
 	runner.start(a)
 }
 
-// mustNotStart reports whether the endpoint of an attempt is out of service, its request is done, or its timeout has
-// passed.
+// mustNotStart reports whether an attempt must not be sent, because its endpoint is not in service, its request is
+// done, or its timeout has passed.
 func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	done := a.request != nil && a.request.done
@@ -90,15 +91,15 @@
 	return !runner.mustNotStart(a) && (a.request == nil || !runner.hasPendingEnd(a.request))
 }
 
-// hasPendingEnd reports whether something has ended the request that the event loop has not handled yet: the reply to
-// an earlier attempt, or the client's disconnect. New requests are checked too, as they may have been unread in their
-// socket for a long time.
+// hasPendingEnd reports whether the reply to an earlier attempt, or the client's disconnect, has arrived but has not
+// been handled by the event loop. A request without attempts is checked too: it may have been unread in its socket for
+// a long time, and the client may have disconnected meanwhile.
 func (runner *attemptRunner) hasPendingEnd(r *request) bool {
 	return runner.hasPendingReply(r) || runner.clientDisconnected(r.client)
 }
 
-// hasPendingReply reports whether the reply or the end of the connection of an attempt has arrived, but has not been
-// handled by the event loop.
+// hasPendingReply reports whether, for any attempt in flight, the reply or the end of the connection has arrived but
+// has not been handled by the event loop.
 func (runner *attemptRunner) hasPendingReply(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		c := a.conn
@@ -106,8 +107,8 @@
 	})
 }
 
-// clientDisconnected reports whether the client has closed its connection. If the event loop has not handled that yet,
-// the connection is abandoned after the current event.
+// clientDisconnected reports whether the client has closed its connection. If the event loop has not handled the
+// disconnect yet, the connection is abandoned after the current event.
 func (runner *attemptRunner) clientDisconnected(c *clientConn) bool {
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
@@ -148,7 +149,7 @@
 }
 
 // abortPartialWrites ends the attempts of a finished request whose commands are not completely written. The endpoint
-// executes a command when it has the last byte, which must not be written after the end of the request.
+// executes a command once it has received the last byte, so that byte must not be written after the request has ended.
 func (runner *attemptRunner) abortPartialWrites(r *request) {
 	for _, a := range r.attempts {
 		if a.done || a.conn == nil || a.conn.commandWritten.Load() {
@@ -162,8 +163,8 @@
 	}
 }
 
-// finishDeferred ends an attempt at once, and reports its outcome after the current event: the decision module must not
-// be called from within a call of its own.
+// finishDeferred ends an attempt at once, but reports its outcome after the current event. The decision module may be
+// calling finishDeferred, and must not be called back during that call.
 func (runner *attemptRunner) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	runner.releaseResources(a)
@@ -181,7 +182,8 @@
 	runner.reportOutcome(a, result, at)
 }
 
-// releaseResources stops the timer of an attempt, and closes its connection or removes it from the queue for a dial.
+// releaseResources stops the timer of an attempt and closes its connection. If the attempt has no connection,
+// releaseResources removes it from the attempts that wait for a dial.
 func (runner *attemptRunner) releaseResources(a *attempt) {
 	runner.services.loop.Stop(a.timer)
 	if a.conn != nil {
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -15,16 +15,16 @@
 // backendConn is a connection to an endpoint. It carries one attempt at a time.
 //
 // Three goroutines share it:
-//   - The event loop owns the fields after writeErr, and closes the connection.
-//   - The reader posts each reply, and the end of the connection, to the event loop. The event loop starts it after the
-//     dial, and it ends with the connection.
+//   - The event loop owns the fields after writeErr, and calls close.
+//   - The reader posts each reply, and the end of the connection, to the event loop. The event loop starts the reader
+//     after the dial. The reader ends with the connection.
 //   - The writer writes the part of a command that the socket did not accept at once, and owns the write deadline. The
-//     event loop starts it, and it ends with the write, at the deadline, or with the connection.
+//     event loop starts the writer. The writer ends with the write, at the deadline, or with the connection.
 //
-// There is no read deadline: attempts have timers, and idle connections are closed by the event loop.
+// There is no read deadline: attempts have timers, and the event loop closes idle connections.
 //
-// If the connection ends, its attempt can have been executed only if commandWritten is set. While a writer may be
-// running, commandWritten is final only after the connection was closed and writeMu was locked to wait for the writer.
+// If the connection ends, the endpoint can have executed the command only if commandWritten is set. A running writer
+// may still set it. To read the final value, close the connection and then lock writeMu, which waits for the writer.
 type backendConn struct {
 	services *services
 	set      *endpointSet // the set that contains endpoint
@@ -46,7 +46,8 @@
 	closed    bool
 }
 
-// close closes the connection. The cause is the error that ended it, or nil if this gateway ended it. Event loop only.
+// close closes the connection and removes it from the pool. The cause is the error that ended the connection, or nil if
+// this gateway closes it. Event loop only.
 func (c *backendConn) close(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -59,7 +60,8 @@
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(idle *backendConn) bool { return idle == c })
 }
 
-// readerEnded handles the end of the connection, which the reader has detected at the given time. Event loop only.
+// readerEnded handles the end of the connection, which the reader has detected at the given time. The attempt in flight
+// ends as ConnectFailed if its command was not completely written, and as Reset otherwise. Event loop only.
 func (c *backendConn) readerEnded(cause error, at policy.Seconds) {
 	c.close(peerClosed, cause)
 	a := c.attempt
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -12,10 +12,11 @@
 // arrives directly after the reply, so it is detected within that time.
 const minReuseDelay policy.Seconds = 0.005
 
-// acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. It prefers the most
-// recently used connection among those that have been idle for minReuseDelay, and otherwise takes the one that has been
-// idle for longest. It checks the sockets for unsolicited bytes and for the end of the stream, which the readers may
-// not have detected yet, and closes connections that have either.
+// acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. Among the
+// connections that have been idle for minReuseDelay, it takes the most recently used one. If there are none, it takes
+// the connection that has been idle for longest. It closes connections that are past the idle timeout, have unread
+// bytes, or were closed by the endpoint. It checks the sockets itself, as the readers may not have detected the last
+// two yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
@@ -35,16 +36,16 @@
 }
 
 // usable reports whether the connection may carry another command. The endpoint must be in service, and must have the
-// same address, start time, zone and cell as when it was dialed: the decision module chooses an endpoint as a member of
-// its dedup group.
+// same address and start time as at the dial. Its zone and cell must be the same too, as they determine the dedup group
+// for which the decision module has chosen the endpoint.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign gives a connection to the attempt that has waited longest, after it has ended those that must not be written
-// any more. If no attempt is waiting, it returns the connection to the pool.
+// assign writes the attempt that has waited longest to a connection. Attempts that must not be written any more end as
+// NotSent instead. If no attempt is left, assign returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
@@ -60,8 +61,9 @@
 	c.returnToPool()
 }
 
-// returnToPool puts the connection into the pool, or closes it if it is not usable. A waiting attempt does not get it:
-// each of them has a dial in progress, and a duplicate of the last reply may still arrive on this connection.
+// returnToPool puts the connection into the pool, or closes it if it is not usable. It does not give the connection to
+// a waiting attempt: each waiting attempt has a dial in progress, and a duplicate of the last reply may still arrive on
+// this connection.
 func (c *backendConn) returnToPool() {
 	c.attempt = nil
 	if !c.usable() {
@@ -98,8 +100,9 @@
 	shared.loop.Post(shared.clock.Now(), func() { s.handleDialResult(e, c, err) })
 }
 
-// dialWithRetry dials an address, and retries for localFaultRetryTimeout while the dial fails because of a local fault.
-// After the first such failure, the event loop evicts idle connections if the process is out of descriptors.
+// dialWithRetry dials an address. While the dial fails because of a local fault, it retries for up to
+// localFaultRetryTimeout. After the first such failure, the event loop evicts idle connections if the process is out of
+// descriptors.
 func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
@@ -114,7 +117,7 @@
 	return conn, err
 }
 
-// newBackendConn returns the backendConn for a dialed TCP connection.
+// newBackendConn returns the backendConn for a dialed TCP connection. If it fails, it closes the TCP connection.
 func (s *endpointSet) newBackendConn(e *endpoint, dialedAs discovery.Endpoint, conn netcalls.Conn) (*backendConn, error) {
 	shared := s.services
 	c := &backendConn{
@@ -129,11 +132,11 @@
 	return c, nil
 }
 
-// handleDialResult handles the end of a dial, which has returned either a connection or an error. Attempts that are
-// left without a dial get an idle connection, or fail. Event loop only.
+// handleDialResult handles the end of a dial, which has returned either a connection or an error. If more attempts are
+// waiting than dials are pending, the excess attempts get an idle connection or fail. Event loop only.
 func (s *endpointSet) handleDialResult(e *endpoint, c *backendConn, err error) {
 	e.pendingDials--
-	var failure policy.AttemptStatus // of attempts that are left without a dial
+	var failure policy.AttemptStatus // status of the excess attempts
 	if c != nil {
 		failure = s.dialSucceeded(c)
 	} else {
@@ -148,8 +151,8 @@
 	}
 }
 
-// dialFailed handles the error of a dial. It returns the status of the attempts that are left without a dial: NotSent
-// after a local fault, which says nothing about the endpoint, and otherwise ConnectFailed.
+// dialFailed handles the error of a dial. It returns the status of the attempts that are left without a dial. The
+// status is NotSent after a local fault, which says nothing about the endpoint, and ConnectFailed otherwise.
 func (s *endpointSet) dialFailed(e *endpoint, err error) policy.AttemptStatus {
 	s.openConns--
 	s.services.warn("dial failed", "endpoint", e.ID, "error", err)
@@ -161,8 +164,8 @@
 }
 
 // dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable. It returns the
-// status of the attempts that are left without a dial: NotSent if the endpoint has changed since the dial, and
-// otherwise ConnectFailed.
+// status of the attempts that are left without a dial. The status is NotSent if the connection is unusable because the
+// endpoint has changed since the dial, and ConnectFailed otherwise.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// duplicateWindow is the time after a reply in which a duplicate of it may still arrive. If the write of the next
-	// command starts within that time, an equal reply to it is taken for a duplicate. Two replies with values differ in
-	// the value or the load report. Two errors may be equal without being duplicates: the second attempt then fails and
-	// its connection is closed.
+	// duplicateWindow is the time for which a duplicate of a reply may still arrive after the reply. If the write of
+	// the next command starts within that time, the reply to it is taken for a duplicate if it equals the earlier
+	// reply, or if both are rejections. Two replies with values differ in the value or the load report. Two errors may
+	// be equal without being duplicates: the second attempt then fails, and its connection is closed.
 	duplicateWindow policy.Seconds = 0.1
-	// maxLoggedBytes is the number of bytes of a malformed reply that are logged.
+	// maxLoggedBytes is the maximum number of bytes of a malformed reply that are logged.
 	maxLoggedBytes = 40
 )
 
@@ -24,9 +24,9 @@
 	errWrongReplyKind = errors.New("reply to another kind of command")
 )
 
-// backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. The
-// event loop starts the goroutine that owns it. That goroutine ends with the connection, or after input that is not a
-// valid reply.
+// backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. It
+// belongs to a goroutine that the event loop starts. That goroutine ends with the connection, or after input that is
+// not a valid reply.
 type backendReader struct {
 	conn     *backendConn
 	services *services
@@ -113,7 +113,7 @@
 	return !hasMore
 }
 
-// handleMalformedReply ends the attempt that the connection carries because of malformed or unexpected input.
+// handleMalformedReply logs the beginning of malformed or unexpected input, and ends the connection's attempt as Error.
 func (r *backendReader) handleMalformedReply(at policy.Seconds, got []byte, err error) {
 	c, shared := r.conn, r.services
 	c.unusable.Store(true)
@@ -124,7 +124,8 @@
 	})
 }
 
-// replyReceived ends the attempt that the connection carries with the received reply. Event loop only.
+// replyReceived ends the connection's attempt with the received reply. A reply to another kind of command counts as
+// malformed. Event loop only.
 func (c *backendConn) replyReceived(received reply.Reply, at policy.Seconds) {
 	if c.closed || c.attempt == nil {
 		return
@@ -138,8 +139,8 @@
 	c.finishAttempt(result, at)
 }
 
-// finishAttempt ends the attempt that the connection carries, and returns the connection to the pool if it may carry
-// another one. Event loop only.
+// finishAttempt ends the connection's attempt. The connection returns to the pool if it may carry another attempt, and
+// is closed otherwise. Event loop only.
 func (c *backendConn) finishAttempt(result attemptResult, at policy.Seconds) {
 	a := c.attempt
 	if c.closed || a == nil {
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,11 +12,11 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its client had left when the write started, and that may exceed the time that is left at
-	// the end of the write by at most 0.15 s.
+	// states the time that its client had left when the write started. At the end of the write, that may exceed the
+	// time that is really left by at most 0.15 s.
 	writeTimeout policy.Seconds = 0.1
-	// A command longer than longCommandSize bytes may take longer to write. It states less remaining time than its
-	// client has: the time is reduced by writeReserveShare, but by at most maxWriteReserve.
+	// A command longer than longCommandSize bytes may take longer to write, and states less remaining time than its
+	// client has. The time is reduced by the fraction writeReserveShare, but by at most maxWriteReserve.
 	longCommandSize                  = 16 << 10
 	writeReserveShare                = 0.25
 	maxWriteReserve   policy.Seconds = 0.5
@@ -24,9 +24,10 @@
 	maxKeptBufferSize = 4 * readbuf.InitialSize
 )
 
-// writeCommand writes the command of an attempt: what the socket accepts at once, and the rest on a writer goroutine.
-// No byte is written after the deadlines of the attempt, which may pass during a dial or while the endpoint reads
-// slowly. They are compared with the clock, as event time may be well behind it. Event loop only.
+// writeCommand writes the command of an attempt. It writes the part that the socket accepts at once, and starts a
+// writer goroutine for the rest. No byte is written after the deadlines of the attempt, which may pass during a dial or
+// while the endpoint reads slowly. The deadlines are compared with the clock, as event time may be well behind it.
+// Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
 	shared := c.services
 	startedAt := shared.clock.Now()
@@ -58,7 +59,7 @@
 }
 
 // appendCommand appends the command of an attempt whose write starts at startedAt. The command states the time that the
-// client has left less the reserve, which is additional time for the write.
+// client has left minus the reserve, which is extra time for the write of a long command.
 func (a *attempt) appendCommand(b []byte, startedAt policy.Seconds) (command []byte, reserve policy.Seconds) {
 	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
@@ -84,15 +85,15 @@
 			_ = c.conn.Close() // the reader detects and posts the end
 			return
 		}
-		_ = c.conn.SetWriteDeadline(time.Time{}) // before commandWritten is set: after it the connection may be reused
+		_ = c.conn.SetWriteDeadline(time.Time{}) // must precede commandWritten, after which the connection may be reused
 		c.commandWritten.Store(true)
 		c.set.trace.attemptSent(a, c.dialedAs, startedAt, shared.clock.Now())
 	}()
 }
 
 // abortWrite closes the connection unless its command is completely written, and reports whether the command stayed
-// incomplete. A running writer may complete the command until the close ends it, so commandWritten is read again after
-// the writer has ended. Event loop only.
+// incomplete. A running writer may still complete the command before the close takes effect. So abortWrite waits for
+// the writer, and reads commandWritten again. Event loop only.
 func (c *backendConn) abortWrite() (aborted bool) {
 	if c.commandWritten.Load() {
 		return false
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// minBackendConns is the minimum of the limit on backend connections.
+	// minBackendConns is the lower bound of the limit on backend connections.
 	minBackendConns = 8
 	// backendConnShare is the fraction of the usable descriptors that backend connections may take.
 	backendConnShare = 3.0 / 8
-	// idleTimeoutShare is the fraction of the endpoints' idle timeout after which this gateway closes an idle
-	// connection. A command that is written after the endpoint has closed the connection ends as a reset.
+	// idleTimeoutShare is this gateway's idle timeout as a fraction of the endpoints' idle timeout. The gateway closes
+	// idle connections first, as a command that is written after the endpoint has closed one ends as a reset.
 	idleTimeoutShare = 0.5
 	// maxLocalFaultRetryTimeout limits the time for which a dial is retried because of a local fault.
 	maxLocalFaultRetryTimeout = 250 * time.Millisecond
 )
 
-// endpoint is an entry of the endpoint list with the connections to it.
+// endpoint is an entry of the endpoint list, together with the connections to the endpoint.
 type endpoint struct {
 	discovery.Endpoint
 	state        policy.EndpointState
 	idle         []*backendConn // ordered by idleSince, the most recently used last
 	waiting      []*attempt     // attempts that wait for a dial, oldest first
-	pendingDials int            // dials in progress
+	pendingDials int            // number of dials in progress
 }
 
 // endpointSet holds the endpoints of the endpoint list, and limits the number of connections to them. The event loop
@@ -43,7 +43,7 @@
 	maxConns     int // limit on openConns
 	idleTimeout  policy.Seconds
 	writeTimeout policy.Seconds
-	// commandBuffer is reused for each command.
+	// commandBuffer holds the command that is being written. It is reused for the next command.
 	commandBuffer []byte
 
 	dial                   func(addr string) (netcalls.Conn, error)
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// followDiscovery runs the discovery client until ctx ends. The client starts with the endpoint list of the
-// configuration, and switches to the discovery address of each reloaded configuration.
+// followDiscovery runs the discovery client until ctx ends. The client starts from the version of the endpoint list in
+// the configuration, and switches to the discovery address of each reloaded configuration.
 func (p *Proxy) followDiscovery(ctx context.Context, reloads <-chan config.Config) {
 	options := p.discovery
 	options.DialContext = p.calls.DialContext
@@ -38,7 +38,8 @@
 	}
 }
 
-// handleDiscoveryEvent handles an event of the discovery client.
+// handleDiscoveryEvent applies a new endpoint list, or logs a problem that the discovery client reports. Event loop
+// only.
 func (p *Proxy) handleDiscoveryEvent(e discovery.Event) {
 	switch e := e.(type) {
 	case discovery.Update:
--- a/internal/proxy/peer_messages.go
+++ b/internal/proxy/peer_messages.go
@@ -9,7 +9,7 @@
 	"reedlead/internal/peerlink"
 )
 
-// openPeerLink opens the UDP socket to the other gateways, with retries during the start.
+// openPeerLink opens the UDP socket to the other gateways. It retries transient errors, as the process is starting.
 func (p *Proxy) openPeerLink(ctx context.Context) (*peerlink.Link, error) {
 	address := net.UDPAddrFromAddrPort(p.cfg.PeerListenAddress)
 	conn, err := netcalls.RetryAtStart(ctx, p.calls.Sleep, func() (*net.UDPConn, error) {
