--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,8 +12,8 @@
 	"reedlead/internal/discovery/discoverytest"
 )
 
-// TestSilentAgentIsPolledAgain guards against a list that arrives late after an outage. An agent that is down may never
-// respond to a poll, so the client must start further polls and use the first response to any of them.
+// TestSilentAgentIsPolledAgain checks that the client starts further polls while an agent does not respond, and uses
+// the first response to any of them. An agent may never respond to a poll that was sent while it was down.
 func TestSilentAgentIsPolledAgain(t *testing.T) {
 	list := discoverytest.ListJSON(7, false, "x", "in_service")
 	pollOften := func(o *Options) { o.PollRetryInterval = 75 * time.Millisecond }
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestSilentWatchIsReopened guards against a client that stays on a broken connection. Without input for ReadTimeout, a
-// watch must be opened again from the last version, and a complete list must be polled again.
+// TestSilentWatchIsReopened checks that the client does not stay on a broken connection. After ReadTimeout without
+// input, it must open another watch from the last version, and poll a complete list again.
 func TestSilentWatchIsReopened(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
 	client := runClient(t, address, func(o *Options) { o.ReadTimeout = 200 * time.Millisecond })
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestEndedWatchIsReopenedWithinDrainGrace guards against backoffs that grow beyond the grace period for draining
-// endpoints, after many watches that ended without an update or while the agent refuses connections.
+// TestEndedWatchIsReopenedWithinDrainGrace checks that the backoffs stay within half of the grace period for draining
+// endpoints, after many watches that ended without an update and while the agent refuses connections.
 func TestEndedWatchIsReopenedWithinDrainGrace(t *testing.T) {
 	quiet := discoverytest.NewScriptedAgent(t, func(string) []string { return nil }) // an empty line, then the end
 	for _, tc := range []struct {
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestUnusableListsBackOff guards against a client that polls the complete list without growing backoffs while none of
-// the lists can be used.
+// TestUnusableListsBackOff checks that the backoffs between polls of the complete list grow to their maximum while no
+// list can be used.
 func TestUnusableListsBackOff(t *testing.T) {
 	var backoffs []time.Duration
 	backoffStarted, endBackoff := make(chan time.Duration), make(chan time.Time)
@@ -143,8 +143,8 @@
 	return b.String()
 }
 
-// TestWatchDecodesIndentedAndSplitLists guards against valid lists that are taken for malformed because they are
-// indented, arrive in several parts, or have blank lines between them.
+// TestWatchDecodesIndentedAndSplitLists checks that lists are decoded if they are indented, arrive in several parts, or
+// have blank lines between them.
 func TestWatchDecodesIndentedAndSplitLists(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
 	client := runClient(t, address, nil)
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestEndlessListIsBounded guards against unbounded memory use by a value that does not end. The client must give up
-// the value, and poll the complete list because a change in the value is lost.
+// TestEndlessListIsBounded checks that the client gives up a value that exceeds the size limit, which bounds its memory
+// use. It must then poll the complete list, as the change in the value is lost.
 func TestEndlessListIsBounded(t *testing.T) {
 	const partSize = 4 << 10
 	address, polls := discoverytest.NewManualAgent(t)
@@ -184,8 +184,8 @@
 	client.wantUpdate("[z in_service]")
 }
 
-// TestAddressSwitchPollsImmediately guards against a client that is given a new address, but first waits for the end of
-// a poll, a response or a backoff at the old one.
+// TestAddressSwitchPollsImmediately checks that a client polls a new address at once, without waiting for the end of a
+// poll, a response or a backoff at the old address.
 func TestAddressSwitchPollsImmediately(t *testing.T) {
 	backingOff := make(chan struct{}, 1)
 	for _, tc := range []struct {
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestPollRetryIntervalByDrainGrace guards against poll intervals that are too long for a short grace period for
-// draining endpoints, or that exceed their maximum for a long one.
+// TestPollRetryIntervalByDrainGrace checks that the poll retry interval is a fraction of the grace period for draining
+// endpoints, and at most 0.5 s.
 func TestPollRetryIntervalByDrainGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		0: 75 * time.Millisecond, 250 * time.Millisecond: 75 * time.Millisecond,
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -61,7 +61,8 @@
 	return len(t.clock.timers) < n
 }
 
-// step advances the clock to the first timer and runs it, or advances it by one second if no timer is due by then.
+// step advances the clock to the time of the next timer, and runs that timer. If no timer is due within one second, it
+// advances the clock by one second instead. It does nothing if there are no timers.
 func (c *fakeClock) step() {
 	c.mu.Lock()
 	if len(c.timers) == 0 {
@@ -167,7 +168,7 @@
 // failureMode is a way in which an agent, or the dial to it, fails.
 type failureMode struct {
 	name string
-	fail func(*brokenAgent, *agentConn) // handles a poll; nil if dial makes no connection
+	fail func(*brokenAgent, *agentConn) // handles a poll; nil if dial is set
 	dial func(context.Context) (net.Conn, error)
 	// updates is the number of updates that the client gets before the failure.
 	updates int
@@ -222,9 +223,9 @@
 	{name: "SIGHUP, a wait later", extraSteps: 1, switchAddress: true},
 }
 
-// TestChangeIsAppliedInTimeAfterAnyFailure guards against a change that is applied too late after a failure. The client
-// must act on a change within 6 s of the time at which the agent has it and can be reached; the test allows two thirds
-// of that. Each failure lasts until the backoffs between polls have reached their maximum.
+// TestChangeIsAppliedInTimeAfterAnyFailure checks that the client receives a change in time after each kind of failure.
+// The client must act on a change within 6 s of the time at which the agent has it and can be reached; the test allows
+// two thirds of that. Each failure lasts until the backoffs between polls have reached their maximum.
 func TestChangeIsAppliedInTimeAfterAnyFailure(t *testing.T) {
 	for _, mode := range failureModes() {
 		for _, recovery := range recoveries {
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -38,8 +38,8 @@
 	restartAt = 111.0
 )
 
-// TestStartTimesAcrossClockSteps guards against a wrong start time of an endpoint after a step of the wall clock, which
-// comes before or after the start, and before or after the endpoint is first listed.
+// TestStartTimesAcrossClockSteps checks the start time of an endpoint if the wall clock is stepped. The step comes
+// before or after the start, and before or after the endpoint is first listed.
 func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []float64{-3600, -90, -2, 2, 90, 3600} {
 		for _, startAt := range []float64{60, 102.5, 104.5} {
@@ -73,8 +73,8 @@
 	}
 }
 
-// want returns the expected start time. If the wall clock has shown the listed time twice, it is the later occurrence,
-// with which the endpoint is not overloaded.
+// want returns the expected start time. If the wall clock has shown the listed time twice, the later occurrence is
+// expected, as a start time that is too early could overload the endpoint.
 func (tc stepCase) want() float64 {
 	shownAgainAt := tc.startAt - tc.step
 	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && shownAgainAt >= tc.stepAt-1 && shownAgainAt <= listedAt
@@ -84,9 +84,9 @@
 	return tc.startAt
 }
 
-// TestStartTimesAfterProcessRestart guards against an endpoint whose slow start lasts for as long as the wall clock was
-// set back. If this process starts after such a step, the listed start of an endpoint that started before the step lies
-// in the future. It must be taken for now.
+// TestStartTimesAfterProcessRestart checks that a listed start in the future is taken for the current time. This
+// happens if the wall clock is set back after the start of an endpoint, and this process starts after the step.
+// Otherwise the endpoint's slow start would last for as long as the wall clock was set back.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
@@ -174,8 +174,8 @@
 // sample records a reading of both clocks.
 func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
 
-// list applies a change of the endpoint list. It gets the start times in event time by endpoint id; 0 stands for an
-// unknown start.
+// list applies a change of the endpoint list. The map entries holds the start times in event time by endpoint id; 0
+// stands for an unknown start.
 func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
 	p.sample(now)
 	var endpoints []policy.Endpoint
@@ -228,9 +228,9 @@
 	return attempts
 }
 
-// TestSlowStartAcrossClockSteps guards against a slow start that is skipped, or lasts too long, because the wall clock
-// was stepped. In each period, the number of attempts on a joining endpoint must be within a third of the number
-// without a step.
+// TestSlowStartAcrossClockSteps checks that a step of the wall clock neither skips nor prolongs the slow start of an
+// endpoint. In each period, the number of attempts on a joining endpoint must be within a third of the number without a
+// step.
 func TestSlowStartAcrossClockSteps(t *testing.T) {
 	want := simulateSlowStart(t, steppedClock{start: 1e9})
 	if want.warmingUp == 0 || want.warm < 2*want.warmingUp {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -25,8 +25,8 @@
 	return func(cause any, _ []byte) { t.Errorf("panic: %v", cause) }
 }
 
-// TestEventTimeIsMonotonic guards against event time that goes backwards when an event is posted with an earlier time
-// than one that was already handled.
+// TestEventTimeIsMonotonic checks that event time does not go backwards when an event is posted with an earlier time
+// than the event before it.
 func TestEventTimeIsMonotonic(t *testing.T) {
 	clock := NewClock()
 	loop := New(clock, failOnPanic(t))
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestPanicEndsOnlyItsEvent guards against a panic in an event that ends the process, or that keeps the functions which
-// the event deferred from running.
+// TestPanicEndsOnlyItsEvent checks that the loop continues after a panic in an event, and still runs the functions that
+// the event had deferred.
 func TestPanicEndsOnlyItsEvent(t *testing.T) {
 	var order []string
 	loop := New(NewClock(), func(cause any, stack []byte) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestShutdownIsHandledOnce guards against a graceful shutdown that does not begin, or begins again each time the loop
-// selects the closed channel.
+// TestShutdownIsHandledOnce checks that onShutdown is called exactly once, although the closed shutdown channel stays
+// ready to receive from.
 func TestShutdownIsHandledOnce(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	shutdown, handled, calls := make(chan struct{}), make(chan struct{}), 0
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestPostAfterRunReturnsDoesNotBlock guards against goroutines that outlive the loop and hang in Post, because nothing
-// receives from the full queue any more.
+// TestPostAfterRunReturnsDoesNotBlock checks that goroutines that outlive the loop do not block in Post. Once Run has
+// returned, nothing receives from the event queue, so more events are posted than the queue holds.
 func TestPostAfterRunReturnsDoesNotBlock(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	loop.Run(func() bool { return true }, nil, nil)
--- a/internal/eventloop/stall_detector_test.go
+++ b/internal/eventloop/stall_detector_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestStallDetectorReportsRecentStall guards against requests that arrive during a stall of the process and are taken
-// to have arrived after it. The detector must report a stall while it lasts, and for StallWindow afterwards.
+// TestStallDetectorReportsRecentStall checks that the detector reports a stall while it lasts, and for StallWindow
+// afterwards. Otherwise requests that arrived during a stall would be taken to have arrived after it.
 func TestStallDetectorReportsRecentStall(t *testing.T) {
 	var detector StallDetector
 	detector.SetNextTimerDue(10)
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestRetryAtStartGivesUp guards against a process that retries its start forever: it must give up at once after an
-// error that is not transient, and after startRetryTimeout during a shortage.
+// TestRetryAtStartGivesUp checks that RetryAtStart returns at once after an error that is not transient, and after
+// startRetryTimeout during a shortage.
 func TestRetryAtStartGivesUp(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestErrorClassification guards against a changed classification of error numbers, which docs/endings.md lists.
+// TestErrorClassification checks the class of each error number, as listed in docs/endings.md.
 func TestErrorClassification(t *testing.T) {
 	for _, tc := range []struct {
 		errno                                        syscall.Errno
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -42,8 +42,8 @@
 	return local, raw, remote
 }
 
-// TestWriteAllLeavesNoDeadline guards against WriteAll leaving its deadline on the connection, which would fail every
-// write after the deadline.
+// TestWriteAllLeavesNoDeadline checks that writes succeed long after WriteAll has returned. They would fail if WriteAll
+// left its deadline on the connection.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
 	calls := System()
 	local, raw, remote := connectedPair(t)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestWriteAllTimesOutOnlyWithoutProgress guards against a WriteAll that gives up while the peer reads slowly, and
-// against one that never ends although the peer has stopped reading.
+// TestWriteAllTimesOutOnlyWithoutProgress checks that WriteAll continues while the peer reads slowly, and times out
+// once the peer has stopped reading.
 func TestWriteAllTimesOutOnlyWithoutProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	calls := System()
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -15,8 +15,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// TestRequestAndValueAreForwardedUnchanged guards against changes to a forwarded command or value. Both must be
-// forwarded byte for byte, except for the field d, which states the remaining time.
+// TestRequestAndValueAreForwardedUnchanged checks that a command and the value in its reply are forwarded byte for
+// byte. Only the field d of the command, which states the remaining time, changes.
 func TestRequestAndValueAreForwardedUnchanged(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(300))
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestAttemptOutcomes guards against an attempt that may have been executed and is reported as not executed, or the
-// reverse. It checks the status that the decision module gets for each kind of reply and for broken connections.
+// TestAttemptOutcomes checks the status that the decision module gets for each kind of reply and for broken
+// connections. The status decides whether the request counts as possibly executed.
 func TestAttemptOutcomes(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	for name, tc := range map[string]struct {
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestAbandonedAttemptClosesItsConnection guards against a connection that is reused after its attempt timed out or was
-// cancelled. The late reply on it would be taken for the reply to another request.
+// TestAbandonedAttemptClosesItsConnection checks that the connection of an attempt is not reused after the attempt has
+// timed out or was cancelled. A late reply on it would be taken for the reply to another request.
 func TestAbandonedAttemptClosesItsConnection(t *testing.T) {
 	for _, how := range []string{"timeout", "cancel"} {
 		t.Run(how, func(t *testing.T) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestAttemptIsRecheckedAfterDial guards against an attempt that is written although its endpoint was drained or
-// removed, or its request ended, while the attempt waited for a dial.
+// TestAttemptIsRecheckedAfterDial checks that an attempt is not sent if its endpoint is drained or removed, or its
+// request ends, while the attempt waits for a dial.
 func TestAttemptIsRecheckedAfterDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	for name, change := range map[string]func(*harness){
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -10,9 +10,9 @@
 	"reedlead/policy"
 )
 
-// TestPooledConnections guards against a request that is written to a connection which the endpoint closed while it was
-// idle. The attempt would end as a reset, after which the request counts as possibly executed. It also checks that a
-// connection is closed after its idle timeout.
+// TestPooledConnections checks that a connection is reused, but not after the endpoint has closed it, and that the
+// proxy closes a connection after its idle timeout. An attempt that is written to a closed connection ends as Reset,
+// and its request then counts as possibly executed.
 func TestPooledConnections(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestConnectionWithUnsolicitedBytesIsNotReused guards against a duplicate of a reply that is taken for the reply to
-// the next command. A pooled connection that has unread bytes or was closed must not be reused, even if its reader has
-// not detected that yet.
+// TestConnectionWithUnsolicitedBytesIsNotReused checks that a pooled connection is not reused if it has unread bytes or
+// was closed, even if its reader has not detected that yet. The unread bytes may be a duplicate of the last reply,
+// which would be taken for the reply to the next command.
 func TestConnectionWithUnsolicitedBytesIsNotReused(t *testing.T) {
 	for name, unsolicited := range map[string]string{"a duplicate": valueReply, "garbage": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -76,10 +76,10 @@
 	}
 }
 
-// TestDuplicateReplyAfterNextCommand guards against a duplicate of a reply that arrives after the next command was
-// written and is taken for its reply. A client would get the value of another request, or, after a duplicate rejection,
-// a request that may be executing would be sent again. The next attempt must fail, as its own reply can't be told from
-// a duplicate.
+// TestDuplicateReplyAfterNextCommand checks that a duplicate of a reply is not taken for the reply to the next command,
+// if it arrives after that command was written. A client would get the value of another request. After a duplicate
+// rejection, a request that may be executing would be sent again. The next attempt must end as Error, as its own reply
+// can't be told from a duplicate.
 func TestDuplicateReplyAfterNextCommand(t *testing.T) {
 	other := strings.Replace(valueReply, "v", "w", 1)
 	for name, tc := range map[string]struct{ first, between, duplicate string }{
@@ -124,9 +124,8 @@
 	}
 }
 
-// TestEqualReplyAfterDuplicateWindowIsAccepted guards against a reply that is taken for a duplicate because an equal
-// one arrived long before. A duplicate would have arrived within duplicateWindow, before the second command was
-// written.
+// TestEqualReplyAfterDuplicateWindowIsAccepted checks that a reply is not taken for a duplicate of an equal reply that
+// arrived long before. A duplicate would have arrived within duplicateWindow, before the second command was written.
 func TestEqualReplyAfterDuplicateWindowIsAccepted(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
@@ -147,9 +146,8 @@
 	c.wantValue("reply to the second request")
 }
 
-// TestConnectionsOfMovedEndpointAreNotPooled guards against a command that is written to a process which is no longer
-// the endpoint. If an endpoint moves or restarts while a connection to it is in use, that connection must not be
-// pooled.
+// TestConnectionsOfMovedEndpointAreNotPooled checks that a connection does not return to the pool if its endpoint moved
+// or restarted while the connection was in use. It may lead to a process that is no longer the endpoint.
 func TestConnectionsOfMovedEndpointAreNotPooled(t *testing.T) {
 	from, old := listenEndpoint(t)
 	to, moved := listenEndpoint(t)
@@ -183,9 +181,9 @@
 	}
 }
 
-// TestNoAttemptOnConnectionToAnotherDedupGroup guards against an attempt that is sent to another dedup group than the
-// one for which the endpoint was chosen, because the endpoint list changes the group while the attempt waits for a
-// dial.
+// TestNoAttemptOnConnectionToAnotherDedupGroup checks that an attempt is not sent if the endpoint list moves its
+// endpoint to another dedup group while the attempt waits for a dial. The decision module has chosen the endpoint as a
+// member of the earlier group.
 func TestNoAttemptOnConnectionToAnotherDedupGroup(t *testing.T) {
 	for name, change := range map[string]func(*discovery.Endpoint){
 		"zone": func(e *discovery.Endpoint) { e.Zone = "b" },
@@ -210,8 +208,8 @@
 	}
 }
 
-// TestFailedDialLeavesIdleConnection guards against an attempt that fails with its dial although another connection to
-// the endpoint has become idle in the meantime. It must be written to that connection.
+// TestFailedDialLeavesIdleConnection checks that an attempt whose dial fails is written to another connection to the
+// endpoint, if one has become idle in the meantime.
 func TestFailedDialLeavesIdleConnection(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -26,9 +26,8 @@
 	return h, c, b
 }
 
-// TestRemainingTimeIsComputedAtWrite guards against a command that states more time than its client has left. This
-// would happen if the remaining time was computed from event time, which stays behind the clock while an event is
-// handled.
+// TestRemainingTimeIsComputedAtWrite checks that a command does not state more time than its client has left. The
+// remaining time must be computed from the clock, as event time stays behind it while an event is handled.
 func TestRemainingTimeIsComputedAtWrite(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=20000,units=2,spread=2,first=1")
@@ -46,8 +45,8 @@
 	}
 }
 
-// TestNoAttemptIsWrittenAfterItsDeadline guards against a command that is written after the deadline of its request,
-// because event time is still before the deadline.
+// TestNoAttemptIsWrittenAfterItsDeadline checks that a command is not written after the deadline of its request has
+// passed by the clock, even if event time is still before the deadline.
 func TestNoAttemptIsWrittenAfterItsDeadline(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	h.openRequest(c, "a")
@@ -59,8 +58,8 @@
 	h.wantNotSent(b)
 }
 
-// TestSlowCommandWriteIsCutOff guards against a command that is completed so late that it states more time than its
-// client has left. The write must be aborted after writeTimeout.
+// TestSlowCommandWriteIsCutOff checks that the write of a command is aborted after writeTimeout. A command that is
+// completed later states more time than its client has left.
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeTimeout = 0.01 })
 	c := h.client()
@@ -70,9 +69,9 @@
 	b.wantNoCommand()
 }
 
-// TestPartialCommandWrites checks commands that the socket accepts only in part at first. If the connection ends before
-// the rest is written, the command was not executed, so the attempt must end with ConnectFailed instead of Reset. If
-// the rest is written, the attempt must succeed.
+// TestPartialCommandWrites checks the outcome of commands that the socket accepts only in part at first. If the
+// connection ends before the rest is written, the endpoint did not execute the command, so the attempt must end as
+// ConnectFailed instead of Reset. If the rest is written, the attempt must succeed.
 func TestPartialCommandWrites(t *testing.T) {
 	listener, h := startWithSmallSockets(t, nil)
 	body := strings.Repeat("x", resp.MaxBulkString)
@@ -99,9 +98,9 @@
 	h.wantOutcome(policy.OK)
 }
 
-// TestTimeoutAtLastByteOfCommand guards against a request that is executed twice. If the writer has written the last
-// byte when the attempt times out, but has not set commandWritten yet, the request may be executed. The outcome must be
-// Timeout, and not one that stands for a request that was not executed.
+// TestTimeoutAtLastByteOfCommand checks the outcome of an attempt that times out after the writer has written the last
+// byte, but before it has set commandWritten. The endpoint may execute the command, so the outcome must be Timeout.
+// After an outcome that stands for "not executed", the request could be executed twice.
 func TestTimeoutAtLastByteOfCommand(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) {
 		h.proxy.endpoints.afterWrite = func(c *backendConn) { // delays commandWritten until the timeout has closed the connection
@@ -118,9 +117,9 @@
 	h.wantOutcome(policy.Timeout)
 }
 
-// TestPartiallyWrittenAttemptEndsWithItsRequest guards against an endpoint that executes a request after its end,
-// because the rest of a partly written command is written then. The write must be aborted when the client disconnects,
-// and when the request gets its final reply.
+// TestPartiallyWrittenAttemptEndsWithItsRequest checks that the write of a command is aborted when the client
+// disconnects, and when the request gets its final reply. Otherwise the endpoint would execute the request after its
+// end, once the rest of the command was written.
 func TestPartiallyWrittenAttemptEndsWithItsRequest(t *testing.T) {
 	for name, end := range map[string]func(h *harness, c *testConn){
 		"the client disconnects": func(_ *harness, c *testConn) { c.mustClose() },
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -30,9 +30,9 @@
 	connections int     // number of connections made to endpoints
 }
 
-// BenchmarkFleetSize measures the processor time, heap and connections of one gateway for the same requests in a fleet
-// of the usual size and in the largest one. The gateway uses the real decision module. Endpoints reply at once, and the
-// gateways of the customer change with each request.
+// BenchmarkFleetSize measures the processor time, heap and connections of one gateway in a fleet of the usual size and
+// in the largest fleet. The requests are the same in both. The gateway uses the real decision module. Endpoints reply
+// at once, and the gateways of the customer change with each request.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
@@ -134,8 +134,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// listenReplyingEndpoint starts an endpoint that replies at once. It sends a value on connections for each connection
-// that it accepts.
+// listenReplyingEndpoint starts an endpoint that replies at once. It sends a value on the channel connections for each
+// connection that it accepts.
 func listenReplyingEndpoint(b *testing.B) (address string, connections chan struct{}, closeAll func()) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -9,8 +9,8 @@
 	"reedlead/policy"
 )
 
-// TestPeerMessages guards against messages that are accepted from senders that are not peers, and against datagrams
-// that are too long. It also checks that messages reach a single peer and the broadcast address.
+// TestPeerMessages checks that messages reach a single peer and the broadcast address. It also checks that the gateway
+// drops datagrams from unknown senders, and neither accepts nor sends datagrams that are too long.
 func TestPeerMessages(t *testing.T) {
 	peer, peerAddress := listenUDP(t)
 	stranger, _ := listenUDP(t)
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -26,8 +26,8 @@
 	err       error
 }
 
-// newInjectedFailures returns failures of the first n calls. The error number is wrapped in the same way as by package
-// net.
+// newInjectedFailures returns failures of the first n calls. The error wraps the error number in the same way as the
+// errors of package net.
 func newInjectedFailures(n int, errno syscall.Errno, call string) *injectedFailures {
 	f := &injectedFailures{err: &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}}
 	f.remaining.Store(int32(n))
@@ -98,8 +98,8 @@
 	}()
 }
 
-// TestAcceptErrorsAreRetried guards against a gateway that stops accepting connections after a temporary error of
-// accept, or that counts a failed accept as an open connection.
+// TestAcceptErrorsAreRetried checks that the gateway continues to accept connections after a temporary error of accept,
+// and does not count a failed accept as an open connection.
 func TestAcceptErrorsAreRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestListenErrorsAtStart guards against a process that exits at its start because a call to open a socket fails
-// temporarily. The calls must be retried.
+// TestListenErrorsAtStart checks that the process retries to open its sockets at the start if the calls fail
+// temporarily.
 func TestListenErrorsAtStart(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestDialErrors guards against a dial that is reported as a failure of the endpoint although it failed because of a
-// local fault, and against the reverse. Dials that fail because of a local fault must be retried for a while.
+// TestDialErrors checks that a dial which fails because of a local fault is retried, and reported as NotSent if the
+// fault lasts. Other errors must be reported as ConnectFailed, as the endpoint may be their cause.
 func TestDialErrors(t *testing.T) {
 	for _, tc := range []struct {
 		errno syscall.Errno
@@ -216,9 +216,8 @@
 	}
 }
 
-// TestTransientReadAndWriteErrors guards against a connection that is closed, with its replies outstanding, because a
-// read or write fails temporarily. It also guards against commands and replies that are garbled because they are read
-// or written in small parts.
+// TestTransientReadAndWriteErrors checks that a temporary error of a read or a write closes no connection and loses no
+// reply. It also checks that commands and replies stay intact if they are read and written in small parts.
 func TestTransientReadAndWriteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
@@ -243,8 +242,8 @@
 	}
 }
 
-// failReadsAndWrites makes the first reads and writes of each connection fail, and every second write of the event
-// loop. All reads and writes are limited to partSize bytes; 0 for no limit.
+// failReadsAndWrites makes the first five reads and the first five writes of each connection fail, and every second
+// write of the event loop. All reads and writes are limited to partSize bytes; 0 for no limit.
 func failReadsAndWrites(h *harness, errno syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, newInjectedFailures(5, errno, "read"), newInjectedFailures(5, errno, "write"), partSize}
@@ -290,9 +289,9 @@
 	}
 }
 
-// TestConnectionErrors guards against read errors with the wrong consequences. An error on a client's connection must
-// count as a disconnect of the client, and one on a backend connection must end the attempt as Reset, as the endpoint
-// may have executed the command.
+// TestConnectionErrors checks the consequences of read errors that end a connection. An error on a client's connection
+// must count as a disconnect of the client. An error on a backend connection must end the attempt as Reset, as the
+// endpoint may have executed the command.
 func TestConnectionErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		failAfterRead := func(conn netcalls.Conn) netcalls.Conn {
@@ -336,8 +335,8 @@
 	return n, c.err
 }
 
-// TestDatagramErrors guards against a link to the other gateways that stops, or retries without a pause, when reads and
-// writes of datagrams fail.
+// TestDatagramErrors checks that the link to the other gateways continues after reads and writes of datagrams have
+// failed, and pauses after each failed read.
 func TestDatagramErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNREFUSED, syscall.ENETUNREACH,
@@ -387,8 +386,7 @@
 	}
 }
 
-// TestDiscoveryCallErrors guards against a client that stops polling the endpoint list after dials to the agent have
-// failed.
+// TestDiscoveryCallErrors checks that the endpoint list is polled again after dials to the agent have failed.
 func TestDiscoveryCallErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.EMFILE, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
