--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -27,8 +27,8 @@
 	Polls chan string
 }
 
-// NewScriptedAgent starts an agent that responds to a query with the lines that response returns. If the last line is
-// empty, the response stays open. The agent is stopped at the end of the test.
+// NewScriptedAgent starts an agent that responds to each poll with the lines that response returns for its query. If
+// the last line is empty, the response stays open. The agent is stopped at the end of the test.
 func NewScriptedAgent(t *testing.T, response func(query string) []string) *ScriptedAgent {
 	t.Helper()
 	agent := &ScriptedAgent{Polls: make(chan string, 64)}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			var endpointErr *EndpointError
 			if err := c.entry.Validate(); !errors.As(err, &endpointErr) || !errors.Is(err, c.want) || endpointErr.ID != c.entry.ID {
-				t.Errorf("got %v, want an EndpointError of %q for: %v", err, c.entry.ID, c.want)
+				t.Errorf("got the error %v, want an EndpointError of entry %q that wraps: %v", err, c.entry.ID, c.want)
 			}
 		})
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -10,8 +10,8 @@
 // that were sent while it was down. So poll starts another poll after each PollRetryInterval, and uses the first
 // response to any of them. The first poll stays open in case the agent is only slow.
 //
-// Once all polls have failed, poll returns the error of the poll that failed last. The end of ctx ends the polls and
-// the response that was returned.
+// Once all polls have failed, poll returns the error of the poll that failed last. When ctx ends, the polls and the
+// returned response end too.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// recovery is a way in which the change becomes available to the client.
+// recovery is a way in which the change that the test waits for becomes available to the client.
 type recovery struct {
 	name          string
 	extraSteps    int  // steps of the clock before the recovery, beyond recoverySteps
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// attemptCounter is a policy.Actions that counts attempts. Each attempt succeeds at once.
+// attemptCounter is a policy.Actions that counts attempts, and records a successful outcome for each of them.
 type attemptCounter struct {
 	outcomes []policy.Outcome
 	attempts map[string]int // by endpoint
@@ -174,7 +174,7 @@
 // sample records a reading of both clocks.
 func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
 
-// list applies a change of the endpoint list. The map entries holds the start times in event time by endpoint id; 0
+// list applies a change of the endpoint list. entries maps the ids of endpoints to their start times in event time; 0
 // stands for an unknown start.
 func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
 	p.sample(now)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -75,8 +75,8 @@
 	return errors.As(err, &syntax) || errors.As(err, &wrongType) || errors.Is(err, ErrValueTooLong)
 }
 
-// readResponse polls the agent and calls read with the JSON values of the response. It ends the response after
-// ReadTimeout without input. The error wraps ErrUnusableList if part of a value was received.
+// readResponse polls the agent and calls read with the JSON values of the response. It ends the response if no input,
+// or no complete value, arrives within ReadTimeout. The error wraps ErrUnusableList if part of a value was received.
 func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -15,8 +15,8 @@
 	startRetryTimeout = 20 * time.Second
 )
 
-// RetryAtStart repeats a call that the process needs for its start, until the call succeeds or fails with an error that
-// is not transient, 20 s have passed, or ctx has ended. It sleeps between the calls.
+// RetryAtStart repeats a call that the process needs for its start until the call succeeds. It gives up with the last
+// error if that error is not transient, if 20 s have passed, or if ctx has ended. It sleeps between the calls.
 func RetryAtStart[T any](ctx context.Context, sleep func(time.Duration), call func() (T, error)) (T, error) {
 	return retryAtStart(ctx, sleep, time.Now, call)
 }
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -50,7 +50,7 @@
 }
 
 // TryWrite writes as much of b as the socket accepts without blocking. It returns 0 without an error if the socket
-// accepts nothing or a resource is short. It ignores the deadline of the connection.
+// accepts nothing, or if the call fails because of a shortage. It ignores the deadline of the connection.
 func (c *Calls) TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) { n, err = c.Write(int(fd), b) })
 	switch {
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -1,5 +1,5 @@
 // Package peerlink exchanges UDP datagrams with the other gateways. It drops datagrams that can't be queued or sent, as
-// the network may lose them anyway. The decision module writes and reads their contents.
+// the network may lose them anyway. The decision module encodes and decodes their contents.
 package peerlink
 
 import (
@@ -133,7 +133,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for example ECONNREFUSED, which an earlier datagram has caused
+		if err != nil { // for example ECONNREFUSED, caused by an earlier datagram
 			l.calls.Sleep(netcalls.RetryInterval)
 			continue
 		}
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -8,15 +8,14 @@
 	"reedlead/policy"
 )
 
-// minReuseDelay is the idle time after which a connection is preferred for the next command. A duplicate of a reply
-// arrives directly after the reply, so it is detected within that time.
+// minReuseDelay is the idle time after which a connection is preferred for the next command. The reader detects a
+// duplicate of the last reply within that time, as it arrives directly after the reply.
 const minReuseDelay policy.Seconds = 0.005
 
 // acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. Among the
 // connections that have been idle for minReuseDelay, it takes the most recently used one. If there are none, it takes
-// the connection that has been idle for longest. It closes connections that are past the idle timeout, have unread
-// bytes, or were closed by the endpoint. It checks the sockets itself, as the readers may not have detected the last
-// two yet.
+// the connection that has been idle for longest. It closes unusable connections. To find them, it also checks the
+// sockets for unread bytes and the end of the stream, which the readers may not have detected yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -10,9 +10,9 @@
 	"reedlead/policy"
 )
 
-// TestPooledConnections checks that a connection is reused, but not after the endpoint has closed it, and that the
-// proxy closes a connection after its idle timeout. An attempt that is written to a closed connection ends as Reset,
-// and its request then counts as possibly executed.
+// TestPooledConnections checks that a connection is reused until the endpoint closes it, and that the proxy closes a
+// connection after its idle timeout. An attempt on a connection that the endpoint has closed would end as Reset, and
+// its request would count as possibly executed.
 func TestPooledConnections(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
@@ -77,9 +77,9 @@
 }
 
 // TestDuplicateReplyAfterNextCommand checks that a duplicate of a reply is not taken for the reply to the next command,
-// if it arrives after that command was written. A client would get the value of another request. After a duplicate
-// rejection, a request that may be executing would be sent again. The next attempt must end as Error, as its own reply
-// can't be told from a duplicate.
+// if it arrives after that command was written. Otherwise a client would get the value of another request. After a
+// duplicate rejection, a request that may be executing would be sent again. The next attempt must end as Error, as its
+// own reply can't be told from a duplicate.
 func TestDuplicateReplyAfterNextCommand(t *testing.T) {
 	other := strings.Replace(valueReply, "v", "w", 1)
 	for name, tc := range map[string]struct{ first, between, duplicate string }{
@@ -147,7 +147,7 @@
 }
 
 // TestConnectionsOfMovedEndpointAreNotPooled checks that a connection does not return to the pool if its endpoint moved
-// or restarted while the connection was in use. It may lead to a process that is no longer the endpoint.
+// or restarted while the connection was in use. Such a connection may lead to a process that is no longer the endpoint.
 func TestConnectionsOfMovedEndpointAreNotPooled(t *testing.T) {
 	from, old := listenEndpoint(t)
 	to, moved := listenEndpoint(t)
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,8 +12,8 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its client had left when the write started. At the end of the write, that may exceed the
-	// time that is really left by at most 0.15 s.
+	// states the time that its client had left when the write started. At the end of the write, the stated time may
+	// exceed the actual remaining time by at most 0.15 s.
 	writeTimeout policy.Seconds = 0.1
 	// A command longer than longCommandSize bytes may take longer to write, and states less remaining time than its
 	// client has. The time is reduced by the fraction writeReserveShare, but by at most maxWriteReserve.
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -99,8 +99,8 @@
 }
 
 // TestTimeoutAtLastByteOfCommand checks the outcome of an attempt that times out after the writer has written the last
-// byte, but before it has set commandWritten. The endpoint may execute the command, so the outcome must be Timeout.
-// After an outcome that stands for "not executed", the request could be executed twice.
+// byte, but before it has set commandWritten. The outcome must be Timeout, as the endpoint may execute the command. If
+// the request was reported as not executed, it could be sent again and executed twice.
 func TestTimeoutAtLastByteOfCommand(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) {
 		h.proxy.endpoints.afterWrite = func(c *backendConn) { // delays commandWritten until the timeout has closed the connection
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -19,10 +19,10 @@
 	return ids
 }
 
-// TestDiscoveryWatch checks how the client follows the endpoint list. After the end of a watch, the next watch must
+// TestDiscoveryWatch checks how the gateway follows the endpoint list. After the end of a watch, the next watch must
 // start at the last version. A change must be merged into the list, and a complete list must replace it. A value that
-// is malformed or has an older version may contain changes that are not sent again. So the complete list must be polled
-// after it, without the invalid entries of that list.
+// is malformed or has an older version may contain changes that are not sent again. After it, the gateway must poll the
+// complete list and skip the invalid entries of that list.
 func TestDiscoveryWatch(t *testing.T) {
 	for name, unusableLine := range map[string]string{
 		"malformed": "nonsense", "unknown state": discoverytest.ListJSON(7, false, "y", "odd"),
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestDiscoveryAddressSwitch checks that the client watches the new address after the configuration was reloaded. The
-// endpoints must stay in use until the agent at the new address has sent its complete list. The endpoint list of the
-// reloaded configuration must not replace them.
+// TestDiscoveryAddressSwitch checks that the gateway watches the new discovery address after its configuration was
+// reloaded. The endpoints must stay in use until the agent at the new address has sent its complete list. The endpoint
+// list of the reloaded configuration must not replace them.
 func TestDiscoveryAddressSwitch(t *testing.T) {
 	from := discoverytest.NewScriptedAgent(t, func(string) []string { return []string{discoverytest.ListJSON(50, true, "x", "in_service"), ""} })
 	to := discoverytest.NewScriptedAgent(t, func(query string) []string {
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -80,7 +80,7 @@
 }
 
 // apply applies a complete endpoint list, or a change of it. Attempts that wait for a dial to an endpoint that is no
-// longer in service end at once as not sent.
+// longer in service end at once as NotSent.
 func (s *endpointSet) apply(list discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Endpoints {
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -48,7 +48,7 @@
 
 const (
 	benchmarkRequests = 600
-	requestInterval   = 10 * time.Millisecond // between requests
+	requestInterval   = 10 * time.Millisecond // pause after each request
 	discardPort       = 9                     // no process listens on it
 )
 
