--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -130,14 +130,14 @@
 type attemptCounts struct{ warmingUp, warm, restarted int }
 
 // count adds attempts that were made at a given time to the period that contains it.
-func (j *attemptCounts) count(now float64, attempts int) {
+func (counts *attemptCounts) count(now float64, attempts int) {
 	switch {
 	case now >= 10.5 && now < 12.5:
-		j.warmingUp += attempts
+		counts.warmingUp += attempts
 	case now >= 30 && now < 32:
-		j.warm += attempts
+		counts.warm += attempts
 	case now >= 40.5 && now < 42.5:
-		j.restarted += attempts
+		counts.restarted += attempts
 	}
 }
 
@@ -163,46 +163,48 @@
 			{Name: "look", LatencyObjective: 1, Timeout: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
 		},
 	}
-	p := &slowStartSimulation{clock: clock, counter: &attemptCounter{attempts: map[string]int{}}}
+	simulation := &slowStartSimulation{clock: clock, counter: &attemptCounter{attempts: map[string]int{}}}
 	var err error
-	if p.gateway, err = policy.New(settings, 7, 0, p.counter); err != nil {
+	if simulation.gateway, err = policy.New(settings, 7, 0, simulation.counter); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return simulation
 }
 
 // sample records a reading of both clocks.
-func (p *slowStartSimulation) sample(now float64) { p.starts.Sample(now, p.clock.wall(now)) }
+func (simulation *slowStartSimulation) sample(now float64) {
+	simulation.starts.Sample(now, simulation.clock.wall(now))
+}
 
 // list applies a change of the endpoint list. entries maps the ids of endpoints to their start times in event time; 0
 // stands for an unknown start.
-func (p *slowStartSimulation) list(now float64, entries map[string]float64) {
-	p.sample(now)
+func (simulation *slowStartSimulation) list(now float64, entries map[string]float64) {
+	simulation.sample(now)
 	var endpoints []policy.Endpoint
 	for id, startAt := range entries {
 		endpoint := policy.Endpoint{ID: id, Weight: 1}
 		if startAt > 0 {
-			endpoint.StartedAt = p.starts.EventTime(id, p.clock.unixMS(startAt))
+			endpoint.StartedAt = simulation.starts.EventTime(id, simulation.clock.unixMS(startAt))
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	p.gateway.HandleEndpoints(now, endpoints, false)
+	simulation.gateway.HandleEndpoints(now, endpoints, false)
 }
 
 // request simulates request number i, whose attempts succeed, and returns how many attempts the joining endpoint got.
-func (p *slowStartSimulation) request(now float64, i int) (attempts int) {
-	before := p.counter.attempts["new"]
-	p.gateway.HandleRequest(now, policy.Request{
+func (simulation *slowStartSimulation) request(now float64, i int) (attempts int) {
+	before := simulation.counter.attempts["new"]
+	simulation.gateway.HandleRequest(now, policy.Request{
 		ID: fmt.Sprint("q", i), Class: "look", Deadline: now + 2, GatewayCount: 1, Units: 1,
 	})
 	if i%4 == 0 {
-		p.gateway.HandleTimer(now, 1)
+		simulation.gateway.HandleTimer(now, 1)
 	}
-	attempts = p.counter.attempts["new"] - before
-	for _, outcome := range p.counter.outcomes {
-		p.gateway.HandleOutcome(now+0.004, outcome)
+	attempts = simulation.counter.attempts["new"] - before
+	for _, outcome := range simulation.counter.outcomes {
+		simulation.gateway.HandleOutcome(now+0.004, outcome)
 	}
-	p.counter.outcomes = p.counter.outcomes[:0]
+	simulation.counter.outcomes = simulation.counter.outcomes[:0]
 	return attempts
 }
 
@@ -210,20 +212,20 @@
 // start.
 func simulateSlowStart(t *testing.T, clock steppedClock) (attempts attemptCounts) {
 	t.Helper()
-	p := newSlowStartSimulation(t, clock)
-	p.list(0, map[string]float64{"a": 0, "b": 0, "c": 0})
+	simulation := newSlowStartSimulation(t, clock)
+	simulation.list(0, map[string]float64{"a": 0, "b": 0, "c": 0})
 	for i := range simulatedSeconds * requestsPerSecond {
 		now := float64(i) / requestsPerSecond
 		switch i {
 		case 10.5 * requestsPerSecond:
-			p.list(now, map[string]float64{"new": 10})
+			simulation.list(now, map[string]float64{"new": 10})
 		case 40.5 * requestsPerSecond:
-			p.list(now, map[string]float64{"new": 40})
+			simulation.list(now, map[string]float64{"new": 40})
 		}
 		if i%requestsPerSecond == 0 {
-			p.sample(now)
+			simulation.sample(now)
 		}
-		attempts.count(now, p.request(now, i))
+		attempts.count(now, simulation.request(now, i))
 	}
 	return attempts
 }
