--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -20,7 +20,7 @@
 	MaxMessage = MaxBulkString + 8*MaxLine
 
 	maxElements   = 16 // in an array
-	maxDepth      = 4  // of nested arrays
+	maxDepth      = 4  // levels of nested arrays
 	maxHeaderLine = 16 // bytes in a line that holds a type and a length
 )
 
@@ -37,7 +37,7 @@
 	errNumber         = errors.New("malformed number")
 )
 
-// SyntaxError reports malformed input from a client. The rest of the connection can't be parsed after it. The client
+// SyntaxError reports malformed input from a client, after which the rest of the connection can't be parsed. The client
 // gets its text.
 type SyntaxError struct{ Cause error }
 
