--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -247,7 +247,7 @@
 		50 * time.Millisecond: 15 * time.Millisecond, time.Second: 300 * time.Millisecond, time.Minute: 500 * time.Millisecond,
 	} {
 		if got := PollRetryIntervalFor(grace).Round(time.Microsecond); got != want {
-			t.Errorf("grace period of %v: polled again after %v, want %v", grace, got, want)
+			t.Errorf("grace period of %v: got a poll retry interval of %v, want %v", grace, got, want)
 		}
 	}
 }
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -76,9 +76,9 @@
 }
 
 // fromUnix translates a past time of the wall clock into event time. Each epoch in which the wall clock may have shown
-// that time gives a candidate, and fromUnix returns the latest: a start that is too late only costs some of the
-// endpoint's capacity, while one that is too early may overload it. If no epoch gives a candidate, the endpoint is
-// taken to have started now.
+// that time gives a candidate. fromUnix returns the latest candidate: a start that is too late only costs some of the
+// endpoint's capacity, while a start that is too early may overload the endpoint. If there is no candidate, the
+// endpoint is taken to have started now.
 func (s *StartTimes) fromUnix(unix policy.Seconds) policy.Seconds {
 	now := s.sampledAt
 	latest, found := 0.0, false
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -15,8 +15,9 @@
 
 const notQueued = -1
 
-// timerHeap is a heap of timers ordered by the time at which they are due. The number of open requests and attempts
-// bounds its size: each of them holds one timer until it ends, and the decision module and the loop's owner hold a few.
+// timerHeap is a heap of timers ordered by the time at which they are due. Its size is bounded by the number of open
+// requests and attempts: each of them holds one timer until it ends. The decision module and the loop's owner hold a
+// few more.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -23,8 +23,8 @@
 }
 
 // send makes an attempt of a request. A timeout of 0 leaves the attempt until the request's deadline. With a negative
-// timeout, the attempt times out at once. The attempt ends as NotSent if the request already has the maximum number of
-// attempts, or if mustNotStart or hasPendingEnd reports true.
+// timeout, the attempt ends as Timeout at once. Otherwise it ends as NotSent if mustNotStart or hasPendingEnd reports
+// true. An attempt beyond the maximum number of attempts always ends as NotSent.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -41,7 +41,7 @@
 	for c, want := range map[*net.UDPConn]string{peer: "one", broadcast: "all"} {
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != want || from != localAddress {
-			t.Errorf("got %q from %v, %v; want %q from %v", buf[:n], from, err, want, localAddress)
+			t.Errorf("got %q from %v, error %v; want %q from %v", buf[:n], from, err, want, localAddress)
 		}
 	}
 }
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -209,7 +209,7 @@
 			h.onLoop(func() {
 				e, open := h.proxy.endpoints.byID["s0"], h.proxy.endpoints.openConns
 				if e.pendingDials != 0 || len(e.waiting) != 0 || open != len(e.idle) {
-					t.Errorf("%d pending dials, %d waiting attempts, %d open connections that are not all idle", e.pendingDials, len(e.waiting), open)
+					t.Errorf("%d pending dials, %d waiting attempts, %d open connections; want none pending or waiting, and all idle", e.pendingDials, len(e.waiting), open)
 				}
 			})
 		})
@@ -301,7 +301,7 @@
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { wrapClientConns(h, failAfterRead) })
 			h.client().send(lookCommand("a")...)
 			if id := receive(t, h.decider.disconnected); id != "a" {
-				t.Errorf("the request %q was reported as left by its client, want a", id)
+				t.Errorf("the client's disconnect was reported for request %q, want a", id)
 			}
 			h.eventually("all clients are closed and no request is open", func() bool { return h.allClientsClosed() && len(h.proxy.requests.byID) == 0 })
 		})
