--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -9,8 +9,8 @@
 	"reedlead/policy"
 )
 
-// TestPeerMessages guards against messages that are accepted from senders that are not peers, and against datagrams
-// that are too long. It also checks that messages reach a single peer and the broadcast address.
+// TestPeerMessages checks that messages reach a single peer and the broadcast address. It also checks that the gateway
+// drops datagrams from unknown senders, and neither accepts nor sends datagrams that are too long.
 func TestPeerMessages(t *testing.T) {
 	peer, peerAddress := listenUDP(t)
 	stranger, _ := listenUDP(t)
@@ -41,7 +41,7 @@
 	for c, want := range map[*net.UDPConn]string{peer: "one", broadcast: "all"} {
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != want || from != localAddress {
-			t.Errorf("got %q from %v, %v; want %q from %v", buf[:n], from, err, want, localAddress)
+			t.Errorf("got %q from %v, error %v; want %q from %v", buf[:n], from, err, want, localAddress)
 		}
 	}
 }
