--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -51,9 +51,9 @@
 
 // commandArrival returns the arrival time of the command that ends at the buffer offset end.
 func (t *arrivalTracker) commandArrival(end int) policy.Seconds {
-	for _, mark := range t.reads {
-		if end <= mark.end {
-			return mark.arrival.commandArrivedAt(end == mark.end)
+	for _, read := range t.reads {
+		if end <= read.end {
+			return read.arrival.commandArrivedAt(end == read.end)
 		}
 	}
 	return t.lastEmptyAt
@@ -62,9 +62,9 @@
 // discard removes the first n bytes of the buffer from the record.
 func (t *arrivalTracker) discard(n int) {
 	kept := t.reads[:0]
-	for _, mark := range t.reads {
-		if mark.end -= n; mark.end > 0 {
-			kept = append(kept, mark)
+	for _, read := range t.reads {
+		if read.end -= n; read.end > 0 {
+			kept = append(kept, read)
 		}
 	}
 	t.reads = kept
@@ -72,24 +72,24 @@
 
 // estimate returns the arrival of the bytes of a read that ran from startedAt to endedAt. filled says that the read has
 // filled its buffer space, in which case the socket may hold more bytes.
-func (t *arrivalTracker) estimate(raw syscall.RawConn, lag *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
-	read := arrival{earliest: endedAt, lastByte: endedAt}
+func (t *arrivalTracker) estimate(raw syscall.RawConn, stalls *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
+	arrived := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
 		// The reader was delayed: all bytes may have arrived right after the previous read.
-		read.earliest = t.lastEmptyAt
+		arrived.earliest = t.lastEmptyAt
 	} else {
-		read.earliest = max(lag.OnTimeUntil(endedAt), t.lastEmptyAt)
+		arrived.earliest = max(stalls.OnTimeUntil(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
-		read.lastByte = max(endedAt-age, t.lastEmptyAt)
+		arrived.lastByte = max(endedAt-age, t.lastEmptyAt)
 	} else if filled { // the bytes that arrived last may still be in the socket
-		read.lastByte = read.earliest
+		arrived.lastByte = arrived.earliest
 	}
-	read.earliest = min(read.earliest, read.lastByte)
+	arrived.earliest = min(arrived.earliest, arrived.lastByte)
 	if !filled {
 		t.lastEmptyAt = endedAt
 	}
-	return read
+	return arrived
 }
 
 // lastDataAge returns the time since data last arrived on a connection, with a resolution of one millisecond. ok is
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -24,10 +24,10 @@
 		"after the end of a stall":           {emptyAt: 2.55, dueAt: 2, began: 2.55, ended: 2.6, earliest: 2.55},
 		"with more bytes left in the socket": {emptyAt: 1, began: 1.5, ended: 1.5, filled: true, earliest: 1},
 	} {
-		var lag eventloop.StallDetector
-		lag.SetNextTimerDue(tc.dueAt)
+		var stalls eventloop.StallDetector
+		stalls.SetNextTimerDue(tc.dueAt)
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
-		got := tracker.estimate(raw, &lag, tc.began, tc.ended, tc.filled)
+		got := tracker.estimate(raw, &stalls, tc.began, tc.ended, tc.filled)
 		if got.earliest > tc.earliest || got.earliest < tc.earliest-1 || got.lastByte < got.earliest || got.lastByte > tc.ended {
 			t.Errorf("%s: got %+v, want earliest up to 1 s before %v", name, got, tc.earliest)
 		}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -103,11 +103,12 @@
 func (t *requestTable) expire(r *request) {
 	t.services.warn("no reply from the decision module in time", "id", r.ID)
 	t.fail(r, noDecision)
-	t.notifyClientDisconnected(r)
+	t.notifyReplyNotNeeded(r)
 }
 
-// notifyClientDisconnected notifies the decision module that a request no longer needs a reply.
-func (t *requestTable) notifyClientDisconnected(r *request) {
+// notifyReplyNotNeeded notifies the decision module that a request needs no reply, because it has one already or its
+// client has disconnected. The module handles both cases as a disconnect.
+func (t *requestTable) notifyReplyNotNeeded(r *request) {
 	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
@@ -180,7 +181,7 @@
 	}
 	t.trace.clientDisconnected(r)
 	t.finish(r)
-	t.notifyClientDisconnected(r)
+	t.notifyReplyNotNeeded(r)
 }
 
 // removeIfDone removes a finished request once the outcomes of all its attempts have been reported.
@@ -195,7 +196,7 @@
 	for _, r := range t.byID {
 		if !r.done {
 			t.fail(r, why)
-			t.notifyClientDisconnected(r)
+			t.notifyReplyNotNeeded(r)
 		}
 	}
 }
