--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -9,10 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// The deadline of a request counts from the arrival of its last byte at this machine, not from the time at which the
-// reader reads it: bytes may wait in the socket while the reader waits for open commands or while the whole process is
-// stalled. The kernel does not report the arrival time of each byte, so it is estimated, and the estimate errs on
-// the early side so that no deadline is too late.
+// The deadline of a request counts from the arrival of its last byte at this machine. The reader may read that byte
+// much later, if it waits for open commands or if the process is stalled. The kernel does not report when each byte
+// arrived, so the arrival time is estimated. The estimate errs on the early side, so that no deadline is too late.
 
 // arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
@@ -20,8 +19,8 @@
 	lastByte policy.Seconds // estimated arrival of the last byte
 }
 
-// commandArrivedAt returns the arrival time of a command that ends within the read. lastInRead says that no more bytes
-// of the read follow the command; otherwise only the lower bound is known.
+// commandArrivedAt returns the estimated arrival time of a command that ends within the read. If more bytes of the read
+// follow the command (lastInRead is false), only the lower bound is known.
 func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
 	if lastInRead {
 		return a.lastByte
@@ -41,7 +40,7 @@
 	arrival arrival
 }
 
-// record stores the arrival of the latest read, whose bytes end at the buffer offset end.
+// record stores the arrival times of the latest read. end is the buffer offset behind the read's last byte.
 func (t *arrivalTracker) record(end int, arrived arrival) {
 	if n := len(t.reads); n > 0 && t.reads[n-1].end == end || end == 0 {
 		return // the read added no bytes
@@ -49,7 +48,7 @@
 	t.reads = append(t.reads, bufferedRead{end, arrived})
 }
 
-// commandArrival returns the arrival time of the command that ends at the buffer offset end.
+// commandArrival returns the estimated arrival time of the command that ends at the buffer offset end.
 func (t *arrivalTracker) commandArrival(end int) policy.Seconds {
 	for _, read := range t.reads {
 		if end <= read.end {
@@ -70,8 +69,9 @@
 	t.reads = kept
 }
 
-// estimate returns the arrival of the bytes of a read that ran from startedAt to endedAt. filled says that the read has
-// filled its buffer space, in which case the socket may hold more bytes.
+// estimate estimates when the bytes of a read arrived that ran from startedAt to endedAt. If the read has filled its
+// buffer space (filled), the socket may hold more bytes. Otherwise the socket was empty at endedAt, and estimate records
+// that for the next read.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, stalls *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	arrived := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -6,8 +6,8 @@
 	"reedlead/internal/eventloop"
 )
 
-// TestArrivalEstimates checks the estimated arrival of a read: an estimate that is too late would let a request outlive
-// its deadline, for instance after a stall of the process.
+// TestArrivalEstimates checks the arrival times that are estimated for the bytes of a read. An estimate that is too
+// late, for instance after a stall of the process, would set the deadline of the request too late.
 func TestArrivalEstimates(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	client := newTestConn(t, mustDial(t, addr))
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestArrivalOfPipelinedCommands checks that a command whose bytes come in several reads gets the arrival of the read
-// that holds its last byte.
+// TestArrivalOfPipelinedCommands checks that the arrival time of a command is that of the read with its last byte. If
+// more bytes of that read follow the command, its arrival time is the lower bound of the read.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -14,8 +14,8 @@
 	// shutdownTimeout is the time that a client has to close its side of a connection after this gateway has shut down
 	// the sending side.
 	shutdownTimeout = 500 * time.Millisecond
-	// replyDeliveryTime is the time in seconds after which a written reply has reached its client. Before that, a reset
-	// of the connection would destroy the reply.
+	// replyDeliveryTime is the time in seconds after which a written reply is assumed to have reached its client. A
+	// reset of the connection before that may destroy the reply.
 	replyDeliveryTime policy.Seconds = 1
 )
 
@@ -30,27 +30,27 @@
 //   - A writer, started by the event loop while the socket cannot take all pending bytes, owns the write deadline. It
 //     ends when the write is complete, at its stall timeout or with the connection, and clears the deadline.
 //
-// The event loop closes a connection between commands only while its reader is paused: requestClose interrupts the
-// reader with a read deadline in the past, and the reader posts readerPaused and waits for resume or done.
+// Before the event loop closes an idle connection, it pauses the reader: requestClose interrupts the reader with a read
+// deadline in the past, and the reader posts readerPaused and waits for resume or done.
 type clientConn struct {
 	services *services
 	set      *clientSet // set that holds the connection
 	number   uint64     // sequence number in the order of acceptance
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
-	permits  chan struct{} // one element per open command: the reader adds it, the event loop removes it
+	permits  chan struct{} // one element per command without a written reply; the reader adds, the event loop removes
 	done     chan struct{} // closed when the connection is closed
 	resume   chan struct{} // ends a pause of the reader
 
-	pauseRequested  atomic.Bool          // the reader has to pause between commands
-	discardInput    atomic.Bool          // the reader has to discard all further input
+	pauseRequested  atomic.Bool          // the reader must pause when its read is interrupted
+	discardInput    atomic.Bool          // the reader must discard all further input after its pause
 	hasReceived     atomic.Bool          // at least one byte was read
 	writeProgressAt eventloop.AtomicTime // last time at which the socket took bytes from the writer
 
 	reader clientReader
 
 	pipeline              replyPipeline
-	reservedOutput        int  // bytes of the budget, reserved for replies that the client has not read
+	reservedOutput        int  // bytes of the input budget reserved for unwritten replies
 	writing               bool // a writer goroutine is running
 	openedAt              policy.Seconds
 	lastUsedAt            policy.Seconds
@@ -58,9 +58,9 @@
 	closeRequested        bool        // the reader was asked to pause so that the connection can be closed
 	usedSinceCloseRequest bool        // a reply was queued after the close request
 	hasSentCommand        bool        // the client has sent a complete command
-	inputDiscarded        bool        // the reader has finished discarding the input behind a malformed command
-	sendingShutDown       bool        // the sending side is closed: no more replies, and further input is discarded
-	overLimit             bool        // accepted beyond the connection limit; requests are rejected as long as that lasts
+	inputDiscarded        bool        // the reader has rejected input and finished discarding what follows it
+	sendingShutDown       bool        // the sending side is closed; further commands are ignored
+	overLimit             bool        // accepted beyond the connection limit; requests are rejected until there is room
 	closed                bool
 }
 
@@ -68,8 +68,8 @@
 // event loop has not handled yet.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyLocally replies to a command without the decision module. If last is set, the connection ends with the reply.
-// Event loop only.
+// replyLocally replies to a command without the decision module. If last is set, no replies to later commands are
+// written, and the connection is closed. Event loop only.
 func (c *clientConn) replyLocally(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
@@ -79,9 +79,9 @@
 	c.flush()
 }
 
-// requestClose closes a connection between commands. As the reader may be in the middle of a command, or a command that
-// it has posted may still be in the event queue, the connection is closed only once the reader has paused, and stays
-// open if another command has arrived by then. Event loop only.
+// requestClose asks the reader to pause. readerPaused then closes the connection, or keeps it open if it is in use
+// again. Closing the connection directly could lose a command that the reader is reading or has posted. If the last
+// reply has been queued, requestClose closes the connection immediately. Event loop only.
 func (c *clientConn) requestClose(why closeReason) {
 	switch {
 	case c.closed || c.closeRequested:
@@ -96,8 +96,8 @@
 }
 
 // readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
-// if no further input has arrived and no reply was queued since the close request; during a drain it closes any idle
-// connection without further input. Otherwise it lets the reader continue. Event loop only.
+// if that is idle, has no unread input, and has queued no reply since the close request. During a drain, a reply since
+// the close request does not keep the connection open. Otherwise the reader continues. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
@@ -114,10 +114,10 @@
 	c.set.enforceLimit() // another connection may have to be closed instead
 }
 
-// closeGracefully ends a connection without pending replies. If the socket holds unread bytes when it is closed, the
-// connection is reset, which destroys replies that the client has not received yet. So after a recent reply only the
-// sending side is shut down, and further input is discarded until the client closes its side; the client repeats the
-// discarded commands on another connection.
+// closeGracefully closes a connection without pending replies. Closing a socket that holds unread bytes resets the
+// connection, which destroys replies that the client has not received yet. So after a recent reply, only the sending
+// side is shut down at first, and the reader discards further input until the client closes its side or shutdownTimeout
+// has passed. The client has to repeat the discarded commands on another connection.
 func (c *clientConn) closeGracefully() {
 	if c.services.loop.Now()-c.lastUsedAt > replyDeliveryTime {
 		c.close(c.closeReason, nil)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// listenerQuietPeriod is the time without a new connection that counts as a quiet period after the event loop has
-	// set a deadline on the listener.
+	// listenerQuietPeriod is the length of each deadline that the listener sets for accept after the first, which the
+	// event loop sets. An accept that times out after at least half of this time counts as a quiet period.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietPeriodsToClose is the number of quiet periods after which the listener is closed.
+	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. A timeout after a shorter
+	// wait resets the count; an accepted connection does not.
 	quietPeriodsToClose = 2
 )
 
-// clientListener accepts client connections and starts their readers. It is owned by its goroutine, which Proxy.serve
-// starts. After the event loop has set a deadline on the listener, the goroutine accepts the connections that are
-// waiting, closes the listener, notifies the event loop and ends. It also ends with the event loop.
+// clientListener accepts client connections and starts their readers. Its goroutine, which Proxy.serve starts, owns it.
+// After the event loop has set a deadline on the listener, the goroutine accepts the connections that are waiting,
+// closes the listener, notifies the event loop and ends. It also ends when the event loop has ended.
 type clientListener struct {
 	services     *services
 	clients      *clientSet // only connSlots is used; the event loop owns the rest
 	listener     *net.TCPListener
 	parser       *command.Parser
 	accepted     uint64 // number of connections accepted so far
-	quietPeriods int    // number of quiet periods since the deadline
+	quietPeriods int    // number of quiet periods so far; see quietPeriodsToClose
 
 	// Both are called on the event loop: onError with each error of accept, onEnd once the listener is closed.
 	onError func(error)
 	onEnd   func()
 }
 
-// acceptClients accepts client connections until the listener is closed.
+// acceptClients creates the client listener and runs it until it ends.
 func (p *Proxy) acceptClients(listener *net.TCPListener) {
 	l := &clientListener{
 		services: &p.services, clients: &p.clients, listener: listener,
@@ -51,7 +52,8 @@
 	l.run()
 }
 
-// run accepts connections until the listener or the event loop ends, and closes the listener.
+// run accepts connections until acceptOne returns false or the event loop has ended. It then closes the listener and
+// posts onEnd.
 func (l *clientListener) run() {
 	loop, clock := l.services.loop, l.services.clock
 	defer func() {
@@ -70,8 +72,8 @@
 	}
 }
 
-// acceptOne accepts one connection. The caller has acquired a slot for it, which is released if accepting fails. It
-// reports whether to continue.
+// acceptOne accepts one connection into the slot that the caller has acquired. If none was accepted but another attempt
+// may succeed, it releases the slot. It reports whether to continue.
 func (l *clientListener) acceptOne() (more bool) {
 	shared := l.services
 	startedAt := time.Now()
@@ -102,8 +104,9 @@
 	return true
 }
 
-// handleAcceptTimeout runs when accept has waited until the listener's deadline. It sets the next deadline, or returns
-// false once enough quiet periods have passed.
+// handleAcceptTimeout handles an accept that has reached the listener's deadline. waited is the time that the accept
+// took. After quietPeriodsToClose quiet periods it returns false. Otherwise it releases the slot, sets the next deadline
+// and returns true.
 func (l *clientListener) handleAcceptTimeout(waited time.Duration) (more bool) {
 	l.quietPeriods++
 	if waited < listenerQuietPeriod/2 { // an accept that begins after its deadline does not check for connections
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -5,7 +5,7 @@
 
 // pipelineSlot reserves the position of a reply in the order of its connection's commands.
 type pipelineSlot struct {
-	request *request // nil if the reply needed no decision
+	request *request // nil if the proxy replies without the decision module
 	reply   []byte   // in RESP; nil until it is final
 	last    bool     // the connection is closed after this reply
 }
@@ -21,7 +21,7 @@
 // replyPipeline orders the replies of a connection by its commands. The event loop owns it.
 type replyPipeline struct {
 	slots           []*pipelineSlot  // open commands and final replies behind them; at most maxPipelined+1
-	pending         []byte           // replies that are due but not handed to a writer yet
+	pending         []byte           // queued replies that are neither written nor handed to a writer goroutine
 	unwritten       []unwrittenReply // replies that are pending or with a writer, oldest first
 	lastReplyQueued bool             // the last reply of the connection was queued
 }
@@ -35,8 +35,8 @@
 // unfinished returns the number of commands without a completely written reply.
 func (p *replyPipeline) unfinished() int { return len(p.slots) + len(p.unwritten) }
 
-// queueDue moves the replies that are due to the pending bytes: those that are final, up to the first open command. It
-// returns the number of these replies and of their bytes.
+// queueDue moves final replies from the front of the pipeline to pending, up to the first open command or the
+// connection's last reply. It returns how many replies it moved and their total size in bytes.
 func (p *replyPipeline) queueDue() (replies, bytes int) {
 	before := len(p.pending)
 	for replies < len(p.slots) && p.slots[replies].reply != nil && !p.lastReplyQueued {
@@ -55,8 +55,8 @@
 	return replies, len(p.pending) - before
 }
 
-// recordWritten records that n more bytes were written to the socket. It returns the number of replies with a permit
-// that these bytes have completed.
+// recordWritten records that n more bytes were written to the socket. It returns the number of permits to release: one
+// for each reply that is now completely written, except for the connection's last reply, which holds none.
 func (p *replyPipeline) recordWritten(n int) (permits int) {
 	completed := 0
 	for completed < len(p.unwritten) && n >= p.unwritten[completed].remaining {
--- a/internal/proxy/client_pipeline_test.go
+++ b/internal/proxy/client_pipeline_test.go
@@ -13,8 +13,8 @@
 	return &pipelineSlot{request: &request{Request: &command.Request{Request: policy.Request{ID: id}}}}
 }
 
-// TestPipelineQueuesRepliesInOrder checks that a reply waits for the replies to earlier commands, and that no reply
-// follows the one after which the connection is closed.
+// TestPipelineQueuesRepliesInOrder checks that a reply waits for the replies to earlier commands, and that nothing is
+// queued after the connection's last reply.
 func TestPipelineQueuesRepliesInOrder(t *testing.T) {
 	var p replyPipeline
 	first, second := openSlot("a"), openSlot("b")
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -6,9 +6,9 @@
 	"reedlead/internal/netcalls"
 )
 
-// A reader reads ahead while it waits for a reply to one of its connection's commands. If unread bytes filled the
-// receive buffer of the socket, this machine would not receive the FIN behind them, and the gateway would go on
-// forwarding open requests of a client that has disconnected.
+// A reader reads ahead while it waits for a permit. Otherwise unread commands could fill the receive buffer of the
+// socket. This machine would then not receive a FIN behind them, and the gateway would go on forwarding open requests of
+// a client that has disconnected.
 
 const (
 	// readAheadInterval is the interval at which a waiting reader checks its socket.
@@ -46,7 +46,7 @@
 }
 
 // readAhead reads the available input without blocking, as far as the limits on buffered input allow. If the connection
-// has ended, it notifies the event loop and returns true.
+// has ended, it posts a call of abandon to the event loop and returns true.
 func (r *clientReader) readAhead() (ended bool) {
 	shared, c := r.services, r.client
 	for r.buffer.Len() < maxReadAhead && shared.inputBudget.AllowsReadAhead() {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -19,14 +19,15 @@
 const (
 	// maxBadCommands is the number of invalid commands after which a connection is closed.
 	maxBadCommands = 8
-	// discardTimeout and maxDiscardedBytes limit the input that is read and discarded behind a malformed command.
-	discardTimeout    = 2 * time.Second
+	// discardTimeout is the maximum time for which input is discarded after the reader has rejected input.
+	discardTimeout = 2 * time.Second
+	// maxDiscardedBytes is the maximum number of bytes that are discarded before a connection is closed.
 	maxDiscardedBytes = 1 << 20
 	// typicalArguments is the number of arguments that can be parsed without an allocation.
 	typicalArguments = 8
 )
 
-// pingCommand is the health check, which asks whether this gateway can serve requests.
+// pingCommand is the command of a health check, which asks whether this gateway can serve requests.
 const pingCommand = "PING"
 
 // maxQuotedBytes is the maximum number of bytes of an unknown command that an error quotes.
@@ -39,8 +40,8 @@
 )
 
 // clientReader reads the commands of one connection and posts each to the event loop, with the arrival time of its last
-// byte. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends with the connection
-// or at malformed input.
+// byte. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends when the connection
+// ends, or after it has rejected input.
 //
 // A read deadline is set until the first command is complete, and while a later command is incomplete. To pause the
 // reader, the event loop sets a deadline in the past.
@@ -56,7 +57,7 @@
 	deadline       time.Time // zero if there is none
 }
 
-// run reads and handles commands until the connection ends or its input is malformed.
+// run reads and handles commands until the connection ends or its input is rejected.
 func (r *clientReader) run() {
 	defer r.buffer.Free()
 	r.deadlineActive = true
@@ -104,8 +105,9 @@
 	return true
 }
 
-// updateDeadline sets the read deadline when a new command has begun but is incomplete, and clears the deadline when no
-// command is incomplete.
+// updateDeadline updates the read deadline after a read. used is the total length of the commands that were handled, and
+// unfinished says that a part of another command follows them. updateDeadline sets the deadline when an unfinished
+// command has begun, and clears it when there is none.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
 	case unfinished && (used > 0 || !r.deadlineActive):
@@ -117,7 +119,8 @@
 	}
 }
 
-// handleError handles a read error. It reports whether to continue.
+// handleError handles a read error: an interruption for a pause, the timeout of a command or the end of the connection.
+// It reports whether to continue.
 func (r *clientReader) handleError(at policy.Seconds, err error) (more bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
@@ -134,8 +137,9 @@
 	return false
 }
 
-// pause waits between commands while the event loop decides whether to close the connection. It reports whether to
-// continue.
+// pause posts readerPaused and waits until the event loop resumes the reader or closes the connection. If the event loop
+// has set discardInput, pause discards further input for up to shutdownTimeout and then posts the close. It reports
+// whether to continue.
 func (r *clientReader) pause(at policy.Seconds) (more bool) {
 	c := r.client
 	r.services.loop.Post(at, c.readerPaused)
@@ -208,7 +212,8 @@
 	return nil
 }
 
-// replyError replies to an invalid command with an error. It reports whether the connection stays open.
+// replyError replies to an invalid command with an error. It reports whether to continue, which is false after
+// maxBadCommands invalid commands.
 func (r *clientReader) replyError(at policy.Seconds, err error) (more bool) {
 	if r.badCommands++; r.badCommands == maxBadCommands {
 		<-r.client.permits // the last reply of a connection holds no permit
@@ -220,11 +225,12 @@
 	return true
 }
 
-// errorReply returns an error reply in RESP.
+// errorReply returns the error reply for err in RESP.
 func errorReply(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
 
-// rejectInput replies with an error to input that cannot be handled, and ends the connection. It first discards further
-// input for a while, because closing a socket with unread bytes resets the connection and may destroy the reply.
+// rejectInput replies with an error to input that cannot be handled, and ends the connection after the reply. Until
+// then it discards further input, because closing a socket with unread bytes resets the connection and may destroy the
+// reply.
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
 	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
@@ -237,8 +243,8 @@
 	})
 }
 
-// discardRemaining reads and discards up to maxDiscardedBytes of input until the timeout. It reports whether the client
-// has closed its side.
+// discardRemaining frees the read buffer, and reads and discards up to maxDiscardedBytes of input until the timeout. It
+// reports whether the client has closed the connection or its sending side.
 func (r *clientReader) discardRemaining(timeout time.Duration) (closedByClient bool) {
 	r.buffer.Free()
 	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // if it fails, so does the read
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -18,13 +18,13 @@
 	overLimitShare = 1.0 / 8
 	// acceptAhead is the number of accepted connections that may wait for the event loop.
 	acceptAhead = 8
-	// commandTimeout is the time that a client has for its first command, and for completing any later command. It is
-	// below 3 s, the time within which input that cannot be read must get a reply.
+	// commandTimeout is the time in which a client has to send its first command, and to complete any later command. It
+	// is below 3 s, because input that cannot be parsed must get a reply within 3 s.
 	commandTimeout = 2 * time.Second
 	// clientIdleTimeout is the time in seconds after which an idle connection is closed.
 	clientIdleTimeout policy.Seconds = 10
-	// lateClientGrace is the time for the first command on a connection that was accepted just before the listener
-	// closed.
+	// lateClientGrace is the time in which a client has to send its first command on a connection that is added during
+	// a drain, after the accept grace.
 	lateClientGrace = 100 * time.Millisecond
 
 	// reservedDescriptors is the number of descriptors kept for the listener, discovery with its concurrent polls, the
@@ -34,8 +34,8 @@
 	reservedDescriptorShare = 1.0 / 32
 )
 
-// usableDescriptors returns the number of descriptors that connections may use, given the limit of the process. The
-// rest is reserved for operations that must never wait for a descriptor.
+// usableDescriptors returns the number of descriptors that connections may use. limit is the number that the process
+// may open. The rest is reserved: see reservedDescriptors.
 func usableDescriptors(limit int) int {
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
@@ -47,10 +47,10 @@
 	requests           *requestTable
 	status             gatewayStatus
 	conns              map[*clientConn]struct{}
-	limit              int // of open connections; below configuredLimit while descriptors are short
+	limit              int // maximum number of open connections; below configuredLimit while descriptors are short
 	configuredLimit    int
 	overLimitAllowance int // connections accepted beyond the limit so that their requests get a rejection
-	closing            int // open connections with a requested close
+	closing            int // open connections whose close was requested
 	// connSlots holds an element for each connection. The listener adds it before it accepts the connection, and the
 	// event loop removes it when it closes the connection.
 	connSlots chan struct{}
@@ -75,7 +75,7 @@
 // open returns the number of open connections.
 func (s *clientSet) open() int { return len(s.conns) }
 
-// notClosing returns the number of open connections without a requested close.
+// notClosing returns the number of open connections whose close was not requested.
 func (s *clientSet) notClosing() int { return len(s.conns) - s.closing }
 
 // add adds a connection that the listener has accepted, or closes it if too many are open.
@@ -95,8 +95,8 @@
 }
 
 // sweep closes connections that have been idle for too long, connections with maxPipelined unfinished commands whose
-// client has disconnected, and idle connections beyond the limit. It leaves a client that has sent no command to the
-// reader, which replies with an error at its deadline.
+// client has disconnected, and idle connections beyond the limit. The idle timeout does not apply to a client that has
+// not sent a command yet: its reader rejects it at the command deadline.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
@@ -111,14 +111,14 @@
 	s.enforceLimit() // add does the same, but there may be no new connection
 }
 
-// enforceLimit evicts connections if more than the limit are open.
+// enforceLimit evicts connections if more than limit are open.
 func (s *clientSet) enforceLimit() {
 	if s.notClosing() > s.limit {
 		s.evictToLimit(nil)
 	}
 }
 
-// closeIdle requests the close of all idle connections.
+// closeIdle requests the close of all idle connections during a drain.
 func (s *clientSet) closeIdle() {
 	for c := range s.conns {
 		if c.idle() {
@@ -127,8 +127,9 @@
 	}
 }
 
-// evictToLimit evicts idle and stalled connections, the lowest eviction rank first, until fewer than the limit are open
-// besides newcomer, which may be nil. It reports whether too many remain open because no other can be evicted.
+// evictToLimit evicts idle and stalled connections, the lowest eviction rank first, until fewer than limit connections
+// are open. Connections whose close was requested are not counted. newcomer, which may be nil, is neither counted nor
+// evicted. evictToLimit reports whether too many remain open because none of them can be evicted.
 func (s *clientSet) evictToLimit(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
@@ -145,8 +146,9 @@
 	}
 }
 
-// evictionCandidate returns the connection to evict next: among those of the lowest rank, the one unused for longest,
-// or nil if none can be evicted. others is the number of connections without a requested close, not counting newcomer.
+// evictionCandidate returns the connection to evict next, or nil if none can be evicted. The candidate is the least
+// recently used connection of the lowest rank. others is the number of connections whose close was not requested,
+// without newcomer.
 func (s *clientSet) evictionCandidate(newcomer *clientConn) (candidate *clientConn, others int) {
 	var lowest evictionRank
 	for c := range s.conns {
@@ -168,14 +170,15 @@
 // evictionRank is the order of eviction: connections of the lowest rank are evicted first.
 type evictionRank int
 
+// Ranks of a connection, by its state.
 const (
-	rankLastReplyQueued evictionRank = iota // its last reply was queued
-	rankNoCommand                           // it has not received any bytes
-	rankIdle                                // it has no open command and no reply to write
-	// rankUnhandledInput has received bytes of its first command. It cannot be closed before that command is handled,
-	// so its eviction would not make room immediately.
+	rankLastReplyQueued evictionRank = iota // the connection's last reply was queued
+	rankNoCommand                           // the client has not sent any bytes
+	rankIdle                                // a command was handled, none is open, and no reply is left to write
+	// rankUnhandledInput is the rank of a connection with bytes of its first command that are not handled yet. It stays
+	// open until that command is handled, so evicting it makes no room immediately.
 	rankUnhandledInput
-	rankStalled // its client does not read its replies
+	rankStalled // the client does not read its replies
 )
 
 // evictionRank returns the rank of an idle or stalled connection.
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -11,7 +11,7 @@
 
 const (
 	// stallTimeout is the time without write progress after which a connection is closed. It is long because closing
-	// loses the unwritten replies; such a client may be evicted earlier.
+	// the connection loses its unwritten replies. To make room, a stalled client may be evicted earlier.
 	stallTimeout = 30 * time.Second
 	// evictStalledAfter is the time in seconds without write progress after which a client may be evicted.
 	evictStalledAfter policy.Seconds = 5
@@ -19,7 +19,8 @@
 	maxKeptOutput = 4 * readbuf.InitialSize
 )
 
-// flush writes the replies that are due, in the order of their commands. Event loop only.
+// flush queues the replies that are due, in the order of their commands, and writes them. While a writer goroutine is
+// running, it only queues them: writeFinished writes them later. Event loop only.
 func (c *clientConn) flush() {
 	if c.closed {
 		return
@@ -36,8 +37,7 @@
 	}
 }
 
-// reserveOutput reserves n bytes of the input budget for replies that the client has not read. It reports whether the
-// budget had room for them.
+// reserveOutput reserves n bytes of the input budget for unwritten replies. It reports whether enough was available.
 func (c *clientConn) reserveOutput(n int) bool {
 	if !c.services.inputBudget.Reserve(n) {
 		return false
@@ -46,8 +46,8 @@
 	return true
 }
 
-// recordWritten records that n more bytes were written to the socket, and releases the permits of the replies that
-// these bytes have completed.
+// recordWritten records that n more bytes were written to the socket, and releases the permits of the replies that are
+// now completely written.
 func (c *clientConn) recordWritten(n int) {
 	for range c.pipeline.recordWritten(n) {
 		select {
@@ -57,8 +57,8 @@
 	}
 }
 
-// writePending writes the pending replies: directly as far as the socket has room, and the rest in a writer goroutine.
-// Event loop only.
+// writePending writes the pending replies. It writes as many bytes as the socket has room for, and leaves the rest to a
+// writer goroutine. Event loop only.
 func (c *clientConn) writePending() {
 	shared := c.services
 	shared.inputBudget.Release(c.reservedOutput)
@@ -117,8 +117,9 @@
 	}
 }
 
-// allWritten runs when all pending replies are written. It ends a connection after its last reply, and during a drain
-// one without open commands.
+// allWritten runs when all pending replies are written. After the connection's last reply, it closes the connection, or
+// only the sending side while the reader is still discarding input. During a drain, it requests the close of a
+// connection without open commands.
 func (c *clientConn) allWritten() {
 	switch lastWritten := c.pipeline.lastReplyQueued; {
 	case lastWritten && !c.inputDiscarded:
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// TestStalledClientIsEvicted checks that a client that does not read its replies cannot keep its connection slot
-// forever, but that an idle client is evicted before it.
+// TestStalledClientIsEvicted checks that idle clients are evicted first, and that a client that does not read its
+// replies is evicted if no client is idle.
 func TestStalledClientIsEvicted(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit = 2
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client was not evicted")
 	}
-	h.onLoop(func() { // the third client waits for a reply, and the stalled one counts as stalled
+	h.onLoop(func() { // make the third client busy, and the write of the first old enough for its eviction
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -6,12 +6,12 @@
 	"reedlead/internal/netcalls"
 )
 
-// The connection limits leave a reserve of descriptors. If the process gets fewer descriptors than its configuration
-// says, idle connections are evicted so that discovery, new connections and files never have to wait for a descriptor.
+// The connection limits leave a reserve of descriptors. The process may still run out of them if it can open fewer than
+// its configuration says. Connections are then evicted to free descriptors for discovery, new connections and files.
 
 const (
-	// evictionDivisor determines how many client connections are evicted when no descriptor is left: one in
-	// evictionDivisor.
+	// evictionDivisor determines how many client connections are evicted when no descriptor is left: 1/evictionDivisor
+	// of them.
 	evictionDivisor = 8
 	// limitRecoveryDivisor determines how fast a lowered client limit recovers: each check that finds a free descriptor
 	// raises it by 1/limitRecoveryDivisor of the configured limit.
@@ -45,7 +45,8 @@
 }
 
 // evictIfExhausted reports whether err says that no descriptor is left. If so, it lowers the client limit and evicts
-// connections: idle ones to endpoints first, since they cost a new dial at most, then those of clients.
+// connections. It starts with idle backend connections, since their loss costs at most a new dial, and goes on with
+// client connections.
 func (g *descriptorGuard) evictIfExhausted(err error) bool {
 	if !netcalls.IsOutOfDescriptors(err) {
 		return false
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// acceptGrace is the time after the shutdown signal during which connections are accepted. They arrive until 0.4 s
-	// after a planned restart is announced, and losses from 0.7 s on count as failures, so the listener closes in
-	// between.
+	// acceptGrace is the time after the shutdown signal during which connections are accepted. After a planned restart
+	// is announced, new connections arrive for 0.4 s, and losses count as failures from 0.7 s on. The listener closes
+	// between these times.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL may arrive sigkillDelay after the longest request timeout, of which at most maxSigkillTimeout counts.
-	// All requests have a reply sigkillMargin before that, and their connections are shut down when half of the margin
-	// is left and closed when a quarter is left.
+	// SIGKILL may follow the shutdown signal after min(longest request timeout, maxSigkillTimeout) + sigkillDelay.
+	// Requests still open sigkillMargin before SIGKILL fail with a reply. The sending sides of the connections are shut
+	// down sigkillMargin/2 before SIGKILL, and the connections are closed sigkillMargin/4 before it.
 	sigkillDelay      = 700 * time.Millisecond
 	maxSigkillTimeout = 3 * time.Second
 	sigkillMargin     = 150 * time.Millisecond
@@ -32,12 +32,12 @@
 	acceptGrace time.Duration // time after the signal during which connections are accepted
 	timeout     time.Duration // time after the signal at which open requests fail
 
-	acceptingStopped bool // the accept grace is over, and connections close between requests
-	listenerEnded    bool // the listener is closed, and all waiting connections were accepted
+	acceptingStopped bool // the accept grace is over, and connections are closed once they are idle
+	listenerEnded    bool // the listener is closed, or the drain no longer waits for it
 	timedOut         bool // the timeout has passed, and new requests are rejected
 }
 
-// init derives the times from the timeouts of the request classes.
+// init sets the components and the times of the drain. The timeout depends on the longest timeout of a request class.
 func (d *drain) init(
 	shared *services, listener *net.TCPListener, clients *clientSet, requests *requestTable, classes []policy.Class,
 ) {
@@ -70,8 +70,8 @@
 	d.clients.closeIdle()
 }
 
-// expire ends a drain that takes too long. It fails the open requests while their clients can still get the reply.
-// Later requests are rejected until their connection is closed.
+// expire ends a drain at its timeout. It fails the open requests early enough for the replies to reach their clients
+// before SIGKILL. Later requests are rejected until their connection is shut down.
 func (d *drain) expire() {
 	d.timedOut = true
 	if !d.acceptingStopped {
@@ -88,6 +88,6 @@
 		for c := range d.clients.conns {
 			c.close(drainDeadline, nil)
 		}
-		d.listenerEnded = true // it may be waiting for a free slot, and the drain must not wait for it
+		d.listenerEnded = true // the listener's goroutine may wait for a free slot, and must not delay the exit
 	})
 }
