--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -26,9 +26,9 @@
 	h.wantFinalOutcome(policy.OK)
 }
 
-// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint if its client disconnects while
-// the request waits in one of several places. The event loop is blocked during the disconnect, so that it has not
-// handled it when it is about to send the request.
+// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint after its client has disconnected,
+// wherever the request waits at that time. The event loop is blocked during the disconnect, so it is about to send the
+// request before it has handled the disconnect.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
@@ -83,7 +83,7 @@
 	h.openRequest(c, "a")
 	h.whileLoopBlocked(func() { c.disconnect(how) }, h.clientClosed("a"), func() {
 		h.proxy.requests.byID["a"].arrivedAt = h.proxy.clock.Now() // as if it had been read only now
-		h.proxy.loop.After(-1, func() {})
+		h.proxy.loop.After(-1, func() {})                          // an overdue timer, as after a stall
 		h.proxy.Send("a", "s0", 0, 0)
 	})
 	h.wantNothingSent(conns)
@@ -108,7 +108,7 @@
 	h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() {
 		c.disconnect(how)
 		waitFor(func() bool { return netcalls.ClosedByPeer(conn.rawConn) })
-		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command waits longer than the threshold for a stall
+		waitForClock(h.proxy, h.proxy.clock.Now()+2*eventloop.StallThreshold) // the command waits as if the process had stalled
 	})
 	h.wantNothingSent(conns)
 }
@@ -155,18 +155,18 @@
 	h.awaitClientDisconnected(conns, fmt.Sprint("r", maxPipelined-1))
 	h.eventually("requests and connections are removed", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
 	if len(conns) != 0 || h.proxy.endpoints.openConns != 0 {
-		t.Error("a command was sent")
+		t.Error("the endpoint got a connection, or one to it is still open")
 	}
 }
 
-// awaitClientDisconnected waits until the decision module is notified that the client of a request has disconnected,
-// and checks that no connection to the endpoint is made before that.
+// awaitClientDisconnected waits until the decision module is notified that the client of a request has disconnected. It
+// checks that no connection to the endpoint is made before that.
 func (h *harness) awaitClientDisconnected(conns <-chan *testConn, id string) {
 	h.t.Helper()
 	for {
 		select {
 		case <-conns:
-			h.t.Error("a command was sent")
+			h.t.Error("the endpoint got a connection before the decision module was notified of the disconnect")
 			return
 		case disconnected := <-h.decider.disconnected:
 			if disconnected == id {
@@ -178,7 +178,7 @@
 	}
 }
 
-// clientClosed returns a function that reports whether the client of the open request has closed its connection.
+// clientClosed returns a function that reports whether the client of an open request has closed or reset its connection.
 func (h *harness) clientClosed(id string) func() bool {
 	var open *request
 	h.onLoop(func() { open = h.proxy.requests.byID[id] })
@@ -194,12 +194,12 @@
 	return c, conn
 }
 
-// wantNothingSent checks that the only attempt, of the request a, was not sent, that the decision module was notified
-// of the disconnect, and that the request and its connections were removed.
+// wantNothingSent checks that request a is done with the outcome NotSent, that the decision module was notified of the
+// disconnect, and that neither the request nor a connection to the endpoint is left.
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
-		h.t.Errorf("got %+v, want the only attempt of request a not sent", o)
+		h.t.Errorf("got %+v, want status not_sent for request a, and the request done", o)
 	}
 	if got := receive(h.t, h.decider.disconnected); got != "a" {
 		h.t.Errorf("got the disconnect of the client of request %q, want a", got)
@@ -211,8 +211,8 @@
 	})
 }
 
-// TestDisconnectIsDetectedBehindUnreadCommands checks that a disconnect is detected while commands before it are still
-// unread in the socket, which happens when the reader waits for a permit.
+// TestDisconnectIsDetectedBehindUnreadCommands checks that a disconnect is detected while the socket holds unread
+// commands that were sent before it. Commands stay unread while the reader waits for a permit.
 func TestDisconnectIsDetectedBehindUnreadCommands(t *testing.T) {
 	ping := encodeCommand("PING")
 	for _, unread := range []string{"", ping, strings.Repeat(ping, 200)} {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestConnectionClosesAfterMaxBadCommands checks that a client cannot keep the event loop busy with an endless series
-// of invalid commands.
+// TestConnectionClosesAfterMaxBadCommands checks that a connection is closed after maxBadCommands invalid commands, so
+// that a client cannot keep the event loop busy with them.
 func TestConnectionClosesAfterMaxBadCommands(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -9,15 +9,15 @@
 )
 
 // TestQueuedEventsRunBeforeTimers checks that events that arrive during a stall of the process are handled before the
-// timers that became due. Otherwise an attempt that has its reply would time out, and an attempt would be sent to an
-// endpoint that is known to be draining.
+// timers that became due. Otherwise an attempt could time out although its reply has arrived, or an attempt could be
+// sent to an endpoint that discovery has already reported as draining.
 func TestQueuedEventsRunBeforeTimers(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	h.eventually("the attempt is in flight", func() bool { return h.proxy.requests.byID["a"].attempts[0].conn != nil })
 	waiting, arrived := make(chan struct{}), make(chan struct{})
 	h.onLoop(func() {
 		a := h.proxy.requests.byID["a"].attempts[0]
-		h.proxy.loop.After(0, func() { // an overdue timer, as is the next one
+		h.proxy.loop.After(0, func() { // due at once, like the next timer
 			close(waiting)
 			<-arrived
 			for !h.queued(1)() {
@@ -30,7 +30,7 @@
 	b.write(valueReply)
 	close(arrived)
 	h.wantOutcome(policy.OK)
-	c.wantValue("the reply that had come")
+	c.wantValue("the reply that arrived before the timer ran")
 }
 
 // TestReadersRunBeforeOverdueTimers checks that after a stall no timer fires before the readers have run. Otherwise an
@@ -45,14 +45,14 @@
 	h.onLoop(func() {
 		pauses := 0
 		h.proxy.loop.PauseForReaders = func() {
-			if pauses++; pauses == 2 { // two pauses must be enough for the reader
+			if pauses++; pauses == 2 { // the reader posts only during the second pause
 				a.conn.writeMu.Unlock()
 			}
 			for end := time.Now().Add(testTimeout); pauses == 2 && h.proxy.loop.QueuedEvents() == 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		h.proxy.loop.After(-1, func() { h.proxy.attempts.handleTimeout(a) }) // long overdue
+		h.proxy.loop.After(-1, func() { h.proxy.attempts.handleTimeout(a) }) // overdue by 1 s
 	})
 	if o := receive(t, h.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("got %+v, want the reset that the reader has posted", o)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -19,7 +19,7 @@
 	"reedlead/policy"
 )
 
-// testTimeout is the time after which a test gives up waiting for an event. No other check depends on its length.
+// testTimeout is the time after which a test gives up waiting for an event.
 const testTimeout = 20 * time.Second
 
 // eventBufferSize is the capacity of each channel in which a fakeDecider or a listener keeps events for the test.
@@ -310,7 +310,7 @@
 	}
 }
 
-// rejectEachRequest makes the decision module reject each request. The reply "-BUSY 500" shows that it did.
+// rejectEachRequest makes the decision module reject each request. The client gets the reply "-BUSY 500".
 func rejectEachRequest(h *harness) {
 	h.decider.onRequest = func(q policy.Request) { h.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
@@ -415,7 +415,7 @@
 	b.wantNoCommand()
 }
 
-// wantOutcome checks the status of the next attempt to end.
+// wantOutcome checks the status of the next outcome.
 func (h *harness) wantOutcome(want policy.AttemptStatus) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != want {
@@ -423,7 +423,7 @@
 	}
 }
 
-// wantFinalOutcome checks the status of the next attempt to end, and that its request is done.
+// wantFinalOutcome checks the status of the next outcome, and that its request is done.
 func (h *harness) wantFinalOutcome(want policy.AttemptStatus) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != want || !o.RequestDone {
@@ -431,14 +431,16 @@
 	}
 }
 
-// wantNotSent checks that the next attempt to end was not sent, and that no complete command was sent on connection b.
+// wantNotSent checks that the next outcome is NotSent, and that no complete command was sent on connection b. It closes
+// the pool.
 func (h *harness) wantNotSent(b *testConn) {
 	h.t.Helper()
 	h.wantOutcome(policy.NotSent)
 	h.wantNoCommand(b)
 }
 
-// awaitPartialWrite waits until the first attempt of a request has a connection and its command is partly written.
+// awaitPartialWrite waits until the first attempt of a request has a connection, on which its command is not completely
+// written.
 func (h *harness) awaitPartialWrite(id string) {
 	h.t.Helper()
 	h.eventually("the command is being written", func() bool {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -140,7 +140,7 @@
 
 // close closes the sockets that open created.
 func (p *Proxy) close() {
-	_ = p.listener.Close() // nothing is accepted any more
+	_ = p.listener.Close() // fails if the listener is closed already
 	if p.peers != nil {
 		p.peers.Close()
 	}
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -21,7 +21,7 @@
 	draining           closeReason = "draining"             // the process is shutting down
 	drainDeadline      closeReason = "drain_deadline"       // still open at the end of the drain
 	tooManyConnections closeReason = "too_many_connections" // the limit and the allowance beyond it are exhausted
-	protocolError      closeReason = "protocol_error"       // the client sent input that cannot be parsed
+	protocolError      closeReason = "protocol_error"       // its input was rejected with an error
 	writeFailed        closeReason = "write_failed"         // writing a reply failed
 	unreadReplies      closeReason = "unread_replies"       // the client read none of its replies for stallTimeout
 	memoryBudget       closeReason = "memory_budget"        // the budget has no room for its unread replies
@@ -35,8 +35,8 @@
 	notUsable        closeReason = "not_usable"        // it is broken, was idle for too long, or its endpoint has moved
 )
 
-// logClosed logs why a client connection was closed. A connection without open requests and unwritten replies is logged
-// at debug level only.
+// logClosed logs why a client connection was closed. It logs at debug level if the connection has neither open requests
+// nor unwritten replies.
 func (c *clientConn) logClosed(why closeReason, err error) {
 	attrs := []any{"connection", c.number, "peer", c.conn.RemoteAddr().String(), "reason", why.String()}
 	if err != nil {
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestEveryCloseIsLoggedWithItsReason checks that closed connections and rejected requests are logged with the reason,
-// and closed connections also with the requests that were open on them.
+// TestEveryCloseIsLoggedWithItsReason checks that each closed connection and each rejected request is logged with the
+// reason. The log of a closed connection also names the requests that were open on it.
 func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -20,7 +20,7 @@
 	slot      *pipelineSlot
 	arrivedAt policy.Seconds // when its last byte arrived at this machine
 	deadline  policy.Seconds
-	timer     *eventloop.Timer // expires a request that the decision module leaves without a reply
+	timer     *eventloop.Timer // fails the request if the decision module does not reply in time
 	attempts  []*attempt       // indexed by number; those beyond MaxAttempts are not sent
 	inFlight  int              // attempts whose outcome has not been reported
 	done      bool             // it has its final reply, or its client has disconnected
@@ -62,8 +62,9 @@
 	t.decide(t.open(c, parsed, arrivedAt))
 }
 
-// rejectIfInadmissible rejects a request with the id of an open one, or one that a limit or the drain of this process
-// does not allow, and reports whether it did. No reply is sent if the client can no longer receive one.
+// rejectIfInadmissible rejects a request if its id is in use, a limit is reached or the drain has timed out. It reports
+// whether the request is inadmissible. A request whose client can no longer receive a reply is also inadmissible, but
+// gets no reply.
 func (t *requestTable) rejectIfInadmissible(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
@@ -112,8 +113,8 @@
 	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
-// decide passes a request to the decision module. If that panics before it has sent an attempt, the request fails
-// immediately instead of waiting for its deadline.
+// decide passes a request to the decision module. If the module panics before it has sent an attempt, the request fails
+// immediately instead of at its deadline.
 func (t *requestTable) decide(r *request) {
 	r.Deadline = r.deadline
 	decided := false
@@ -142,8 +143,8 @@
 	c.replyLocally(t.busyReply(t.settings.MaxRetryAfter), false)
 }
 
-// busyReply returns the reply to a rejected request. It holds retryAfter in milliseconds if that is positive and the
-// settings enable it.
+// busyReply returns the reply to a rejected request. If retryAfter is positive and the settings enable it, the reply
+// includes it in milliseconds.
 func (t *requestTable) busyReply(retryAfter policy.Seconds) []byte {
 	if retryAfter <= 0 || !t.settings.RetryAfter {
 		return redcon.AppendError(nil, "BUSY")
@@ -151,8 +152,8 @@
 	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 }
 
-// reply gives a request its final reply. It does nothing if the request is done. why is the reason for a reply that is
-// not a value.
+// reply gives a request its final reply. It does nothing if the request is done. why is the reason for a rejection or an
+// error, and noReason for a value.
 func (t *requestTable) reply(r *request, reply []byte, why policy.Reason) {
 	if r.done {
 		return
@@ -163,8 +164,9 @@
 	r.client.flush()
 }
 
-// finish marks a request as done. It ends the attempts whose command is not completely written, and releases the timer,
-// the arguments and their budget, which the other attempts in flight do not need.
+// finish marks a request as done. It aborts attempts whose command is being written, stops the timer, and releases the
+// arguments and their memory budget, which the attempts that are already written do not need. The request is removed
+// once the outcomes of all its attempts have been reported.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortPartialWrites(r)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -26,12 +26,12 @@
 		t.Errorf("without a decision: got %q", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "mute" {
-		t.Errorf("got the disconnect of the client of request %q, want mute", id)
+		t.Errorf("the decision module was notified to end request %q, want mute", id)
 	}
 }
 
-// TestDecisionModulePanicOnOutcome checks that a request gets its reply at the deadline if the decision module panics
-// on the outcome of an attempt, and is then removed.
+// TestDecisionModulePanicOnOutcome checks that a request fails at its deadline and is removed if the decision module
+// panics on the outcome of its attempt.
 func TestDecisionModulePanicOnOutcome(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
@@ -48,7 +48,7 @@
 		t.Errorf("after a panic on the outcome: got %q", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "a" {
-		t.Errorf("got the disconnect of the client of request %q, want a", id)
+		t.Errorf("the decision module was notified to end request %q, want a", id)
 	}
 	h.onLoop(func() {
 		if len(h.proxy.requests.byID) != 0 {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -21,8 +21,9 @@
 	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
 }
 
-// services holds what the components of a proxy share. All fields are set before the goroutines start. The event loop
-// owns warnings and decider; all goroutines may use the other fields, within the limits that their types state.
+// services holds the values that the components of a proxy share. All fields are set before the goroutines start. The
+// event loop owns warnings and decider. All goroutines may use the other fields, as the documentation of their types
+// allows.
 type services struct {
 	log   *slog.Logger
 	calls *netcalls.Calls
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestShutdownEndsBeforeSIGKILL checks that a graceful shutdown ends before SIGKILL arrives, which happens earlier with
-// shorter request timeouts.
+// TestShutdownEndsBeforeSIGKILL checks that the drain times out before SIGKILL arrives. The time of SIGKILL depends on
+// the longest request timeout.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, deadlineS := range []float64{0.35, 2, 6} {
 		cfg := testConfig(unreachableAgent)
@@ -147,7 +147,7 @@
 				}
 			}
 			if got := c.readLine(); got != "" || len(h.decider.requests) != 0 {
-				t.Errorf("got %q behind the replies, and the decision module got %d more requests, want the end and none", got, len(h.decider.requests))
+				t.Errorf("got %q behind the replies, and the decision module got %d more requests, want the end of the connection and no request", got, len(h.decider.requests))
 			}
 			c.mustClose()
 			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 })
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// wantNoDatagramLost checks that the send queue takes a datagram to each gateway within one event.
+// wantNoDatagramLost checks that the send queue has room for a datagram to each other gateway within one event.
 func (h *harness) wantNoDatagramLost() {
 	h.t.Helper()
 	h.onLoop(func() {
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestPeerMessagesAmongThousandGateways checks the peer messages of the decision module in a large fleet: the first
-// and the last gateway, as members and owners of customers, send each other messages that fit a datagram, and reply to
-// them.
+// TestPeerMessagesAmongThousandGateways checks the peer messages of the decision module in a large fleet. The first and
+// the last gateway are members for all customers of the test, and each owns some of them. They send each other messages
+// that fit into a datagram, and reply to them.
 func TestPeerMessagesAmongThousandGateways(t *testing.T) {
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
@@ -205,7 +205,7 @@
 	for _, pair := range [][2]*recordedGateway{{first, last}, {last, first}} {
 		from, to := pair[0], pair[1]
 		if len(from.sent) == 0 {
-			t.Fatalf("gateway %d sent nothing", from.number)
+			t.Fatalf("gateway %d sent no peer message", from.number)
 		}
 		message := from.sent[0]
 		if message.to != to.number || len(message.data) > peerlink.MaxDatagramSize {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -7,7 +7,7 @@
 type gatewayStatus interface {
 	// isReady reports whether this gateway can serve requests.
 	isReady() bool
-	// isDraining reports whether connections close between requests.
+	// isDraining reports whether connections are closed once they are idle, because the process is shutting down.
 	isDraining() bool
 }
 
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -39,8 +39,8 @@
 	)
 }
 
-// attemptSent logs that the command of an attempt was written completely at the time at, starting at writeStarted. Any
-// goroutine may call it, as the fields of the attempt that it reads no longer change.
+// attemptSent logs that the command of an attempt was completely written. The write began at writeStarted and ended at
+// the time at. Any goroutine may call attemptSent, because the attempt's fields that it reads no longer change.
 func (t *tracer) attemptSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds) {
 	if !t.enabled() || a.request == nil {
 		return
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestTraceLogsRequestLifecycle checks the trace that cmd/audit reads: at debug level it holds the request, each
-// attempt and its end, and the reply. At info level nothing of it is logged.
+// TestTraceLogsRequestLifecycle checks the trace that cmd/audit reads. At debug level it holds the request, each attempt
+// and its end, and the reply. At info level none of it is logged.
 func TestTraceLogsRequestLifecycle(t *testing.T) {
 	for level, want := range map[slog.Level]string{
 		slog.LevelDebug: `(?s)msg="request accepted" id=a connection=1 arrived=\d.* at=\d.* deadline=\d.*\n` +
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -39,8 +39,9 @@
 	h.wantNoCommand(b)
 }
 
-// TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock. If
-// the event loop lags, its own time, that of the event being handled, may be within a window that is already over.
+// TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock, not
+// with the time of the event being handled. If the event loop lags, the event may have happened within a window that has
+// ended since.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
@@ -52,8 +53,8 @@
 	h.wantNotSent(b)
 }
 
-// TestIdempotencyWindowEndsDuringWrite checks that an attempt whose idempotency window ends during a slow write is not
-// completed: the last byte of the command is not written, so the endpoint does not execute the request.
+// TestIdempotencyWindowEndsDuringWrite checks that a slow write of a command stops when the idempotency window ends. The
+// last byte of the command is not written, so the endpoint does not execute the request.
 func TestIdempotencyWindowEndsDuringWrite(t *testing.T) {
 	l, h := startWithSmallSockets(t, func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0.05) }
@@ -65,8 +66,8 @@
 	b.wantNoCommand()
 }
 
-// TestIdempotencyWindowAppliesToOneCommand checks that the write deadline of a command is cleared with the command.
-// Otherwise the write of the next command on the connection would fail.
+// TestIdempotencyWindowAppliesToOneCommand checks that the write deadline of a command does not apply to the next
+// command on the connection. Otherwise the write of that command would fail.
 func TestIdempotencyWindowAppliesToOneCommand(t *testing.T) {
 	writeWithin := 0.1
 	l, h := startWithSmallSockets(t, func(h *harness) {
