--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -10,7 +10,7 @@
 )
 
 // The deadline of a request counts from the arrival of its last byte at this machine. The reader may read that byte
-// much later, if it waits for open commands or if the process is stalled. The kernel does not report when each byte
+// much later, if too many commands are open or the process is stalled. The kernel does not report when each byte
 // arrived, so the arrival time is estimated. The estimate errs on the early side, so that no deadline is too late.
 
 // arrival holds the estimated arrival times of the bytes of one read.
@@ -19,8 +19,8 @@
 	lastByte policy.Seconds // estimated arrival of the last byte
 }
 
-// commandArrivedAt returns the estimated arrival time of a command that ends within the read. If more bytes of the read
-// follow the command (lastInRead is false), only the lower bound is known.
+// commandArrivedAt returns the estimated arrival time of a command that ends within the read. lastInRead reports whether
+// the command ends with the last byte of the read. If it does not, the lower bound for the read is returned.
 func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
 	if lastInRead {
 		return a.lastByte
@@ -69,9 +69,9 @@
 	t.reads = kept
 }
 
-// estimate estimates when the bytes of a read arrived that ran from startedAt to endedAt. If the read has filled its
-// buffer space (filled), the socket may hold more bytes. Otherwise the socket was empty at endedAt, and estimate records
-// that for the next read.
+// estimate returns the estimated arrival times of the bytes of a read, which began at startedAt and ended at endedAt.
+// filled reports whether the read filled its buffer space, in which case the socket may hold more bytes. Otherwise the
+// socket was empty at endedAt, and estimate records that in lastEmptyAt.
 func (t *arrivalTracker) estimate(raw syscall.RawConn, stalls *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	arrived := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestArrivalOfPipelinedCommands checks that the arrival time of a command is that of the read with its last byte. If
-// more bytes of that read follow the command, its arrival time is the lower bound of the read.
+// TestArrivalOfPipelinedCommands checks that the arrival time of a command is taken from the read that contains its last
+// byte. If more bytes of that read follow the command, the lower bound for the read is used.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -38,7 +38,7 @@
 	number   uint64     // sequence number in the order of acceptance
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
-	permits  chan struct{} // one element per command without a written reply; the reader adds, the event loop removes
+	permits  chan struct{} // an element per command without a written reply: the reader adds it, the event loop removes it
 	done     chan struct{} // closed when the connection is closed
 	resume   chan struct{} // ends a pause of the reader
 
@@ -96,8 +96,8 @@
 }
 
 // readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
-// if that is idle, has no unread input, and has queued no reply since the close request. During a drain, a reply since
-// the close request does not keep the connection open. Otherwise the reader continues. Event loop only.
+// if the connection is idle, has no unread input, and has queued no reply since the close request. During a drain, a
+// reply since the close request does not keep the connection open. Otherwise the reader continues. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint after its client has disconnected,
-// wherever the request waits at that time. The event loop is blocked during the disconnect, so it is about to send the
-// request before it has handled the disconnect.
+// wherever the request waits at that time. The event loop is blocked during the disconnect, and starts the attempt
+// before it handles the disconnect.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// listenerQuietPeriod is the length of each deadline that the listener sets for accept after the first, which the
-	// event loop sets. An accept that times out after at least half of this time counts as a quiet period.
+	// listenerQuietPeriod is the timeout of accept after the first deadline, which the event loop sets. An accept that
+	// times out after waiting for at least half of listenerQuietPeriod counts as a quiet period.
 	listenerQuietPeriod = 10 * time.Millisecond
 	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. A timeout after a shorter
 	// wait resets the count; an accepted connection does not.
@@ -87,7 +87,7 @@
 	var rawConn syscall.RawConn
 	if err == nil {
 		if rawConn, err = conn.SyscallConn(); err != nil {
-			_ = conn.Close() // not in use yet
+			_ = conn.Close() // an error has no effect, as the connection is not used
 		}
 	}
 	at := shared.clock.Now()
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -6,9 +6,9 @@
 	"reedlead/internal/netcalls"
 )
 
-// A reader reads ahead while it waits for a permit. Otherwise unread commands could fill the receive buffer of the
-// socket. This machine would then not receive a FIN behind them, and the gateway would go on forwarding open requests of
-// a client that has disconnected.
+// A connection has maxPipelined permits for open commands. A reader that waits for a permit reads ahead, because unread
+// commands could otherwise fill the receive buffer of the socket. This machine would then not receive a FIN behind them,
+// and the gateway would go on forwarding open requests of a client that has disconnected.
 
 const (
 	// readAheadInterval is the interval at which a waiting reader checks its socket.
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestMalformedInputBehindRequestKeepsItsReply checks that malformed input behind an open request does not cost the
-// request its reply: the connection stays open until all earlier commands have their replies.
+// TestMalformedInputBehindRequestKeepsItsReply checks that an open request gets its reply if malformed input follows it:
+// the connection stays open until all earlier commands have their replies.
 func TestMalformedInputBehindRequestKeepsItsReply(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -103,8 +103,8 @@
 }
 
 // TestNoAttemptAfterDialWhileReplyIsPending checks that a hedged request is not sent when its dial completes after the
-// first attempt has ended, even if the event loop has not handled that end yet. Otherwise the request would be sent
-// again after its final reply.
+// first attempt has ended, even if the event loop has not handled that end yet. The end of the first attempt may
+// complete the request, which must not be sent again after that.
 func TestNoAttemptAfterDialWhileReplyIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -19,12 +19,12 @@
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
 	evicted            closeReason = "evicted"              // closed to make room for other connections
 	draining           closeReason = "draining"             // the process is shutting down
-	drainDeadline      closeReason = "drain_deadline"       // still open at the end of the drain
+	drainDeadline      closeReason = "drain_deadline"       // still open shortly before SIGKILL
 	tooManyConnections closeReason = "too_many_connections" // the limit and the allowance beyond it are exhausted
 	protocolError      closeReason = "protocol_error"       // its input was rejected with an error
 	writeFailed        closeReason = "write_failed"         // writing a reply failed
 	unreadReplies      closeReason = "unread_replies"       // the client read none of its replies for stallTimeout
-	memoryBudget       closeReason = "memory_budget"        // the budget has no room for its unread replies
+	memoryBudget       closeReason = "memory_budget"        // the input budget has no room for its unwritten replies
 	lastReplyWritten   closeReason = "last_reply_written"   // the last reply of the connection was written
 )
 
@@ -32,7 +32,7 @@
 const (
 	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or was removed
 	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is no longer needed
-	notUsable        closeReason = "not_usable"        // it is broken, was idle for too long, or its endpoint has moved
+	notUsable        closeReason = "not_usable"        // broken, idle for too long, or dialed before its endpoint changed
 )
 
 // logClosed logs why a client connection was closed. It logs at debug level if the connection has neither open requests
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -29,7 +29,7 @@
 	calls *netcalls.Calls
 	clock eventloop.Clock
 	loop  *eventloop.Loop
-	// inputBudget limits the memory for input that is not handled yet and for replies that clients have not read.
+	// inputBudget limits the memory for buffered input, for the arguments of open requests and for unwritten replies.
 	inputBudget *readbuf.Budget
 	warnings    warningLimiter
 	decider     decider
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -126,8 +126,7 @@
 	}
 }
 
-// wantValue checks that the next reply is "v", the value that valueReply holds. The error names the request or reply
-// with the text what.
+// wantValue checks that the next reply is "v", the value that valueReply holds. what names the reply in the error.
 func (c *testConn) wantValue(what string) {
 	c.t.Helper()
 	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
