--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -222,15 +222,15 @@
 			"half-closed": (*testConn).closeWrite,
 		} {
 			addr, conns := listenEndpoint(t)
-			near := mustDial(t, addr)
-			t.Cleanup(func() { _ = near.Close() })
-			raw := rawConnOf(t, near)
-			far := receive(t, conns)
-			far.write(unread)
+			local := mustDial(t, addr)
+			t.Cleanup(func() { _ = local.Close() })
+			raw := rawConnOf(t, local)
+			peer := receive(t, conns)
+			peer.write(unread)
 			if netcalls.ClosedByPeer(raw) {
 				t.Errorf("%d bytes unread: reported as closed before the disconnect", len(unread))
 			}
-			disconnect(far)
+			disconnect(peer)
 			if !waitFor(func() bool { return netcalls.ClosedByPeer(raw) }) {
 				t.Fatalf("%s behind %d unread bytes: the disconnect is not detected", how, len(unread))
 			}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -74,10 +74,10 @@
 	})
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	if a, b := c.readLine(), c.readLine(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.readLine() != "" {
-		t.Errorf("got %q, then %q, want the reply, the error and the end", a, b)
+		t.Errorf("got %q, then %q, want -ERR failed, the error value over 64 KiB and the end of the connection", a, b)
 	}
 	if len(h.decider.disconnected) != 0 {
-		t.Error("the decision module was notified of a disconnect")
+		t.Error("the decision module was notified of a disconnect, but the client is connected")
 	}
 }
 
@@ -170,7 +170,7 @@
 	d := h.client()
 	d.write("*5\r\n$60000\r\n" + strings.Repeat("x", 59_000))
 	if got := d.readLine(); got != "-ERR no room for more input" || d.readLine() != "" {
-		t.Errorf("a partial command beyond the budget got %q", got)
+		t.Errorf("a partial command beyond the budget got %q, want -ERR no room for more input and the end of the connection", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		h.onLoop(func() { h.proxy.Fail(id, policy.DeadlineTooClose) })
@@ -293,12 +293,12 @@
 	extra := h.client()
 	extra.send(lookCommand("b")...)
 	if got := extra.readLine(); got != "-BUSY 1000" {
-		t.Errorf("a request beyond the limit got %q", got)
+		t.Errorf("a request beyond the limit got %q, want -BUSY 1000", got)
 	}
 	next := h.client() // evicts the idle connection beyond the limit
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
-		t.Errorf("a request on the next connection beyond the limit got %q", got)
+		t.Errorf("a request on the next connection beyond the limit got %q, want -BUSY 1000 and the end of the connection before it", got)
 	}
 	if len(h.decider.requests) != 0 {
 		t.Error("the decision module got a request that the connection limit had rejected")
@@ -306,6 +306,6 @@
 	h.onLoop(func() { h.proxy.Fail("a", policy.DeadlineTooClose) })
 	next.send(lookCommand("c")...)
 	if q := receive(t, h.decider.requests); q.ID != "c" || busy.readLine() != "-ERR failed" || busy.readLine() != "" {
-		t.Errorf("after room was made: got request %+v, want c", q)
+		t.Errorf("after the busy connection became idle: got request %+v, want request c, and that connection closed after -ERR failed", q)
 	}
 }
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -91,12 +91,12 @@
 					continue
 				}
 				if o.Status != policy.NotSent {
-					t.Errorf("the hedged request ended as %+v, want it not sent", o)
+					t.Errorf("the hedged request ended as %+v, want status not_sent", o)
 				}
 				break
 			}
 			if n := len(conns); n != 0 {
-				t.Errorf("%d more connections to the endpoint were made", n)
+				t.Errorf("%d more connections to the endpoint were made, want none", n)
 			}
 		})
 	}
@@ -132,7 +132,7 @@
 	h.eventually("the reader waits for the lock", first.conn.unusable.Load)
 	close(unblock)
 	if o := receive(t, h.decider.outcomes); o.Attempt != 1 || o.Status != policy.NotSent {
-		t.Errorf("got %+v, want attempt 1 not sent", o)
+		t.Errorf("got %+v, want attempt 1 with status not_sent", o)
 	}
 	first.conn.writeMu.Unlock()
 	h.closePool()
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -19,11 +19,11 @@
 	c := h.client()
 	c.send(lookCommand("boom")...)
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("after a panic: got %q", got)
+		t.Errorf("after a panic: got %q, want -ERR failed", got)
 	}
 	c.send("CALL.GET", testCustomer, "mute", "c=look,t=basic,d=20,units=2,spread=2,first=1")
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("without a decision: got %q", got)
+		t.Errorf("without a decision: got %q, want -ERR failed", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "mute" {
 		t.Errorf("the decision module was notified to end request %q, want mute", id)
@@ -45,14 +45,14 @@
 	b.write("-ERR failed\r\n")
 	receive(t, h.decider.outcomes)
 	if got := c.readLine(); got != "-ERR failed" {
-		t.Errorf("after a panic on the outcome: got %q", got)
+		t.Errorf("after a panic on the outcome: got %q, want -ERR failed", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "a" {
 		t.Errorf("the decision module was notified to end request %q, want a", id)
 	}
 	h.onLoop(func() {
 		if len(h.proxy.requests.byID) != 0 {
-			t.Errorf("%d requests remain in the table", len(h.proxy.requests.byID))
+			t.Errorf("%d requests remain in the table, want none", len(h.proxy.requests.byID))
 		}
 	})
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -143,7 +143,7 @@
 			c.send(lookCommand("b")...) // sent while the gateway is closing
 			for i := range 3 {
 				if got := c.readLine(); got != "-BUSY 500" {
-					t.Errorf("reply %d is %q", i, got)
+					t.Errorf("reply %d is %q, want -BUSY 500", i, got)
 				}
 			}
 			if got := c.readLine(); got != "" || len(h.decider.requests) != 0 {
@@ -172,11 +172,11 @@
 		h.terminate()
 		late := h.client() // the listener stays open during the accept grace
 		if late.send("PING"); late.readLine() != "+PONG" {
-			t.Fatal("a connection after the signal was not served")
+			t.Fatal("a connection made during the accept grace was not served")
 		}
 		h.onLoop(h.proxy.drain.stopAccepting)
 		if idle.readLine() != "" || late.readLine() != "" {
-			t.Error("connections between requests were not closed")
+			t.Error("idle connections were not closed after the accept grace")
 		}
 		b.write(valueReply)
 		busy.wantValue("the request in flight")
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -68,7 +68,7 @@
 	first := startProxy(t, cfg, nil)
 	last := startProxy(t, largeFleetConfig(largeFleetSize-1, peers), nil)
 	if n := len(receive(t, first.decider.lists)); n != largeFleetSize {
-		t.Fatalf("the decision module got %d endpoints", n)
+		t.Fatalf("the decision module got %d endpoints, want one per gateway", n)
 	}
 	c := first.client()
 	if c.send("PING"); c.readLine() != "+PONG" {
@@ -79,12 +79,12 @@
 	first.wantNoDatagramLost()
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=1024,first=1023")
 	if q := receive(t, first.decider.requests); q.GatewayCount != largeFleetSize || q.FirstGateway != largeFleetSize-1 {
-		t.Errorf("the decision module got %+v", q)
+		t.Errorf("the decision module got %+v, want spread and first gateway as in the command", q)
 	}
 	runtime.GC()
 	var m runtime.MemStats
 	if runtime.ReadMemStats(&m); m.HeapAlloc > 2*64<<20 { // both gateways and the test itself
-		t.Errorf("%d MB of heap are in use", m.HeapAlloc>>20)
+		t.Errorf("%d MB of heap are in use, want at most 128", m.HeapAlloc>>20)
 	}
 }
 
@@ -103,15 +103,15 @@
 	}
 	watch.Write(string(text) + "\n")
 	if n := len(receive(h.t, h.decider.lists)); n != largeFleetSize {
-		h.t.Errorf("the decision module got %d endpoints", n)
+		h.t.Errorf("the decision module got %d endpoints, want one per gateway", n)
 	}
 	watch.Write(discoverytest.ListJSON(8, false, fmt.Sprintf("new-%08x", largeFleetSize-1), "terminating"))
 	if got := fmt.Sprint(h.nextEndpoints()); got != fmt.Sprintf("[new-%08x draining]", largeFleetSize-1) {
-		h.t.Errorf("the decision module got %s", got)
+		h.t.Errorf("the decision module got %s, want the last endpoint draining", got)
 	}
 	h.onLoop(func() {
 		if n := len(h.proxy.endpoints.byID); n != largeFleetSize {
-			h.t.Errorf("the proxy holds %d endpoints", n)
+			h.t.Errorf("the proxy holds %d endpoints, want one per gateway", n)
 		}
 	})
 }
@@ -121,11 +121,11 @@
 	t.Helper()
 	first.onLoop(func() { first.proxy.SendToPeer(largeFleetSize-1, []byte("there")) })
 	if m := receive(t, last.decider.messages); m.from != 0 || m.data != "there" {
-		t.Errorf("the last gateway got %+v", m)
+		t.Errorf("the last gateway got %+v, want the message of gateway 0", m)
 	}
 	last.onLoop(func() { last.proxy.SendToPeer(0, []byte(strings.Repeat("x", peerlink.MaxDatagramSize))) })
 	if m := receive(t, first.decider.messages); m.from != largeFleetSize-1 || len(m.data) != peerlink.MaxDatagramSize {
-		t.Errorf("the first gateway got %d bytes from gateway %d", len(m.data), m.from)
+		t.Errorf("the first gateway got %d bytes from gateway %d, want a full datagram from the last gateway", len(m.data), m.from)
 	}
 }
 
@@ -138,7 +138,7 @@
 			h.proxy.SendToPeer(i, []byte("all"))
 		}
 		if h.proxy.warnings != before {
-			h.t.Error("datagrams were lost in the queue")
+			h.t.Error("datagrams were lost in the send queue")
 		}
 	})
 }
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -130,7 +130,7 @@
 func (c *testConn) wantValue(what string) {
 	c.t.Helper()
 	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
-		c.t.Errorf("%s: got %q, %q", what, length, value)
+		c.t.Errorf("%s: got %q, %q, want the value v", what, length, value)
 	}
 }
 
