--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -30,8 +30,8 @@
 //   - A writer, started by the event loop while the socket cannot take all pending bytes, owns the write deadline. It
 //     ends when the write is complete, at its stall timeout or with the connection, and clears the deadline.
 //
-// Before the event loop closes an idle connection, it pauses the reader: requestClose interrupts the reader with a read
-// deadline in the past, and the reader posts readerPaused and waits for resume or done.
+// To close an idle connection without losing a command, the event loop first pauses the reader: requestClose interrupts
+// the reader with a read deadline in the past, and the reader posts readerPaused and waits for resume or done.
 type clientConn struct {
 	services *services
 	set      *clientSet // set that holds the connection
@@ -68,8 +68,8 @@
 // event loop has not handled yet.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyLocally replies to a command without the decision module. If last is set, no replies to later commands are
-// written, and the connection is closed. Event loop only.
+// replyLocally replies to a command without the decision module. If last is set, this is the connection's last reply,
+// after which the connection is closed. Event loop only.
 func (c *clientConn) replyLocally(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -228,9 +228,9 @@
 // errorReply returns the error reply for err in RESP.
 func errorReply(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
 
-// rejectInput replies with an error to input that cannot be handled, and ends the connection after the reply. Until
-// then it discards further input, because closing a socket with unread bytes resets the connection and may destroy the
-// reply.
+// rejectInput replies with an error to input that cannot be handled, and ends the connection. Before that it discards
+// further input for up to discardTimeout, because closing a socket with unread bytes resets the connection and may
+// destroy the reply.
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
 	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -14,8 +14,8 @@
 	// between these times.
 	acceptGrace = 500 * time.Millisecond
 	// SIGKILL may follow the shutdown signal after min(longest request timeout, maxSigkillTimeout) + sigkillDelay.
-	// Requests still open sigkillMargin before SIGKILL fail with a reply. The sending sides of the connections are shut
-	// down sigkillMargin/2 before SIGKILL, and the connections are closed sigkillMargin/4 before it.
+	// Requests that are still open sigkillMargin before SIGKILL get an error reply. The sending sides of the connections
+	// are shut down sigkillMargin/2 before SIGKILL, and the connections are closed sigkillMargin/4 before it.
 	sigkillDelay      = 700 * time.Millisecond
 	maxSigkillTimeout = 3 * time.Second
 	sigkillMargin     = 150 * time.Millisecond
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -165,8 +165,8 @@
 }
 
 // finish marks a request as done. It aborts attempts whose command is being written, stops the timer, and releases the
-// arguments and their memory budget, which the attempts that are already written do not need. The request is removed
-// once the outcomes of all its attempts have been reported.
+// arguments and their share of the input budget. Attempts that are already written do not need the arguments. The
+// request is removed once the outcomes of all its attempts have been reported.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortPartialWrites(r)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -10,7 +10,8 @@
 )
 
 // Messages of the trace, which follows each request by its id through the logs of all gateways that it reaches. It is
-// logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's own clock.
+// logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's own clock;
+// only endpoint_started is in seconds of Unix time.
 const (
 	traceAccepted           = "request accepted"
 	traceAttemptSent        = "attempt sent"
