--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestShutdownEndsBeforeSIGKILL checks that a graceful shutdown ends before SIGKILL arrives, which happens earlier with
-// shorter request timeouts.
+// TestShutdownEndsBeforeSIGKILL checks that the drain times out before SIGKILL arrives. The time of SIGKILL depends on
+// the longest request timeout.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, deadlineS := range []float64{0.35, 2, 6} {
 		cfg := testConfig(unreachableAgent)
@@ -143,11 +143,11 @@
 			c.send(lookCommand("b")...) // sent while the gateway is closing
 			for i := range 3 {
 				if got := c.readLine(); got != "-BUSY 500" {
-					t.Errorf("reply %d is %q", i, got)
+					t.Errorf("reply %d is %q, want -BUSY 500", i, got)
 				}
 			}
 			if got := c.readLine(); got != "" || len(h.decider.requests) != 0 {
-				t.Errorf("got %q behind the replies, and the decision module got %d more requests, want the end and none", got, len(h.decider.requests))
+				t.Errorf("got %q behind the replies, and the decision module got %d more requests, want the end of the connection and no request", got, len(h.decider.requests))
 			}
 			c.mustClose()
 			h.eventually("the connection is closed", func() bool { return h.proxy.clients.open() == 0 })
@@ -172,11 +172,11 @@
 		h.terminate()
 		late := h.client() // the listener stays open during the accept grace
 		if late.send("PING"); late.readLine() != "+PONG" {
-			t.Fatal("a connection after the signal was not served")
+			t.Fatal("a connection made during the accept grace was not served")
 		}
 		h.onLoop(h.proxy.drain.stopAccepting)
 		if idle.readLine() != "" || late.readLine() != "" {
-			t.Error("connections between requests were not closed")
+			t.Error("idle connections were not closed after the accept grace")
 		}
 		b.write(valueReply)
 		busy.wantValue("the request in flight")
