--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// indexByHash makes the endpoint available in byHash. If several endpoints share a hash, their health updates
-// cannot be told apart, so the entry becomes nil and the updates are ignored.
+// indexByHash adds the endpoint to byHash. If several endpoints share a hash, their health updates cannot be
+// told apart, so the entry becomes nil and the updates are ignored.
 func (t *endpointTable) indexByHash(e *endpoint) {
 	if _, shared := t.byHash[e.hash]; shared {
 		t.byHash[e.hash] = nil
--- a/policy/request.go
+++ b/policy/request.go
@@ -23,7 +23,7 @@
 	// priority is the value of priorityAt at the arrival of the request: the weight that a reply earns per unit
 	// of work. Queues serve the highest priority first.
 	priority float64
-	// priorityDeficit is the classTable.priorityDeficit of the class.
+	// priorityDeficit is the result of classTable.priorityDeficit for the class.
 	priorityDeficit float64
 	// likelyRetry is set if the client has probably sent the request before.
 	likelyRetry bool
