--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Guards against a gateway of a large fleet that uses every endpoint in turn, and so needs a new connection
-// for almost every attempt. With a handshake cost it must prefer endpoints with an idle connection.
+// TestEndpointsWithAConnectionArePreferredByHandshakeCost checks that a handshake cost makes a gateway
+// prefer endpoints with an idle connection. Without the preference, a gateway of a large fleet spreads its
+// attempts over all endpoints, and needs a new connection for almost every attempt.
 func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
 	for _, cost := range []float64{0, 0.08} {
 		s, r := testSettings(), &recorder{}
@@ -30,13 +31,13 @@
 			g.HandleOutcome(now+0.1, Outcome{RequestID: id, Endpoint: sent[0].endpoint, Status: OK, RequestDone: true, Elapsed: 0.1})
 		}
 		if n := len(used); cost == 0 && n < 40 || cost > 0 && (n > 30 || n < 4) {
-			t.Errorf("with a handshake cost of %v, 100 requests used %d of 60 endpoints", cost, n)
+			t.Errorf("with a handshake cost of %v, 100 requests used %d of 60 endpoints, want at least 40 without the cost and 4 to 30 with it", cost, n)
 		}
 	}
 }
 
-// An attempt without a reply closes its connection, and endpoints close connections after the idle timeout.
-// Such connections must not count as idle ones.
+// TestIdleConnectionsCountWhileTheyLast checks that closed connections do not count as idle connections. An
+// attempt without a reply closes its connection, and an endpoint closes a connection after the idle timeout.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	g.settings.ConnectionIdleTimeout = 10
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -17,15 +17,15 @@
 // possibleExecution describes an attempt that may have executed. The zero value means that there is none.
 type possibleExecution struct {
 	endpoint *endpoint
-	group    dedupGroup // at sentAt; the endpoint may move later
+	group    dedupGroup // of the endpoint at sentAt; the endpoint may move later
 	sentAt   Seconds
 }
 
 // mayHaveExecuted reports whether any attempt is recorded as possibly executed.
 func (r *request) mayHaveExecuted() bool { return r.firstExecution.endpoint != nil }
 
-// recordPossibleExecution records that an attempt may have executed, unless an earlier one is recorded
-// already.
+// recordPossibleExecution records an attempt that may have executed as the first execution. It does nothing
+// if an earlier attempt is recorded.
 func (r *request) recordPossibleExecution(a *attempt) {
 	if !r.mayHaveExecuted() {
 		r.firstExecution = possibleExecution{endpoint: a.endpoint, group: a.group, sentAt: a.sentAt}
@@ -33,7 +33,8 @@
 }
 
 // deduplicates reports whether the endpoint would drop the request as a duplicate if it has executed before.
-// It returns true if no deduplication is needed; mayBeRetriedAt covers the classes without idempotency keys.
+// It returns true if the request cannot have executed. It also returns true for a class without idempotency
+// keys: mayBeRetriedAt decides whether such a request is retried.
 //
 // An endpoint list update may move the endpoint of the first execution to another group. It is unknown
 // whether the keys recorded there move along, so the endpoint must share both the old group and the current
@@ -47,13 +48,14 @@
 		sameDedupGroup(scope, r.firstExecution.endpoint.dedupGroup(), group)
 }
 
-// idempotencyWindowEnd returns the time at which endpoints may stop dropping duplicates of the first
-// execution. It is early by clockUncertainty.
+// idempotencyWindowEnd returns the time until which endpoints drop duplicates of the first execution, less
+// clockUncertainty as a safety margin.
 func (r *request) idempotencyWindowEnd() Seconds {
 	return r.firstExecution.sentAt + r.class.IdempotencyWindow - clockUncertainty
 }
 
-// mayBeRetriedAt reports whether the request may be sent at the given time even though it may have executed.
+// mayBeRetriedAt reports whether the request may be sent at the given time without the risk of a harmful
+// second execution.
 func (r *request) mayBeRetriedAt(now Seconds) bool {
 	switch {
 	case !r.mayHaveExecuted(), r.class.Idempotency == Idempotent:
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,20 +5,20 @@
 	"math/rand/v2"
 )
 
-// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class.
-// The constants are thresholds of scores, and amounts by which failures raise a score.
+// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class. A
+// failure raises the score by a fraction of its distance to 1, the severity.
 const (
-	suspectScore       = 0.3 // threshold of suspected outliers, at which attempts are hedged early
-	singleFailureScore = 0.1 // for one lost connection, which may not be the endpoint's fault
-	errorScore         = 0.5 // for an error, and for each further lost connection in a row
-	repeatedErrorScore = 0.9 // for errors in a row: failing fast makes an endpoint look idle
-	noReplyScore       = 1.0 // for an attempt that got no reply for a long time
+	suspectScore       = 0.3 // above it an endpoint is a suspected outlier, and attempts there are hedged early
+	singleFailureScore = 0.1 // severity of one lost connection, which may not be the endpoint's fault
+	errorScore         = 0.5 // severity of an error, and of each further lost connection in a row
+	repeatedErrorScore = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
+	noReplyScore       = 1.0 // severity of an attempt without a reply; see recordNoReply
 
 	// repeatedErrors is the number of errors in a row at which repeatedErrorScore replaces errorScore.
 	repeatedErrors = 2
 
-	// minPublishedScore is the score up to which a success is not published: such a score hardly affects the
-	// cost of the endpoint, so other gateways need no correction.
+	// minPublishedScore is the score above which the score after a success is published. A lower score hardly
+	// affects the cost of the endpoint, so other gateways need no correction.
 	minPublishedScore = singleFailureScore / 2
 
 	// outlierTimeConstant is the time constant of the decay of scores.
@@ -30,8 +30,8 @@
 
 // Ejection of an endpoint, which applies to all classes.
 const (
-	// consecutiveFailuresToEject is the number of consecutive lost connections at which an endpoint is ejected.
-	// A single one may be a fault of the connection rather than of the endpoint.
+	// consecutiveFailuresToEject is the number of consecutive refused or lost connections at which an endpoint
+	// is ejected. A single failure may be a fault of the connection rather than of the endpoint.
 	consecutiveFailuresToEject = 2
 
 	ejectionPeriod      Seconds = 0.5  // minimum; multiplied by a random factor from 1 to 2
@@ -39,7 +39,8 @@
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially from level, which it had at the time at.
+// outlierScore is a score that decays exponentially. The field level is its value at the time in the field
+// at.
 type outlierScore struct {
 	level float64
 	at    Seconds
@@ -50,8 +51,8 @@
 	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
 
-// outlierDetector scores endpoints by the outcomes of attempts, and ejects those with consecutive lost
-// connections or rejections.
+// outlierDetector scores endpoints by the outcomes of attempts. It ejects an endpoint after a rejection, and
+// after consecutive connection failures.
 type outlierDetector struct {
 	clock  *eventClock
 	random *rand.Rand
@@ -60,7 +61,7 @@
 	// attemptWeight is the weight of one attempt of this gateway in the score. In a large fleet, where many
 	// gateways share their scores, it is below 1, so that the score approaches the fraction of attempts that
 	// get no reply. At weight 1, a single timeout at an overloaded endpoint would make all gateways move to the
-	// next endpoint at once and overload that.
+	// next endpoint at once and overload it.
 	attemptWeight float64
 }
 
@@ -90,7 +91,7 @@
 	d.publishScore(e, classIndex, level)
 }
 
-// setScore sets the score for a class as of now.
+// setScore sets the score for a class at the current time.
 func (d *outlierDetector) setScore(e *endpoint, classIndex int, level float64) {
 	e.outlierScores[classIndex] = outlierScore{level: level, at: d.clock.now}
 }
@@ -107,7 +108,8 @@
 	}
 }
 
-// recordSuccess lowers the score for a class by attemptWeight, and publishes it if it is significant.
+// recordSuccess lowers the score for a class by the fraction attemptWeight, and publishes a result above
+// minPublishedScore.
 func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
 	level := d.score(e, classIndex) * (1 - d.attemptWeight)
@@ -117,8 +119,7 @@
 	}
 }
 
-// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint after consecutive
-// lost connections or rejections.
+// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint if necessary.
 func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
@@ -146,7 +147,7 @@
 }
 
 // recordConnectionFailure records a refused or lost connection. It raises the score for all classes, and
-// ejects the endpoint after consecutiveFailuresToEject in a row.
+// ejects the endpoint from the consecutiveFailuresToEject-th failure in a row on.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
@@ -157,7 +158,8 @@
 	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
 }
 
-// recordRejection ejects the endpoint for a period that doubles with each consecutive rejection.
+// recordRejection ejects the endpoint for a period that doubles with each consecutive rejection, up to
+// maxRejectionBackoff.
 func (d *outlierDetector) recordRejection(e *endpoint) {
 	e.consecutiveRejections++
 	backoff := min(minRejectionBackoff*math.Exp2(float64(e.consecutiveRejections-1)), maxRejectionBackoff)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,6 +1,6 @@
 package policy
 
-// retryPolicy decides whether a request may have another attempt: the first one, a retry or a hedge.
+// retryPolicy decides whether an attempt of a request may be sent: the first one, a retry or a hedge.
 type retryPolicy struct {
 	maxAttempts int // per request
 	clock       *eventClock
@@ -11,8 +11,8 @@
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
 
-// allowsAttempt reports whether the request may have another attempt at some endpoint. Which endpoints
-// qualify is checked by request.deduplicates.
+// allowsAttempt reports whether an attempt of the request may be sent to some endpoint. request.deduplicates
+// checks each endpoint.
 func (p *retryPolicy) allowsAttempt(r *request) bool {
 	switch {
 	case len(r.attempts) >= p.maxAttempts:
@@ -25,7 +25,7 @@
 	return r.mayBeRetriedAt(p.clock.now)
 }
 
-// inTime reports whether an attempt sent now is expected to get a reply in time for it to be useful.
+// inTime reports whether an attempt sent now is expected to get a useful reply; see lastUsefulReplyAt.
 func (p *retryPolicy) inTime(r *request) bool {
 	return p.clock.now+r.class.meanLatency <= r.lastUsefulReplyAt()
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -26,13 +26,14 @@
 // start, during which it has only a fraction of its capacity. An endpoint fails if all gateways together
 // exceed OverloadMultiple times that capacity within OverloadWindow.
 //
-// Each request adds a credit to every warming endpoint: the fraction of this gateway's work that the endpoint
-// may receive at its current capacity. At a credit of 1, which stands for the work of one mean attempt, this
-// gateway may send the endpoint one attempt. Gateways start with evenly spread credits, so that their
-// attempts do not coincide. The attempts of all gateways thus add up to the sum of the credits, which stays
-// within the overload limit without coordination. This holds even if most endpoints are warming and demand
-// exceeds their capacity, because requests wait if no endpoint has a credit. Retries of this gateway and of
-// clients spend credits but add none, because retries are most frequent when endpoints are overloaded.
+// Each new request adds a credit to every warming endpoint: the fraction of this gateway's work that the
+// endpoint may receive at its current capacity. A credit of 1 stands for the work of one mean attempt. Once
+// an endpoint has this credit, the gateway may send it one attempt. Gateways start with evenly spread
+// credits, so that their attempts do not coincide. The attempts of all gateways thus add up to the sum of
+// the credits, which stays within the overload limit without coordination. This holds even if most endpoints
+// are warming and demand exceeds their capacity, because requests wait if no endpoint has a credit. Retries
+// of this gateway and of clients spend credits but add none, because retries are most frequent when
+// endpoints are overloaded.
 //
 // Work is measured in seconds of mean latency, and credits in mean attempts.
 type slowStart struct {
@@ -45,7 +46,7 @@
 	overloadWindow   Seconds
 
 	estimatedAt     Seconds // time of the last update of the estimates below
-	offeredWork     Seconds // of first attempts; decays over about the slow start duration
+	offeredWork     Seconds // of first attempts; decays as updateEstimates specifies
 	completedWork   Seconds // of successful attempts; decays like offeredWork
 	meanWork        Seconds // work of the average first attempt
 	totalCapacity   float64 // sum of the warm-up fractions of all endpoints in service
@@ -67,7 +68,8 @@
 	}
 }
 
-// warmUpFraction returns the minimum fraction of its capacity that an endpoint has at its current age.
+// warmUpFraction returns the fraction of its full capacity that an endpoint has at its current age,
+// according to the settings.
 func (s *slowStart) warmUpFraction(e *endpoint) float64 {
 	age := s.clock.now - e.StartedAt
 	if e.StartedAt <= 0 || age >= s.duration || s.duration <= 0 {
@@ -91,8 +93,9 @@
 	return credit
 }
 
-// updateEstimates decays the counts of work to the current time, and recomputes the mean work and the
-// capacities.
+// updateEstimates decays offeredWork and completedWork to the current time, and recomputes the mean work and
+// the capacities. The time constant of the decay is the slow start duration, but at least
+// demandTimeConstant.
 func (s *slowStart) updateEstimates(classes []*class, endpoints []*endpoint) {
 	decay := math.Exp((s.estimatedAt - s.clock.now) / max(s.duration, demandTimeConstant))
 	s.estimatedAt = s.clock.now
@@ -160,14 +163,14 @@
 // creditPerRequest returns the credit that a request of mean work adds to a warming endpoint: the fraction of
 // this gateway's work that the endpoint may receive.
 //
-// The upper limit maxShare assumes that a warm endpoint has at least the capacity for its equal share of the
-// completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and may receive
-// overloadMultiple times as much before it fails.
+// maxShare is the upper limit. It assumes that the capacity of a warm endpoint is at least an equal share of
+// the completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and fails if it
+// receives overloadMultiple times as much.
 //
-// In a large fleet a gateway does not see the load at an endpoint, which varies randomly around that share.
-// There the endpoint gets only reducedShare while the other endpoints have capacity for the rest. As the
-// fraction of warming capacity grows, requiredShare rises towards maxShare, because fewer warm endpoints are
-// left.
+// A gateway of a large fleet does not see the load that the other gateways send to an endpoint, and this
+// load varies randomly. It therefore limits the share to reducedShare while the other endpoints have
+// capacity for the rest. As the fraction of warming capacity grows, fewer warm endpoints are left, and
+// requiredShare rises towards maxShare.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
 	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
