--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -58,7 +58,7 @@
 }
 
 // testFormat is the message format that testSettings imply.
-var testFormat = messageFormat{unitsPerStep: 1}
+var testFormat = messageFormat{unitsPerWireUnit: 1}
 
 func testSettings() Settings {
 	return Settings{
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -55,18 +55,18 @@
 
 // The resolution of fractional values on the wire.
 const (
-	stepsPerUnit          = 4             // units and rates are sent in quarters
-	backoffStep   Seconds = 0.05          // of usageRecord.backoff
-	updateAgeStep Seconds = 0.02          // of the age of a health update
-	maxByte               = math.MaxUint8 // represents the fraction 1
+	stepsPerWireUnit         = 4             // units and rates are sent in quarters
+	backoffStep      Seconds = 0.05          // of usageRecord.backoff
+	updateAgeStep    Seconds = 0.02          // of the age of a health update
+	maxByte                  = math.MaxUint8 // represents the fraction 1
 )
 
 // The largest values that are encoded in a record. Units are scaled so that the values of the settings fit.
 const (
-	// maxRequestSteps leaves room in wantedUnits, which holds up to 63.75, for more than one request.
-	maxRequestSteps = 48.0    // wire units of one request
-	maxWindowSteps  = 7500.0  // wire units of one quota window
-	maxRateSteps    = 15000.0 // wire units per second of one quota
+	// maxRequestWireUnits leaves room in wantedUnits, which holds up to 63.75, for more than one request.
+	maxRequestWireUnits = 48.0    // wire units of one request
+	maxWindowWireUnits  = 7500.0  // wire units of one quota window
+	maxRateWireUnits    = 15000.0 // wire units per second of one quota
 
 	minRemainingSteps = -256.0  // quarters of a wire unit
 	maxRemainingSteps = 32000.0 // quarters of a wire unit
@@ -125,24 +125,25 @@
 // messageFormat encodes and decodes peer messages. It is derived from the settings, which all gateways of a
 // fleet share, so all of them use the same format.
 type messageFormat struct {
-	unitsPerStep float64 // units per wire unit, at least 1
-	widePlan     bool    // records have an additional byte for the plan index
+	unitsPerWireUnit float64 // units per wire unit, at least 1
+	widePlan         bool    // records have an additional byte for the plan index
 }
 
 // newMessageFormat returns the format whose wire units are large enough to represent the values that the
 // settings allow.
 func newMessageFormat(settings Settings) messageFormat {
-	format := messageFormat{unitsPerStep: 1, widePlan: len(settings.Plans) > plansInFlags}
+	format := messageFormat{unitsPerWireUnit: 1, widePlan: len(settings.Plans) > plansInFlags}
 	largestBurst := 0.0
 	for _, plan := range settings.Plans {
 		largestBurst = max(largestBurst, plan.Burst)
-		format.unitsPerStep = max(format.unitsPerStep, plan.Rate/maxRateSteps)
+		format.unitsPerWireUnit = max(format.unitsPerWireUnit, plan.Rate/maxRateWireUnits)
 	}
 	largestRequest := float64(settings.MaxRequestUnits)
 	if largestRequest <= 0 {
 		largestRequest = largestBurst // no quota admits a larger request
 	}
-	format.unitsPerStep = max(format.unitsPerStep, largestRequest/maxRequestSteps, largestBurst/maxWindowSteps)
+	format.unitsPerWireUnit = max(format.unitsPerWireUnit,
+		largestRequest/maxRequestWireUnits, largestBurst/maxWindowWireUnits)
 	return format
 }
 
@@ -167,12 +168,14 @@
 // roundDifference rounds the difference of two totals, one of them decoded from a message, to the resolution
 // of the wire format. It also undoes the wraparound of usageRecord.total.
 func (f messageFormat) roundDifference(units float64) float64 {
-	steps := int16(int64(math.Floor(units/f.unitsPerStep*stepsPerUnit + 0.5)))
-	return float64(steps) / stepsPerUnit * f.unitsPerStep
+	steps := int16(int64(math.Floor(units/f.unitsPerWireUnit*stepsPerWireUnit + 0.5)))
+	return float64(steps) / stepsPerWireUnit * f.unitsPerWireUnit
 }
 
 // roundingTolerance returns the number of units that a grant may lose when it is encoded.
-func (f messageFormat) roundingTolerance() float64 { return (f.unitsPerStep-1)/stepsPerUnit + 1e-9 }
+func (f messageFormat) roundingTolerance() float64 {
+	return (f.unitsPerWireUnit-1)/stepsPerWireUnit + 1e-9
+}
 
 // encode returns the encoded form of a message that is sent at now.
 func (f messageFormat) encode(m message, now Seconds) []byte {
@@ -190,21 +193,21 @@
 }
 
 func (f messageFormat) appendRecord(data []byte, record usageRecord) []byte {
-	record = record.scale(1 / f.unitsPerStep)
+	record = record.scale(1 / f.unitsPerWireUnit)
 	data = binary.BigEndian.AppendUint32(data, record.key)
 	data = append(data, recordFlags(record))
-	data = binary.BigEndian.AppendUint16(data, uint16(int64(math.Floor(record.total*stepsPerUnit+0.5))))
-	remaining := clamp(record.remaining*stepsPerUnit, minRemainingSteps, maxRemainingSteps)
+	data = binary.BigEndian.AppendUint16(data, uint16(int64(math.Floor(record.total*stepsPerWireUnit+0.5))))
+	remaining := clamp(record.remaining*stepsPerWireUnit, minRemainingSteps, maxRemainingSteps)
 	data = binary.BigEndian.AppendUint16(data, uint16(int16(remaining)))
-	data = binary.BigEndian.AppendUint16(data, uint16(clamp(record.demand*stepsPerUnit, 0, math.MaxUint16)))
+	data = binary.BigEndian.AppendUint16(data, uint16(clamp(record.demand*stepsPerWireUnit, 0, math.MaxUint16)))
 	data = binary.BigEndian.AppendUint16(data, uint16(clamp(float64(record.inFlight), 0, math.MaxUint16)))
-	firstWanted := math.Ceil(record.firstWantedUnits * stepsPerUnit)
+	firstWanted := math.Ceil(record.firstWantedUnits * stepsPerWireUnit)
 	if record.fromOwner {
 		firstWanted = math.Ceil(record.backoff / backoffStep)
 	}
 	data = append(data,
-		clampToByte(record.unacknowledged*stepsPerUnit),
-		clampToByte(math.Ceil(record.wantedUnits*stepsPerUnit)),
+		clampToByte(record.unacknowledged*stepsPerWireUnit),
+		clampToByte(math.Ceil(record.wantedUnits*stepsPerWireUnit)),
 		clampToByte(firstWanted),
 		clampToByte(record.priorityDeficit*maxByte))
 	if f.widePlan {
@@ -275,23 +278,23 @@
 		fromOwner:       flags&ownerFlag != 0,
 		remainingKnown:  flags&remainingKnownFlag != 0,
 		ceilingPool:     flags&ceilingPoolFlag != 0,
-		total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerUnit,
-		remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerUnit,
-		demand:          float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerUnit,
+		total:           float64(binary.BigEndian.Uint16(data[totalOffset:])) / stepsPerWireUnit,
+		remaining:       float64(int16(binary.BigEndian.Uint16(data[remainingOffset:]))) / stepsPerWireUnit,
+		demand:          float64(binary.BigEndian.Uint16(data[demandOffset:])) / stepsPerWireUnit,
 		inFlight:        int(binary.BigEndian.Uint16(data[inFlightOffset:])),
-		unacknowledged:  float64(data[unacknowledgedOffset]) / stepsPerUnit,
-		wantedUnits:     float64(data[wantedOffset]) / stepsPerUnit,
+		unacknowledged:  float64(data[unacknowledgedOffset]) / stepsPerWireUnit,
+		wantedUnits:     float64(data[wantedOffset]) / stepsPerWireUnit,
 		priorityDeficit: float64(data[priorityDeficitOffset]) / maxByte,
 	}
 	if record.fromOwner {
 		record.backoff = float64(data[firstWantedOffset]) * backoffStep
 	} else {
-		record.firstWantedUnits = float64(data[firstWantedOffset]) / stepsPerUnit
+		record.firstWantedUnits = float64(data[firstWantedOffset]) / stepsPerWireUnit
 	}
 	if f.widePlan {
 		record.planIndex += int(data[planHighOffset]) * plansInFlags
 	}
-	return record.scale(f.unitsPerStep)
+	return record.scale(f.unitsPerWireUnit)
 }
 
 // decodeUpdate decodes the health update at the start of data. It derives the time of observation from now
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -61,14 +61,14 @@
 // Records must survive encoding and decoding unchanged in formats with and without scaled units and wide plans. All
 // values of the test are multiples of the resolution.
 func TestRecordsRoundTrip(t *testing.T) {
-	for _, f := range []messageFormat{testFormat, {unitsPerStep: 12.5}, {unitsPerStep: 3, widePlan: true}} {
+	for _, f := range []messageFormat{testFormat, {unitsPerWireUnit: 12.5}, {unitsPerWireUnit: 3, widePlan: true}} {
 		for plan := range 3 * plansInFlags {
 			if !f.widePlan && plan >= plansInFlags {
 				break
 			}
 			want := usageRecord{
-				key: 7, planIndex: plan, remainingKnown: true, total: 40 * f.unitsPerStep, remaining: -2 * f.unitsPerStep, demand: 9 * f.unitsPerStep, inFlight: 3,
-				unacknowledged: 5 * f.unitsPerStep, wantedUnits: 20 * f.unitsPerStep, firstWantedUnits: 2 * f.unitsPerStep, priorityDeficit: 1,
+				key: 7, planIndex: plan, remainingKnown: true, total: 40 * f.unitsPerWireUnit, remaining: -2 * f.unitsPerWireUnit, demand: 9 * f.unitsPerWireUnit, inFlight: 3,
+				unacknowledged: 5 * f.unitsPerWireUnit, wantedUnits: 20 * f.unitsPerWireUnit, firstWantedUnits: 2 * f.unitsPerWireUnit, priorityDeficit: 1,
 			}
 			update := healthUpdate{endpointHash: 9, class: loadUpdate, value: 1, at: 50}
 			sent := message{incarnation: 3, sequence: 700, records: []usageRecord{want}, updates: []healthUpdate{update}}
@@ -94,7 +94,7 @@
 // All gateways of a fleet must use the same layout. Any change to these bytes needs a new messageVersion, so that
 // gateways of different versions reject each other's messages.
 func TestMessageLayout(t *testing.T) {
-	format := messageFormat{unitsPerStep: 1, widePlan: true}
+	format := messageFormat{unitsPerWireUnit: 1, widePlan: true}
 	sent := message{
 		incarnation: 3, sequence: 0x0102,
 		records: []usageRecord{
@@ -146,7 +146,7 @@
 }
 
 func TestFullMessageStaysWithinMaxMessageSize(t *testing.T) {
-	for _, format := range []messageFormat{testFormat, {unitsPerStep: 1, widePlan: true}} {
+	for _, format := range []messageFormat{testFormat, {unitsPerWireUnit: 1, widePlan: true}} {
 		full := message{}
 		for format.hasRoomForRecords(len(full.records) + 1) {
 			full.records = append(full.records, usageRecord{key: 1})
