--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// admission is the decision whether a customer's quota and ceiling admit a request.
+// admission is the result of checking a request against its customer's quota and ceiling.
 type admission int
 
 const (
@@ -32,7 +32,7 @@
 	quota    *quotaController
 	retries  *retryPolicy
 	replies  *finalReplier
-	// actualUnitsInReply is set if endpoint replies state the units that a request actually used.
+	// actualUnitsInReply reports whether endpoint replies state the units that a request used.
 	actualUnitsInReply bool
 }
 
@@ -43,8 +43,8 @@
 	a.admitOrReject(r)
 }
 
-// newRequest creates the state of a request that has just arrived. It adds the request to the demand of its
-// customer and to the client-retry detector of its class.
+// newRequest creates the state of a request that has just arrived. It also adds the request's units to its
+// customer's demand, and passes the time until its deadline to the client-retry detector of its class.
 func (a *requestAdmitter) newRequest(incoming Request, requestClass *class) *request {
 	now := a.clock.now
 	remaining := incoming.Deadline - now
@@ -63,9 +63,9 @@
 	return r
 }
 
-// objectiveOf returns the time up to which a reply earns the full priority weight. For a detected client
-// retry, the latency objective starts with the client's first attempt. That attempt is assumed to have been
-// sent one class timeout before the deadline.
+// objectiveOf returns the time by which a reply must arrive to earn the full priority weight. It is never
+// after the deadline. For a detected client retry, the latency objective counts from the client's first
+// attempt, which is assumed to have been sent one class timeout before the deadline.
 func objectiveOf(incoming Request, requestClass *class, now Seconds, retryDetected bool) Seconds {
 	objectiveAt := requestClass.objectiveFrom(now)
 	if retryDetected {
@@ -74,9 +74,9 @@
 	return min(objectiveAt, incoming.Deadline)
 }
 
-// priorityAt returns the priority weight that a reply earns per unit of work, reduced if the reply is
-// expected after the latency objective. Work and weight are both proportional to the request's units, so the
-// units cancel out.
+// priorityAt returns the priority of the request: the weight that its reply earns per unit of work. The
+// weight is lower if the reply is expected after the latency objective. The units of the request do not
+// affect its priority, because both the weight and the work are proportional to them.
 func (r *request) priorityAt(now Seconds) float64 {
 	weightFactor := 1.0
 	if r.plan != nil {
@@ -96,8 +96,8 @@
 	case decision == rejectRequest:
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
-		// A client's retry can arrive too late to be sent. The rejection is not recorded for the customer, because
-		// no further retry follows from it: the client has no time left for one.
+		// The request arrived too late to be sent; client retries often do. The rejection is not recorded for the
+		// customer, because the client has no time left to retry.
 		a.replies.rejectOrFail(r, DeadlineTooClose)
 	case decision == askOwner:
 		a.quota.awaitGrant(r)
@@ -106,8 +106,9 @@
 	}
 }
 
-// decideAdmission checks the quota and ceiling of the request's customer. It rejects the request if others of
-// the customer wait for a concurrency slot, so that it queues behind them instead of overtaking them.
+// decideAdmission checks the quota and ceiling of the request's customer. A request without a plan has no
+// customer and is admitted. If other requests of the customer wait for a concurrency slot, decideAdmission
+// returns rejectRequest, so that the request joins their queue instead of overtaking them.
 func (a *requestAdmitter) decideAdmission(r *request) admission {
 	switch {
 	case r.customer == nil:
@@ -118,8 +119,8 @@
 	return a.quota.admit(r)
 }
 
-// chargeActualUnits corrects the charge for a request, which is an estimate, to the actual units stated in
-// the reply.
+// chargeActualUnits corrects the charge for a request from the estimate in Request.Units to the actual units,
+// if the reply states them.
 func (a *requestAdmitter) chargeActualUnits(r *request, outcome Outcome) {
 	if outcome.Status == OK && a.actualUnitsInReply && r.charged && outcome.ActualUnits > 0 {
 		a.quota.charge(r.customer, outcome.ActualUnits-r.Units)
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -1,9 +1,9 @@
 package policy
 
-// A ceiling must hold even if messages are lost or gateways are unreachable or restarted. It is therefore
-// divided statically: each of the customer's gateways has a fixed share, and the primary owner also has a
-// pool from which it grants units. Share and pool start empty, because a gateway may have used them up just
-// before it restarted.
+// A customer's ceiling must hold even if messages are lost or gateways are unreachable or restarted. It is
+// therefore divided statically: each of the customer's gateways has a fixed share, and the primary owner also
+// has a pool from which it grants units. Shares and the pool start empty, because a gateway may have used
+// them up just before it restarted.
 
 // ceilingPoolFraction is the fraction of a ceiling that forms the pool. The gateways share the rest equally.
 const ceilingPoolFraction = 0.5
@@ -42,8 +42,9 @@
 	return units <= c.ceilingShare.tokens
 }
 
-// ceilingPoolHasCapacity refills the pool and reports whether it holds the given units. Only the primary
-// owner has a pool: a gateway that owns the customer while the primary owner is unreachable has none.
+// ceilingPoolHasCapacity refills the pool and reports whether it holds the given units. Without a ceiling it
+// returns false. Only the primary owner has a pool; a gateway that replaces an unreachable primary owner has
+// none.
 func (c *customer) ceilingPoolHasCapacity(units float64, now Seconds) bool {
 	if !c.isPrimaryOwner || c.plan.CeilingRate <= 0 {
 		return false
@@ -52,7 +53,8 @@
 	return units <= c.ceilingPool.tokens
 }
 
-// reserveCeiling takes units from the share, or from the pool if the share holds too few.
+// reserveCeiling takes units from the share, or from the pool if the share holds too few. The caller must
+// have checked that one of the two holds enough.
 func (c *customer) reserveCeiling(units float64, now Seconds) {
 	if c.ceilingShareHasCapacity(units, now) {
 		c.ceilingShare.tokens -= units
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// customerExpiry is the time without use after which a customer is evicted. It must exceed memberExpiry: a
-// member that evicts a customer later restarts its count at 0. An owner that still held the earlier count
-// would take the difference for returned units.
+// customerExpiry is the time without requests and reports after which a customer may be evicted. A member
+// that has evicted a customer counts its units from 0 again. If the owner still had the earlier count, it
+// would treat the decrease as returned units. The owner therefore evicts members sooner: memberExpiry must be
+// less than customerExpiry.
 const customerExpiry Seconds = 10.0
 
-// plan is a Plan together with the values that all its customers share.
+// plan is a Plan with its index and the request limit from the settings.
 type plan struct {
 	Plan
 	index           int     // in Settings.Plans; identifies the plan in peer messages
@@ -15,7 +16,8 @@
 }
 
 // unitsForHigherPriority returns the units that a request must leave for requests of higher priority while
-// its customer is over its rate.
+// its customer is over its rate. priorityDeficit is 0 for the class with the largest priority weight and at
+// most 1.
 func (p *plan) unitsForHigherPriority(priorityDeficit float64) float64 {
 	return priorityDeficit * lowPriorityReserve * p.Burst
 }
@@ -28,10 +30,11 @@
 	hash uint64 // position on the ring
 	plan *plan
 
-	// firstGateway and gatewayCount give the consecutive gateways that receive the customer's requests.
-	// gatewayCount is 0 while the customer is known only from reports of other gateways.
+	// The gatewayCount consecutive gateways from firstGateway on receive the customer's requests. gatewayCount
+	// is 0 while the customer is known only from reports of other gateways.
 	firstGateway, gatewayCount int
-	// primaryOwner is the first of these gateways on the ring. isPrimaryOwner is set if it is this gateway.
+	// primaryOwner is the first of these gateways on the ring, starting at hash. isPrimaryOwner is true if this
+	// gateway is the primary owner.
 	primaryOwner   int
 	isPrimaryOwner bool
 
@@ -60,8 +63,8 @@
 	slotRetryAt Seconds
 }
 
-// gateways returns the number of gateways that receive the customer's requests, at least 1, as a divisor of
-// its quota.
+// gateways returns the number of gateways that receive the customer's requests, or 1 if it is unknown. A
+// gateway's fraction of a limit is the limit divided by this number.
 func (c *customer) gateways() float64 { return float64(max(c.gatewayCount, 1)) }
 
 // unacknowledgedUnits returns the units charged at this gateway that the owner has not counted yet.
@@ -89,7 +92,7 @@
 	return c.isCeilingFull(tolerance, now)
 }
 
-// isIdle reports whether the customer has no pending request, report or reply.
+// isIdle reports whether the customer has no requests, no scheduled report and no expected reply.
 func (c *customer) isIdle() bool {
 	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotWaiters) == 0
 	return noRequests && !c.report.scheduled && !c.report.watched
@@ -106,7 +109,8 @@
 	plansByIndex       []*plan
 }
 
-// ownerFinder finds the owner of a customer: the gateway that counts its usage against the whole quota.
+// ownerFinder finds the owner of a customer. The owner is the gateway that counts the customer's usage
+// against the whole quota.
 type ownerFinder interface {
 	// owner returns the owner among the gateways that are currently reachable.
 	owner(c *customer) int
@@ -143,8 +147,8 @@
 	return c
 }
 
-// add creates a customer with a full quota window. Its share and pool of the ceiling are treated as empty at
-// this gateway's start and refilled since.
+// add creates a customer with a full quota window. Its ceiling share and pool were empty when this gateway
+// started and have refilled since.
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
@@ -156,8 +160,8 @@
 	return c
 }
 
-// setGateways records which gateways receive a customer's requests, and determines its primary owner. An
-// invalid gatewayCount stands for all gateways.
+// setGateways records which gateways receive a customer's requests, and determines its primary owner. If
+// gatewayCount is out of range, all gateways receive them.
 func (t *customerTable) setGateways(c *customer, hash uint64, firstGateway, gatewayCount int) {
 	c.hash, c.firstGateway, c.gatewayCount = hash, firstGateway, gatewayCount
 	if c.gatewayCount <= 0 || c.gatewayCount > t.gatewayCount {
@@ -167,8 +171,8 @@
 	c.isPrimaryOwner = c.primaryOwner == t.self
 }
 
-// evictIdle removes the customers that are idle, have full windows and were not used for customerExpiry. In
-// the ledgers of the remaining customers, it removes the expired members.
+// evictIdle removes the customers that are idle, have full windows and were not used for customerExpiry. It
+// also evicts expired members from the ledgers of the other customers.
 func (t *customerTable) evictIdle() {
 	now := t.clock.now
 	for key, c := range t.byKey {
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// awaitGrant queues the request until its customer's owner grants it, and asks the owner at once. If other
-// requests of the customer wait already, the request is included in the next report instead.
+// awaitGrant queues a request for a grant from its customer's owner. For the first waiting request of a
+// customer, it asks the owner at once. Any other request is included in the next report.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
@@ -46,8 +46,8 @@
 	})
 }
 
-// handleRecords handles the usage records of a message from another gateway. It replies to all reports in one
-// message, and applies the replies to reports of this gateway.
+// handleRecords handles the usage records of a message from another gateway. It answers all reports with a
+// single message. A record from an owner is the reply to a report of this gateway, and goes to applyGrant.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
@@ -77,9 +77,10 @@
 }
 
 // applyGrant handles the owner's reply to a report: it updates the view of the quota and decides on the
-// requests that the report asked for.
+// requests whose units the report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
-	// The total up to which the owner has counted or reserved units for this gateway.
+	// grantedTotal is the value that totalUnits may reach with the units that the owner has counted or reserved
+	// for this gateway.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
 	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
@@ -96,7 +97,7 @@
 }
 
 // decideAskedWaiters decides on the requests whose units the last report asked for. If the reply has a
-// backoff, no other waiting request is admitted either.
+// backoff, it also queues or rejects all other waiting requests.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.transmissions = 0, 0
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -5,7 +5,7 @@
 	memberExpiry Seconds = 8.0
 	// inFlightExpiry is the time without a report after which a member's attempts in flight are ignored.
 	inFlightExpiry Seconds = 3.0
-	// ledgerRecoveryPeriod is the age up to which a ledger adopts lower remaining units from members' reports.
+	// ledgerRecoveryPeriod is the maximum age at which a ledger adopts lower remaining units from reports.
 	ledgerRecoveryPeriod Seconds = 2.0
 	// noGateway is passed to ledger.inFlight to exclude no member.
 	noGateway = -1
@@ -13,7 +13,7 @@
 
 // ledger is the owner's account of a customer's usage at all gateways, counted against the whole quota.
 type ledger struct {
-	window    tokenBucket // remaining units; below 0 if the gateways together exceeded the quota
+	window    tokenBucket // remaining units; below 0 if created from a view of an exceeded quota
 	createdAt Seconds
 	demand    demandMeter // total of all members
 	members   map[int]*member
@@ -61,8 +61,8 @@
 // membersDemand returns the total demand at all members in units per second.
 func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.rateAt(now), 0) }
 
-// charge takes units from the window, but does not lower its level below 0. A level that is already negative
-// stays unchanged. Negative units are returned to the window.
+// charge takes units from the window until its level is 0. It does not lower a level that is already
+// negative. Negative units are returned to the window.
 func (l *ledger) charge(units float64) {
 	l.window.tokens = max(l.window.tokens-units, min(l.window.tokens, 0))
 }
@@ -75,8 +75,9 @@
 	receivedAt  Seconds
 }
 
-// recordUsage charges the units that a member used since the total known to the ledger, and returns the
-// member. That total includes grants, so unused granted units are returned to the window.
+// recordUsage updates the member that sent a report, and returns it. It charges the difference between the
+// reported total and the total in the ledger. The ledger's total includes grants, so the difference is
+// negative if the member did not use all granted units, and the unused units return to the window.
 func (l *ledger) recordUsage(report memberReport, format messageFormat) *member {
 	m := l.findMember(report)
 	if m == nil {
@@ -94,9 +95,9 @@
 	return m
 }
 
-// findMember returns the member that sent a report. It returns nil for a new member, and for one whose count
-// may have restarted since its last report: because the gateway restarted, or because so much time has passed
-// that it may have evicted the customer.
+// findMember returns the member that sent a report, or nil if the member is new. It also returns nil if the
+// member's count may have restarted at 0 since the last report, because the gateway restarted or because the
+// last report is older than memberExpiry and the gateway may have evicted the customer.
 func (l *ledger) findMember(report memberReport) *member {
 	m := l.members[report.from]
 	if m == nil || report.receivedAt-m.reportedAt > memberExpiry || m.incarnation != report.incarnation {
@@ -105,9 +106,10 @@
 	return m
 }
 
-// addMember adds the member that sent a report, with the part of its total that an owner has acknowledged. A
-// ledger within ledgerRecoveryPeriod, created after a restart of the owner or a change of ownership, adopts
-// the member's remaining units if they are lower than its own.
+// addMember adds the member that sent a report. The member's total starts at the units that an owner has
+// acknowledged, so that recordUsage charges the others. A ledger is new after a restart of the owner or a
+// change of ownership, and then lacks earlier usage. Within ledgerRecoveryPeriod, it therefore adopts the
+// remaining units that the member knows, if they are lower.
 func (l *ledger) addMember(report memberReport) *member {
 	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
@@ -117,10 +119,12 @@
 	return m
 }
 
-// currentLedger returns the ledger, refilled up to now. A gateway that has just become the owner creates it
-// from its view as a member. A substitute for the primary owner refills it only at its own fraction of the
-// rate as long as no member has reported to it, because it may be partitioned from gateways that admit
-// requests of the same customer.
+// currentLedger returns the ledger, refilled up to now. If there is none, it creates the ledger from the
+// gateway's view as a member.
+//
+// An owner other than the primary owner refills the ledger at its own fraction of the rate until a member
+// reports to it. Without reports, it may be partitioned from gateways that admit requests of the same
+// customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
@@ -134,7 +138,7 @@
 	return l
 }
 
-// admitAsOwner decides on a request at the customer's owner.
+// admitAsOwner decides on a request at the customer's owner. It never returns askOwner.
 func (c *customer) admitAsOwner(r *request, now Seconds) admission {
 	if c.ledgerHasCapacity(c.currentLedger(now), r.Units, r.priorityDeficit, now) &&
 		(c.ceilingShareHasCapacity(r.Units, now) || c.ceilingPoolHasCapacity(r.Units, now)) {
@@ -162,8 +166,8 @@
 
 // applyUsageReport handles a member's report at the owner: it records the member's usage, grants units if the
 // report asks for them, and returns the reply. Granted units are reserved immediately; the member's next
-// report shows how many of them it used. backoff returns the time for which rejected members must not ask
-// again, given the number of reporting members.
+// report shows how many of them it used. If no units can be granted, the reply has a backoff, during which
+// the member must not ask again. The backoff function calculates it from the number of reporting members.
 func (c *customer) applyUsageReport(
 	report memberReport, format messageFormat, backoff func(members int) Seconds,
 ) usageRecord {
@@ -186,9 +190,9 @@
 	return reply
 }
 
-// grantableUnits returns the units to grant for a report: those of all waiting requests if the quota allows
-// them, otherwise those of the first request, otherwise 0. With a concurrency limit, it considers the first
-// request only, because a grant reserves one slot.
+// grantableUnits returns the units to grant for a report: the units of all waiting requests if the quota
+// allows them, otherwise the units of the first request if the quota allows these, otherwise 0. With a
+// concurrency limit, it considers only the first request, because a grant reserves one slot.
 func (c *customer) grantableUnits(l *ledger, report memberReport) float64 {
 	candidates := []float64{report.wantedUnits, report.firstWantedUnits}
 	if c.plan.MaxConcurrent > 0 {
--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -4,8 +4,8 @@
 // requests, against this gateway's fraction of the rate, because other gateways may still admit requests of
 // the same customer.
 
-// localWindowSize returns the rate, in units per second, and the burst of the local window. The burst is
-// large enough for the largest request.
+// localWindowSize returns the rate, in units per second, and the burst of the local window. The burst is at
+// least the size of the largest request.
 func (c *customer) localWindowSize() (rate, burst float64) {
 	gateways := c.gateways()
 	return c.plan.Rate / gateways, max(c.plan.Burst/gateways, c.plan.maxRequestUnits)
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -9,7 +9,7 @@
 
 // The layout of a peer message: a header, usage records and health updates, each of a fixed size. All numbers
 // are big-endian. The header holds the version, the sender's incarnation, the sequence number (two bytes) and
-// the number of usage records. The rest of the message after the records consists of health updates.
+// the number of usage records. All bytes after the records belong to health updates.
 const (
 	messageVersion = 2
 	maxMessageSize = 256 // bytes
@@ -23,14 +23,14 @@
 // The layout of a usage record: the offsets of its fields in bytes.
 const (
 	keyOffset             = 0
-	flagsOffset           = 4 // three flags in the high bits, the low bits of the plan index in the rest
+	flagsOffset           = 4 // flags in the three high bits, low bits of the plan index in the other five
 	totalOffset           = 5
 	remainingOffset       = 7
 	demandOffset          = 9
 	inFlightOffset        = 11
 	unacknowledgedOffset  = 13
 	wantedOffset          = 14
-	firstWantedOffset     = 15 // in an owner's record: the backoff
+	firstWantedOffset     = 15 // holds the backoff in an owner's record
 	priorityDeficitOffset = 16
 	planHighOffset        = 17 // high bits of the plan index; present only with more than plansInFlags plans
 	baseRecordSize        = 17
@@ -48,34 +48,36 @@
 	updateAgeOffset   = 4
 	updateSize        = 5 // bytes
 
-	// loadUpdateByte marks a load update in the class byte. Outlier scores of classes with this index or above
-	// are not sent.
+	// loadUpdateByte is the class byte of a load update. Outlier scores of classes with this index or above are
+	// not sent.
 	loadUpdateByte = 255
 )
 
 // The resolution of fractional values on the wire.
 const (
-	stepsPerWireUnit         = 4             // units and rates are sent in quarters
+	stepsPerWireUnit         = 4             // units and rates are sent in quarters of a wire unit
 	backoffStep      Seconds = 0.05          // of usageRecord.backoff
 	updateAgeStep    Seconds = 0.02          // of the age of a health update
 	maxByte                  = math.MaxUint8 // represents the fraction 1
 )
 
-// The largest values that are encoded in a record. Units are scaled so that the values of the settings fit.
+// Limits of the values in a record. A wire unit stands for as many units as it takes for the values of the
+// settings to stay within the first three limits.
 const (
-	// maxRequestWireUnits leaves room in wantedUnits, which holds up to 63.75, for more than one request.
-	maxRequestWireUnits = 48.0    // wire units of one request
-	maxWindowWireUnits  = 7500.0  // wire units of one quota window
-	maxRateWireUnits    = 15000.0 // wire units per second of one quota
+	// maxRequestWireUnits is less than the maximum of wantedUnits, 63.75, so that a report can ask for the units
+	// of more than one request.
+	maxRequestWireUnits = 48.0
+	maxWindowWireUnits  = 7500.0  // burst of a quota
+	maxRateWireUnits    = 15000.0 // rate of a quota, per second
 
 	minRemainingSteps = -256.0  // quarters of a wire unit
 	maxRemainingSteps = 32000.0 // quarters of a wire unit
 
-	plansInFlags = 32   // plans that the flags byte can distinguish
-	maxPlans     = 8192 // plans that a record with planHighOffset can distinguish
+	plansInFlags = 32   // number of plans that the flags byte can distinguish
+	maxPlans     = 8192 // number of plans that a record with planHighOffset can distinguish
 )
 
-// Errors that messageFormat.decode returns.
+// Errors that messageFormat.decode wraps.
 var (
 	errMessageVersion = errors.New("peer message has an unsupported version")
 	errMessageLength  = errors.New("peer message has an invalid length")
@@ -89,26 +91,30 @@
 	updates     []healthUpdate
 }
 
-// usageRecord is the part of a message that concerns one customer. A member sends one to the owner as a
-// report, and the owner sends one back as a reply. In a report, total is the member's own count, demand is
-// the demand at the member, and remaining is the member's estimate of the remaining units. In a reply, total
-// is the member's count as acknowledged or reserved by the owner, demand is the demand at all other gateways,
-// and remaining is what is left of the whole quota.
+// usageRecord is the part of a message that concerns one customer: a report from a member to the owner, or
+// the owner's reply. Four fields depend on the direction:
+//   - total is the member's count of units in a report. In a reply, it is the count up to which the owner has
+//     acknowledged or reserved units.
+//   - remaining is the number of units left of the whole quota: the member's estimate in a report, and the
+//     level of the ledger in a reply.
+//   - demand and inFlight are those of the member in a report, and of all other gateways in a reply.
+//
+// Units are encoded in quarters of a wire unit, and the ranges of their fields are in wire units.
 type usageRecord struct {
 	key              uint32  // upper 32 bits of the customer's hash
 	planIndex        int     // index of the plan in the settings
 	fromOwner        bool    // the sender is the customer's owner
-	remainingKnown   bool    // remaining is based on a report or a ledger instead of an assumption
-	ceilingPool      bool    // report: the owner is the primary owner; reply: the ceiling pool covers the grant
-	total            float64 // units, in quarters, modulo 16384
-	remaining        float64 // units, in quarters, -64 to 8000
-	demand           float64 // units per second, in quarters, up to 16383.75
+	remainingKnown   bool    // remaining is based on an owner's reply or a ledger, not assumed
+	ceilingPool      bool    // report: the recipient is the primary owner; reply: the grant is from the pool
+	total            float64 // units, modulo 16384
+	remaining        float64 // units, -64 to 8000
+	demand           float64 // units per second, up to 16383.75
 	inFlight         int     // attempts in flight, up to 65535
 	unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; reports only
-	wantedUnits      float64 // units of all waiting requests, up to 63.75; a reply repeats those of the report
+	wantedUnits      float64 // units of all waiting requests, up to 63.75; copied from the report to the reply
 	firstWantedUnits float64 // units of the first waiting request, up to 63.75; reports only
 	priorityDeficit  float64 // of the first waiting request, 0 to 1; reports only
-	backoff          Seconds // time for which the member must not ask again, up to 12.75; replies only
+	backoff          Seconds // time during which the member must not ask again, up to 12.75; replies only
 }
 
 // scale returns the record with all units multiplied by factor.
@@ -122,8 +128,8 @@
 	return r
 }
 
-// messageFormat encodes and decodes peer messages. It is derived from the settings, which all gateways of a
-// fleet share, so all of them use the same format.
+// messageFormat encodes and decodes peer messages. All gateways of a fleet have the same settings, so they
+// derive the same format from them.
 type messageFormat struct {
 	unitsPerWireUnit float64 // units per wire unit, at least 1
 	widePlan         bool    // records have an additional byte for the plan index
@@ -165,14 +171,14 @@
 	return (maxMessageSize - headerSize - records*f.recordSize()) / updateSize
 }
 
-// roundDifference rounds the difference of two totals, one of them decoded from a message, to the resolution
-// of the wire format. It also undoes the wraparound of usageRecord.total.
+// roundDifference rounds the difference of two totals to the resolution of the wire format. It also undoes
+// the wraparound of a total that was decoded from a message.
 func (f messageFormat) roundDifference(units float64) float64 {
 	steps := int16(int64(math.Floor(units/f.unitsPerWireUnit*stepsPerWireUnit + 0.5)))
 	return float64(steps) / stepsPerWireUnit * f.unitsPerWireUnit
 }
 
-// roundingTolerance returns the number of units that a grant may lose when it is encoded.
+// roundingTolerance returns the maximum number of units by which encoding can reduce a grant.
 func (f messageFormat) roundingTolerance() float64 {
 	return (f.unitsPerWireUnit-1)/stepsPerWireUnit + 1e-9
 }
@@ -230,8 +236,8 @@
 	return flags
 }
 
-// appendUpdate appends a health update. It encodes the age of the update because gateways do not share a
-// clock.
+// appendUpdate appends a health update. It encodes the age of the update instead of its time, because
+// gateways do not share a clock.
 func appendUpdate(data []byte, update healthUpdate, now Seconds) []byte {
 	data = binary.BigEndian.AppendUint16(data, update.endpointHash)
 	return append(data,
@@ -297,8 +303,8 @@
 	return record.scale(f.unitsPerWireUnit)
 }
 
-// decodeUpdate decodes the health update at the start of data. It derives the time of observation from now
-// and the encoded age.
+// decodeUpdate decodes the health update at the start of data. The time of the update is now minus the
+// encoded age.
 func decodeUpdate(data []byte, now Seconds) healthUpdate {
 	classIndex := int(data[updateClassOffset])
 	if classIndex == loadUpdateByte {
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -1,12 +1,12 @@
 package policy
 
-// ownerDirectory determines which gateway owns a customer, that is, counts the customer's usage against the
+// ownerDirectory determines the owner of a customer: the gateway that counts the customer's usage against the
 // whole quota. Gateways that can reach the same peers determine the same owner.
 type ownerDirectory struct {
 	self, gatewayCount int
 	peerMessages       bool // if false, each gateway owns all its customers
 	ring               ownerRing
-	reachable          func(gateway int) bool // true for this gateway and for peers that reply
+	reachable          func(gateway int) bool
 }
 
 // newOwnerDirectory returns the directory of a gateway. reachable must return true for this gateway and for
@@ -39,7 +39,7 @@
 }
 
 // successor returns the first gateway on the ring, starting at the customer's hash, that receives the
-// customer's requests and is accepted. If there is none, it returns this gateway.
+// customer's requests and for which accept returns true. If there is none, it returns this gateway.
 func (d *ownerDirectory) successor(c *customer, accept func(gateway int) bool) int {
 	owner, found := d.ring.successor(c.hash, func(gateway int) bool {
 		return c.isServedBy(gateway, d.gatewayCount) && accept(gateway)
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -7,10 +7,10 @@
 
 const (
 	// maxUnansweredReports is the number of consecutive reports without a reply after which a peer counts as
-	// unreachable. It tolerates two reports or replies that are lost by chance.
+	// unreachable. The loss of two reports or replies is tolerated.
 	maxUnansweredReports = 3
-	// unreachablePeriod is the time since its last unanswered report after which an unreachable peer is tried
-	// again.
+	// unreachablePeriod is the time after the last unanswered report during which an unreachable peer is not
+	// tried again.
 	unreachablePeriod Seconds = 1.0
 	// unboundedMessageRate, in messages per second, is used if Settings.PeerMessageRate sets no limit.
 	unboundedMessageRate = 1e6
@@ -19,8 +19,8 @@
 	// ownerQueryFraction is the fraction of Settings.PeerMessageRate that members may use to ask the owner
 	// again after a rejection.
 	ownerQueryFraction = 0.5
-	// maxBackoffLoad is the largest factor by which the rate of received messages lengthens a backoff. The
-	// factor is that rate divided by the rate available to owner queries.
+	// maxBackoffLoad is the maximum load factor of a backoff. The load factor is the rate of received messages
+	// divided by the rate available to owner queries.
 	maxBackoffLoad = 3
 )
 
@@ -34,7 +34,7 @@
 	sequence    uint16
 }
 
-// reachable reports whether the peer is expected to reply.
+// reachable reports whether the peer is expected to reply, or is due to be tried again.
 func (p *peer) reachable(now Seconds) bool {
 	return p.unansweredReports < maxUnansweredReports || now-p.lastUnansweredAt > unreachablePeriod
 }
@@ -115,7 +115,7 @@
 	return received, true
 }
 
-// reachable reports whether a gateway is this one or a peer that is expected to reply.
+// reachable reports whether a gateway is this gateway or a reachable peer.
 func (p *peerProtocol) reachable(gateway int) bool {
 	return gateway == p.self || p.peers[gateway].reachable(p.clock.now)
 }
@@ -127,9 +127,9 @@
 	recipient.lastUnansweredAt = p.clock.now
 }
 
-// queryBackoff returns the time for which members must not ask again after a rejection, given their number.
-// The members share ownerQueryFraction of the messages that this gateway can receive. The backoff grows with
-// the rate of received messages.
+// queryBackoff returns the time during which a member must not ask again after a rejection. All members
+// together may use ownerQueryFraction of the messages that this gateway can receive, so the backoff is
+// proportional to their number. It is also proportional to the load factor; see maxBackoffLoad.
 func (p *peerProtocol) queryBackoff(members int) Seconds {
 	queryRate := max(p.messageRate*ownerQueryFraction, 1)
 	return float64(members) / queryRate * min(p.receivedRate/queryRate, maxBackoffLoad)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,6 +1,6 @@
 package policy
 
-// requestHandler dispatches and rejects requests as the quotaController decides.
+// requestHandler carries out the decisions of a quotaController.
 type requestHandler interface {
 	// dispatch sends an admitted request to an endpoint.
 	dispatch(r *request)
@@ -33,7 +33,7 @@
 	q.reporter.sendDue()
 }
 
-// admit decides on a request: an owner by its ledger, a member by its share of the remaining units.
+// admit decides on a request. The owner decides by its ledger, a member by its share of the remaining units.
 func (q *quotaController) admit(r *request) admission {
 	if q.isOwner(r.customer) {
 		return r.customer.admitAsOwner(r, q.clock.now)
@@ -57,8 +57,8 @@
 	}
 }
 
-// reserve charges an admitted request to its customer's quota and ceiling. If ceilingReserved is set, the
-// owner has already taken the units from the ceiling pool.
+// reserve charges an admitted request to its customer's quota and ceiling. If ceilingReserved is set, it
+// skips the ceiling, because the owner has already taken the units from the ceiling pool.
 func (q *quotaController) reserve(r *request, ceilingReserved bool) {
 	c := r.customer
 	if c == nil {
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -1,12 +1,12 @@
 package policy
 
 const (
-	// maxReplyAge is the age of the owner's last reply up to which a member admits requests from its share of
-	// the remaining units. With an older reply, it asks the owner unless there are enough units for the same
-	// request at every gateway of the customer.
+	// maxReplyAge is the maximum age of the owner's last reply at which a member admits requests from its share
+	// of the remaining units. With an older reply, the member asks the owner, unless the units are enough for
+	// the same request at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
-	// maxInFlightAge is the age up to which a member relies on the attempts in flight in the owner's last
-	// reply. It is shorter than maxReplyAge because their number changes with every request.
+	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on the number of
+	// attempts in flight in it. That number changes with every request, so the limit is below maxReplyAge.
 	maxInFlightAge Seconds = 0.1
 	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority must leave for
 	// those of higher priority while their customer is over its rate.
@@ -15,20 +15,20 @@
 
 // quotaView is a member's view of the customer's quota, based on the owner's last reply.
 type quotaView struct {
-	// remainingKnown is set once the window is based on a reply or a ledger. Until then, it is assumed to be
-	// full.
+	// remainingKnown is set once the window is based on a reply or a ledger. Until then, the window is assumed
+	// to have started full.
 	remainingKnown bool
 	// window holds the remaining units that the owner reported, refilled at the whole rate since then.
 	window tokenBucket
-	// othersDemand, in units per second, and othersInFlight are totals of all other gateways.
+	// othersDemand, in units per second, and othersInFlight, in attempts, are totals of all other gateways.
 	othersDemand   float64
 	othersInFlight int
 	// backoffUntil is the time from which the owner may be asked again.
 	backoffUntil Seconds
 }
 
-// remainingUnitsAsMember returns the units left of the quota in this member's view. It first converts a
-// ledger that this gateway still holds to a view; see becomeMember.
+// remainingUnitsAsMember returns the units left of the quota in this member's view. If this gateway was the
+// owner and still holds the ledger, it first converts the ledger to a view.
 func (c *customer) remainingUnitsAsMember(now Seconds) float64 {
 	if c.ledger != nil {
 		c.becomeMember(now)
@@ -60,18 +60,20 @@
 	return c.admitFromShare(r, remaining, age, now)
 }
 
-// mustAskForSlot reports whether only the owner can decide if another attempt stays within the plan's
-// concurrency limit. age is the age of the owner's last reply.
+// mustAskForSlot reports whether the member must ask the owner for a concurrency slot. It must ask if the
+// owner's last reply, of the given age, is too old, or if at most one slot is free.
 func (c *customer) mustAskForSlot(p *plan, age Seconds) bool {
 	return p.MaxConcurrent > 0 &&
 		(age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
 }
 
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
-// its part of the total demand. Units also count as available if the other gateways can't have used them
-// since the owner's last reply, of the given age, even at twice their demand. The member asks the owner if
-// the units are not enough or the reply is too old, and rejects the request if a recent reply left too few
-// units for it.
+// its part of the total demand. age is the age of the owner's last reply. The member may exceed its share if
+// the units are enough even if the other gateways have used units at twice their demand since that reply.
+//
+// If the reply is stale, the member admits the request only if every gateway of the customer could admit the
+// same. It rejects a request that exceeds the remaining units of a reply younger than minReportInterval. In
+// all other cases it asks the owner.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
@@ -84,7 +86,7 @@
 	case p.Rate == 0:
 		return admitRequest
 	case stale && need*float64(c.gatewayCount) <= min(remaining, remaining-(othersDemand-p.Rate)*age):
-		return admitRequest // enough even if all gateways of the customer admit the same now
+		return admitRequest // enough even if every gateway of the customer admits the same now
 	case !stale && need <= max(share, remaining-2*othersDemand*(age+clockUncertainty)):
 		return admitRequest
 	case r.Units > remaining && age < minReportInterval:
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -8,12 +8,12 @@
 
 // The number of points on the ring. More points spread customers more evenly; fewer points use less memory.
 const (
-	pointsPerGateway    = 512  // per gateway
-	minPointsPerGateway = 8    // per gateway in the largest fleets
-	maxRingPoints       = 8192 // in total; a gateway of a large fleet gets fewer than pointsPerGateway
+	pointsPerGateway    = 512  // maximum per gateway, used in small fleets
+	minPointsPerGateway = 8    // minimum per gateway, even if the total exceeds maxRingPoints
+	maxRingPoints       = 8192 // total that the gateways of a large fleet share
 )
 
-// ringPoint is one of the positions of a gateway on the ring.
+// ringPoint is a position of a gateway on the ring. Each gateway has several.
 type ringPoint struct {
 	hash    uint64
 	gateway int
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// adjustInFlight adds change to the number of the customer's attempts in flight. With a concurrency limit, it
-// schedules a report to the owner. The report is urgent if a slot became free at the limit, because requests
-// at other gateways may wait for it.
+// adjustInFlight adds change to the number of attempts in flight of the request's customer. With a
+// concurrency limit, it also schedules a report to the owner. The report is urgent if all slots were in use
+// and one becomes free, because requests at other gateways may wait for it.
 func (q *quotaController) adjustInFlight(r *request, change int) {
 	c := r.customer
 	if c == nil {
@@ -69,8 +69,8 @@
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
-// queueForSlot queues a request for a concurrency slot. A member asks the owner again after half the expected
-// time until a slot becomes free.
+// queueForSlot queues a request for a concurrency slot. If the queue is full, it rejects the last request of
+// the lowest priority. A member asks the owner again after half the expected time until a slot becomes free.
 func (q *quotaController) queueForSlot(r *request) {
 	c := r.customer
 	if !q.isOwner(c) {
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -5,19 +5,20 @@
 const (
 	// minReportInterval is the minimum time between two batches to one owner. Urgent batches ignore it.
 	minReportInterval Seconds = 0.1
-	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. In
-	// the whole fleet, as many messages are received as are sent, so the rest is left for replies.
+	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. It
+	// is less than half because each report causes a reply, and PeerMessageRate must cover both.
 	reportFraction = 0.45
 	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch, and
-	// minBatchTokens the number to send any other batch. Each batch uses one message.
+	// minBatchTokens the number for any other batch. Each batch uses one message, so other batches leave at
+	// least one message for an urgent batch.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
-	// grantTimeout is the time after which an unanswered report is repeated if requests wait for a grant.
+	// grantTimeout is the time after which an unanswered report is repeated while requests wait for a grant.
 	grantTimeout Seconds = 0.08
 	// reportTimeout is the time after which any other unanswered report is repeated.
 	reportTimeout Seconds = 0.3
 	// maxReportTransmissions is the number of consecutive reports without a reply after which the local window
-	// decides.
+	// decides on the waiting requests.
 	maxReportTransmissions = 4
 )
 
@@ -68,7 +69,7 @@
 }
 
 // scheduleReport adds the customer to the next batch for its owner, and marks the batch as urgent if urgent
-// is set. If this gateway is the owner, it only acknowledges the customer's units.
+// is set. If this gateway is the owner, scheduleReport only marks all units of the customer as acknowledged.
 func (u *usageReporter) scheduleReport(c *customer, urgent bool) {
 	owner := u.owners.owner(c)
 	if owner == u.self {
@@ -93,7 +94,8 @@
 	}
 }
 
-// askForGrant reports the customer immediately, because the first of its requests waits for a grant.
+// askForGrant schedules an urgent report for the first request that waits for a grant, and sends it at once
+// if the budget allows.
 func (u *usageReporter) askForGrant(c *customer) {
 	c.report.transmissions, c.report.awaitingReplySince = 0, u.clock.now
 	u.watchForReply(c)
@@ -146,7 +148,7 @@
 // newRecord returns a report on the customer that asks for the units of all requests that wait for a grant.
 func (u *usageReporter) newRecord(c *customer) usageRecord {
 	now := u.clock.now
-	remaining := c.remainingUnitsAsMember(now) // first, because it may change the customer's state
+	remaining := c.remainingUnitsAsMember(now) // may change remainingKnown and the unacknowledged units
 	record := usageRecord{
 		key: c.key, planIndex: c.plan.index,
 		remainingKnown: c.quota.remainingKnown, ceilingPool: c.report.gateway == c.primaryOwner,
@@ -163,7 +165,8 @@
 	return record
 }
 
-// recordSent records that the customer's report was sent, and starts the wait for the reply.
+// recordSent records that the customer's report was sent. It starts the wait for the reply, or restarts it if
+// the report asks for a grant.
 func (u *usageReporter) recordSent(c *customer) {
 	now := u.clock.now
 	c.usedAt = now
@@ -174,7 +177,7 @@
 	u.watchForReply(c)
 }
 
-// watchForReply adds the customer to those for which overdue replies are detected.
+// watchForReply adds the customer to the watched customers, for which forEachOverdue detects overdue replies.
 func (u *usageReporter) watchForReply(c *customer) {
 	if !c.report.watched {
 		c.report.watched = true
@@ -182,7 +185,7 @@
 	}
 }
 
-// replyOverdue reports whether the owner's reply is overdue. Time in which this gateway itself stood still
+// replyOverdue reports whether the owner's reply is overdue. Time before the end of this gateway's last stall
 // does not count.
 func (u *usageReporter) replyOverdue(c *customer) bool {
 	timeout := reportTimeout
@@ -192,10 +195,10 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue records an overdue reply. It returns true after maxReportTransmissions, when the report must
-// not be repeated any more.
+// recordOverdue records an overdue reply and ends the wait for it. It returns true if the report has been
+// transmitted maxReportTransmissions times and must not be repeated.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
-	if !c.report.scheduled { // otherwise the report is still in a batch
+	if !c.report.scheduled { // a scheduled report has not been sent yet
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
 	c.report.transmissions++
@@ -207,7 +210,7 @@
 	return true
 }
 
-// repeatReport schedules another report on the customer, to the gateway that is its owner now.
+// repeatReport schedules another report on the customer, to its current owner.
 func (u *usageReporter) repeatReport(c *customer) {
 	waiting := len(c.awaitingOwner) > 0
 	u.scheduleReport(c, waiting)
@@ -228,8 +231,8 @@
 	u.watched = slices.DeleteFunc(u.watched, func(c *customer) bool { return !c.report.watched })
 }
 
-// recordReply ends the wait for a reply that has arrived. If requests that arrived after the report wait for
-// a grant, it starts a new wait.
+// recordReply records that a reply has arrived. It ends the wait for a reply if no request waits for a grant.
+// It restarts the wait if requests wait that no report has asked for yet.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.transmissions = 0, 0
