--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -30,7 +30,7 @@
 	p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
 	c := &customer{plan: p, gatewayCount: 4}
 	if c.reserveCeilingPool(1, 1000) {
-		t.Error("a gateway without a pool reserved units from one")
+		t.Error("a gateway that is not the primary owner reserved units from a ceiling pool")
 	}
 	if !c.ceilingShareHasCapacity(5, 1000) || c.ceilingShareHasCapacity(5.1, 1000) {
 		t.Errorf("the share holds %v units, want 5 for a ceiling of 40", c.ceilingShare.tokens)
@@ -83,7 +83,7 @@
 			case a.kind == "send":
 				units += 2
 				gateways[from].HandleOutcome(now, Outcome{RequestID: a.id, Status: OK, RequestDone: true, Elapsed: 0.05})
-			case a.kind == "send_to_peer" && seen[from]%5 != 0: // every fifth action is dropped if it is a message
+			case a.kind == "send_to_peer" && seen[from]%5 != 0: // the message is lost if its index is a multiple of 5
 				gateways[a.to].HandlePeerMessage(now, from, a.data)
 			}
 		}
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A gateway that becomes the owner of a customer, and one that ceases to be its owner, must keep the remaining
-// units that it knew before.
+// A gateway must keep the remaining units that it knows when it becomes the owner of a customer, and when it
+// ceases to be the owner.
 func TestOwnershipChangeKeepsRemainingUnits(t *testing.T) {
 	const now = Seconds(100)
 	p := &plan{Plan: Plan{Rate: 2, Burst: 8}}
@@ -65,7 +65,7 @@
 	s.GatewayCount = 4
 	clock := &eventClock{now: 100}
 	table := newCustomerTable(s, clock, fixedOwner(2))
-	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // as for a member's report
+	reported := table.add(uint32(hashName("x")>>32), table.plansByIndex[0]) // as replyToReport adds it
 	if !reported.isPrimaryOwner || reported.gatewayCount != 0 {
 		t.Fatal("this gateway is not the primary owner of a customer known only from reports")
 	}
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// decisions is a requestHandler that records the IDs of dispatched and rejected requests.
+// decisions is a requestHandler that records the IDs of dispatched and rejected requests, and the reasons of the
+// rejections.
 type decisions struct {
 	dispatched, rejected []string
-	why                  []Reason
+	reason               []Reason
 }
 
 func (d *decisions) dispatch(r *request) { d.dispatched = append(d.dispatched, r.ID) }
 
-func (d *decisions) reject(r *request, why Reason) {
-	d.rejected, d.why = append(d.rejected, r.ID), append(d.why, why)
+func (d *decisions) reject(r *request, reason Reason) {
+	d.rejected, d.reason = append(d.rejected, r.ID), append(d.reason, reason)
 }
 
 // newTestController returns a quotaController of gateway 0 for customers that gateway 1 owns. Its concurrency
@@ -26,7 +27,8 @@
 	}, decided, sent
 }
 
-// awaitGrants queues one request of 2 units per ID for a grant. All belong to the customer that it returns.
+// awaitGrants queues a request of 2 units for each ID to wait for a grant. All requests belong to one customer, which
+// it returns.
 func awaitGrants(q *quotaController, ids ...string) *customer {
 	c := q.customers.find(Request{Customer: "x", Plan: "basic", GatewayCount: 2})
 	for _, id := range ids {
@@ -50,7 +52,7 @@
 		t.Fatalf("sent %+v, want a second report that asks for the 4 units of the other requests", *sent)
 	}
 	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
-	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.why[0] != QuotaExceeded {
+	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.reason[0] != QuotaExceeded {
 		t.Fatalf("decided %+v after a grant of 2 units, want the second request dispatched and the third rejected", decided)
 	}
 }
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A member that evicts a customer restarts its count at 0. The owner must neither take the lower count for
-// returned units nor fail to charge the new ones. The pauses without requests lie below and above memberExpiry and
-// customerExpiry, so that the owner and the member evict at different times.
+// A member that evicts a customer restarts its count at 0. The owner must neither treat the decrease as returned
+// units nor fail to charge units used later. The test pauses for times below, between and above memberExpiry and
+// customerExpiry, because the owner and the member evict at different times.
 func TestEvictionNeitherReturnsNorLosesUnits(t *testing.T) {
 	for _, pause := range []Seconds{
 		1, memberExpiry - 1, memberExpiry + 1, customerExpiry - 0.5, customerExpiry + 0.5, 2 * customerExpiry, 4 * customerExpiry,
@@ -51,7 +51,7 @@
 				admitted++
 			}
 		}
-		// The quota holds a burst of 8 units and 2 units per second. A request takes 2 units.
+		// The quota is 2 units per second with a burst of 8 units, and a request takes 2 units.
 		if limit := int((8 + 2*(now-before)) / 2); admitted > limit || admitted < min(limit, 8)-2 {
 			t.Errorf("after a pause of %v s, %d of 8 requests are admitted; the quota allows %d", pause, admitted, limit)
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// A grant that the member did not use must go back to the window. Otherwise a grant in a lost reply would stay
+// Granted units that the member did not use must return to the window. Otherwise, a grant in a lost reply would stay
 // reserved and reduce the customer's quota.
 func TestUnusedGrantIsReturned(t *testing.T) {
 	g, _ := newTestGateway(t, withGatewayCount(100))
@@ -148,8 +148,8 @@
 	}
 }
 
-// An owner that restarts forgets how many units were used. Its new ledger must adopt the lower remaining units that
-// members report, or the customer could use its burst again.
+// An owner that restarts forgets how many units were used. Its new ledger must adopt the remaining units of a member's
+// report if they are lower, or the customer could use its burst again.
 func TestNewLedgerAdoptsRemainingUnitsOfMembers(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	g.HandlePeerMessage(104, 1, encodeRecord(1, usageRecord{key: 5, remainingKnown: true, total: 0, remaining: 1}))
@@ -158,7 +158,8 @@
 	}
 }
 
-// The owner has 8 of 8 units left. A report asks for a first request of 2 units and for more requests behind it.
+// The owner must grant the units of all waiting requests if the quota allows them, and otherwise those of the first
+// request. It has 8 units left. The first request takes 2 units.
 func TestOwnerGrantsAllWaitingRequestsOrTheFirst(t *testing.T) {
 	const now = Seconds(100)
 	for _, tc := range []struct {
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -13,7 +13,7 @@
 	}{
 		{gateways: 1, burst: 16},
 		{gateways: 4, burst: 4},
-		{gateways: 100, burst: 3}, // the largest request fits
+		{gateways: 100, burst: 3}, // maxRequestUnits instead of 16/100
 	} {
 		c := &customer{plan: p, gatewayCount: tc.gateways}
 		c.quota.window.tokens = p.Burst
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Regression test for settings that exceeded the message format: a record held at most 63.75 wanted units, so members
-// were never granted larger requests, and gateways did not start with many plans.
+// Regression test: settings could exceed the message format. A record held at most 63.75 wanted units, so members were
+// never granted larger requests. Gateways did not start if the settings had many plans.
 func TestMessageFormatFitsTheSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		units  float64 // of a request
@@ -47,7 +47,7 @@
 	}
 }
 
-// plansLike returns n plans. The last one is as large as p; the others have a burst of a single unit.
+// plansLike returns n plans. The last one has the limits of p; the others have a burst of 1 unit.
 func plansLike(p Plan, n int) (list []Plan) {
 	last := p
 	for i := range n - 1 {
@@ -58,8 +58,8 @@
 	return append(list, last)
 }
 
-// Records must survive encoding and decoding unchanged in formats with and without scaled units and wide plans. All
-// values of the test are multiples of the resolution.
+// Encoding and decoding must not change a record, in formats with and without scaled units and wide plans. All values
+// are multiples of the wire format's resolution, so none is rounded.
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, f := range []messageFormat{testFormat, {unitsPerWireUnit: 12.5}, {unitsPerWireUnit: 3, widePlan: true}} {
 		for plan := range 3 * plansInFlags {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -4,7 +4,7 @@
 type requestHandler interface {
 	// dispatch sends an admitted request to an endpoint.
 	dispatch(r *request)
-	reject(r *request, why Reason)
+	reject(r *request, reason Reason)
 }
 
 // quotaController enforces the quotas, concurrency limits and ceilings of the customers' plans together with
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Regression test: requests that waited for an endpoint did not reserve their units, so the same units were promised to
-// each of them.
+// Regression test: requests that waited for an endpoint did not reserve their units, so several requests were admitted
+// for the same units.
 func TestQueuedRequestsKeepTheirUnits(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", State: Draining}}, true)
@@ -32,7 +32,8 @@
 	}
 }
 
-// Regression test: a customer over its rate used up its quota on requests of low priority if they arrived first.
+// Regression test: requests of low priority that arrived first used up the quota of a customer over its rate, and left
+// no units for requests of high priority.
 func TestLowPriorityLeavesUnitsToHighPriorityWhileOverRate(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 12 {
--- a/policy/quota_view_test.go
+++ b/policy/quota_view_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The member is one of 10 gateways and has a tenth of the total demand of 40 units per second. The owner's last reply
-// reported 20 remaining units, for a burst of 40 and a rate of 10 units per second.
+// The quota is 10 units per second with a burst of 40. The member is one of 10 gateways and has a tenth of the total
+// demand of 40 units per second. The owner's last reply reported 20 remaining units.
 func TestMemberAdmitsFromItsShare(t *testing.T) {
 	const now = Seconds(100)
 	for _, tc := range []struct {
--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// When a gateway leaves the ring, the customers of all other gateways must keep their owners, whose ledgers count their
-// usage.
+// When a gateway leaves the ring, the customers of all other gateways must keep their owners. A new owner would not
+// have the usage that the ledger of the previous owner holds.
 func TestRingMovesOnlyTheCustomersOfAGatewayThatLeaves(t *testing.T) {
 	ring := newOwnerRing(10)
-	const left = 3
+	const removed = 3
 	for i := range 500 {
 		hash := hashName(fmt.Sprint("customer", i))
 		before, _ := ring.successor(hash, anyGateway)
-		after, found := ring.successor(hash, func(gateway int) bool { return gateway != left })
-		if !found || after == left || before != left && after != before {
+		after, found := ring.successor(hash, func(gateway int) bool { return gateway != removed })
+		if !found || after == removed || before != removed && after != before {
 			t.Fatalf("customer %d moved from gateway %d to %d (found %t)", i, before, after, found)
 		}
 	}
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// Regression test: requests without a free slot were rejected at once with a Retry-After of a second, so that a retry
-// missed the latency objective of most classes. A bounded number must wait instead, no longer than its objective.
+// Regression test: requests without a free slot were rejected at once with a Retry-After of a second, so a retry missed
+// the latency objective of most classes. Instead, a bounded number of requests must wait for a slot, each no longer
+// than its latency objective allows.
 func TestSlotQueueIsBoundedInLengthAndTime(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 6 {
@@ -46,8 +47,8 @@
 	}
 }
 
-// If the queue is full, a request of higher priority must displace the last one of lower priority, which is rejected
-// at once, and must get the next free slot.
+// If the queue is full, a request of higher priority must displace the last request of lower priority. The displaced
+// request must be rejected at once, and the new request must get the next free slot.
 func TestHighestPriorityGetsTheNextSlot(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 4 {
@@ -63,8 +64,8 @@
 	}
 }
 
-// Regression test: a member reported the end of an attempt only in its next regular batch, while requests at other
-// gateways waited for the slot.
+// Regression test: a member reported a freed slot only in its next regular batch, while requests at other gateways
+// waited for the slot.
 func TestFreedSlotIsReportedAtOnce(t *testing.T) {
 	g, r, send := newTestMemberWithSlots(t)
 	c := send(100, "q", 1)
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Regression test: with a hundred gateways, a member's share is smaller than one request and the owner's replies are
-// old. Members that decided alone admitted more than the quota or rejected requests with units left. They must ask the
-// owner and follow its reply.
+// Regression test: members of a large fleet decided without asking the owner. With a hundred gateways, a member's share
+// is smaller than one request, and the owner's last reply is old. The members therefore admitted more than the quota,
+// or rejected requests although units were left. They must ask the owner and follow its reply.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
 		g, r, send := newTestMember(t, withGatewayCount(100))
@@ -39,24 +39,24 @@
 	}
 }
 
-// Regression test: after a gateway itself had stood still, it counted replies as overdue that had arrived in the
-// meantime, and considered the owners unreachable.
-func TestOwnStandstillDoesNotMakeReplyOverdue(t *testing.T) {
+// Regression test: after a stall, a gateway counted replies as overdue that had arrived during the stall, and
+// considered their owners unreachable.
+func TestStallDoesNotMakeReplyOverdue(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
 	first := r.ofKind("send_to_peer", "")[0].to
 	g.HandleTimer(100.5, 1)
 	if !g.protocol.reachable(first) || len(r.ofKind("send_to_peer", "")) != 1 {
-		t.Fatal("a standstill of this gateway made a reply overdue")
+		t.Fatal("a stall of this gateway made a reply overdue")
 	}
 	from, data := ownerReply(t, r, 1, func(reply *usageRecord) { reply.total += 2 })
 	g.HandlePeerMessage(100.5, from, data)
 	if len(r.ofKind("send", "q")) != 1 {
-		t.Fatal("a grant that arrived after the standstill was not used")
+		t.Fatal("a grant that was handled after the stall was not used")
 	}
 }
 
-// The number of messages must depend on the requests and not on the size of the fleet: a member sends one report for
+// The number of messages must depend on the requests, not on the size of the fleet. A member must send one report for
 // a request, and none without requests.
 func TestMessageCountFollowsRequestsNotFleetSize(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(500))
@@ -84,8 +84,9 @@
 	}
 }
 
-// Regression test: an owner counted as unreachable after two replies were lost by chance. A substitute that knew
-// nothing of the customer's usage then granted units. This affected peers that exchange few messages.
+// Regression test: an owner counted as unreachable after two of its replies were lost. The gateway that became the owner
+// instead did not know the customer's usage, and granted too many units. This affected peers that exchange few
+// messages.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
