--- a/policy/customer.go
+++ b/policy/customer.go
@@ -41,7 +41,7 @@
 	usedAt     Seconds // time of the last request or usage report
 	rejectedAt Seconds // time of the last rejection
 
-	// Counts of this gateway only.
+	// Usage at this gateway only.
 	totalUnits        float64 // units charged since the customer became known
 	acknowledgedUnits float64 // the part of totalUnits that the owner has counted
 	demand            demandMeter
@@ -147,8 +147,8 @@
 	return c
 }
 
-// add creates a customer with a full quota window. Its ceiling share and pool were empty when this gateway
-// started and have refilled since.
+// add creates a customer with a full quota window. Its ceiling share and pool count as empty when this
+// gateway started, and have refilled since then.
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -79,8 +79,7 @@
 // applyGrant handles the owner's reply to a report: it updates the view of the quota and decides on the
 // requests whose units the report asked for.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
-	// grantedTotal is the value that totalUnits may reach with the units that the owner has counted or reserved
-	// for this gateway.
+	// grantedTotal is the number of units that the owner has counted or reserved for this gateway so far.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
 	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
 	c.quota.othersDemand, c.quota.othersInFlight = reply.demand, reply.inFlight
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -13,7 +13,7 @@
 
 // ledger is the owner's account of a customer's usage at all gateways, counted against the whole quota.
 type ledger struct {
-	window    tokenBucket // remaining units; below 0 if created from a view of an exceeded quota
+	window    tokenBucket // remaining units; starts below 0 if the quota was already exceeded
 	createdAt Seconds
 	demand    demandMeter // total of all members
 	members   map[int]*member
@@ -107,9 +107,9 @@
 }
 
 // addMember adds the member that sent a report. The member's total starts at the units that an owner has
-// acknowledged, so that recordUsage charges the others. A ledger is new after a restart of the owner or a
-// change of ownership, and then lacks earlier usage. Within ledgerRecoveryPeriod, it therefore adopts the
-// remaining units that the member knows, if they are lower.
+// acknowledged, so that recordUsage charges the rest. After a restart of the owner or a change of ownership,
+// the ledger is new and may lack earlier usage. Until ledgerRecoveryPeriod has passed, it therefore adopts
+// the member's remaining units if they are lower.
 func (l *ledger) addMember(report memberReport) *member {
 	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
@@ -122,9 +122,8 @@
 // currentLedger returns the ledger, refilled up to now. If there is none, it creates the ledger from the
 // gateway's view as a member.
 //
-// An owner other than the primary owner refills the ledger at its own fraction of the rate until a member
-// reports to it. Without reports, it may be partitioned from gateways that admit requests of the same
-// customer.
+// An owner other than the primary owner refills the ledger only at its own fraction of the rate while no
+// member reports to it. It may then be partitioned from gateways that admit requests of the same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -61,8 +61,8 @@
 	maxByte                  = math.MaxUint8 // represents the fraction 1
 )
 
-// Limits of the values in a record. A wire unit stands for as many units as it takes for the values of the
-// settings to stay within the first three limits.
+// Limits of the values in a record. newMessageFormat makes the wire unit so large that the values of the
+// settings stay within the first three limits.
 const (
 	// maxRequestWireUnits is less than the maximum of wantedUnits, 63.75, so that a report can ask for the units
 	// of more than one request.
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -5,8 +5,8 @@
 	// of the remaining units. With an older reply, the member asks the owner, unless the units are enough for
 	// the same request at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
-	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on the number of
-	// attempts in flight in it. That number changes with every request, so the limit is below maxReplyAge.
+	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on its number of
+	// attempts in flight. It is shorter than maxReplyAge, because that number changes with every request.
 	maxInFlightAge Seconds = 0.1
 	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority must leave for
 	// those of higher priority while their customer is over its rate.
@@ -68,12 +68,14 @@
 }
 
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
-// its part of the total demand. age is the age of the owner's last reply. The member may exceed its share if
-// the units are enough even if the other gateways have used units at twice their demand since that reply.
+// its part of the total demand. age is the age of the owner's last reply. The member also admits a request
+// beyond its share if enough units would be left after the other gateways had used twice their demand since
+// that reply.
 //
-// If the reply is stale, the member admits the request only if every gateway of the customer could admit the
-// same. It rejects a request that exceeds the remaining units of a reply younger than minReportInterval. In
-// all other cases it asks the owner.
+// Without a reply, or if it is older than maxReplyAge, the member admits a request only if the units are
+// enough for the same request at every gateway of the customer. It rejects a request that exceeds the
+// remaining units of a reply younger than minReportInterval. In all other cases, it asks the owner. If the
+// plan has no rate, it admits every request.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -1,7 +1,8 @@
 package policy
 
-// tokenBucket is a number of tokens that grows at a rate up to a burst. Rate and burst are parameters of each
-// call, because the fraction of a quota that the bucket represents may change. The number may be negative.
+// tokenBucket holds a number of tokens that grows at a constant rate up to a burst. The number may be
+// negative. Callers pass the rate and the burst, because the fraction of a quota that the bucket represents
+// may change.
 type tokenBucket struct {
 	tokens    float64 // at updatedAt
 	updatedAt Seconds
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -8,9 +8,9 @@
 	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. It
 	// is less than half because each report causes a reply, and PeerMessageRate must cover both.
 	reportFraction = 0.45
-	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch, and
-	// minBatchTokens the number for any other batch. Each batch uses one message, so other batches leave at
-	// least one message for an urgent batch.
+	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch.
+	// minBatchTokens is the number for any other batch. Each batch uses one message, so the other batches leave
+	// at least one message for an urgent batch.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
 	// grantTimeout is the time after which an unanswered report is repeated while requests wait for a grant.
@@ -177,7 +177,7 @@
 	u.watchForReply(c)
 }
 
-// watchForReply adds the customer to the watched customers, for which forEachOverdue detects overdue replies.
+// watchForReply adds the customer to the watched customers, so that forEachOverdue detects an overdue reply.
 func (u *usageReporter) watchForReply(c *customer) {
 	if !c.report.watched {
 		c.report.watched = true
@@ -232,7 +232,7 @@
 }
 
 // recordReply records that a reply has arrived. It ends the wait for a reply if no request waits for a grant.
-// It restarts the wait if requests wait that no report has asked for yet.
+// It restarts the wait if requests wait for a grant that no report has asked for yet.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.transmissions = 0, 0
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Regression test: an owner counted as unreachable after two of its replies were lost. The gateway that became the owner
-// instead did not know the customer's usage, and granted too many units. This affected peers that exchange few
+// Regression test: an owner counted as unreachable after two of its replies were lost. The next gateway on the ring then
+// became the owner and granted units without knowing the customer's usage. This affected peers that exchange few
 // messages.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
