--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -21,14 +21,15 @@
 	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
 }
 
-// services holds what the components of a proxy share. All fields are set before the goroutines start. The event loop
-// owns warnings and decider; all goroutines may use the other fields, within the limits that their types state.
+// services holds the values that the components of a proxy share. All fields are set before the goroutines start. The
+// event loop owns warnings and decider. All goroutines may use the other fields, as the documentation of their types
+// allows.
 type services struct {
 	log   *slog.Logger
 	calls *netcalls.Calls
 	clock eventloop.Clock
 	loop  *eventloop.Loop
-	// inputBudget limits the memory for input that is not handled yet and for replies that clients have not read.
+	// inputBudget limits the memory for buffered input, for the arguments of open requests and for unwritten replies.
 	inputBudget *readbuf.Budget
 	warnings    warningLimiter
 	decider     decider
