--- a/policy/customer.go
+++ b/policy/customer.go
@@ -33,8 +33,8 @@
 	// The gatewayCount consecutive gateways from firstGateway on receive the customer's requests. gatewayCount
 	// is 0 while the customer is known only from reports of other gateways.
 	firstGateway, gatewayCount int
-	// primaryOwner is the first of these gateways on the ring, starting at hash. isPrimaryOwner is true if this
-	// gateway is the primary owner.
+	// primaryOwner is the first of these gateways on the ring, starting at hash, or this gateway while
+	// gatewayCount is 0. isPrimaryOwner is true if this gateway is the primary owner.
 	primaryOwner   int
 	isPrimaryOwner bool
 
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -148,7 +148,7 @@
 // newRecord returns a report on the customer that asks for the units of all requests that wait for a grant.
 func (u *usageReporter) newRecord(c *customer) usageRecord {
 	now := u.clock.now
-	remaining := c.remainingUnitsAsMember(now) // may change remainingKnown and the unacknowledged units
+	remaining := c.remainingUnitsAsMember(now) // called first: may change remainingKnown and acknowledgedUnits
 	record := usageRecord{
 		key: c.key, planIndex: c.plan.index,
 		remainingKnown: c.quota.remainingKnown, ceilingPool: c.report.gateway == c.primaryOwner,
