--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -4,8 +4,9 @@
 
 // The methods of this file and SendToPeer implement policy.Actions. The decision module calls them on the event loop.
 
-// Send implements policy.Actions. A timeout of 0 leaves the attempt until the request's deadline. With a negative
-// timeout, the attempt times out at once. The write of the command must end within writeWithin; 0 sets no such limit.
+// Send implements policy.Actions. A timeout of 0 stands for the request's deadline. An attempt with a negative timeout
+// is not written, as it has timed out already. The write of the command must end within writeWithin; 0 sets no such
+// limit.
 func (p *Proxy) Send(id, endpointID string, timeout, writeWithin policy.Seconds) {
 	r := p.requests.byID[id]
 	if r == nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,7 +12,7 @@
 	endpoint      *endpoint // nil if the chosen endpoint is not listed
 	number        int       // index among the attempts of the request
 	kind          attemptKind
-	sentAt        policy.Seconds
+	createdAt     policy.Seconds   // event time; the elapsed time in the outcome counts from here
 	timeoutAt     policy.Seconds   // when the attempt times out
 	writeDeadline policy.Seconds   // clock time by which the last byte must be written; +Inf for no limit
 	timer         *eventloop.Timer // fires at timeoutAt
@@ -20,12 +20,12 @@
 	done          bool
 }
 
-// attemptKind says why an attempt is made. Its text is written to the trace.
+// attemptKind tells the first attempt of a request, a retry and a hedged request apart. The trace holds its text.
 type attemptKind string
 
 const (
 	firstAttempt attemptKind = "first"
-	retry        attemptKind = "retry" // earlier attempts have all ended
+	retry        attemptKind = "retry" // all earlier attempts have ended
 	hedge        attemptKind = "hedge" // an earlier attempt is in flight
 )
 
@@ -45,7 +45,7 @@
 	status    policy.AttemptStatus
 	value     []byte // RESP encoding of the value, as the endpoint sent it; set if status is OK
 	load      *policy.LoadReport
-	malformed error // why the reply can't be used; nil if it can, or if there is none
+	malformed error // why the reply can't be used; nil if it is usable or if there is no reply
 }
 
 // malformedReply returns the result of an attempt whose reply can't be used. Its status is Error: the endpoint was
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -12,8 +12,8 @@
 // healthCheckTimeout limits a health check, including the dial.
 const healthCheckTimeout policy.Seconds = 0.25
 
-// attemptRunner runs attempts and health checks. It chooses a connection for each, and reports each outcome exactly
-// once. The event loop owns it.
+// attemptRunner starts and ends attempts and health checks, and reports the outcome of each exactly once. The event
+// loop owns it.
 type attemptRunner struct {
 	services  *services
 	settings  *settings.Settings
@@ -22,9 +22,9 @@
 	trace     *tracer
 }
 
-// send makes an attempt of a request. A timeout of 0 leaves the attempt until the request's deadline. With a negative
-// timeout, the attempt ends as Timeout at once. Otherwise it ends as NotSent if mustNotStart or hasPendingEnd reports
-// true. An attempt beyond the maximum number of attempts always ends as NotSent.
+// send makes an attempt of a request. The attempt times out at the request's deadline, or earlier if timeout, when not
+// 0, has passed. An attempt beyond the maximum number of attempts ends as NotSent. Within the maximum, an attempt with
+// a negative timeout ends as Timeout, and any other ends as NotSent if mustNotStart or hasPendingEnd reports true.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
@@ -46,7 +46,7 @@
 	now := runner.services.loop.Now()
 	a := &attempt{
 		request: r, endpoint: runner.endpoints.byID[endpointID], number: len(r.attempts), kind: nextAttemptKind(r),
-		sentAt: now, timeoutAt: r.deadline, writeDeadline: math.Inf(1),
+		createdAt: now, timeoutAt: r.deadline, writeDeadline: math.Inf(1),
 	}
 	if timeout != 0 {
 		a.timeoutAt = min(a.timeoutAt, now+timeout)
@@ -68,8 +68,8 @@
 func (runner *attemptRunner) checkHealth(endpointID string) {
 	now := runner.services.loop.Now()
 	a := &attempt{
-		endpoint: runner.endpoints.byID[endpointID],
-		sentAt:   now, timeoutAt: now + healthCheckTimeout, writeDeadline: math.Inf(1),
+		endpoint:  runner.endpoints.byID[endpointID],
+		createdAt: now, timeoutAt: now + healthCheckTimeout, writeDeadline: math.Inf(1),
 	}
 	if a.endpoint == nil {
 		runner.services.warn("health check ignored: endpoint is not listed", "endpoint", endpointID)
@@ -78,8 +78,8 @@
 	runner.start(a)
 }
 
-// mustNotStart reports whether an attempt must not be sent, because its endpoint is not in service, its request is
-// done, or its timeout has passed.
+// mustNotStart reports whether an attempt must not be sent, because its endpoint is not listed or not in service, its
+// request is done, or its timeout has passed.
 func (runner *attemptRunner) mustNotStart(a *attempt) bool {
 	inService := a.endpoint != nil && a.endpoint.state == policy.InService
 	done := a.request != nil && a.request.done
@@ -91,9 +91,9 @@
 	return !runner.mustNotStart(a) && (a.request == nil || !runner.hasPendingEnd(a.request))
 }
 
-// hasPendingEnd reports whether the reply to an earlier attempt, or the client's disconnect, has arrived but has not
-// been handled by the event loop. A request without attempts is checked too: it may have been unread in its socket for
-// a long time, and the client may have disconnected meanwhile.
+// hasPendingEnd reports whether hasPendingReply or clientDisconnected reports true. The client is checked even before
+// the first attempt: the request may have been unread in its socket for a long time, and the client may have
+// disconnected meanwhile.
 func (runner *attemptRunner) hasPendingEnd(r *request) bool {
 	return runner.hasPendingReply(r) || runner.clientDisconnected(r.client)
 }
@@ -107,8 +107,8 @@
 	})
 }
 
-// clientDisconnected reports whether the client has closed its connection. If the event loop has not handled the
-// disconnect yet, the connection is abandoned after the current event.
+// clientDisconnected reports whether the connection to the client is closed. If the client has closed it, but the
+// event loop has not handled that yet, the connection is abandoned after the current event.
 func (runner *attemptRunner) clientDisconnected(c *clientConn) bool {
 	if c.closed || !netcalls.ClosedByPeer(c.rawConn) {
 		return c.closed
@@ -117,7 +117,8 @@
 	return true
 }
 
-// start writes the attempt to an idle connection, or queues it for a new one.
+// start writes the attempt's command to an idle connection. If there is none, it queues the attempt for a dial. If
+// there are too many connections for a dial, the attempt ends as NotSent.
 func (runner *attemptRunner) start(a *attempt) {
 	loop := runner.services.loop
 	a.timer = loop.After(a.timeoutAt-loop.Now(), func() { runner.handleTimeout(a) })
@@ -148,7 +149,7 @@
 	runner.finish(a, attemptResult{status: status}, runner.services.loop.Now())
 }
 
-// abortPartialWrites ends the attempts of a finished request whose commands are not completely written. The endpoint
+// abortPartialWrites ends the attempts of a finished request whose commands are still being written. The endpoint
 // executes a command once it has received the last byte, so that byte must not be written after the request has ended.
 func (runner *attemptRunner) abortPartialWrites(r *request) {
 	for _, a := range r.attempts {
@@ -163,8 +164,8 @@
 	}
 }
 
-// finishDeferred ends an attempt at once, but reports its outcome after the current event. The decision module may be
-// calling finishDeferred, and must not be called back during that call.
+// finishDeferred ends an attempt at once, but reports its outcome after the current event. It may run within a call
+// from the decision module, which must not be called back during that call.
 func (runner *attemptRunner) finishDeferred(a *attempt, status policy.AttemptStatus) {
 	a.done = true
 	runner.releaseResources(a)
@@ -200,11 +201,11 @@
 	}
 }
 
-// reportOutcome forwards the value of a successful attempt to the client, and notifies the decision module of the
-// outcome.
+// reportOutcome forwards the value of a request's successful attempt to the client. It reports the outcome to the
+// trace and to the decision module.
 func (runner *attemptRunner) reportOutcome(a *attempt, result attemptResult, at policy.Seconds) {
 	decider, loop := runner.services.decider, runner.services.loop
-	elapsed := max(at-a.sentAt, 0)
+	elapsed := max(at-a.createdAt, 0)
 	runner.trace.attemptEnded(a, result, at)
 	if a.request == nil {
 		decider.HandleHealthCheck(loop.Now(), policy.HealthCheckResult{
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -17,9 +17,9 @@
 // Three goroutines share it:
 //   - The event loop owns the fields after writeErr, and calls close.
 //   - The reader posts each reply, and the end of the connection, to the event loop. The event loop starts the reader
-//     after the dial. The reader ends with the connection.
-//   - The writer writes the part of a command that the socket did not accept at once, and owns the write deadline. The
-//     event loop starts the writer. The writer ends with the write, at the deadline, or with the connection.
+//     after the dial. The reader closes the connection when it ends, and ends when the connection is closed.
+//   - The writer writes the part of a command that the socket did not accept at once. The event loop sets the write
+//     deadline and starts the writer. The writer ends with the write, at the deadline, or with the connection.
 //
 // There is no read deadline: attempts have timers, and the event loop closes idle connections.
 //
@@ -46,8 +46,8 @@
 	closed    bool
 }
 
-// close closes the connection and removes it from the pool. The cause is the error that ended the connection, or nil if
-// this gateway closes it. Event loop only.
+// close closes the connection and removes it from the pool. The cause is the error that ended the connection, or nil
+// if there was no error. Event loop only.
 func (c *backendConn) close(why closeReason, cause error) {
 	if c.closed {
 		return
@@ -60,7 +60,7 @@
 	c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(idle *backendConn) bool { return idle == c })
 }
 
-// readerEnded handles the end of the connection, which the reader has detected at the given time. The attempt in flight
+// readerEnded closes the connection after its reader has ended at the given time. An attempt that is still in flight
 // ends as ConnectFailed if its command was not completely written, and as Reset otherwise. Event loop only.
 func (c *backendConn) readerEnded(cause error, at policy.Seconds) {
 	c.close(peerClosed, cause)
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -8,14 +8,15 @@
 	"reedlead/policy"
 )
 
-// minReuseDelay is the idle time after which a connection is preferred for the next command. The reader detects a
-// duplicate of the last reply within that time, as it arrives directly after the reply.
+// minReuseDelay is the idle time after which a connection is preferred for the next command. By then, the reader has
+// usually detected a duplicate that was sent directly after the last reply.
 const minReuseDelay policy.Seconds = 0.005
 
 // acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. Among the
 // connections that have been idle for minReuseDelay, it takes the most recently used one. If there are none, it takes
-// the connection that has been idle for longest. It closes unusable connections. To find them, it also checks the
-// sockets for unread bytes and the end of the stream, which the readers may not have detected yet.
+// the connection that has been idle for longest. If the chosen connection is unusable, acquireIdle closes it and
+// chooses another. The socket is checked for unread bytes and the end of the stream, as the reader may not have
+// detected them yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
@@ -43,8 +44,8 @@
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign writes the attempt that has waited longest to a connection. Attempts that must not be written any more end as
-// NotSent instead. If no attempt is left, assign returns the connection to the pool.
+// assign writes the command of the attempt that has waited longest to a connection. Attempts that must not be sent any
+// more end as NotSent instead. If no attempt is left, assign returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
@@ -73,8 +74,8 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// queueForDial starts a dial and queues the attempt for its connection. It returns false if the limit on connections is
-// reached and no idle connection can be evicted.
+// queueForDial starts a dial to the attempt's endpoint, and queues the attempt for the next connection to that
+// endpoint. It returns false if the limit on connections is reached and no idle connection can be evicted.
 func (s *endpointSet) queueForDial(a *attempt) bool {
 	if s.openConns >= s.maxConns && !s.evictIdle() {
 		return false
@@ -88,7 +89,7 @@
 }
 
 // dialEndpoint dials an endpoint, and posts the connection or the error to the event loop. It runs on a goroutine that
-// queueForDial starts. The timeouts of the dial and its retries bound how long it runs.
+// queueForDial starts. The dial timeout and localFaultRetryTimeout bound the time for which it dials.
 func (s *endpointSet) dialEndpoint(e *endpoint, dialedAs discovery.Endpoint) {
 	shared := s.services
 	conn, err := s.dialWithRetry(dialedAs.Addr)
@@ -99,9 +100,9 @@
 	shared.loop.Post(shared.clock.Now(), func() { s.handleDialResult(e, c, err) })
 }
 
-// dialWithRetry dials an address. While the dial fails because of a local fault, it retries for up to
-// localFaultRetryTimeout. After the first such failure, the event loop evicts idle connections if the process is out of
-// descriptors.
+// dialWithRetry dials an address. While the dial fails because of a local fault, it retries until
+// localFaultRetryTimeout has passed. After the first such failure, the event loop evicts backend and client
+// connections if no descriptor is left.
 func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
@@ -132,7 +133,7 @@
 }
 
 // handleDialResult handles the end of a dial, which has returned either a connection or an error. If more attempts are
-// waiting than dials are pending, the excess attempts get an idle connection or fail. Event loop only.
+// waiting than dials are pending, the excess attempts get an idle connection or end. Event loop only.
 func (s *endpointSet) handleDialResult(e *endpoint, c *backendConn, err error) {
 	e.pendingDials--
 	var failure policy.AttemptStatus // status of the excess attempts
@@ -162,9 +163,9 @@
 	return policy.ConnectFailed
 }
 
-// dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable. It returns the
-// status of the attempts that are left without a dial. The status is NotSent if the connection is unusable because the
-// endpoint has changed since the dial, and ConnectFailed otherwise.
+// dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable, or closes it. It
+// returns the status of the attempts that are left without a dial. The status is NotSent if the connection is unusable
+// because the endpoint has changed since the dial, and ConnectFailed otherwise.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -13,7 +13,7 @@
 	// duplicateWindow is the time for which a duplicate of a reply may still arrive after the reply. If the write of
 	// the next command starts within that time, the reply to it is taken for a duplicate if it equals the earlier
 	// reply, or if both are rejections. Two replies with values differ in the value or the load report. Two errors may
-	// be equal without being duplicates: the second attempt then fails, and its connection is closed.
+	// be equal without being duplicates: the second attempt ends as Error in any case, but its connection is closed.
 	duplicateWindow policy.Seconds = 0.1
 	// maxLoggedBytes is the maximum number of bytes of a malformed reply that are logged.
 	maxLoggedBytes = 40
@@ -25,8 +25,8 @@
 )
 
 // backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. It
-// belongs to a goroutine that the event loop starts. That goroutine ends with the connection, or after input that is
-// not a valid reply.
+// belongs to a goroutine that the event loop starts. That goroutine ends when the connection ends, or after input that
+// belongs to no command or is not a usable reply.
 type backendReader struct {
 	conn     *backendConn
 	services *services
@@ -34,7 +34,7 @@
 	history  reply.History
 }
 
-// read runs the reader of the connection, until the connection has ended or must not be used any more.
+// read reads replies until the connection has ended or must not be used any more, and then closes it.
 func (c *backendConn) read() {
 	shared := c.services
 	r := &backendReader{conn: c, services: shared, buffer: readbuf.NewBuffer(shared.inputBudget)}
@@ -76,8 +76,8 @@
 	return err == nil, err
 }
 
-// handleReply posts the reply in the buffer to the event loop if it is complete. It reports whether to continue
-// reading.
+// handleReply posts the reply in the buffer to the event loop if it is complete, or posts why it can't be used. It
+// reports whether to continue reading.
 func (r *backendReader) handleReply(at policy.Seconds) (more bool) {
 	c, content := r.conn, r.buffer.Bytes()
 	size, err := resp.ReplySize(content)
@@ -113,7 +113,8 @@
 	return !hasMore
 }
 
-// handleMalformedReply logs the beginning of malformed or unexpected input, and ends the connection's attempt as Error.
+// handleMalformedReply marks the connection as unusable. On the event loop, it logs the first bytes of the reply and
+// why it can't be used, and ends the connection's attempt as Error.
 func (r *backendReader) handleMalformedReply(at policy.Seconds, got []byte, err error) {
 	c, shared := r.conn, r.services
 	c.unusable.Store(true)
@@ -124,8 +125,8 @@
 	})
 }
 
-// replyReceived ends the connection's attempt with the received reply. A reply to another kind of command counts as
-// malformed. Event loop only.
+// replyReceived ends the connection's attempt with the received reply. A successful reply to another kind of command
+// counts as malformed. Event loop only.
 func (c *backendConn) replyReceived(received reply.Reply, at policy.Seconds) {
 	if c.closed || c.attempt == nil {
 		return
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,11 +12,11 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its client had left when the write started. At the end of the write, the stated time may
+	// states the time that its attempt had left when the write started. At the end of the write, the stated time may
 	// exceed the actual remaining time by at most 0.15 s.
 	writeTimeout policy.Seconds = 0.1
 	// A command longer than longCommandSize bytes may take longer to write, and states less remaining time than its
-	// client has. The time is reduced by the fraction writeReserveShare, but by at most maxWriteReserve.
+	// attempt has. The time is reduced by the fraction writeReserveShare, but by at most maxWriteReserve.
 	longCommandSize                  = 16 << 10
 	writeReserveShare                = 0.25
 	maxWriteReserve   policy.Seconds = 0.5
@@ -25,9 +25,9 @@
 )
 
 // writeCommand writes the command of an attempt. It writes the part that the socket accepts at once, and starts a
-// writer goroutine for the rest. No byte is written after the deadlines of the attempt, which may pass during a dial or
-// while the endpoint reads slowly. The deadlines are compared with the clock, as event time may be well behind it.
-// Event loop only.
+// writer goroutine for the rest. If a deadline of the attempt has passed, for example during the dial, it writes
+// nothing and the attempt ends as NotSent. The deadlines are compared with the clock, as event time may be well behind
+// it. Event loop only.
 func (c *backendConn) writeCommand(a *attempt) {
 	shared := c.services
 	startedAt := shared.clock.Now()
@@ -58,8 +58,8 @@
 	}
 }
 
-// appendCommand appends the command of an attempt whose write starts at startedAt. The command states the time that the
-// client has left minus the reserve, which is extra time for the write of a long command.
+// appendCommand appends the command of an attempt whose write starts at startedAt. The command of a request states the
+// time until the attempt times out, minus the reserve, which is extra time for the write of a long command.
 func (a *attempt) appendCommand(b []byte, startedAt policy.Seconds) (command []byte, reserve policy.Seconds) {
 	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load"), 0
@@ -74,7 +74,7 @@
 // startWriter starts the writer goroutine with the part of a command that the socket has not accepted.
 func (c *backendConn) startWriter(a *attempt, rest []byte, startedAt policy.Seconds, deadline time.Time) {
 	shared := c.services
-	c.writeMu.Lock()                      // the reader also locks it, but only briefly when it ends
+	c.writeMu.Lock()                      // the ending reader or the previous writer may hold it, but only briefly
 	_ = c.conn.SetWriteDeadline(deadline) // if it fails, so does the write
 	go func() {
 		defer c.writeMu.Unlock()
--- a/internal/proxy/endpoint_set.go
+++ b/internal/proxy/endpoint_set.go
@@ -14,14 +14,16 @@
 	minBackendConns = 8
 	// backendConnShare is the fraction of the usable descriptors that backend connections may take.
 	backendConnShare = 3.0 / 8
-	// idleTimeoutShare is this gateway's idle timeout as a fraction of the endpoints' idle timeout. The gateway closes
-	// idle connections first, as a command that is written after the endpoint has closed one ends as a reset.
+	// idleTimeoutShare is this gateway's idle timeout as a fraction of the endpoints' idle timeout. The gateway must
+	// close an idle connection before the endpoint does: an attempt on a connection that the endpoint has closed may
+	// end as Reset.
 	idleTimeoutShare = 0.5
 	// maxLocalFaultRetryTimeout limits the time for which a dial is retried because of a local fault.
 	maxLocalFaultRetryTimeout = 250 * time.Millisecond
 )
 
-// endpoint is an entry of the endpoint list, together with the connections to the endpoint.
+// endpoint is an entry of the endpoint list, together with the idle connections to the endpoint and the attempts that
+// wait for a dial to it.
 type endpoint struct {
 	discovery.Endpoint
 	state        policy.EndpointState
@@ -31,8 +33,8 @@
 }
 
 // endpointSet holds the endpoints of the endpoint list, and limits the number of connections to them. The event loop
-// owns it. Other goroutines may read trace, dial, localFaultRetryTimeout, duplicateWindow and afterWrite, which do not
-// change while the loop runs.
+// owns it. Other goroutines may read services, trace, dial, localFaultRetryTimeout, duplicateWindow and afterWrite,
+// which do not change while the loop runs.
 type endpointSet struct {
 	services     *services
 	attempts     *attemptRunner
@@ -43,13 +45,13 @@
 	maxConns     int // limit on openConns
 	idleTimeout  policy.Seconds
 	writeTimeout policy.Seconds
-	// commandBuffer holds the command that is being written. It is reused for the next command.
+	// commandBuffer holds the encoded command while the event loop writes it. It is reused for the next command.
 	commandBuffer []byte
 
 	dial                   func(addr string) (netcalls.Conn, error)
 	localFaultRetryTimeout time.Duration
 	duplicateWindow        policy.Seconds
-	afterWrite             func(*backendConn) // test hook: runs after a writer's last byte, before commandWritten is set
+	afterWrite             func(*backendConn) // test hook: runs after a writer's write, before commandWritten is set
 }
 
 // init initializes the set with the limits of the configuration.
@@ -79,8 +81,8 @@
 	return false
 }
 
-// apply applies a complete endpoint list, or a change of it. Attempts that wait for a dial to an endpoint that is no
-// longer in service end at once as NotSent.
+// apply applies a complete endpoint list, or a change of it. It retires endpoints that have moved, restarted or left
+// service.
 func (s *endpointSet) apply(list discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Endpoints {
@@ -108,8 +110,8 @@
 	}
 }
 
-// retire closes the idle connections to an endpoint. Unless the endpoint is in service, it also ends the attempts that
-// wait for a dial.
+// retire closes the idle connections to an endpoint. Unless the endpoint is in service, the attempts that wait for a
+// dial to it end as NotSent.
 func (s *endpointSet) retire(e *endpoint) {
 	for len(e.idle) > 0 {
 		e.idle[len(e.idle)-1].close(endpointRetired, nil)
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleDiscoveryEvent applies a new endpoint list, or logs a problem that the discovery client reports. Event loop
-// only.
+// handleDiscoveryEvent applies an update of the endpoint list, or logs a problem that the discovery client reports. If
+// the client found no free descriptor, it evicts connections. Event loop only.
 func (p *Proxy) handleDiscoveryEvent(e discovery.Event) {
 	switch e := e.(type) {
 	case discovery.Update:
@@ -52,7 +52,7 @@
 	}
 }
 
-// applyList applies a complete endpoint list, or a change of it, to the connection pools and the decision module.
+// applyList passes a complete endpoint list, or a change of it, to the connection pools and the decision module.
 func (p *Proxy) applyList(list discovery.List) {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -69,7 +69,7 @@
 		c.services.log.Debug("backend connection closed", attrs...)
 		return
 	}
-	elapsed := eventloop.Duration(c.services.loop.Now() - a.sentAt)
+	elapsed := eventloop.Duration(c.services.loop.Now() - a.createdAt)
 	attrs = append(
 		attrs, "id", a.request.ID, "attempt", a.number, "written", c.commandWritten.Load(), "after", elapsed.String(),
 	)
