--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// DefaultReadTimeout is the time without input after which the client ends a response. On a watch, the agent sends
-	// a heartbeat, an empty line, every 2 s. The client takes the connection for broken soon after a heartbeat is
-	// missing: the agent responds at once, so a needless poll costs little.
+	// DefaultReadTimeout is the default of Options.ReadTimeout. On a watch, the agent sends a heartbeat, an empty
+	// line, every 2 s. The client takes the connection for broken soon after a heartbeat is missing, as a needless
+	// poll costs little.
 	DefaultReadTimeout = 2500 * time.Millisecond
 
 	// pollRetryShare is the interval between the polls of a silent agent, as a fraction of the grace period for
-	// attempts on draining endpoints. These attempts must end within that period, which starts when the agent has the
-	// change, even if no watch is open. So the client must reach a recovered agent within a fraction of the period.
+	// attempts on draining endpoints. These attempts must end within that period, which starts when the agent knows
+	// that the endpoint drains, even if the client has no watch open. So the client must reach a recovered agent
+	// within a fraction of the period.
 	pollRetryShare       = 0.3
 	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
@@ -33,7 +34,7 @@
 	maxValueSize         = 4 << 20     // bytes of one JSON value
 	listPath             = "/api/targets"
 	completeListQuery    = ""
-	watchQuery           = "?watch=1&after=%d" // the argument is the last version that was received
+	watchQuery           = "?watch=1&after=%d" // the argument is Client.version
 )
 
 var (
@@ -69,11 +70,11 @@
 type SkippedEndpoint struct{ Err error }
 
 // WatchEnded reports that a watch has ended or failed, or that the poll of the complete list before it has failed. The
-// client opens another watch after a backoff.
+// client tries again after a backoff.
 type WatchEnded struct {
 	Err     error
 	Address string
-	Version int64 // version of the last update
+	Version int64 // of the last update, or as given to New
 }
 
 func (Update) isEvent()          {}
@@ -88,8 +89,7 @@
 
 // Options configure a Client. All fields must be set.
 type Options struct {
-	// PollRetryInterval is the time without a response after which the agent is polled again. The earlier poll stays
-	// open.
+	// PollRetryInterval is the time without a response after which the agent is polled again.
 	PollRetryInterval time.Duration
 	// ReadTimeout limits the time without input during a response, and the time in which one value must arrive.
 	ReadTimeout time.Duration
@@ -98,7 +98,7 @@
 	// After and AfterFunc are the functions of package time, except in tests.
 	After     func(time.Duration) <-chan time.Time
 	AfterFunc func(time.Duration, func()) Timer
-	// Notify is called with the events in order, one call at a time, on goroutines of the client.
+	// Notify is called with the events in order, one call at a time, by Run or by a goroutine that Run starts.
 	Notify func(Event)
 }
 
@@ -126,7 +126,7 @@
 	options         Options
 	http            *http.Client
 	address         string
-	version         int64         // version of the last update
+	version         int64         // of the last update, or as given to New
 	resync          bool          // changes may have been missed: the complete list has to be polled
 	unusableBackoff time.Duration // minimum backoff after the next unusable list
 }
@@ -184,9 +184,9 @@
 	}
 }
 
-// nextBackoff returns the backoff after a watch that ended with an error. The backoff is short if the agent refuses
-// connections or is silent. It doubles with each unusable list in a row, up to maxUnusableBackoff, as each complete
-// list costs the agent work.
+// nextBackoff returns the backoff after a watch that ended with an error. The backoff is short if the watch brought an
+// update, or did not end with an unusable list. Otherwise it doubles with each unusable list in a row, up to
+// maxUnusableBackoff, as each complete list costs the agent work.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusableList) {
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -54,13 +54,13 @@
 // Poll is a poll whose response the test writes part by part.
 type Poll struct {
 	URI string
-	// Cancelled is closed when the client cancels the poll.
+	// Cancelled is closed when the client cancels the poll, and also after the response has ended.
 	Cancelled <-chan struct{}
 	parts     chan string
 	ended     chan struct{}
 }
 
-// Write writes a part of the response, unless the client has cancelled the poll.
+// Write writes a part of the response, unless Cancelled is closed.
 func (p Poll) Write(text string) {
 	select {
 	case p.parts <- text:
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Validate returns an *EndpointError if the entry is invalid. A removed endpoint needs no address.
+// Validate returns an *EndpointError if the entry is invalid. A removed endpoint needs no valid address.
 func (e Endpoint) Validate() error {
 	if e.ID == "" {
 		return &EndpointError{e.ID, ErrMissingID}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -6,9 +6,9 @@
 	"net/http"
 )
 
-// poll polls the agent until it responds, and returns the body of the response. An agent may never respond to polls
-// that were sent while it was down. So poll starts another poll after each PollRetryInterval, and uses the first
-// response to any of them. The first poll stays open in case the agent is only slow.
+// poll polls the agent until it responds with HTTP status 200, and returns the body of the response. An agent may
+// never respond to polls that were sent while it was down. So poll starts another poll after each PollRetryInterval,
+// and uses the first such response to any of them. The first poll stays open in case the agent is only slow.
 //
 // Once all polls have failed, poll returns the error of the poll that failed last. When ctx ends, the polls and the
 // returned response end too.
@@ -47,7 +47,7 @@
 const noPoll = -1
 
 // pollGroup is a group of polls of the same URL, and uses the first response to any of them. The goroutine of
-// Client.poll owns it. Each poll runs on its own goroutine, which ends with the response or when the poll is cancelled.
+// Client.poll owns it. Each poll runs on its own goroutine until it gets a response, fails or is cancelled.
 type pollGroup struct {
 	http    *http.Client
 	url     string
@@ -73,8 +73,8 @@
 	}
 }
 
-// start starts another poll. If more than maxConcurrentRetries polls besides the first would then be open, it cancels
-// the oldest of them.
+// start starts another poll. It leaves open the first poll and the last maxConcurrentRetries polls, and cancels the
+// poll before these.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
 	if oldest := number - maxConcurrentRetries; oldest > 0 {
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -10,8 +10,8 @@
 	// clockStepThreshold is the change of the clock offset since the last sample above which the wall clock is taken to
 	// have been stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
 	clockStepThreshold policy.Seconds = 0.25
-	// maxEpochs is the maximum number of epochs that are kept. An endpoint is listed at most a few seconds after its
-	// start, and the wall clock is stepped only a few times within such a period.
+	// maxEpochs is the maximum number of epochs that are kept. An endpoint is usually listed a few seconds after its
+	// start, and the wall clock is stepped at most a few times in between.
 	maxEpochs = 16
 	// startTolerance is the time by which a start may lie outside of an epoch, or in the future, because endpoints and
 	// this process read their clocks at different moments.
@@ -33,7 +33,7 @@
 
 // clockEpoch is a period between two steps of the wall clock.
 type clockEpoch struct {
-	offset        policy.Seconds // wall clock minus event time
+	offset        policy.Seconds // wall clock minus event time, at the last sample
 	latestStart   policy.Seconds // event time of its first sample; the epoch started then or earlier
 	earliestStart policy.Seconds // event time of the last sample before the epoch; -Inf for the first epoch
 }
@@ -41,7 +41,7 @@
 // startTime is the start of an endpoint in Unix time and in event time.
 type startTime struct {
 	unixMS int64          // as the endpoint list states it
-	at     policy.Seconds // event time; 0 stands for long ago
+	at     policy.Seconds // event time
 }
 
 // Sample records a reading of both clocks: event time, and the wall clock in Unix seconds.
@@ -58,8 +58,8 @@
 	s.sampledAt = now
 }
 
-// EventTime returns the event time of an endpoint's start, which the endpoint list states as unixMS; 0 stands for long
-// ago. Sample must be called right before it.
+// EventTime returns the event time of an endpoint's start, which the endpoint list states as unixMS. It returns 0,
+// which stands for long ago, if unixMS is not positive. Sample must have been called just before.
 func (s *StartTimes) EventTime(id string, unixMS int64) policy.Seconds {
 	if unixMS <= 0 {
 		return 0
@@ -75,8 +75,8 @@
 	return at
 }
 
-// fromUnix translates a past time of the wall clock into event time. Each epoch in which the wall clock may have shown
-// that time gives a candidate. fromUnix returns the latest candidate: a start that is too late only costs some of the
+// fromUnix translates a time of the wall clock into event time. Each epoch in which the wall clock may have shown that
+// time gives a candidate. fromUnix returns the latest candidate: a start that is too late only costs some of the
 // endpoint's capacity, while a start that is too early may overload the endpoint. If there is no candidate, the
 // endpoint is taken to have started now.
 func (s *StartTimes) fromUnix(unix policy.Seconds) policy.Seconds {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -76,7 +76,8 @@
 }
 
 // readResponse polls the agent and calls read with the JSON values of the response. It ends the response if no input,
-// or no complete value, arrives within ReadTimeout. The error wraps ErrUnusableList if part of a value was received.
+// or no complete value, arrives within ReadTimeout. The error wraps ErrUnusableList if read fails after a value has
+// begun.
 func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,8 +108,8 @@
 	inValue        bool // part of the current value was received
 }
 
-// newValueReader returns a reader of the values in source. It resets readTimer, which ends the response, to the
-// timeout.
+// newValueReader returns a reader of the values in source. readTimer ends the response when it fires; the reader
+// resets it to timeout.
 func newValueReader(source io.Reader, readTimer Timer, timeout time.Duration) *valueReader {
 	r := &valueReader{source: source, readTimer: readTimer, timeout: timeout, remainingBytes: maxValueSize}
 	r.decoder = json.NewDecoder(r)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,5 @@
 // Package eventloop runs events and timers one at a time on a single goroutine, so the state that they share needs no
-// locks. Event time is the time at which the current event happened, in seconds of a monotonic clock. It never goes
-// backwards.
+// locks. Event time is the latest time of the events so far, in seconds of a monotonic clock. It never goes backwards.
 package eventloop
 
 import (
@@ -13,12 +12,14 @@
 const (
 	queueSize = 1024
 	// After a stall, the loop sleeps for readerPause at a time so that the goroutines that read sockets can post
-	// events. It sleeps at least twice and at most maxReaderPauses times, and stops once a pause brings no event.
+	// events. It sleeps at least twice and at most maxReaderPauses times. From the second pause on, it stops after a
+	// pause that brings no event.
 	readerPause     = 200 * time.Microsecond
 	maxReaderPauses = 10
 )
 
-// event is a function that handles something that happened outside the loop, with the time at which it happened.
+// event is a function that the loop runs, with its time: the one given to Post, or the current time for a timer that
+// is due.
 type event struct {
 	at  policy.Seconds
 	run func()
@@ -26,7 +27,7 @@
 
 // Loop runs timers in the order in which they are due, and events in the order in which other goroutines posted them.
 // The goroutine that calls Run owns the loop: after the start of Run, only functions that the loop runs may call its
-// methods. Post, Ended and StallDetector are the exceptions, and are safe for concurrent use.
+// methods. Post, Ended, QueuedEvents and StallDetector are the exceptions, and are safe for concurrent use.
 type Loop struct {
 	clock     Clock
 	events    chan event
@@ -34,7 +35,7 @@
 	now       policy.Seconds
 	timers    timerHeap
 	wakeTimer *time.Timer
-	wakeAt    policy.Seconds // when wakeTimer fires; 0 if it is not set
+	wakeAt    policy.Seconds // when wakeTimer fires; 0 if it is set for no timer
 	stalls    StallDetector
 	deferred  []func()
 	onPanic   func(cause any, stack []byte)
@@ -43,8 +44,8 @@
 	PauseForReaders func()
 }
 
-// New returns a loop that takes event time from a clock. A panic ends only the event that caused it: the loop recovers
-// it and calls onPanic.
+// New returns a loop that takes event time from a clock. If an event, a timer or a deferred function panics, the loop
+// calls onPanic and goes on.
 func New(clock Clock, onPanic func(cause any, stack []byte)) *Loop {
 	return &Loop{
 		clock: clock, now: clock.Now(), onPanic: onPanic,
@@ -85,7 +86,7 @@
 // Defer runs a function directly after the current event, before any other event.
 func (l *Loop) Defer(run func()) { l.deferred = append(l.deferred, run) }
 
-// Now returns the time of the current event, or of the last one if none is being handled.
+// Now returns event time, which does not advance while an event runs.
 func (l *Loop) Now() policy.Seconds { return l.now }
 
 // Ended returns a channel that is closed when Run has returned.
@@ -111,7 +112,7 @@
 	})
 }
 
-// Stop cancels a timer. It does nothing if the timer is nil or has run.
+// Stop cancels a timer. It does nothing if the timer is nil, has run or has been stopped.
 func (l *Loop) Stop(timer *Timer) { l.timers.remove(timer) }
 
 // AdvanceTo sets event time to a time of the clock. It has no effect if event time is already later.
@@ -140,7 +141,7 @@
 }
 
 // resetWakeTimer makes wakeTimer fire when the first timer is due, and publishes that time to the stall detector. It
-// does nothing if wakeTimer will already fire by then.
+// does nothing if there is no timer, or if wakeTimer will already fire by then.
 func (l *Loop) resetWakeTimer() {
 	if len(l.timers) == 0 || l.wakeAt != 0 && l.wakeAt <= l.timers[0].at {
 		return
@@ -150,8 +151,8 @@
 	l.wakeTimer.Reset(max(0, Duration(l.wakeAt-l.clock.Now())))
 }
 
-// runTimers runs the timers that are due. It handles the queued events first: a hedged request must not be sent, and an
-// attempt must not time out, while the reply, a disconnect or a new endpoint list is in the queue.
+// runTimers runs the timers that are due. It handles the queued events before each timer: a hedged request must not be
+// sent, and an attempt must not time out, while the reply, a disconnect or a new endpoint list is in the queue.
 func (l *Loop) runTimers() {
 	now := l.clock.Now()
 	if l.hasStalled(now) {
--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -4,7 +4,7 @@
 
 const (
 	// StallThreshold is the lateness of a timer above which the process is taken to have stalled. After a stall, the
-	// sockets may still hold unread events from before the timer was due. The threshold is well below the 50 ms by
+	// sockets may still hold unread bytes from before the timer was due. The threshold is well below the 50 ms by
 	// which the specification lets replies and attempts exceed their limits.
 	StallThreshold policy.Seconds = 0.02
 	// StallWindow is the time after a stall in which bytes that arrived during the stall may still be read.
@@ -15,7 +15,7 @@
 // The event loop writes the record, and the goroutines that read connections use it to bound arrival times. The zero
 // value is ready for use.
 type StallDetector struct {
-	nextTimerDue AtomicTime // 0 if no timer is set
+	nextTimerDue AtomicTime // 0 until a timer has been set
 	stallStart   AtomicTime // start of the last recorded stall
 	stallEnd     AtomicTime
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -15,9 +15,8 @@
 
 const notQueued = -1
 
-// timerHeap is a heap of timers ordered by the time at which they are due. Its size is bounded by the number of open
-// requests and attempts: each of them holds one timer until it ends. The decision module and the loop's owner hold a
-// few more.
+// timerHeap is a heap of timers ordered by the time at which they are due. Each open request and each attempt in
+// flight holds at most one timer until it ends. The decision module and the loop's owner add timers of their own.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
@@ -57,7 +56,7 @@
 }
 
 // remove removes a timer, so that the heap no longer references its function. It does nothing if the timer is nil or
-// has run.
+// no longer in the heap.
 func (h *timerHeap) remove(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(h, timer.index)
--- a/internal/netcalls/calls.go
+++ b/internal/netcalls/calls.go
@@ -1,5 +1,5 @@
-// Package netcalls wraps the system calls on the program's sockets, so that tests can inject failures. It classifies
-// the errors of the calls, and retries calls that fail because this machine lacks a resource.
+// Package netcalls holds the calls on the program's sockets, many of which tests can replace to inject failures. It
+// classifies the errors of the calls, and retries calls that failed because this machine lacks a resource.
 package netcalls
 
 import (
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// Conn holds the methods of a TCP connection that the program uses. It is a *net.TCPConn except in tests.
+// Conn holds the methods of a TCP connection that the program uses. It is a *net.TCPConn or a RetryingConn, except in
+// tests.
 type Conn interface {
 	net.Conn
 	CloseWrite() error
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// Calls holds the calls that create, read and write sockets, and may fail because this machine lacks a resource. Tests
-// replace them to inject failures. A Calls must not be changed once it is in use.
+// Calls holds calls that create, read and write sockets, and the pause between their retries. Tests replace them to
+// inject failures. A Calls must not be changed once it is in use.
 type Calls struct {
 	Listen       func(address *net.TCPAddr) (*net.TCPListener, error)
 	ListenPacket func(address *net.UDPAddr) (*net.UDPConn, error)
@@ -52,7 +53,7 @@
 	}
 }
 
-// accept implements Calls.Accept with the system call.
+// accept implements Calls.Accept.
 func accept(listener *net.TCPListener) (Conn, error) {
 	conn, err := listener.AcceptTCP()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return conn, nil
 }
 
-// dial implements Calls.Dial with the system call.
+// dial implements Calls.Dial.
 func dial(address string, timeout time.Duration) (Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
--- a/internal/netcalls/retry.go
+++ b/internal/netcalls/retry.go
@@ -10,13 +10,14 @@
 const (
 	// RetryInterval is the pause between a failed call and its retry.
 	RetryInterval = 5 * time.Millisecond
-	// startRetryTimeout limits the time for which the process retries to open its sockets and read its configuration at
-	// the start. The process has to be ready 30 s after its start.
+	// startRetryTimeout limits the time for which RetryAtStart repeats one call. The process has to be ready 30 s
+	// after its start.
 	startRetryTimeout = 20 * time.Second
 )
 
 // RetryAtStart repeats a call that the process needs for its start until the call succeeds. It gives up with the last
-// error if that error is not transient, if 20 s have passed, or if ctx has ended. It sleeps between the calls.
+// error if that error is not transient, if startRetryTimeout has passed, or if ctx has ended. It sleeps between the
+// calls.
 func RetryAtStart[T any](ctx context.Context, sleep func(time.Duration), call func() (T, error)) (T, error) {
 	return retryAtStart(ctx, sleep, time.Now, call)
 }
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -95,7 +95,8 @@
 	tcpClosing   = 11
 )
 
-// tcpStateMask selects the first byte of TCP_INFO, which is the state of the connection.
+// tcpStateMask selects the lowest byte of the int that is read from TCP_INFO. On a little-endian machine, this is the
+// first byte of TCP_INFO: the state of the connection.
 const tcpStateMask = 0xff
 
 // ClosedByPeer reports whether the peer has closed or reset a connection, even if bytes that it sent before are still
