--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -218,7 +218,7 @@
 	c.address, c.resync = address, true
 }
 
-// update records the version of a validated list, and notifies the caller of it.
+// update records the version of a validated list, and passes the list to Notify.
 func (c *Client) update(list List) {
 	c.version = list.Version
 	c.options.Notify(Update{list})
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -46,8 +46,8 @@
 // noPoll is the argument with which cancelAllBut cancels all polls.
 const noPoll = -1
 
-// pollGroup is a group of polls of the same URL, and uses the first response to any of them. The goroutine of
-// Client.poll owns it. Each poll runs on its own goroutine until it gets a response, fails or is cancelled.
+// pollGroup is a group of polls of the same URL, and uses the first successful response to any of them. The goroutine
+// of Client.poll owns it. Each poll runs on its own goroutine until it gets a response, fails or is cancelled.
 type pollGroup struct {
 	http    *http.Client
 	url     string
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -75,9 +75,9 @@
 	return errors.As(err, &syntax) || errors.As(err, &wrongType) || errors.Is(err, ErrValueTooLong)
 }
 
-// readResponse polls the agent and calls read with the JSON values of the response. It ends the response if no input,
-// or no complete value, arrives within ReadTimeout. The error wraps ErrUnusableList if read fails after a value has
-// begun.
+// readResponse polls the agent and calls read with the JSON values of the response. It ends the response if no input
+// arrives for ReadTimeout, or if a value is not complete ReadTimeout after its start. The error wraps ErrUnusableList
+// if read fails after a value has begun.
 func (c *Client) readResponse(ctx context.Context, query string, read func(*valueReader) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -104,7 +104,7 @@
 	decoder        *json.Decoder
 	readTimer      Timer // ends the response when it fires
 	timeout        time.Duration
-	remainingBytes int  // left for the current value
+	remainingBytes int  // left for the current value and the blank lines before it
 	inValue        bool // part of the current value was received
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Post queues a function as an event that happened at a given time of the clock. It blocks while the queue is full, and
-// drops the event once Run has returned.
+// Post queues a function as an event that happened at a given time of the clock. It blocks while the queue is full.
+// After Run has returned, it returns at once, and the function does not run.
 func (l *Loop) Post(at policy.Seconds, run func()) {
 	select {
 	case l.events <- event{at, run}:
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -44,7 +44,7 @@
 // Event is the result of receiving a datagram: a Message or a Dropped.
 type Event interface{ isEvent() }
 
-// Message is a datagram from another gateway.
+// Message is a datagram from a gateway. With a broadcast, the sender may be this gateway.
 type Message struct {
 	From int // the number of the gateway
 	Data []byte
@@ -59,7 +59,7 @@
 func (Message) isEvent() {}
 func (Dropped) isEvent() {}
 
-// Link sends datagrams to the other gateways, and receives theirs, on one UDP socket.
+// Link exchanges datagrams with the other gateways on one UDP socket.
 type Link struct {
 	conn      *net.UDPConn
 	calls     *netcalls.Calls
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -43,7 +43,7 @@
 // attemptResult describes how an attempt or a health check ended.
 type attemptResult struct {
 	status    policy.AttemptStatus
-	value     []byte // RESP encoding of the value, as the endpoint sent it; set if status is OK
+	value     []byte // RESP encoding of the value, as the endpoint sent it; nil unless a request's attempt ended as OK
 	load      *policy.LoadReport
 	malformed error // why the reply can't be used; nil if it is usable or if there is no reply
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -22,9 +22,10 @@
 	trace     *tracer
 }
 
-// send makes an attempt of a request. The attempt times out at the request's deadline, or earlier if timeout, when not
-// 0, has passed. An attempt beyond the maximum number of attempts ends as NotSent. Within the maximum, an attempt with
-// a negative timeout ends as Timeout, and any other ends as NotSent if mustNotStart or hasPendingEnd reports true.
+// send makes an attempt of a request. The attempt times out after timeout, or at the request's deadline if that is
+// earlier. A timeout of 0 stands for the deadline. An attempt beyond the maximum number of attempts ends as NotSent.
+// Within the maximum, an attempt with a negative timeout ends as Timeout, and any other ends as NotSent if
+// mustNotStart or hasPendingEnd reports true.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -13,9 +13,9 @@
 const minReuseDelay policy.Seconds = 0.005
 
 // acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. Among the
-// connections that have been idle for minReuseDelay, it takes the most recently used one. If there are none, it takes
-// the connection that has been idle for longest. If the chosen connection is unusable, acquireIdle closes it and
-// chooses another. The socket is checked for unread bytes and the end of the stream, as the reader may not have
+// connections that have been idle for at least minReuseDelay, it takes the most recently used one. If there are none,
+// it takes the connection that has been idle for longest. If the chosen connection is unusable, acquireIdle closes it
+// and chooses another. The socket is checked for unread bytes and the end of the stream, as the reader may not have
 // detected them yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
--- a/internal/proxy/endpoint_updates.go
+++ b/internal/proxy/endpoint_updates.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleDiscoveryEvent applies an update of the endpoint list, or logs a problem that the discovery client reports. If
-// the client found no free descriptor, it evicts connections. Event loop only.
+// handleDiscoveryEvent applies an update of the endpoint list, or logs a problem that the discovery client reports. It
+// also evicts connections if the client found no free descriptor. Event loop only.
 func (p *Proxy) handleDiscoveryEvent(e discovery.Event) {
 	switch e := e.(type) {
 	case discovery.Update:
--- a/internal/proxy/peer_messages.go
+++ b/internal/proxy/peer_messages.go
@@ -21,15 +21,15 @@
 	return peerlink.New(conn, p.calls, p.cfg.PeerAddresses, p.cfg.BroadcastAddress), nil
 }
 
-// receivePeerMessages posts the received datagrams to the event loop, until the link to the other gateways is closed.
+// receivePeerMessages posts the received datagrams to the event loop, until the link is closed.
 func (p *Proxy) receivePeerMessages() {
 	p.peers.Receive(func(e peerlink.Event) {
 		p.loop.Post(p.clock.Now(), func() { p.handlePeerEvent(e) })
 	})
 }
 
-// handlePeerEvent passes the message of another gateway to the decision module, or logs that a datagram was dropped.
-// Event loop only.
+// handlePeerEvent passes the message of a gateway to the decision module, or logs that a datagram was dropped. Event
+// loop only.
 func (p *Proxy) handlePeerEvent(e peerlink.Event) {
 	switch e := e.(type) {
 	case peerlink.Message:
