--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestArrivalOfPipelinedCommands checks that the arrival time of a command is taken from the read that contains its last
-// byte. If more bytes of that read follow the command, the lower bound for the read is used.
+// TestArrivalOfPipelinedCommands checks that the arrival time of a command is taken from the read that contains its
+// last byte: the arrival time of the read's last byte if the command ends with that byte, and otherwise the read's
+// earliest arrival time.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -14,8 +14,8 @@
 	"reedlead/policy"
 )
 
-// TestDisconnectReachesDecisionModule checks that the decision module is notified when a client disconnects, so that it
-// stops making attempts for its request.
+// TestDisconnectReachesDecisionModule checks that the decision module is notified when the client of an open request
+// disconnects, and still gets the outcome of the attempt in flight.
 func TestDisconnectReachesDecisionModule(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	c.mustClose()
@@ -26,9 +26,9 @@
 	h.wantFinalOutcome(policy.OK)
 }
 
-// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint after its client has disconnected,
-// wherever the request waits at that time. The event loop is blocked during the disconnect, and starts the attempt
-// before it handles the disconnect.
+// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint once its client has disconnected,
+// even if the event loop has not handled the disconnect yet. The name of each case says where the request is when its
+// client disconnects.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
@@ -147,10 +147,10 @@
 	h.onLoop(func() { h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", 0, 0) } })
 	if how == byReset {
 		c.disconnect(how)
-	} else { // unlike a reset, a FIN keeps the commands before it readable
+	} else { // unlike after a reset, the commands before a FIN can still be read
 		c.closeWrite()
 	}
-	// The reply to r0 gives the next command its permit.
+	// If the reply to r0 can be written, the reader gets a permit for the next command.
 	h.whileLoopBlocked(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
 	h.awaitClientDisconnected(conns, fmt.Sprint("r", maxPipelined-1))
 	h.eventually("requests and connections are removed", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
@@ -194,8 +194,8 @@
 	return c, conn
 }
 
-// wantNothingSent checks that request a is done with the outcome NotSent, that the decision module was notified of the
-// disconnect, and that neither the request nor a connection to the endpoint is left.
+// wantNothingSent checks that request a is done with the outcome NotSent, and that the decision module was notified of
+// the disconnect. No request may be left, conns must be empty, and no connection to the endpoint may be open.
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
@@ -206,13 +206,13 @@
 	}
 	h.onLoop(func() {
 		if len(conns) != 0 || h.proxy.endpoints.openConns != 0 || len(h.proxy.requests.byID) != 0 {
-			h.t.Errorf("%d connections accepted by the endpoint, %d still open, %d requests left, want none", len(conns), h.proxy.endpoints.openConns, len(h.proxy.requests.byID))
+			h.t.Errorf("%d new connections to the endpoint, %d still open, %d requests left, want none", len(conns), h.proxy.endpoints.openConns, len(h.proxy.requests.byID))
 		}
 	})
 }
 
 // TestDisconnectIsDetectedBehindUnreadCommands checks that a disconnect is detected while the socket holds unread
-// commands that were sent before it. Commands stay unread while the reader waits for a permit.
+// commands that were sent before it. Commands may stay unread while the reader waits for a permit.
 func TestDisconnectIsDetectedBehindUnreadCommands(t *testing.T) {
 	ping := encodeCommand("PING")
 	for _, unread := range []string{"", ping, strings.Repeat(ping, 200)} {
@@ -238,14 +238,14 @@
 	}
 }
 
-// TestDisconnectIsDetectedBehindLargeInput checks that a disconnect is detected behind more unread commands than the
-// receive buffer holds. Without reading ahead, the FIN behind them would not reach this machine.
+// TestDisconnectIsDetectedBehindLargeInput checks that a disconnect is detected behind more commands than the receive
+// buffer of a socket holds. Without reading ahead, the FIN behind them would not arrive.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	_, available := h.resourceUsage()
 	c := h.client()
 	var all strings.Builder
-	for i := range maxPipelined + 1000 { // several times the initial receive buffer
+	for i := range maxPipelined + 1000 { // about 200 KB, more than the receive buffer holds initially
 		all.WriteString(encodeCommand(lookCommand(fmt.Sprintf("r%0100d", i))...))
 	}
 	written := make(chan error, 1)
--- a/internal/proxy/client_pipeline_test.go
+++ b/internal/proxy/client_pipeline_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestPipelineReleasesPermitsOfWrittenReplies checks that a permit is released with the last byte of its reply, and
-// that requestIDs lists all requests without a completely written reply.
+// TestPipelineReleasesPermitsOfWrittenReplies checks that the permit of a command is released when the last byte of its
+// reply is written, and that requestIDs lists all requests without a completely written reply.
 func TestPipelineReleasesPermitsOfWrittenReplies(t *testing.T) {
 	var p replyPipeline
 	for _, id := range []string{"a", "b"} {
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -8,8 +8,8 @@
 	"reedlead/policy"
 )
 
-// TestStalledClientIsEvicted checks that idle clients are evicted first, and that a client that does not read its
-// replies is evicted if no client is idle.
+// TestStalledClientIsEvicted checks that an idle client is evicted before a client that does not read its replies. If
+// no client is idle, a client whose replies could not be written for a long time is evicted.
 func TestStalledClientIsEvicted(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit = 2
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client was not evicted")
 	}
-	h.onLoop(func() { // make the third client busy, and the write of the first old enough for its eviction
+	h.onLoop(func() { // make the third client busy, and let the last write progress of the stalled one lie far back
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
@@ -45,7 +45,8 @@
 	})
 }
 
-// writingClient returns the client whose socket is full, or nil. Event loop only.
+// writingClient returns the client connection with a running writer goroutine, or nil if there is none. Event loop
+// only.
 func (h *harness) writingClient() *clientConn {
 	for c := range h.proxy.clients.conns {
 		if c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestSilentClientsAndUnfinishedCommandsTimeOut checks that clients cannot keep connections open without completing a
-// command: a client that sends nothing, or only a part of a command, gets an error, and the connection is closed. A
-// request that is open by then still gets its reply first.
+// command: a client that sends nothing, or only a part of a command, gets an error, and the connection is closed. An
+// earlier request that is still open gets its reply before the error.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, partial string }{
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestIdleClientsTimeOut checks that a client cannot keep an idle connection open forever after a command, and that a
-// connection with an open request is not idle.
+// TestIdleClientsTimeOut checks that a connection that has been idle for too long after a command is closed, and that a
+// connection with an open request does not count as idle.
 func TestIdleClientsTimeOut(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	busy, idle := h.client(), h.client()
@@ -132,8 +132,8 @@
 }
 
 // TestCompletedRequestReleasesResources checks that a request releases its timers, its arguments and its share of the
-// input budget with its final reply. Otherwise they would be held until its deadline, which the client may set to an
-// hour.
+// input budget with its final reply. Otherwise they would be held until its deadline, which may be up to 10 minutes
+// away (command.MaxTimeoutMS).
 func TestCompletedRequestReleasesResources(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
@@ -154,8 +154,9 @@
 	}
 }
 
-// TestClientsShareInputBudget checks that one limit applies to the incomplete and queued input of all connections
-// together.
+// TestClientsShareInputBudget checks that one limit applies to the buffered input and the open requests of all
+// connections together, and that the whole budget is available again once the requests are done and the connections
+// closed.
 func TestClientsShareInputBudget(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000)
@@ -184,8 +185,8 @@
 	h.eventually("the budget is released", func() bool { return h.proxy.inputBudget.Available() == 30_000 })
 }
 
-// TestPipelinedRepliesAreWrittenOnceInOrder checks that replies are written in the order of the commands, whatever the
-// order of the decisions, and that only the first decision for a request gets written.
+// TestPipelinedRepliesAreWrittenOnceInOrder checks that replies are written in the order of the commands even if a
+// later command is decided first, and that only the reply of the first decision on a request is written.
 func TestPipelinedRepliesAreWrittenOnceInOrder(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), nil)
 	c := h.client()
@@ -207,8 +208,8 @@
 	}
 }
 
-// TestMalformedInputGetsErrorReply checks that input that cannot be parsed gets an error reply, instead of a crash or a
-// hang. Only protocol errors end the connection.
+// TestMalformedInputGetsErrorReply checks that malformed input gets an error reply and does not reach the decision
+// module. A protocol error ends the connection. After any other error, the connection can still be used.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	requestWith := func(old, replaced string) string {
@@ -281,9 +282,9 @@
 	}
 }
 
-// TestClientsBeyondLimitGetBusyReply checks that the connection limit loses no requests. A connection beyond the limit
-// is accepted, its requests are rejected with a reply, and it is served once another connection is idle. Closing it
-// immediately would lose the request that its client has already sent.
+// TestClientsBeyondLimitGetBusyReply checks that the requests on a connection beyond the limit, but within the
+// allowance, are rejected with a reply. The connection is served once another one is idle and can be evicted. Closing
+// the connection immediately would lose the request that its client has already sent.
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -8,9 +8,8 @@
 	"reedlead/policy"
 )
 
-// TestQueuedEventsRunBeforeTimers checks that events that arrive during a stall of the process are handled before the
-// timers that became due. Otherwise an attempt could time out although its reply has arrived, or an attempt could be
-// sent to an endpoint that discovery has already reported as draining.
+// TestQueuedEventsRunBeforeTimers checks that an event that arrives while the event loop is busy is handled before the
+// next timer, even if that timer is already due. Otherwise an attempt could time out although its reply has arrived.
 func TestQueuedEventsRunBeforeTimers(t *testing.T) {
 	h, c, b, _ := startWithAttempt(t)
 	h.eventually("the attempt is in flight", func() bool { return h.proxy.requests.byID["a"].attempts[0].conn != nil })
@@ -33,8 +32,8 @@
 	c.wantValue("the reply that arrived before the timer ran")
 }
 
-// TestReadersRunBeforeOverdueTimers checks that after a stall no timer fires before the readers have run. Otherwise an
-// attempt would time out although its reply, or the end of its connection, has already reached the socket.
+// TestReadersRunBeforeOverdueTimers checks that after a stall, the readers get time to post events before the overdue
+// timers run. Otherwise an attempt could time out although the end of its connection has already reached the socket.
 func TestReadersRunBeforeOverdueTimers(t *testing.T) {
 	h, _, b, _ := startWithAttempt(t)
 	var a *attempt
@@ -59,15 +58,15 @@
 	}
 }
 
-// TestNoAttemptWhileReplyIsPending checks that no hedged request or retry is sent when the reply to an earlier attempt
-// is already in the event queue or in the socket. Otherwise the request would be sent again after its final reply.
+// TestNoAttemptWhileReplyIsPending checks that no hedged request is sent when the reply to the first attempt is already
+// in the event queue or in the socket. Otherwise the request would be sent again although its reply has arrived.
 func TestNoAttemptWhileReplyIsPending(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
 			h := startProxy(t, testConfig(addr), sendEachRequest(0))
 			var b *testConn
-			if where == "socket" { // a connection without a reader
+			if where == "socket" { // a connection without a reader, so that the reply stays in the socket
 				conn := mustDial(t, addr)
 				b = receive(t, conns)
 				h.onLoop(func() {
@@ -102,9 +101,9 @@
 	}
 }
 
-// TestNoAttemptAfterDialWhileReplyIsPending checks that a hedged request is not sent when its dial completes after the
-// first attempt has ended, even if the event loop has not handled that end yet. The end of the first attempt may
-// complete the request, which must not be sent again after that.
+// TestNoAttemptAfterDialWhileReplyIsPending checks that a hedged request is not sent if the connection of the first
+// attempt has ended before the dial for the hedged request completes, even though the event loop has not handled that
+// end yet. The end of the first attempt may complete the request, which must not be sent again after that.
 func TestNoAttemptAfterDialWhileReplyIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -19,14 +19,16 @@
 	"reedlead/policy"
 )
 
-// testTimeout is the time after which a test gives up waiting for an event.
+// testTimeout is the time after which a test gives up waiting for an event. Reads and writes on a test connection fail
+// once the connection is that old.
 const testTimeout = 20 * time.Second
 
-// eventBufferSize is the capacity of each channel in which a fakeDecider or a listener keeps events for the test.
+// eventBufferSize is the capacity of the channels that hold the events of a fakeDecider and the connections of
+// listenEndpoint.
 const eventBufferSize = 64
 
-// fakeDecider replaces the decision module. A test sets its reaction to requests and outcomes, and receives its events
-// from the channels.
+// fakeDecider replaces the decision module. A test may set functions that react to requests and outcomes. The channels
+// hold the events that the module has received, except timers.
 type fakeDecider struct {
 	onRequest    func(policy.Request)
 	onOutcome    func(policy.Outcome)
@@ -81,8 +83,8 @@
 	d.healthChecks <- result
 }
 
-// receive returns the next element of a channel, or the zero value once it is closed. It fails the test after
-// testTimeout.
+// receive returns the next element of a channel, or the zero value if the channel is closed and empty. It fails the
+// test if neither happens within testTimeout.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
@@ -104,10 +106,11 @@
 	reloads   chan config.Config
 }
 
-// unreachableAgent is the address of a discovery agent that refuses connections.
+// unreachableAgent is an address that refuses connections. It is the address of the discovery agent in testConfig, and
+// tests also use it for an endpoint.
 const unreachableAgent = "127.0.0.1:1"
 
-// inService returns an entry of the endpoint list that is in service.
+// inService returns an endpoint list entry whose state is in service.
 func inService(id, addr string) discovery.Endpoint {
 	return discovery.Endpoint{ID: id, Addr: addr, State: discovery.StateInService}
 }
@@ -134,7 +137,8 @@
 	return c
 }
 
-// peerConfig returns a configuration with peer messages to gateways at the given addresses.
+// peerConfig returns the configuration of gateway 0, which exchanges peer messages with gateways 1, 2, ... at the given
+// addresses.
 func peerConfig(others ...netip.AddrPort) config.Config {
 	c := testConfig()
 	c.Settings.PeerMessages = true
@@ -157,7 +161,7 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// startProxy starts a proxy and ends it with the test. change, which may be nil, modifies the proxy before the start.
+// startProxy starts a proxy and ends it with the test. change, which may be nil, modifies the harness before the start.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
@@ -169,11 +173,11 @@
 		t: t, proxy: p, decider: newFakeDecider(),
 		ended: make(chan struct{}), terminate: cancel, reloads: make(chan config.Config),
 	}
-	p.endpoints.duplicateWindow = 0 // replies of the tests are identical
+	p.endpoints.duplicateWindow = 0 // tests send equal replies, which would be taken for duplicates
 	p.endpoints.writeTimeout = 3600
-	p.discovery.PollRetryInterval = time.Hour // even a slow test polls only once
+	p.discovery.PollRetryInterval = time.Hour // a poll without a response is not repeated during a test
 	polled := make(chan struct{})
-	if cfg.DiscoveryAddress == unreachableAgent { // polled only once, so that polls cause no later events
+	if cfg.DiscoveryAddress == unreachableAgent { // after a failed poll, wait forever, so that polls cause no later events
 		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(polled)
 			return nil
@@ -223,8 +227,9 @@
 	h.t.Fatal("timed out waiting until " + what)
 }
 
-// whileLoopBlocked blocks the event loop, runs action and waits until condition returns true. It then calls next on the
-// event loop, before the events that have arrived in the meantime are handled.
+// whileLoopBlocked blocks the event loop, runs action, and waits until condition returns true. It then calls next on
+// the event loop, before the events that have arrived in the meantime are handled. It fails the test if the condition
+// does not hold within testTimeout.
 func (h *harness) whileLoopBlocked(action func(), condition func() bool, next func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -315,7 +320,7 @@
 	h.decider.onRequest = func(q policy.Request) { h.proxy.Reject(q.ID, 0.5, policy.QuotaExceeded) }
 }
 
-// blockDials blocks all dials until unblock is closed.
+// blockDials blocks all dials of endpoints until unblock is closed.
 func (h *harness) blockDials(unblock <-chan struct{}) {
 	h.beforeDial(func(string) error {
 		<-unblock
@@ -323,7 +328,8 @@
 	})
 }
 
-// beforeDial runs a function before each dial. If the function returns an error, the dial fails with it.
+// beforeDial makes the proxy call a function before each dial of an endpoint. If the function returns an error, the
+// dial fails with that error.
 func (h *harness) beforeDial(run func(addr string) error) {
 	dial := h.proxy.endpoints.dial
 	h.proxy.endpoints.dial = func(addr string) (netcalls.Conn, error) {
@@ -334,8 +340,9 @@
 	}
 }
 
-// startWithAttempt starts a proxy with one endpoint and sends the request a to it. It returns the connection c of the
-// client, the connection b on which the endpoint has read the command, and further connections to the endpoint.
+// startWithAttempt starts a proxy with one endpoint and sends request a through it. c is the client's end of its
+// connection, and b is the endpoint's end of the connection on which it has read the command. conns receives further
+// connections to the endpoint.
 func startWithAttempt(t *testing.T) (h *harness, c, b *testConn, conns chan *testConn) {
 	t.Helper()
 	addr, conns := listenEndpoint(t)
@@ -350,8 +357,9 @@
 // smallBuffer is the size in bytes of a socket buffer that holds only a part of a large command.
 const smallBuffer = 4096
 
-// startWithSmallSockets starts a proxy with one endpoint, and returns the listener of the endpoint. The socket buffers
-// of the endpoint's connections hold only a part of a large command.
+// startWithSmallSockets starts a proxy with one endpoint, and returns the listener of the endpoint. The decision module
+// sends each request to the endpoint unless change, which may be nil, replaces that. The socket buffers of the
+// endpoint's connections hold only a part of a large command.
 func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -384,20 +392,23 @@
 	receive(h.t, h.decider.requests)
 }
 
-// changeEndpoint applies a change to the endpoint s0. Event loop only.
+// changeEndpoint changes the entry of endpoint s0 and applies the new entry as a change of the endpoint list. Event
+// loop only.
 func (h *harness) changeEndpoint(change func(*discovery.Endpoint)) {
 	entry := h.proxy.endpoints.byID["s0"].Endpoint
 	change(&entry)
 	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
 
-// expireIdleClients closes the connections of idle clients by advancing the time of the event loop. Event loop only.
+// expireIdleClients advances event time past the idle timeout and runs the sweep of the clients, which requests the
+// close of idle connections. Event loop only.
 func (h *harness) expireIdleClients() {
 	h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + clientIdleTimeout + 1)
 	h.proxy.clients.sweep()
 }
 
-// evictIdleClient evicts the connection of the only client if it is idle. Event loop only.
+// evictIdleClient lowers the connection limit to 1 and makes room for a new connection: if the only client is idle, the
+// close of its connection is requested. Event loop only.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
 	h.proxy.clients.evictToLimit(nil)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestDecisionModuleTimeIsMonotonic checks that the event loop's time, which is passed to the decision module, never
-// decreases, even if events are handled out of order.
+// TestDecisionModuleTimeIsMonotonic checks that event time, which the decision module gets, does not go back if an
+// event is handled after one that happened later.
 func TestDecisionModuleTimeIsMonotonic(t *testing.T) {
 	h := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestEveryCloseIsLoggedWithItsReason checks that each closed connection and each rejected request is logged with the
-// reason. The log of a closed connection also names the requests that were open on it.
+// TestEveryCloseIsLoggedWithItsReason checks that the log gives the reason for which a connection was closed or a
+// request was rejected. The log of a closed client connection also names the requests that were open on it.
 func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
@@ -44,7 +44,8 @@
 	log.awaitLine(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
 }
 
-// TestKindOfNextAttempt checks the kind that the trace logs for an attempt: first, hedge or retry.
+// TestKindOfNextAttempt checks that the next attempt is the first, a hedged request if another attempt is in flight, or
+// a retry if all earlier attempts have ended.
 func TestKindOfNextAttempt(t *testing.T) {
 	r := &request{}
 	if got := nextAttemptKind(r); got != firstAttempt {
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -6,8 +6,8 @@
 	"reedlead/policy"
 )
 
-// TestDecisionModulePanicFailsRequest checks that no request waits forever: a panic in the decision module fails only
-// the request that caused it, and the proxy fails a request that the decision module never decides on.
+// TestDecisionModulePanicFailsRequest checks that a request gets an error if the decision module panics on it or never
+// decides on it, so that its client does not wait forever.
 func TestDecisionModulePanicFailsRequest(t *testing.T) {
 	h := startProxy(t, testConfig("127.0.0.1:1"), func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -9,8 +9,8 @@
 	"reedlead/policy"
 )
 
-// TestReadCommandIsServedBeforeClose checks that closing an idle connection does not lose a request that the reader has
-// already read: the command is still in the event queue when the event loop considers the connection idle.
+// TestReadCommandIsServedBeforeClose checks that a request gets a reply if its command is still in the event queue when
+// the event loop wants to close the connection, which has no other open command.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestPartialCommandIsServedBeforeClose checks that a connection is not closed after a part of a command was read, as
-// the rest may follow.
+// TestPartialCommandIsServedBeforeClose checks that a drain does not close a connection on which a part of a command
+// was read, and that the command is served when its rest arrives.
 func TestPartialCommandIsServedBeforeClose(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		rejectEachRequest(h)
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestShutdownEndsBeforeSIGKILL checks that the drain times out before SIGKILL arrives. The time of SIGKILL depends on
-// the longest request timeout.
+// TestShutdownEndsBeforeSIGKILL checks that the drain times out after the accept grace and at most 200 ms before
+// SIGKILL arrives. The time of SIGKILL depends on the longest request timeout.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, deadlineS := range []float64{0.35, 2, 6} {
 		cfg := testConfig(unreachableAgent)
@@ -118,8 +118,7 @@
 }
 
 // TestCloseLosesNoReplyInFlight checks that closing a connection does not destroy replies that are still in flight. A
-// command that arrives during the close would cause a reset, so only the sending side is shut down until the client has
-// closed its side.
+// command that arrives after the socket is closed would cause a reset, so at first only the sending side is shut down.
 func TestCloseLosesNoReplyInFlight(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
@@ -140,7 +139,7 @@
 					t.Error("the connection was closed while replies were in flight")
 				}
 			})
-			c.send(lookCommand("b")...) // sent while the gateway is closing
+			c.send(lookCommand("b")...) // sent while the gateway is closing the connection
 			for i := range 3 {
 				if got := c.readLine(); got != "-BUSY 500" {
 					t.Errorf("reply %d is %q, want -BUSY 500", i, got)
@@ -155,8 +154,8 @@
 	}
 }
 
-// TestGracefulShutdown checks that a planned restart loses no requests: connections that arrive shortly after the
-// signal are accepted, and all accepted requests have their replies before the process ends.
+// TestGracefulShutdown checks that a connection made during the accept grace is served, and that each open request gets
+// its reply before the drain is complete.
 func TestGracefulShutdown(t *testing.T) {
 	t.Run("with a request in flight", func(t *testing.T) {
 		addr, conns := listenEndpoint(t)
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -21,8 +21,7 @@
 // largeFleetSize is the number of gateways, and also of endpoints, that must be supported.
 const largeFleetSize = 1024
 
-// largeFleetConfig returns the configuration of a gateway in a fleet of largeFleetSize gateways with as many endpoints,
-// none of which replies.
+// largeFleetConfig returns the configuration of a gateway in a fleet of largeFleetSize gateways with as many endpoints.
 func largeFleetConfig(self int, peers []netip.AddrPort) config.Config {
 	c := testConfig()
 	c.MemoryMB, c.MaxDescriptors = 192, 1024
@@ -37,8 +36,8 @@
 	return c
 }
 
-// largeFleetPeers returns the peer addresses of a large fleet. The first and the last gateway, which the test starts,
-// have free ports.
+// largeFleetPeers returns the peer addresses of a large fleet. The ports of the first and the last address are free, so
+// that a test can start these gateways.
 func largeFleetPeers(t *testing.T) (peers []netip.AddrPort) {
 	t.Helper()
 	for i := range largeFleetSize {
@@ -56,10 +55,12 @@
 }
 
 // TestThousandGatewaysAndEndpoints checks that a proxy supports 1,024 gateways and as many endpoints:
-//   - The initial list, a complete list with indentation and a change are applied, and the proxy is ready immediately.
-//   - Messages pass in both directions between the first gateway and the last, and one event can send a message to each
-//     gateway without a loss on the sending side.
-//   - The memory in use stays far below its limit.
+//   - The initial list, a complete list with indentation and a change are applied, and the proxy is ready before
+//     discovery replies.
+//   - Messages pass in both directions between the first gateway and the last, and one event can send a message to
+//     each other gateway without a loss in the send queue.
+//   - A request may be spread over all gateways.
+//   - The heap of both gateways and the test takes at most 128 MB.
 func TestThousandGatewaysAndEndpoints(t *testing.T) {
 	peers := largeFleetPeers(t)
 	address, polls := discoverytest.NewManualAgent(t)
@@ -129,7 +130,7 @@
 	}
 }
 
-// wantNoDatagramLost checks that the send queue has room for a datagram to each other gateway within one event.
+// wantNoDatagramLost checks that one event can queue a datagram to each other gateway.
 func (h *harness) wantNoDatagramLost() {
 	h.t.Helper()
 	h.onLoop(func() {
@@ -143,9 +144,8 @@
 	})
 }
 
-// TestReadyWithoutDiscovery checks when a gateway is ready while discovery is down: immediately if its initial list
-// has an endpoint in service, and otherwise once readyAt has passed. A gateway must neither be ready before
-// discovery has had time to provide endpoints nor stay unready while discovery is down.
+// TestReadyWithoutDiscovery checks when a gateway is ready while discovery does not reply: immediately if its initial
+// list has an endpoint in service, and otherwise from readyAt on. Until then, discovery has time to provide endpoints.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
@@ -185,8 +185,8 @@
 }
 
 // TestPeerMessagesAmongThousandGateways checks the peer messages of the decision module in a large fleet. The first and
-// the last gateway are members for all customers of the test, and each owns some of them. They send each other messages
-// that fit into a datagram, and reply to them.
+// the last gateway are members for all customers of the test. Each sends the other a message that fits into a datagram,
+// and replies to the message that it gets.
 func TestPeerMessagesAmongThousandGateways(t *testing.T) {
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
@@ -231,7 +231,8 @@
 	data []byte
 }
 
-// newRecordedGateway returns the decision module of the gateway with this number, with all endpoints of a large fleet.
+// newRecordedGateway returns the decision module of the gateway with this number, with the endpoint list of a large
+// fleet.
 func newRecordedGateway(t *testing.T, settings policy.Settings, number int) *recordedGateway {
 	t.Helper()
 	settings.Self = number
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// testConn is the test's end of a connection with the proxy.
+// testConn is a connection on which a test is the client or the endpoint.
 type testConn struct {
 	net.Conn
 	t      *testing.T
@@ -40,7 +40,7 @@
 	c.write(encodeCommand(args...))
 }
 
-// mustClose closes the connection and fails the test on an error.
+// mustClose closes the connection and reports an error as a failure of the test.
 func (c *testConn) mustClose() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
@@ -75,21 +75,21 @@
 	c.mustClose()
 }
 
-// readLine reads a line and returns it without its line end. If the connection ends first, it returns the bytes that
-// came before, which may be none.
+// readLine reads a line and returns it without its line end. If the connection ends or times out first, it returns the
+// bytes that came before, which may be none.
 func (c *testConn) readLine() string {
 	line, _ := c.reader.ReadString('\n') // the bytes before an error are returned
 	return strings.TrimRight(line, "\r\n")
 }
 
-// readCommand reads a command and returns its arguments, or nil if the connection ends first.
+// readCommand reads a command and returns its arguments, or nil if the connection ends or times out first.
 func (c *testConn) readCommand() (args []string) {
 	n, err := strconv.Atoi(strings.TrimPrefix(c.readLine(), "*"))
 	if err != nil {
 		return nil
 	}
 	for range n {
-		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // at the end of the connection the next read fails
+		size, _ := strconv.Atoi(strings.TrimPrefix(c.readLine(), "$")) // if the connection has ended, the read below fails
 		arg := make([]byte, size+len("\r\n"))
 		if _, err := io.ReadFull(c.reader, arg); err != nil {
 			return nil
@@ -99,7 +99,7 @@
 	return args
 }
 
-// wantLines checks the next lines. An empty line stands for the end of the connection.
+// wantLines checks the next lines. To check for the end of the connection, want an empty line.
 func (c *testConn) wantLines(want ...string) {
 	c.t.Helper()
 	for i, line := range want {
@@ -117,7 +117,7 @@
 	}
 }
 
-// mustPing sends a health check and fails the test unless the gateway is ready.
+// mustPing sends PING and fails the test unless the reply is +PONG.
 func (c *testConn) mustPing() {
 	c.t.Helper()
 	c.send("PING")
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -40,8 +40,7 @@
 }
 
 // TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock, not
-// with the time of the event being handled. If the event loop lags, the event may have happened within a window that has
-// ended since.
+// with event time. If the event loop lags, the current event may have happened within a window that has ended since.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
@@ -62,7 +61,7 @@
 	c := h.client()
 	c.send(holdCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, l)
-	h.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
+	h.wantOutcome(policy.ConnectFailed) // the endpoint has not read yet, so the write could not end
 	b.wantNoCommand()
 }
 
