--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// maxLineBytes is the size of the longest log line that can be read.
+// maxLineBytes is the maximum size of a log line, in bytes.
 const maxLineBytes = 1 << 20
 
-// attempt is an attempt that was sent, with its outcome once that is logged.
+// attempt is an attempt that a gateway sent.
 type attempt struct {
 	event
-	ended   bool
-	endedAt float64
-	result  string
+	ended   bool    // the log has its outcome
+	endedAt float64 // set if ended
+	result  string  // status that the gateway logged for the attempt; set if ended
 }
 
-// knownNotExecuted reports whether the gateway knew at the given time that the attempt had not executed, because the
-// endpoint had rejected it.
+// knownNotExecuted reports whether, at the given time, the gateway knew that the endpoint had rejected the attempt
+// without executing it.
 func (a *attempt) knownNotExecuted(at float64) bool {
 	return a.ended && a.endedAt <= at && a.result == rejectedStatus
 }
 
-// sameDedupGroup reports whether the endpoints of two attempts belong to the same dedup group, which executes a request
-// with a given idempotency key only once.
+// sameDedupGroup reports whether the endpoints of two attempts belong to the same dedup group. The endpoints of a group
+// together execute a request with a given idempotency key only once.
 func (a *attempt) sameDedupGroup(b *attempt) bool {
 	switch a.dedupScope {
 	case "zone":
@@ -42,23 +42,23 @@
 // requestHistory holds what one gateway has logged about a request so far.
 type requestHistory struct {
 	attempts  []*attempt
-	completed bool
+	completed bool // it got its final reply, or the gateway noticed that the client had disconnected
 }
 
 // audit counts attempts and collects violations over all logs.
 type audit struct {
 	attempts                int
 	retries                 int     // attempts other than the first of their request
-	keyedRetries            int     // retries under an idempotency key after an attempt that may have executed
+	keyedRetries            int     // retries with an idempotency key in the dedup group of an attempt that may have executed
 	attemptsAfterDisconnect int     // attempts sent after the client had closed its connection
-	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to such an attempt, in seconds
-	minWindowLeft           float64 // shortest remaining idempotency window at a retry, in seconds
+	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of such an attempt, in seconds
+	minWindowLeft           float64 // shortest remaining idempotency window at one of the keyedRetries, in seconds
 	violations              []string
 }
 
 func newAudit() *audit { return &audit{minWindowLeft: math.Inf(1)} }
 
-// readFile replays the log of one gateway.
+// readFile audits the log of one gateway.
 func (a *audit) readFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return a.read(path, file)
 }
 
-// read replays the log of one gateway line by line. Violations are reported under name.
+// read audits the log of one gateway line by line. Violations are recorded with name, the name of the log.
 func (a *audit) read(name string, log io.Reader) error {
 	histories := map[string]*requestHistory{}
 	lines := bufio.NewScanner(log)
@@ -141,8 +141,8 @@
 	}
 }
 
-// checkRepeat returns the rule that an attempt breaks by following first, the earliest attempt that may have
-// executed, or "" if the attempt is allowed.
+// checkRepeat checks an attempt that follows first, the earliest attempt of its request that may have executed. It
+// returns the violated rule, or "" if the attempt is allowed.
 func (a *audit) checkRepeat(first, next *attempt) string {
 	if next.idempotency == nonIdempotent {
 		return "the class must not execute twice"
@@ -159,8 +159,8 @@
 	return ""
 }
 
-// checkRejection checks a rejected request. Clients may repeat a rejected request, so it must not have executed unless
-// repeating it is harmless.
+// checkRejection checks the attempts of a rejected request. The client may repeat the request, so no attempt may have
+// executed unless the request is safe to repeat.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
 		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -16,26 +16,27 @@
 	clientDisconnected
 )
 
-// event is one line of the trace. Times are in seconds by the clock of the gateway that wrote the log.
+// event is a parsed log line. Times are in seconds by the clock of the gateway that wrote the log.
 type event struct {
 	kind      eventKind
 	requestID string
 	at        float64
 
-	// Set for attemptSent and attemptEnded.
-	attempt int
-	status  string // attemptEnded only; a value of the previous version is translated to the present one
+	attempt int    // set for attemptSent and attemptEnded
+	status  string // set for attemptEnded; a value of the previous version is translated to the present one
 
 	// Set for attemptSent.
 	idempotency  idempotency
 	dedupScope   string  // "all", "zone" or "cell"
-	window       float64 // idempotency window in seconds, within which endpoints drop repeats of a key
+	window       float64 // time for which endpoints drop repeats of an idempotency key, in seconds
 	endpoint     string
 	zone, cell   string
 	arrived      float64 // when the last byte of the request arrived
 	writeStarted float64
-	clientClosed bool
-	rejection    bool // requestCompleted only: the gateway rejected the request, so the client may repeat it
+	clientClosed bool // the client had closed its connection
+
+	// Set for requestCompleted.
+	rejection bool // the gateway rejected the request, so the client may repeat it
 }
 
 // idempotency says whether a request of a class may execute more than once.
@@ -50,7 +51,7 @@
 // rejectedStatus is the status of an attempt that the endpoint rejected without executing it.
 const rejectedStatus = "rejected"
 
-// rejectionReply is the logged kind of a reply that rejects a request.
+// rejectionReply is the kind that the trace has for a rejection: the first three letters of the error code BUSY.
 const rejectionReply = "BUS"
 
 // kindByMessage maps the messages of the trace to event kinds: first the messages of the present version, then those
@@ -69,7 +70,7 @@
 	"full": rejectedStatus,
 }
 
-// parseEvent parses a log line. A line that is not part of the trace gives otherEvent.
+// parseEvent parses a log line. The kind of a line that is not part of the trace is otherEvent.
 func parseEvent(line string) event {
 	values := parseLine(line)
 	kind := kindByMessage[values["msg"]]
@@ -94,7 +95,8 @@
 // logValues maps the keys of a log line to their values.
 type logValues map[string]string
 
-// text returns the value of the first of keys that the line has, translated to the present version, or "".
+// text returns the value of the first key that the line has, or "" if the line has none of the keys. A value of the
+// previous version is translated to the present one.
 func (v logValues) text(keys ...string) string {
 	for _, key := range keys {
 		if value, ok := v[key]; ok {
@@ -107,7 +109,7 @@
 	return ""
 }
 
-// number is like text, but parses the value as a number. It returns 0 if that fails.
+// number is like text, but parses the value as a number. It returns 0 if the value is missing or not a number.
 func (v logValues) number(keys ...string) float64 {
 	x, err := strconv.ParseFloat(v.text(keys...), 64)
 	if err != nil {
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault, and the names of all
-// tests from standard input. It prints the pattern that makes go test skip exactly the listed tests. On standard error
-// it prints the skipped tests and why they fail.
+// Command knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault. It reads the names of all
+// tests from standard input. To standard output, it prints the pattern that makes go test -skip skip exactly the listed
+// tests. To standard error, it prints the skipped tests and why they fail.
 //
 // A line of the file holds a test name, the cause and the issue number, separated by " | ":
 //
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// maxKnownRed is the largest number of listed tests. When it is reached, a test must be fixed before another is listed.
+// maxKnownRed is the maximum number of listed tests. When it is reached, a test must be fixed before another is listed.
 const maxKnownRed = 3
 
 // Errors in the list.
@@ -40,8 +40,8 @@
 	}
 }
 
-// run reads the list at path, and writes the skip pattern to out and the skipped tests to log. It writes no pattern
-// for an empty list.
+// run reads the list at path and the test names from names. It writes the skip pattern to out and the skipped tests to
+// log. If the list is empty, it writes nothing.
 func run(path string, names io.Reader, out, log io.Writer) error {
 	list, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +82,7 @@
 
 var entryFormat = regexp.MustCompile(`^(Test\w+) \| (\S.*) \| (\d+)$`)
 
-// parseList parses the list. Each entry must name one of tests.
+// parseList parses the list. Each entry must name a different one of tests.
 func parseList(list string, tests []string) ([]knownRed, error) {
 	var entries []knownRed
 	for i, line := range strings.Split(list, "\n") {
--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -50,7 +50,7 @@
 		return errNoConfiguration
 	}
 	signal.Ignore(syscall.SIGPIPE) // without this, a write to a closed log pipe would end the process
-	// A buffer of one is enough: the file is read after the signal is received, so one pending signal covers later ones.
+	// A buffer of one is enough: the file is read after a signal is received, so later signals add nothing to a pending one.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	defer signal.Stop(reloadSignals)
@@ -122,8 +122,8 @@
 	}
 }
 
-// readConfigWithRetry reads the configuration, and retries after transient errors: file descriptors may become free, and
-// no signal must be lost because there were none.
+// readConfigWithRetry reads the configuration. After a transient error, such as a lack of file descriptors, it tries
+// again until it succeeds or done is closed. Without the retries, the reload that a signal requested would be lost.
 func readConfigWithRetry(path string, done <-chan struct{}) (config.Config, error) {
 	for {
 		cfg, err := config.Read(path)
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -27,7 +27,7 @@
 	lists    map[int][]policy.Endpoint
 }
 
-// run reads batches from in until it ends, and writes the reply to each to out.
+// run reads batches from in until the end of the input, and writes a reply to each batch to out.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		in: simwire.NewReader(in), out: simwire.NewWriter(out),
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -57,8 +57,8 @@
 	return nil, nil
 }
 
-// Kinds of PEERS_KNOWN messages: a complete list (the first two), the entries that changed, and a failed fetch, which
-// has no list.
+// Kinds of PEERS_KNOWN messages. listComplete and listPersisted come with a complete list, and listPartial with the
+// entries that changed. listFailed reports a failed fetch and comes without a list.
 const (
 	listComplete  = "Complete"
 	listPersisted = "Persisted"
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -2,8 +2,8 @@
 // of the policy package, and makes no decisions of its own. One process may run many gateways, which share no state.
 //
 // The simulator sends events in batches, each from a CLOCK line to a YOUR_TURN line. The reply to a batch holds the
-// actions that the gateways took for its events, in that order. Replies depend on the input only, so runs can be
-// repeated.
+// actions that the gateways took for its events, in the order of the events. The output depends on the input only, so
+// that runs are reproducible.
 package main
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -45,7 +45,7 @@
 	customerLength     = 16 // hex digits
 	customerNumberBits = 33
 	maxNumber          = 1 << 30 // largest value of a field that the settings leave unbounded
-	maxQuotedBytes     = 40      // bytes of the client's input that an error message quotes
+	maxQuotedBytes     = 40      // maximum size of a quotation of the client's input in an error message
 )
 
 var (
@@ -85,7 +85,7 @@
 }
 
 // AppendTo appends the request, encoded for an endpoint, to b. Arguments are forwarded unchanged, except that field d
-// holds the remaining time in milliseconds, rounded up.
+// is set to the remaining time in milliseconds, rounded up and at least 1.
 func (r *Request) AppendTo(b []byte, remaining policy.Seconds) []byte {
 	fields := r.Args[argFields]
 	timeout := r.timeoutValue
@@ -164,8 +164,8 @@
 	return request, nil
 }
 
-// isCustomer reports whether b is the canonical spelling of a customer's number. A second spelling would count as
-// another customer with a quota of its own.
+// isCustomer reports whether b is the canonical spelling of a customer's number. Another spelling of the same number
+// would count as another customer with a quota of its own.
 func isCustomer(b []byte) bool {
 	number, err := strconv.ParseUint(string(b), 16, 64)
 	return err == nil && len(b) == customerLength && number < 1<<customerNumberBits && !bytes.ContainsAny(b, "ABCDEF")
@@ -199,7 +199,7 @@
 // fieldSet is a bit set of known fields.
 type fieldSet uint
 
-// The known fields, and the set that every request must have.
+// The known fields, and the set of fields that every request must have.
 const (
 	fieldClass fieldSet = 1 << iota
 	fieldPlan
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 
 const defaultMaxDescriptors = 1024
 
-// Causes of a FieldError. It may also wrap the error of a parser.
+// Causes of a FieldError, besides the errors of parsers.
 var (
 	// ErrMissing reports that a required field is missing.
 	ErrMissing = errors.New("missing")
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,7 +1,6 @@
 // Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits, delays and stalls
-// the data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy
-// records when it read and wrote each byte, so that a test can find out what either end had sent or received at a given
-// time.
+// the data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy also
+// records when it read and wrote each byte.
 package faultproxy
 
 import (
@@ -17,7 +16,7 @@
 type Schedule struct {
 	Reset          float64       // per connection: both sides are reset
 	HalfClose      float64       // per connection: one direction ends early
-	EndWithinBytes int           // a reset or half-close happens within this many bytes
+	EndWithinBytes int           // maximum number of bytes that one direction forwards before a reset or half-close
 	Split          float64       // per chunk: it is written in several parts
 	Delay          float64       // per chunk: it is delayed by a random time
 	MaxDelay       time.Duration // upper bound of a delay
@@ -31,7 +30,8 @@
 	at    time.Time
 }
 
-// Transfer records when the proxy read bytes from one end, or wrote bytes to it. It is safe for concurrent use.
+// Transfer records when the proxy read the bytes that came from one end, or wrote the bytes for it. It is safe for
+// concurrent use.
 type Transfer struct {
 	mu      sync.Mutex
 	history []progress
@@ -49,7 +49,7 @@
 	p.history = append(p.history, progress{before + n, time.Now()})
 }
 
-// TimeOfByte returns the time at which the given number of bytes had been transferred, or false if fewer have been.
+// TimeOfByte returns the time at which the total reached the given number of bytes, and whether it has reached it.
 func (p *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,11 +113,11 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	accepted    *sync.Cond             // uses mu; signalled for each new connection
-	connections map[string]*Connection // by client address; an address that is used again has the newest one
+	connections map[string]*Connection // the newest connection from each client address
 	client      map[string]net.Addr    // client address by the local address of the proxy's connection to the server
 }
 
-// New starts a proxy for the server at an address.
+// New starts a proxy for the server at the address server. The faults are drawn from a random generator with this seed.
 func New(server string, schedule Schedule, seed uint64) (*Proxy, error) {
 	p, err := newProxy(server, schedule, seed)
 	if err != nil {
@@ -157,8 +157,8 @@
 	return p.connections[clientAddr.String()]
 }
 
-// WaitConnection waits until the proxy has accepted a connection from clientAddr, no earlier than dialledAt, and returns
-// it. It ignores earlier connections from the same address.
+// WaitConnection blocks until the proxy has accepted a connection from clientAddr, and returns it. It ignores
+// connections from the same address that were accepted before dialledAt.
 func (p *Proxy) WaitConnection(clientAddr net.Addr, dialledAt time.Time) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,8 +170,8 @@
 	}
 }
 
-// ClientAddr returns the address of the client whose connection reaches the server from proxyAddr, or nil if there is
-// none.
+// ClientAddr returns the address of the client for which the proxy connected to the server. proxyAddr is the address of
+// the proxy on that connection to the server. The result is nil if there is no such connection.
 func (p *Proxy) ClientAddr(proxyAddr net.Addr) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,18 +232,19 @@
 	connection *Connection
 	direction  *Direction
 	rng        *rand.Rand
-	endAfter   int // bytes after which the proxy ends the direction; 0 means never
-	reset      bool
+	endAfter   int  // bytes after which the proxy ends the direction as an injected fault; 0 means never
+	reset      bool // the injected fault is a reset, not a half-close
 }
 
 const (
-	// maxQueuedChunks is the number of chunks that may wait to be written. The queue is long so that chunks are read,
-	// and their arrival is recorded, while earlier ones are delayed.
+	// maxQueuedChunks is the maximum number of chunks that wait to be written. The queue is long, so that delays of
+	// earlier chunks do not delay the reads, whose times are recorded.
 	maxQueuedChunks = 1 << 12
 	chunkSize       = 16 << 10
 )
 
-// copy forwards the data of one direction until it ends. It passes on the way it ended: a half-close or a reset.
+// copy forwards the data of one direction until it ends. If the sender ended it, copy half-closes or resets the
+// receiver's connection likewise.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
@@ -265,7 +266,7 @@
 		}
 	}()
 	if !p.forward(chunks, from, to) {
-		for range chunks { // drained so that the reader does not block before its connection ends
+		for range chunks { // the reading goroutine must not block on a full channel until its connection ends
 		}
 	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// InitialSize is the first size of a buffer in bytes. It is not charged to the budget. A buffer grows when less than half
-// of InitialSize is left to read into.
+// InitialSize is the initial size of a buffer, in bytes. It is not charged to the budget. A buffer grows when its free
+// space is less than half of InitialSize.
 const InitialSize = 4 << 10
 
 // ErrExhausted reports that the budget does not allow a buffer to grow. The client gets its text.
 var ErrExhausted = errors.New("no room for more input")
 
-// Budget bounds the memory that connections take, in bytes: buffer space beyond InitialSize, and what its other users
-// reserve. It is safe for concurrent use.
+// Budget bounds the memory of all connections, in bytes. A buffer reserves its space beyond InitialSize; other users
+// call Reserve and Release. A Budget is safe for concurrent use.
 type Budget struct {
 	available        atomic.Int64
 	readAheadReserve int64 // immutable
@@ -31,10 +31,10 @@
 // Available returns the number of bytes that can be reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// AllowsReadAhead reports whether more bytes are available than the reserve that reading ahead must not use.
+// AllowsReadAhead reports whether more bytes are available than the reserve on which reading ahead must not draw.
 func (b *Budget) AllowsReadAhead() bool { return b.available.Load() > b.readAheadReserve }
 
-// Reserve takes n bytes from the budget. It reports false, and takes nothing, if fewer are available.
+// Reserve takes n bytes from the budget and reports whether they were available. If they were not, it takes nothing.
 func (b *Budget) Reserve(n int) bool {
 	if b.available.Add(-int64(n)) < 0 {
 		b.available.Add(int64(n))
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -23,9 +23,10 @@
 	receivedAt policy.Seconds
 }
 
-// IsDuplicate reports whether reply b may be a duplicate of a reply received after since. It is one if its bytes are the
-// same, or if both replies are rejections, even with different bytes: if a duplicate were taken for the rejection of the
-// present command, the command would be retried while it may be executing.
+// IsDuplicate reports whether reply b may be a duplicate of a reply received after since. A reply with the same bytes
+// counts as a duplicate. A second rejection counts as a duplicate even if its bytes differ, because a mistake would be
+// unsafe: a duplicate that is taken for the rejection of the present command makes the gateway retry that command, which
+// the endpoint may be executing.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
 	hash := maphash.Bytes(hashSeed, b)
 	for _, past := range h.replies {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -82,8 +82,8 @@
 }
 
 // ParseCommand parses the command at the start of b, an array of bulk strings, and appends its arguments to args. They
-// point into b, which must not be empty. It returns the size of the command, or 0 if b does not hold all of it. An
-// invalid length is an error even if the bytes after it have not arrived.
+// point into b, which must not be empty. It returns the size of the command, or 0 if b does not hold all of it. It
+// reports an invalid length without waiting for the bytes after it.
 func ParseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings parses the settings object, which both the simulator's ENLIST message and the configuration file of a
-// gateway contain, and translates its keys and values into the terms of the code. No other package uses those keys.
+// gateway contain, and translates its keys and values into the terms of the code. No other package decodes those keys.
 package settings
 
 import (
@@ -97,12 +97,12 @@
 // Settings holds the settings of the decision module, and those that only the network side uses.
 type Settings struct {
 	policy.Settings
-	// DialTimeout is the longest time to establish a connection to an endpoint.
+	// DialTimeout is the maximum time to establish a connection to an endpoint.
 	DialTimeout time.Duration
-	// MaxOpenRequests is the maximum number of requests without a final reply; 0 means no limit.
+	// MaxOpenRequests is the maximum number of requests at this gateway without a final reply; 0 means no limit.
 	MaxOpenRequests int
-	// DrainGrace is the time for which a gateway may still send to an endpoint after discovery reports it as draining;
-	// 0 means that none is given.
+	// DrainGrace is the time for which a gateway may still send to an endpoint after discovery reports it as draining.
+	// If the settings have none, it is 0, and package discovery uses a default.
 	DrainGrace time.Duration
 }
 
@@ -126,8 +126,8 @@
 	return s, nil
 }
 
-// seconds converts a number of seconds to a duration. A number out of a duration's range gives the nearest duration of
-// the same sign, so that a setting above 0 does not become 0 or negative.
+// seconds converts a number of seconds to a duration. A number that a duration can't represent becomes the nearest
+// duration of the same sign, so that a setting above 0 does not become 0 or negative.
 func seconds(s float64) time.Duration {
 	nanoseconds := s * float64(time.Second)
 	switch {
@@ -175,7 +175,7 @@
 	}
 }
 
-// classes translates the profiles. It returns an error for the first one with an unknown effect or key scope.
+// classes translates the profiles into classes. It returns an error if a profile has an unknown effect or key scope.
 func (w *wireSettings) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for _, p := range w.Profiles {
@@ -219,12 +219,12 @@
 	return plans
 }
 
-// EmptyLoadReport is a load report in which every value is unknown, which -1 stands for.
+// EmptyLoadReport is a load report without values. The value -1 means unknown.
 var EmptyLoadReport = policy.LoadReport{
 	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
 }
 
-// SetLoadValue sets the value with the given name on the wire in a load report. Unknown names are ignored.
+// SetLoadValue sets one value of a load report. name is the value's name on the wire; unknown names are ignored.
 func SetLoadValue(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "busy_reqs":
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -21,13 +21,13 @@
 	maxNumber = 1e18
 	// emptyBytes is the value of a byte field without bytes.
 	emptyBytes = "-"
-	// endOfReply is the line after the reply to a batch.
+	// endOfReply is the last line of the reply to a batch.
 	endOfReply = "NEXT\n"
 	// restOfLineField is the field whose value extends to the end of the line and may contain tabs.
 	restOfLineField = "settings"
 )
 
-// Causes of the errors of this package, which add the names of the message and the field.
+// Causes of errors. The returned errors wrap them and name the message and the field.
 var (
 	ErrMalformed = errors.New("malformed")
 	ErrMissing   = errors.New("is missing")
@@ -199,7 +199,7 @@
 	return true, nil
 }
 
-// Hex returns the bytes of a required field in hexadecimal.
+// Hex returns the bytes that a required field holds in hexadecimal.
 func (l *Line) Hex(name string) ([]byte, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -232,8 +232,8 @@
 	return true, nil
 }
 
-// Writer writes the lines of replies. Each line is started with Begin, gets its fields, and is finished with End. Flush
-// finishes a reply.
+// Writer writes replies. Begin starts a line, the methods named after types of values each add a field, End finishes the
+// line, and Flush finishes the reply.
 type Writer struct {
 	buffered *bufio.Writer
 	line     []byte
@@ -251,7 +251,7 @@
 	return w
 }
 
-// beginField writes a field's name, after which its value must be appended.
+// beginField appends a field's name to the line. The caller appends the value.
 func (w *Writer) beginField(name string) {
 	w.line = append(append(append(w.line, '\t'), name...), '=')
 }
@@ -265,29 +265,28 @@
 	return w
 }
 
-// ID adds a text field without replacing anything. The text must be free of line breaks and tabs, as the values of a
-// Line's fields are.
+// ID adds a text field without replacing any characters. The text must not contain line breaks or tabs.
 func (w *Writer) ID(name, v string) *Writer {
 	w.beginField(name)
 	w.line = append(w.line, v...)
 	return w
 }
 
-// Int adds an integer.
+// Int adds an integer field.
 func (w *Writer) Int(name string, v int64) *Writer {
 	w.beginField(name)
 	w.line = strconv.AppendInt(w.line, v, 10)
 	return w
 }
 
-// Float adds a number with 6 decimals: microseconds, for a time in seconds.
+// Float adds a number with 6 decimals. For a time in seconds, the resolution is 1 µs.
 func (w *Writer) Float(name string, v float64) *Writer {
 	w.beginField(name)
 	w.line = strconv.AppendFloat(w.line, v, 'f', 6, 64)
 	return w
 }
 
-// Hex adds bytes in hexadecimal.
+// Hex adds a byte field in hexadecimal.
 func (w *Writer) Hex(name string, v []byte) *Writer {
 	w.beginField(name)
 	if len(v) == 0 {
--- a/test.sh
+++ b/test.sh
@@ -24,7 +24,7 @@
 fi
 go test -race -count=1 ${red[@]+"${red[@]}"} ./...
 
-# The deploy file must list every source file of the decision module, and no line of those may be too long.
+# The deploy file must list every source file of the decision module. Their lines may have at most 110 characters.
 listed=$(deploy_value policy | tr -d '" ' | tr ',' '\n' | sort)
 present=$(ls policy/*.go | grep -v _test.go | sort)
 [ "$listed" = "$present" ] || { echo "the policy files in deploy/balancer.toml differ from the files in policy/:"; diff <(echo "$listed") <(echo "$present"); exit 1; }
