--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -22,7 +22,7 @@
 		completed:  `0.3 level=DEBUG msg="request completed" id=a reply=%W at=102` + "\n",
 		idempotent: "idempotent", key: "idempotency_key", nonIdempotent: "non_idempotent", rejected: "rejected",
 	},
-	"version before": {
+	"previous version": {
 		sent: "0.1 time=x level=DEBUG msg=sent ingress=n0 id=a try=%T class=c effect=%E scope=cell ttl=1 " +
 			"backend=s1 zone=%Z cell=2 started=0 read=100 from=%A at=%A left=%L\n",
 		ended:      "0.2 time=x level=DEBUG msg=ended ingress=n0 id=a try=0 status=%S at=%A\n",
@@ -31,7 +31,8 @@
 	},
 }
 
-// sentLine returns the line of a sent attempt. The pairs are placeholders and their values; others get defaults.
+// sentLine returns the line of a sent attempt. pairs holds placeholders, each followed by its value. The other
+// placeholders get default values.
 func (f logFormat) sentLine(pairs ...string) string {
 	defaults := []string{"%T", "0", "%E", f.key, "%Z", "a", "%A", "100", "%L", "false"}
 	return strings.NewReplacer(append(pairs, defaults...)...).Replace(f.sent)
@@ -46,7 +47,8 @@
 	return strings.Replace(f.completed, "%W", reply, 1)
 }
 
-// The audit must report every violation and nothing else, in the log lines of both versions.
+// TestAuditReportsViolations checks that the audit reports every violation and nothing else, for the log lines of the
+// present version and of the previous one.
 func TestAuditReportsViolations(t *testing.T) {
 	for version, f := range formats {
 		for name, tc := range map[string]struct{ log, want string }{
@@ -93,7 +95,8 @@
 	}
 }
 
-// An attempt sent after the client had disconnected must be counted, in the log lines of both versions.
+// TestAttemptsForDisconnectedClientsAreCounted checks that the audit counts attempts that were sent after the client had
+// disconnected, and retries, for the log lines of both versions.
 func TestAttemptsForDisconnectedClientsAreCounted(t *testing.T) {
 	for version, f := range formats {
 		t.Run(version, func(t *testing.T) {
@@ -111,7 +114,8 @@
 	}
 }
 
-// A quoted value may contain blanks, a value may contain '=' or be empty, and a word without a value is skipped.
+// TestParseLine checks that a quoted value may contain spaces, that a value may contain '=' or be empty, and that a word
+// without a value is skipped.
 func TestParseLine(t *testing.T) {
 	values := parseLine(`0.1 level=DEBUG msg="request completed" id=a=b reason="" word` + "\n")
 	want := logValues{"level": "DEBUG", "msg": "request completed", "id": "a=b", "reason": ""}
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// maxTimeoutExcess returns the largest time by which the timeout of an attempt exceeded the time that its client had
-// left, and the number of attempts.
+// maxTimeoutExcess returns the number of attempts, and the largest excess of an attempt's timeout over the time that its
+// client had left. All requests were sent at the time sent and have the same deadline.
 func (e *hangingEndpoint) maxTimeoutExcess(sent time.Time, deadline time.Duration) (excess time.Duration, attempts int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,9 +73,9 @@
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
-// TestDeadlineCountsFromArrivalBehindOpenRequests guards against giving an attempt more time than its client has left.
-// A request may wait in the socket while earlier requests of its connection are open, and that wait must count toward
-// its deadline.
+// TestDeadlineCountsFromArrivalBehindOpenRequests checks that no attempt gets more time than its client has left. A
+// request may wait in the socket while earlier requests of its connection are open, and this wait counts toward its
+// deadline.
 func TestDeadlineCountsFromArrivalBehindOpenRequests(t *testing.T) {
 	t.Parallel()
 	for _, commands := range []int{60, 400} {
@@ -110,9 +110,9 @@
 // suspension is the time for which the tests suspend the whole process.
 const suspension = 600 * time.Millisecond
 
-// TestDeadlineCountsFromArrivalAfterSuspension guards against giving an attempt more time than its client has left after
-// the whole process was suspended. The deadline of a request that arrives during the suspension must count from its
-// arrival, whether it arrives alone or between another request and a PING.
+// TestDeadlineCountsFromArrivalAfterSuspension checks that no attempt gets more time than its client has left after the
+// whole process was suspended. The deadline of a request that arrives during the suspension counts from its arrival,
+// whether it arrives alone or between another request and a PING.
 func TestDeadlineCountsFromArrivalAfterSuspension(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
@@ -124,7 +124,8 @@
 	}
 }
 
-// checkArrivalAfterSuspension suspends the process, sends a request after requestsAhead others, and resumes the process.
+// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and resumes the process.
+// It then checks the replies and the timeouts of the attempts.
 func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
@@ -140,7 +141,7 @@
 	for i := range requestsAhead + 1 {
 		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), int(deadline.Milliseconds())))
 	}
-	if requestsAhead > 0 { // a late command, so that the last bytes arrive later than the requests
+	if requestsAhead > 0 { // a later command in the same read must not change the arrival time of the requests
 		time.Sleep(suspension - 50*time.Millisecond)
 		writeText(conn, pingCommand)
 	}
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// descriptorLimitEnv is an environment variable. If it is set, the test binary runs as a gateway with that limit of file
-// descriptors.
+// descriptorLimitEnv is the name of an environment variable. If it is set, the test binary runs as a gateway, and the
+// value is the limit of its open file descriptors.
 const descriptorLimitEnv = "REEDLEAD_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
@@ -55,7 +55,7 @@
 	return strings.Contains(o.content.String(), text)
 }
 
-// count returns how often a text was logged.
+// count returns the number of times that a text was logged.
 func (o *logBuffer) count(text string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,16 +81,16 @@
 	}
 }
 
-// The idle clients need more file descriptors than the process may open.
+// The number of idle clients exceeds the number of file descriptors that the process may open.
 const (
 	descriptorLimit = 72
 	idleClientCount = 150
 	reconnectPause  = 5 * time.Millisecond
 )
 
-// Guards against idle clients that take all file descriptors while discovery is down, so that the gateway can't connect
-// to discovery and endpoints or read its configuration afterwards. The clients reconnect as soon as they are closed. The
-// process may open as many descriptors as are configured, or far fewer.
+// TestIdleClientsLeaveDescriptors checks that idle clients, which connect again as soon as they are closed, do not take
+// all file descriptors while discovery is down. The gateway needs descriptors to connect to discovery and to endpoints,
+// and to read its configuration. The number of descriptors that the process may open is the configured one, or far less.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
@@ -176,8 +176,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startIdleClients starts many clients. Each connects, gets one reply, idles until its connection is closed, and connects
-// again. The channel receives a value for each reply.
+// startIdleClients starts idleClientCount clients. Each connects, gets one reply, idles until its connection is closed,
+// and connects again. The channel receives a value for each reply.
 func startIdleClients(t *testing.T, addr string) <-chan struct{} {
 	idle := make(chan struct{}, 4096)
 	stop := make(chan struct{})
@@ -226,7 +226,7 @@
 
 var requestCount int
 
-// requestOnce sends one request on a new connection and returns the first line of the reply, "" if there is none.
+// requestOnce sends one request on a new connection. It returns the first line of the reply, or "" if there is none.
 func requestOnce(addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -32,10 +32,10 @@
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
 	idempotencyWindow = 800 * time.Millisecond
-	disconnectSlack   = 100 * time.Millisecond // by which an attempt may begin after its client has disconnected
+	disconnectSlack   = 100 * time.Millisecond // tolerance for an attempt written after its client has disconnected
 	suspendEvery      = 600 * time.Millisecond
-	// Less than timeoutSlack: a suspension after the gateway has computed a timeout and before it has written it makes the
-	// timeout too long by the suspension.
+	// suspendFor must be less than timeoutSlack. If the process is suspended after it has computed a timeout and before it
+	// writes the command, the timeout is too long by suspendFor.
 	suspendFor     = 140 * time.Millisecond
 	faultEndpoints = 3
 	faultClients   = 24
@@ -44,7 +44,7 @@
 // endpointAttempt is an attempt whose command an endpoint has received completely.
 type endpointAttempt struct {
 	timeout  time.Duration // from field d of the command
-	written  time.Time     // when the gateway wrote its last byte, by the proxy's record
+	written  time.Time     // when the proxy read the last byte of the command from the gateway
 	executed bool          // false if the endpoint rejected it
 }
 
@@ -62,8 +62,8 @@
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
 	violations []string
-	replies    map[string]int // counts by the first word of the reply
-	timerLag   atomic.Int64   // largest delay of this process's timers in nanoseconds
+	replies    map[string]int // number of replies by kind: "value" or the error code
+	timerLag   atomic.Int64   // largest delay of this process's timers, in nanoseconds
 }
 
 func (w *faultRun) addViolation(format string, args ...any) {
@@ -72,7 +72,7 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// slack is the tolerance for times that this process measures. It grows with the lag of the process's timers.
+// slack returns the tolerance for times that this process measures. It grows with the lag of the process's timers.
 func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.timerLag.Load()) }
 
 // measureTimerLag records the largest delay of this process's timers until stop is closed.
@@ -140,7 +140,8 @@
 	}
 }
 
-// clientAddr returns the address from which the gateway connected to the proxy for the endpoint's connection conn.
+// clientAddr returns the address from which the gateway connected to the proxy. conn is the connection from the proxy to
+// the endpoint.
 func (e *faultEndpoint) clientAddr(conn net.Conn) net.Addr {
 	return e.proxy.ClientAddr(conn.RemoteAddr())
 }
@@ -166,7 +167,7 @@
 	return args, n, err
 }
 
-// faultClient sends requests on one connection after the other.
+// faultClient is a client that has at most one open connection. It sends requests through the fault proxy.
 type faultClient struct {
 	run    *faultRun
 	proxy  *faultproxy.Proxy
@@ -175,7 +176,7 @@
 	sent   int
 }
 
-// request returns a new request of a random class and its command. A body has less than bodyMax bytes.
+// request returns a new request of a random class, and its command. The body, if any, has fewer than bodyMax bytes.
 func (c *faultClient) request(bodyMax int) (faultRequest, string) {
 	c.sent++
 	q := faultRequest{
@@ -213,8 +214,8 @@
 		var text strings.Builder
 		commands, bodyMax := 1+c.rng.IntN(6), 20_000
 		if c.rng.Float64() < 0.1 {
-			// More requests than may be open on a connection. They are small enough for the gateway to read all of them
-			// ahead: otherwise it would notice a disconnect only after reading the rest.
+			// More requests than may be open on a connection. They must be small enough for the gateway to read all of them
+			// ahead, because it notices a disconnect only after it has read all input.
 			commands, bodyMax = 48, 16_000
 		}
 		for range commands {
@@ -309,8 +310,8 @@
 	}
 }
 
-// checkAttempts checks the attempts of a request against the rules. arrivedAt is set if arrived, disconnectedAt if the
-// client has disconnected.
+// checkAttempts checks the attempts of a request against the rules. arrived reports whether the whole request arrived at
+// the gateway, and arrivedAt is the time of its arrival. disconnectedAt is zero if the client has not disconnected.
 func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
 	w := c.run
 	w.mu.Lock()
@@ -341,8 +342,8 @@
 	}
 }
 
-// runFaultSchedule runs one gateway process with faults drawn from seed, and returns what it recorded. The process is
-// also suspended repeatedly if suspends is true.
+// runFaultSchedule runs one gateway process with faults drawn from seed, and returns the record of the run. If suspends
+// is true, the process is also suspended repeatedly.
 func runFaultSchedule(t *testing.T, seed uint64, suspends bool) *faultRun {
 	w := &faultRun{attempts: map[string][]endpointAttempt{}, replies: map[string]int{}}
 	stop := make(chan struct{})
@@ -419,10 +420,14 @@
 	return proxy.Addr()
 }
 
-// TestRequestsUnderFaults injects seeded faults into real connections and checks what clients and endpoints saw. Each
-// accepted request must get one complete and correct reply in time. A request must not execute again unless its class
-// allows it, and must not be attempted after its client has disconnected or with a longer timeout than the client has
-// left. The flags -faults.for, -faults.runs and -faults.seed set the duration, the number and the first seed of the runs.
+// TestRequestsUnderFaults injects seeded faults into real connections and checks the replies that clients got and the
+// attempts that endpoints received:
+//
+//   - Each accepted request gets one complete and correct reply in time.
+//   - A request is not attempted again after an attempt that executed, unless its class allows it.
+//   - No attempt is written after the client has disconnected, or with a longer timeout than the client has left.
+//
+// The flags -faults.for, -faults.runs and -faults.seed set the duration, the number and the first seed of the runs.
 func TestRequestsUnderFaults(t *testing.T) {
 	for i := range *faultsRuns {
 		seed, suspends := *faultsSeed+uint64(i), i%2 == 1
--- a/cmd/reedlead/log_test.go
+++ b/cmd/reedlead/log_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestClosedLogPipeDoesNotEndProcess guards against a gateway that dies from SIGPIPE when it logs to a pipe whose reader
-// has been closed.
+// TestClosedLogPipeDoesNotEndProcess checks that the gateway serves requests after the reader of its log pipe has been
+// closed. Writes to the pipe then raise SIGPIPE, which ends a process by default.
 func TestClosedLogPipeDoesNotEndProcess(t *testing.T) {
 	t.Parallel()
 	read, write, err := os.Pipe()
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -19,8 +19,8 @@
 	"reedlead/internal/config"
 )
 
-// Guards against a gateway that hangs or panics at the start because its configuration is invalid. The error must be a
-// single line that says what is wrong.
+// TestInvalidConfigurationGivesOneLineError checks that run returns an error for an invalid configuration, and does not
+// hang or panic. The error must be a single line that says what is wrong.
 func TestInvalidConfigurationGivesOneLineError(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "EDGE_CONFIG is not set",
@@ -49,7 +49,8 @@
 	}
 }
 
-// A malformed file must be logged and not applied, and the next reload must work.
+// TestMalformedFileIsNotApplied checks that a reload of a malformed file logs an error and applies nothing, and that the
+// next reload works.
 func TestMalformedFileIsNotApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -81,10 +82,11 @@
 // testTimeout is the time after which a test stops waiting for something that must happen.
 const testTimeout = 20 * time.Second
 
-// Guards against a reload that ends the process or interrupts clients. Three SIGHUPs are sent, the second with a
-// malformed file. After each of the other two, the gateway must open a watch at the newly configured agent.
+// TestReloadsWhileClientsAreServed checks that reloads do not end the process or interrupt clients. It sends three
+// SIGHUPs, the second with a malformed file. After each of the other two, the gateway must open a watch at the newly
+// configured agent.
 func TestReloadsWhileClientsAreServed(t *testing.T) {
-	fallback := make(chan os.Signal, 8) // a second receiver, or SIGHUP would end the test binary if run did not handle it
+	fallback := make(chan os.Signal, 8) // keeps SIGHUP from ending the test binary if run does not handle it
 	signal.Notify(fallback, syscall.SIGHUP)
 	defer signal.Stop(fallback)
 
@@ -128,8 +130,8 @@
 	}
 }
 
-// watchedAgents are discovery agents that list the same endpoint. Each has an older version of the list than the agent
-// before it, so that a gateway that switches agents must accept an older version.
+// watchedAgents are discovery agents that list the same endpoint. Each agent has an older version of the list than the
+// agent before it, so the gateway must accept an older version when it switches to the next agent.
 type watchedAgents struct {
 	addrs   []string
 	watched chan int // receives the index of the agent for each watch that is opened
@@ -162,7 +164,7 @@
 	return agents
 }
 
-// expectWatch waits for the next watch, which must be opened at agent want.
+// expectWatch waits for the next watch, and fails the test if it is not opened at agent want.
 func (a *watchedAgents) expectWatch(t *testing.T, want int) {
 	t.Helper()
 	select {
@@ -193,8 +195,8 @@
 	}
 }
 
-// requestUntil sends requests one after the other on one connection until stop is closed. It returns an error if one is
-// not served.
+// requestUntil sends requests on one connection until stop is closed. It waits for each reply before the next request,
+// and returns an error if a request is not served.
 func requestUntil(stop <-chan struct{}, addr string) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -222,7 +224,8 @@
 	}
 }
 
-// An unknown log level must give an error at the start instead of another level.
+// TestUnknownLogLevelGivesOneLineError checks that run returns an error for an unknown log level and does not fall back
+// to another level.
 func TestUnknownLogLevelGivesOneLineError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"balancers":1,` +
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -37,7 +37,7 @@
 // closeQuietly closes c and ignores the error, which means that c is already closed or broken.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// writeText writes to a connection and ignores the error: the test notices a failed write by the missing reply.
+// writeText writes to a connection and ignores the error. After a failed write, the test fails for lack of a reply.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // setTimeout makes reads and writes of a connection fail after timeout, so that a test does not hang.
@@ -73,8 +73,8 @@
 	}
 }
 
-// programCommand returns a command that runs the gateway with a configuration file, a limit of file descriptors and a
-// log.
+// programCommand returns a command that runs the gateway. config is the path of the configuration file, descriptors the
+// limit of open file descriptors, and log receives standard error.
 func programCommand(config string, descriptors int, log io.Writer) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", descriptorLimitEnv, descriptors), "EDGE_CONFIG="+config)
@@ -82,7 +82,7 @@
 	return cmd
 }
 
-// text returns the text of the configuration file.
+// text returns the text of the configuration file for a gateway that listens on the given address.
 func (c programConfig) text(listen string) string {
 	var known []string
 	for i, addr := range c.endpoints {
@@ -138,7 +138,7 @@
 }
 
 // launch starts the gateway with a configuration file, a limit of file descriptors and additional environment variables.
-// The process is killed at the end of the test. If the test has failed, the end of its log is printed.
+// At the end of the test, the process is killed, and the end of its log is printed if the test has failed.
 func launch(t *testing.T, path string, descriptors int, environment ...string) *program {
 	t.Helper()
 	p := &program{t: t, log: &logBuffer{}, ended: make(chan error, 1)}
@@ -202,8 +202,8 @@
 		len(id), id, len(fields), fields)
 }
 
-// readReply reads one reply. It returns the first line without its end, and the size of the value if the line announces
-// one.
+// readReply reads one reply. It returns the first line without its line end. If that line is the header of a value, it
+// also discards the value and returns its size.
 func readReply(r *bufio.Reader) (line string, size int, err error) {
 	if line, err = r.ReadString('\n'); err != nil {
 		return line, 0, err
@@ -223,8 +223,8 @@
 	return l.Addr().String()
 }
 
-// replyToReads replies to each CALL.GET on one connection. The value ends with the request's id, because the gateway may
-// take two equal replies on one connection for duplicates.
+// replyToReads replies to each CALL.GET on one connection. It replaces the end of the value by the request's id, because
+// the gateway may take two equal replies on one connection for duplicates.
 func replyToReads(conn net.Conn, value string) {
 	defer closeQuietly(conn)
 	id := ""
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -13,11 +13,11 @@
 const (
 	slowValueSize  = 60_000 // bytes
 	slowDeadlineMS = 15_000
-	// Longer than 5 s, the write timeout of an earlier version, which dropped slow clients.
+	// readPause is longer than 5 s, the write timeout with which an earlier version closed the connections of slow clients.
 	readPause = 5500 * time.Millisecond
 )
 
-// sendBufferMax returns the size in bytes to which the system lets the send buffer of a socket grow.
+// sendBufferMax returns the maximum size of a TCP socket's send buffer, in bytes.
 func sendBufferMax(t *testing.T) (size int) {
 	t.Helper()
 	text, err := os.ReadFile("/proc/sys/net/ipv4/tcp_wmem")
@@ -31,8 +31,8 @@
 	return size
 }
 
-// startSlowClient sends requests for large values without waiting for replies, and reads nothing. It returns when the
-// gateway has filled the client's socket.
+// startSlowClient starts a gateway and connects to it as a client. The client sends requests for large values and reads
+// nothing. startSlowClient returns when the gateway has logged that the client's socket is full.
 func startSlowClient(t *testing.T, requests int) (io.Writer, *bufio.Reader) {
 	t.Helper()
 	p := startProgram(t, programConfig{endpoints: []string{serveValues(t, slowValueSize)}})
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestWriteDeadlineDoesNotOutliveItsWrite guards against a write deadline that stays in force after its write has
-// completed. A client that let its socket fill once and then read everything lost a later request: the old deadline
-// expired after 5 s and the connection was closed without a reply.
+// TestWriteDeadlineDoesNotOutliveItsWrite checks that a write deadline ends with its write. A deadline from the time when
+// the socket was full once stayed in force after the client had read everything. It expired after 5 s, and the gateway
+// closed the connection without a reply to the next request.
 func TestWriteDeadlineDoesNotOutliveItsWrite(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than the socket's buffer holds
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestClientPausingWithinReplyGetsWholeReply guards against closing a connection in the middle of a reply because
-// the client reads nothing for longer than a write timeout.
+// TestClientPausingWithinReplyGetsWholeReply checks that the gateway does not close a connection in the middle of a reply
+// when the client reads nothing for readPause.
 func TestClientPausingWithinReplyGetsWholeReply(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize
@@ -81,8 +81,8 @@
 	expectValues(t, r, "after a pause", replies)
 }
 
-// TestClientWithManyUnreadRepliesIsServed guards against closing a connection because of many unread replies. The
-// gateway must instead stop reading requests until the client has read some of the replies.
+// TestClientWithManyUnreadRepliesIsServed checks that the gateway does not close a connection because of many unread
+// replies. It must stop reading requests until the client has read some of the replies.
 func TestClientWithManyUnreadRepliesIsServed(t *testing.T) {
 	t.Parallel()
 	replies := (3*sendBufferMax(t) + 3_000_000) / slowValueSize
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// An instance must take the same actions for the same events whether or not another instance runs in the process.
+// TestInstancesShareNothing checks that an instance takes the same actions for the same events whether or not another
+// instance runs in the process.
 func TestInstancesShareNothing(t *testing.T) {
 	var bothInput, aloneInput strings.Builder
 	bothInput.WriteString(startBatch(0))
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -77,8 +77,9 @@
 	})
 }
 
-// TestParseAcceptsOnlyCanonicalRequests guards against accepting a second spelling of a number or a customer: an
-// endpoint may parse it differently, and the customer would count as another one.
+// TestParseAcceptsOnlyCanonicalRequests checks that Parse accepts only the canonical spelling of numbers and customers,
+// and rejects ids and fields that are too long or not printable. An endpoint might parse another spelling of a number
+// differently, and another spelling of a customer would count as a different customer.
 func TestParseAcceptsOnlyCanonicalRequests(t *testing.T) {
 	if err := parseGet(testCustomer, "a", testFields); err != nil {
 		t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 "known":{"version":41,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"in_service"}]},
 "settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
 
-// TestParseNamesInvalidField checks that Parse accepts a complete configuration file, and that its error names the field
-// that is invalid.
+// TestParseNamesInvalidField checks that Parse accepts a complete configuration file, and that the error for an invalid
+// one names the invalid field.
 func TestParseNamesInvalidField(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil {
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A test may look for the record of its connection before the proxy has accepted it, and an earlier connection may have
-// had the same client address. WaitConnection must not return the earlier record.
+// TestWaitConnectionIgnoresEarlierConnectionFromSameAddress checks that WaitConnection waits until the proxy has accepted
+// the new connection, even if an earlier connection had the same client address.
 func TestWaitConnectionIgnoresEarlierConnectionFromSameAddress(t *testing.T) {
 	p, err := newProxy("127.0.0.1:1", Schedule{}, 1)
 	if err != nil {
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fill appends n bytes of value kind to a buffer, and reports whether there was space for all of them.
+// fill appends n bytes with the value kind to a buffer, and reports whether there was space for all of them.
 func fill(b *Buffer, kind byte, n int) bool {
 	for n > 0 {
 		space := b.Space()
@@ -20,8 +20,8 @@
 	return true
 }
 
-// TestBufferGrowthIsBoundedByBudget guards against buffers that grow beyond the budget, and against reserved memory that
-// is never released.
+// TestBufferGrowthIsBoundedByBudget checks that buffers do not grow beyond the budget, that they keep their content as
+// they grow, and that they release the reserved memory when they are emptied or freed.
 func TestBufferGrowthIsBoundedByBudget(t *testing.T) {
 	const size = 4 * InitialSize
 	budget := NewBudget(size, size/2)
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestBudgetReservesMemoryFromReadAhead guards against reading ahead with the memory that is kept for other uses.
+// TestBudgetReservesMemoryFromReadAhead checks that reading ahead is not allowed when only the memory for other uses is
+// available, and that a failed reservation takes nothing.
 func TestBudgetReservesMemoryFromReadAhead(t *testing.T) {
 	budget := NewBudget(100, 40)
 	if !budget.AllowsReadAhead() {
@@ -59,6 +60,6 @@
 		t.Error("reading ahead is allowed with only the reserve available")
 	}
 	if budget.Reserve(41) || budget.Available() != 40 {
-		t.Errorf("%d bytes are available after a refused reservation of 41 bytes, want 40", budget.Available())
+		t.Errorf("%d bytes are available after a failed reservation of 41 bytes, want 40", budget.Available())
 	}
 }
--- a/internal/reply/history_test.go
+++ b/internal/reply/history_test.go
@@ -6,8 +6,8 @@
 	"reedlead/policy"
 )
 
-// TestHistoryDetectsDuplicates guards against accepting a duplicate as a reply, and against rejecting a reply as a
-// duplicate.
+// TestHistoryDetectsDuplicates checks which replies count as duplicates of three earlier ones: a value received at time
+// 10, a rejection received at 11 and an error received at 12.
 func TestHistoryDetectsDuplicates(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text   string
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestHistoryIsBounded guards against a history that grows with the number of replies on a connection.
+// TestHistoryIsBounded checks that a full history drops its oldest reply when a new one is added.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	h.Add([]byte("oldest"), policy.OK, 1)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// FuzzParseCommand guards against input that makes the parser panic, which would end the process, and against a command
-// that redcon parses differently. It also checks that a complete command without its last byte counts as incomplete.
+// FuzzParseCommand checks that no input makes the parser panic, which would end the process. It also checks that redcon
+// parses each accepted command in the same way, and that a command without its last byte counts as incomplete.
 func FuzzParseCommand(f *testing.F) {
 	request := redcon.AppendArray(nil, 4)
 	for _, arg := range []string{
@@ -36,7 +36,7 @@
 		}
 		complete, codec, _, rest, err := redcon.ReadNextCommand(b[:n], nil)
 		if !complete || err != nil || len(rest) != 0 || len(codec) != len(args) {
-			t.Fatalf("redcon returns %q, %v for %q", codec, err, b[:n])
+			t.Fatalf("redcon returns arguments %q, %v for command %q", codec, err, b[:n])
 		}
 		for i := range args {
 			if !bytes.Equal(args[i], codec[i]) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a dial timeout whose conversion to a duration overflows or rounds to 0: the gateway would refuse to
-// start, or every dial would time out immediately.
+// TestSecondsKeepTheirSign checks that a dial timeout above 0 does not overflow or round to 0 when it is converted to a
+// duration. The gateway would otherwise refuse to start, or every dial would time out immediately.
 func TestSecondsKeepTheirSign(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0":      0,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestLines checks how lines are split: fields separated by tabs, the settings field up to the end of the line, a value
-// longer than the read buffer, and a last line without a newline.
+// TestLines checks that lines are split into fields at tabs, that the settings field extends to the end of the line, and
+// that malformed lines give an error. It includes a value longer than the read buffer and a last line without a newline.
 func TestLines(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	lines, err := read(t, "CLOCK\ttimeS=8.5\r\nENLIST\ti=3\tsettings={\"a\":\"b=c\td\"}\nEMIT\tmsg="+long+"\nYOUR_TURN")
