--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -351,7 +351,7 @@
 	go w.measureTimerLag(stop)
 	schedule := faultproxy.Schedule{
 		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
-		Stall: 0.02, StallDuration: 150 * time.Millisecond, EndWithinBytes: 20_000,
+		LongDelay: 0.02, LongDelayDuration: 150 * time.Millisecond, EndWithinBytes: 20_000,
 	}
 	var endpoints []string
 	for i := range faultEndpoints {
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits, delays and stalls
-// the data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy also
+// Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits and delays the
+// data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy also
 // records when it read and wrote each byte.
 package faultproxy
 
@@ -14,14 +14,14 @@
 
 // Schedule holds the probability of each fault, per connection or per chunk (the data that one read returned).
 type Schedule struct {
-	Reset          float64       // per connection: both sides are reset
-	HalfClose      float64       // per connection: one direction ends early
-	EndWithinBytes int           // maximum number of bytes that one direction forwards before a reset or half-close
-	Split          float64       // per chunk: it is written in several parts
-	Delay          float64       // per chunk: it is delayed by a random time
-	MaxDelay       time.Duration // upper bound of a delay
-	Stall          float64       // per chunk: it is held back for StallDuration
-	StallDuration  time.Duration
+	Reset             float64 // per connection: both sides are reset
+	HalfClose         float64 // per connection: one direction ends early
+	EndWithinBytes    int     // maximum number of bytes that one direction forwards before a reset or half-close
+	Split             float64 // per chunk: it is written in several parts
+	Delay             float64 // per chunk: it is delayed by a random time below MaxDelay
+	MaxDelay          time.Duration
+	LongDelay         float64 // per chunk: it is delayed by LongDelayDuration, in addition to Delay
+	LongDelayDuration time.Duration
 }
 
 // progress is the time at which a transfer reached a total number of bytes.
@@ -308,8 +308,8 @@
 	if p.rng.Float64() < p.schedule.Delay && p.schedule.MaxDelay > 0 {
 		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.MaxDelay))))
 	}
-	if p.rng.Float64() < p.schedule.Stall {
-		time.Sleep(p.schedule.StallDuration)
+	if p.rng.Float64() < p.schedule.LongDelay {
+		time.Sleep(p.schedule.LongDelayDuration)
 	}
 	split := p.rng.Float64() < p.schedule.Split
 	for len(chunk) > 0 {
