--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -43,31 +43,31 @@
 	content bytes.Buffer
 }
 
-func (o *logBuffer) Write(p []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.content.Write(p)
+func (b *logBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.content.Write(p)
 }
 
-func (o *logBuffer) has(text string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return strings.Contains(o.content.String(), text)
+func (b *logBuffer) has(text string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return strings.Contains(b.content.String(), text)
 }
 
 // count returns the number of times that a text was logged.
-func (o *logBuffer) count(text string) int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return bytes.Count(o.content.Bytes(), []byte(text))
+func (b *logBuffer) count(text string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return bytes.Count(b.content.Bytes(), []byte(text))
 }
 
 // tail returns the end of the log.
-func (o *logBuffer) tail() string {
+func (b *logBuffer) tail() string {
 	const maxTailBytes = 4000
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	content := o.content.Bytes()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	content := b.content.Bytes()
 	return string(content[max(0, len(content)-maxTailBytes):])
 }
 
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -66,17 +66,17 @@
 	timerLag   atomic.Int64   // largest delay of this process's timers, in nanoseconds
 }
 
-func (w *faultRun) addViolation(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (r *faultRun) addViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // slack returns the tolerance for times that this process measures. It grows with the lag of the process's timers.
-func (w *faultRun) slack() time.Duration { return 2 * time.Duration(w.timerLag.Load()) }
+func (r *faultRun) slack() time.Duration { return 2 * time.Duration(r.timerLag.Load()) }
 
 // measureTimerLag records the largest delay of this process's timers until stop is closed.
-func (w *faultRun) measureTimerLag(stop <-chan struct{}) {
+func (r *faultRun) measureTimerLag(stop <-chan struct{}) {
 	const every = 5 * time.Millisecond
 	for {
 		from := time.Now()
@@ -85,8 +85,8 @@
 			return
 		case <-time.After(every):
 		}
-		if late := int64(time.Since(from) - every); late > w.timerLag.Load() {
-			w.timerLag.Store(late)
+		if late := int64(time.Since(from) - every); late > r.timerLag.Load() {
+			r.timerLag.Store(late)
 		}
 	}
 }
@@ -269,7 +269,7 @@
 
 // checkBatch checks the replies and attempts of a batch against the rules.
 func (c *faultClient) checkBatch(connection *faultproxy.Connection, batch []faultRequest, disconnected bool) {
-	w := c.run
+	record := c.run
 	if disconnected { // attempts in progress may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
@@ -283,28 +283,28 @@
 		kind, _, _ := strings.Cut(q.reply, " ")
 		switch {
 		case q.reply == "":
-			w.addViolation("%s: the connection ended before a complete reply", q.id)
+			record.addViolation("%s: the connection ended before a complete reply", q.id)
 			continue
 		case q.reply[0] == '$':
 			kind = "value"
 			if !strings.HasSuffix(q.reply, q.id) {
-				w.addViolation("%s: got a value that ends with %q", q.id, q.reply[max(0, len(q.reply)-20):])
+				record.addViolation("%s: got a value that ends with %q", q.id, q.reply[max(0, len(q.reply)-20):])
 			}
 		}
-		w.mu.Lock()
-		w.replies[kind]++
-		wasExecuted := slices.ContainsFunc(w.attempts[q.id], func(a endpointAttempt) bool { return a.executed })
-		w.mu.Unlock()
+		record.mu.Lock()
+		record.replies[kind]++
+		wasExecuted := slices.ContainsFunc(record.attempts[q.id], func(a endpointAttempt) bool { return a.executed })
+		record.mu.Unlock()
 		if kind == "-BUSY" && wasExecuted && q.class == "bill" {
-			w.addViolation("%s: rejected although it was executed", q.id)
+			record.addViolation("%s: rejected although it was executed", q.id)
 		}
 		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
 		from := arrivedAt
 		if previousReply.After(from) { // the time spent waiting for earlier replies does not count
 			from = previousReply
 		}
-		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+w.slack() && replied.Sub(from) > replySlack {
-			w.addViolation("%s: replied %v after its deadline", q.id, late)
+		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+record.slack() && replied.Sub(from) > replySlack {
+			record.addViolation("%s: replied %v after its deadline", q.id, late)
 		}
 		previousReply = replied
 	}
@@ -313,28 +313,28 @@
 // checkAttempts checks the attempts of a request against the rules. arrived reports whether the whole request arrived at
 // the gateway, and arrivedAt is the time of its arrival. disconnectedAt is zero if the client has not disconnected.
 func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
-	w := c.run
-	w.mu.Lock()
-	attempts := slices.Clone(w.attempts[q.id])
-	w.mu.Unlock()
+	record := c.run
+	record.mu.Lock()
+	attempts := slices.Clone(record.attempts[q.id])
+	record.mu.Unlock()
 	var first time.Time
 	for _, a := range attempts {
 		if !arrived {
-			w.addViolation("%s: attempted although the gateway did not receive all of it", q.id)
+			record.addViolation("%s: attempted although the gateway did not receive all of it", q.id)
 			continue
 		}
-		if excess := a.timeout - (q.deadline - a.written.Sub(arrivedAt)); excess > timeoutSlack+w.slack() {
-			w.addViolation("%s: the timeout of an attempt is %v too long", q.id, excess)
+		if excess := a.timeout - (q.deadline - a.written.Sub(arrivedAt)); excess > timeoutSlack+record.slack() {
+			record.addViolation("%s: the timeout of an attempt is %v too long", q.id, excess)
 		}
-		if !disconnectedAt.IsZero() && a.written.Sub(disconnectedAt) > disconnectSlack+w.slack() {
-			w.addViolation("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(disconnectedAt))
+		if !disconnectedAt.IsZero() && a.written.Sub(disconnectedAt) > disconnectSlack+record.slack() {
+			record.addViolation("%s: attempted %v after its client had disconnected", q.id, a.written.Sub(disconnectedAt))
 		}
 		switch {
 		case first.IsZero():
 		case q.class == "bill":
-			w.addViolation("%s: attempted again although it must not execute twice", q.id)
-		case q.class == "save" && a.written.Sub(first) > idempotencyWindow+w.slack():
-			w.addViolation("%s: attempted again %v after the first attempt that executed", q.id, a.written.Sub(first))
+			record.addViolation("%s: attempted again although it must not execute twice", q.id)
+		case q.class == "save" && a.written.Sub(first) > idempotencyWindow+record.slack():
+			record.addViolation("%s: attempted again %v after the first attempt that executed", q.id, a.written.Sub(first))
 		}
 		if a.executed && first.IsZero() {
 			first = a.written
@@ -345,17 +345,17 @@
 // runFaultSchedule runs one gateway process with faults drawn from seed, and returns the record of the run. If suspends
 // is true, the process is also suspended repeatedly.
 func runFaultSchedule(t *testing.T, seed uint64, suspends bool) *faultRun {
-	w := &faultRun{attempts: map[string][]endpointAttempt{}, replies: map[string]int{}}
+	record := &faultRun{attempts: map[string][]endpointAttempt{}, replies: map[string]int{}}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	go w.measureTimerLag(stop)
+	go record.measureTimerLag(stop)
 	schedule := faultproxy.Schedule{
 		Reset: 0.08, HalfClose: 0.04, Split: 0.3, Delay: 0.3, MaxDelay: 10 * time.Millisecond,
 		LongDelay: 0.02, LongDelayDuration: 150 * time.Millisecond, EndWithinBytes: 20_000,
 	}
 	var endpoints []string
 	for i := range faultEndpoints {
-		endpoints = append(endpoints, startFaultEndpoint(t, w, schedule, seed<<8+uint64(i)))
+		endpoints = append(endpoints, startFaultEndpoint(t, record, schedule, seed<<8+uint64(i)))
 	}
 	p := startProgram(t, programConfig{endpoints: endpoints, classes: faultClasses, limits: faultLimits})
 	proxy, err := faultproxy.New(p.listen, schedule, seed)
@@ -369,7 +369,7 @@
 	var clients sync.WaitGroup
 	until := time.Now().Add(*faultsFor)
 	for i := range faultClients {
-		c := &faultClient{run: w, proxy: proxy, rng: rand.New(rand.NewPCG(seed, uint64(i))), number: i}
+		c := &faultClient{run: record, proxy: proxy, rng: rand.New(rand.NewPCG(seed, uint64(i))), number: i}
 		clients.Go(func() {
 			for time.Now().Before(until) && !t.Failed() {
 				c.connection(t)
@@ -379,11 +379,11 @@
 	clients.Wait()
 	select {
 	case err := <-p.ended:
-		w.addViolation("the gateway process ended: %v", err)
+		record.addViolation("the gateway process ended: %v", err)
 		p.ended <- err
 	default:
 	}
-	return w
+	return record
 }
 
 // suspendRepeatedly suspends the process for suspendFor, every suspendEvery, until stop is closed.
@@ -401,7 +401,7 @@
 }
 
 // startFaultEndpoint starts an endpoint behind a fault proxy and returns the proxy's address.
-func startFaultEndpoint(t *testing.T, w *faultRun, schedule faultproxy.Schedule, seed uint64) string {
+func startFaultEndpoint(t *testing.T, record *faultRun, schedule faultproxy.Schedule, seed uint64) string {
 	t.Helper()
 	l := listen(t)
 	proxy, err := faultproxy.New(l.Addr().String(), schedule, seed)
@@ -411,7 +411,7 @@
 	t.Cleanup(proxy.Close)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 9))
-	endpoint := &faultEndpoint{run: w, proxy: proxy, rng: func() float64 {
+	endpoint := &faultEndpoint{run: record, proxy: proxy, rng: func() float64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.Float64()
@@ -432,12 +432,12 @@
 	for i := range *faultsRuns {
 		seed, suspends := *faultsSeed+uint64(i), i%2 == 1
 		t.Run(fmt.Sprintf("seed %d, suspends %t", seed, suspends), func(t *testing.T) {
-			w := runFaultSchedule(t, seed, suspends)
-			t.Logf("replies %v, %d requests attempted, timers late by up to %v", w.replies, len(w.attempts), time.Duration(w.timerLag.Load()))
-			if w.replies["value"] == 0 {
+			record := runFaultSchedule(t, seed, suspends)
+			t.Logf("replies %v, %d requests attempted, timers late by up to %v", record.replies, len(record.attempts), time.Duration(record.timerLag.Load()))
+			if record.replies["value"] == 0 {
 				t.Error("no request got a value")
 			}
-			for i, violation := range w.violations {
+			for i, violation := range record.violations {
 				if t.Error(violation); i == 10 {
 					break
 				}
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -39,21 +39,21 @@
 }
 
 // recordBytes records that n more bytes were transferred now.
-func (p *Transfer) recordBytes(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Transfer) recordBytes(n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	before := 0
-	if len(p.history) > 0 {
-		before = p.history[len(p.history)-1].bytes
+	if len(t.history) > 0 {
+		before = t.history[len(t.history)-1].bytes
 	}
-	p.history = append(p.history, progress{before + n, time.Now()})
+	t.history = append(t.history, progress{before + n, time.Now()})
 }
 
 // TimeOfByte returns the time at which the total reached the given number of bytes, and whether it has reached it.
-func (p *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, m := range p.history {
+func (t *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, m := range t.history {
 		if m.bytes >= bytes {
 			return m.at, true
 		}
@@ -62,18 +62,18 @@
 }
 
 // Ended returns the time at which the transfer ended, or the zero time if it has not.
-func (p *Transfer) Ended() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.ended
+func (t *Transfer) Ended() time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ended
 }
 
 // recordEnd records that the transfer ended now. Only the first call has an effect.
-func (p *Transfer) recordEnd() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ended.IsZero() {
-		p.ended = time.Now()
+func (t *Transfer) recordEnd() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ended.IsZero() {
+		t.ended = time.Now()
 	}
 }
 
@@ -91,17 +91,17 @@
 }
 
 // EndedByProxy reports whether the proxy ended the connection, or one direction of it, as an injected fault.
-func (l *Connection) EndedByProxy() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.endedByProxy
+func (c *Connection) EndedByProxy() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.endedByProxy
 }
 
 // markEndedByProxy records that the proxy ended the connection, or one direction of it, as an injected fault.
-func (l *Connection) markEndedByProxy() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endedByProxy = true
+func (c *Connection) markEndedByProxy() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endedByProxy = true
 }
 
 // Proxy forwards connections to one server. It runs a goroutine that accepts connections until Close, and several
