--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -16,7 +16,7 @@
 // attempt is an attempt that a gateway sent.
 type attempt struct {
 	event
-	ended   bool    // the log has its outcome
+	ended   bool    // its outcome was logged
 	endedAt float64 // set if ended
 	result  string  // status that the gateway logged for the attempt; set if ended
 }
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -51,7 +51,8 @@
 // rejectedStatus is the status of an attempt that the endpoint rejected without executing it.
 const rejectedStatus = "rejected"
 
-// rejectionReply is the kind that the trace has for a rejection: the first three letters of the error code BUSY.
+// rejectionReply is the kind of reply that the trace logs for a rejection: the first three letters of the error code
+// BUSY.
 const rejectionReply = "BUS"
 
 // kindByMessage maps the messages of the trace to event kinds: first the messages of the present version, then those
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -90,7 +90,8 @@
 
 // TestIdleClientsLeaveDescriptors checks that idle clients, which connect again as soon as they are closed, do not take
 // all file descriptors while discovery is down. The gateway needs descriptors to connect to discovery and to endpoints,
-// and to read its configuration. The number of descriptors that the process may open is the configured one, or far less.
+// and to read its configuration. The number of descriptors that the process may open is equal to the configured number
+// in one case, and far smaller in the other.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -57,7 +57,8 @@
 	reply     string
 }
 
-// faultRun records one run with faults: the attempts of each request, and the violations of the rules.
+// faultRun records one run with faults: the attempts of each request, and the violations of the rules of
+// TestRequestsUnderFaults.
 type faultRun struct {
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
@@ -255,7 +256,7 @@
 	}
 }
 
-// readFullReply reads a reply and returns its text and its size in bytes.
+// readFullReply reads a reply and returns its text and its size in bytes. The text of a value is "$" and the value.
 func readFullReply(r *bufio.Reader) (text string, n int, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil || line[0] != '$' {
@@ -267,7 +268,7 @@
 	return "$" + string(b[:size]), len(line) + len(b), err
 }
 
-// checkBatch checks the replies and attempts of a batch against the rules.
+// checkBatch checks the replies and attempts of a batch against the rules of TestRequestsUnderFaults.
 func (c *faultClient) checkBatch(connection *faultproxy.Connection, batch []faultRequest, disconnected bool) {
 	record := c.run
 	if disconnected { // attempts in progress may still be written
@@ -310,8 +311,9 @@
 	}
 }
 
-// checkAttempts checks the attempts of a request against the rules. arrived reports whether the whole request arrived at
-// the gateway, and arrivedAt is the time of its arrival. disconnectedAt is zero if the client has not disconnected.
+// checkAttempts checks the attempts of a request against the rules of TestRequestsUnderFaults. arrived reports whether
+// the whole request arrived at the gateway, and arrivedAt is the time of its arrival. disconnectedAt is zero if the
+// client has not disconnected.
 func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
 	record := c.run
 	record.mu.Lock()
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -13,7 +13,7 @@
 const (
 	slowValueSize  = 60_000 // bytes
 	slowDeadlineMS = 15_000
-	// readPause is longer than 5 s, the write timeout with which an earlier version closed the connections of slow clients.
+	// readPause is longer than 5 s, the write timeout after which an earlier version closed connections of slow clients.
 	readPause = 5500 * time.Millisecond
 )
 
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestWriteDeadlineDoesNotOutliveItsWrite checks that a write deadline ends with its write. A deadline from the time when
-// the socket was full once stayed in force after the client had read everything. It expired after 5 s, and the gateway
-// closed the connection without a reply to the next request.
+// TestWriteDeadlineDoesNotOutliveItsWrite checks that a write deadline is removed when its write completes. The gateway
+// sets a write deadline when a client's socket is full. An earlier version left it in force after the client had read
+// everything: it expired after 5 s, and the gateway closed the connection without a reply to the next request.
 func TestWriteDeadlineDoesNotOutliveItsWrite(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than the socket's buffer holds
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -45,7 +45,7 @@
 	customerLength     = 16 // hex digits
 	customerNumberBits = 33
 	maxNumber          = 1 << 30 // largest value of a field that the settings leave unbounded
-	maxQuotedBytes     = 40      // maximum size of a quotation of the client's input in an error message
+	maxQuotedBytes     = 40      // maximum number of bytes of a field that an error message quotes
 )
 
 var (
@@ -112,7 +112,7 @@
 	classes      map[string]policy.Class
 	plans        map[string]string
 	gatewayCount int
-	maxUnits     int // largest number of units per request; 0 stands for maxNumber
+	maxUnits     int // maximum number of units per request; 0 stands for maxNumber
 }
 
 // NewParser returns a parser that accepts the classes, plans, gateways and units of the settings.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,7 +20,7 @@
 	ListenAddress    string // IP address and port for clients
 	DiscoveryAddress string // IP address and port of the discovery agent
 	Seed             uint64
-	MemoryMB         int // memory limit of the process in MiB; 0 means no limit is given
+	MemoryMB         int // memory limit of the process in MiB; 0 means that none is configured
 	MaxDescriptors   int // maximum number of open file descriptors
 
 	// PeerListenAddress receives datagrams from other gateways. It is the zero AddrPort if peer messages are disabled.
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -49,7 +49,8 @@
 	t.history = append(t.history, progress{before + n, time.Now()})
 }
 
-// TimeOfByte returns the time at which the total reached the given number of bytes, and whether it has reached it.
+// TimeOfByte returns the time at which the total number of transferred bytes reached the given number. It returns false
+// if fewer bytes have been transferred.
 func (t *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,7 +115,7 @@
 	rng         *rand.Rand
 	accepted    *sync.Cond             // uses mu; signalled for each new connection
 	connections map[string]*Connection // the newest connection from each client address
-	client      map[string]net.Addr    // client address by the local address of the proxy's connection to the server
+	client      map[string]net.Addr    // client addresses, keyed by the local address of the proxy's connection to the server
 }
 
 // New starts a proxy for the server at the address server. The faults are drawn from a random generator with this seed.
@@ -243,8 +244,8 @@
 	chunkSize       = 16 << 10
 )
 
-// copy forwards the data of one direction until it ends. If the sender ended it, copy half-closes or resets the
-// receiver's connection likewise.
+// copy forwards the data of one direction until it ends. If the sender ended it with a half-close or a reset, copy ends
+// the receiver's side in the same way.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -10,7 +10,7 @@
 // space is less than half of InitialSize.
 const InitialSize = 4 << 10
 
-// ErrExhausted reports that the budget does not allow a buffer to grow. The client gets its text.
+// ErrExhausted reports that the budget does not allow a buffer to grow. The client gets the text of the error.
 var ErrExhausted = errors.New("no room for more input")
 
 // Budget bounds the memory of all connections, in bytes. A buffer reserves its space beyond InitialSize; other users
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -12,8 +12,8 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// History remembers the last replies on one connection to detect duplicates of them. The zero value is empty. Only the
-// goroutine that reads the connection may use it.
+// History remembers the most recent replies on one connection to detect duplicates of them. The zero value is empty.
+// Only the goroutine that reads the connection may use it.
 type History struct{ replies []pastReply } // oldest first
 
 // pastReply identifies a reply by the hash of its bytes, so that the bytes need not be kept.
@@ -24,9 +24,8 @@
 }
 
 // IsDuplicate reports whether reply b may be a duplicate of a reply received after since. A reply with the same bytes
-// counts as a duplicate. A second rejection counts as a duplicate even if its bytes differ, because a mistake would be
-// unsafe: a duplicate that is taken for the rejection of the present command makes the gateway retry that command, which
-// the endpoint may be executing.
+// counts as a duplicate. A second rejection counts as a duplicate even if its bytes differ: if the gateway mistook a
+// duplicate for the rejection of the present command, it would retry a command that the endpoint may be executing.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
 	hash := maphash.Bytes(hashSeed, b)
 	for _, past := range h.replies {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -37,8 +37,8 @@
 	errNumber         = errors.New("malformed number")
 )
 
-// SyntaxError reports malformed input from a client, after which the rest of the connection can't be parsed. The client
-// gets its text.
+// SyntaxError reports malformed input from a client. Later input on the connection can't be parsed. The client gets the
+// text of the error.
 type SyntaxError struct{ Cause error }
 
 // Error implements error.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -17,7 +17,7 @@
 const (
 	readBufferSize  = 1 << 20
 	writeBufferSize = 1 << 18
-	// maxNumber bounds the absolute value of numbers that are read.
+	// maxNumber is the maximum absolute value of a number that Float and OptionalFloat accept.
 	maxNumber = 1e18
 	// emptyBytes is the value of a byte field without bytes.
 	emptyBytes = "-"
@@ -232,8 +232,8 @@
 	return true, nil
 }
 
-// Writer writes replies. Begin starts a line, the methods named after types of values each add a field, End finishes the
-// line, and Flush finishes the reply.
+// Writer writes replies. Begin starts a line; Text, ID, Int, Float and Hex add fields to it; End finishes it. Flush
+// finishes the reply.
 type Writer struct {
 	buffered *bufio.Writer
 	line     []byte
