--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -6,8 +6,8 @@
 	"reedlead/internal/eventloop"
 )
 
-// TestArrivalEstimates checks the estimated arrival of a read: an estimate that is too late would let a request outlive
-// its deadline, for instance after a stall of the process.
+// TestArrivalEstimates checks the arrival times that are estimated for the bytes of a read. An estimate that is too
+// late, for instance after a stall of the process, would set the deadline of the request too late.
 func TestArrivalEstimates(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	client := newTestConn(t, mustDial(t, addr))
@@ -24,10 +24,10 @@
 		"after the end of a stall":           {emptyAt: 2.55, dueAt: 2, began: 2.55, ended: 2.6, earliest: 2.55},
 		"with more bytes left in the socket": {emptyAt: 1, began: 1.5, ended: 1.5, filled: true, earliest: 1},
 	} {
-		var lag eventloop.StallDetector
-		lag.SetNextTimerDue(tc.dueAt)
+		var stalls eventloop.StallDetector
+		stalls.SetNextTimerDue(tc.dueAt)
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
-		got := tracker.estimate(raw, &lag, tc.began, tc.ended, tc.filled)
+		got := tracker.estimate(raw, &stalls, tc.began, tc.ended, tc.filled)
 		if got.earliest > tc.earliest || got.earliest < tc.earliest-1 || got.lastByte < got.earliest || got.lastByte > tc.ended {
 			t.Errorf("%s: got %+v, want earliest up to 1 s before %v", name, got, tc.earliest)
 		}
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestArrivalOfPipelinedCommands checks that a command whose bytes come in several reads gets the arrival of the read
-// that holds its last byte.
+// TestArrivalOfPipelinedCommands checks that the arrival time of a command is taken from the read that contains its last
+// byte. If more bytes of that read follow the command, the lower bound for the read is used.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
