--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -97,7 +97,7 @@
 				}
 			}
 			if took := time.Since(sent); took > deadline+replySlack {
-				t.Errorf("the last reply arrived after %v", took)
+				t.Errorf("the last reply arrived %v after the first request was sent", took)
 			}
 			excess, attempts := endpoint.maxTimeoutExcess(sent, deadline)
 			if attempts == 0 || excess > timeoutSlack {
@@ -134,7 +134,7 @@
 	r := bufio.NewReader(conn)
 	writeText(conn, pingCommand)
 	if line, _, err := readReply(r); line != "+PONG" {
-		t.Fatalf("reply to PING: got %q, %v", line, err)
+		t.Fatalf("reply to PING: got %q, %v, want +PONG", line, err)
 	}
 	p.suspend()
 	sent := time.Now()
@@ -153,7 +153,7 @@
 		}
 	}
 	if took := time.Since(sent); took > deadline+replySlack {
-		t.Errorf("the last reply arrived after %v", took)
+		t.Errorf("the last reply arrived %v after the first request was sent", took)
 	}
 	excess, attempts := endpoint.maxTimeoutExcess(sent, deadline)
 	if excess > timeoutSlack || deadline < suspension && attempts > 0 {
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -45,7 +45,7 @@
 	}
 	t.Setenv("EDGE_CONFIG", filepath.Join(t.TempDir(), "none"))
 	if err := run(); err == nil || !strings.Contains(err.Error(), "no such file") {
-		t.Errorf("missing file: got error %v", err)
+		t.Errorf("missing file: got error %v, want one with \"no such file\"", err)
 	}
 }
 
@@ -66,16 +66,16 @@
 	write(`{"listen":`)
 	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "level=ERROR") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("got log line %q", got)
+		t.Errorf("malformed file: got log line %q, want an error", got)
 	}
 	write(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"balancers":1,` +
 		`"limits":{"dialTimeoutS":0.25,"connIdleS":15}}}`)
 	signals <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "a reload applies only the discovery address") {
-		t.Errorf("got log line %q", got)
+		t.Errorf("valid file: got log line %q, want a warning about the restart", got)
 	}
 	if cfg := <-reloads; cfg.DiscoveryAddress != "127.0.0.1:2" || len(reloads) > 0 {
-		t.Errorf("got reload %+v and %d more", cfg, len(reloads))
+		t.Errorf("got reload %+v and %d more, want one with discovery address 127.0.0.1:2", cfg, len(reloads))
 	}
 }
 
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	for i := range n {
 		if line, size, err := readReply(r); err != nil || size != slowValueSize {
-			t.Fatalf("%s: reply %d of %d: got line %q, %v", what, i, n, line, err)
+			t.Fatalf("%s: reply %d of %d: got line %q, %v, want a complete value", what, i, n, line, err)
 		}
 	}
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -109,7 +109,7 @@
 	}
 	a, b := actionsOfInstance0(both), actionsOfInstance0(alone)
 	if len(a) < 50 || strings.Join(a, "") != strings.Join(b, "") {
-		t.Fatalf("instance 0 acts differently beside another instance: %d and %d actions", len(a), len(b))
+		t.Fatalf("instance 0 took %d actions beside another instance and %d alone, want the same actions and at least 50", len(a), len(b))
 	}
 }
 
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("%d of %d bytes are available after a first read, want all", budget.Available(), size)
 	}
 	if !fill(&one, 'b', 2*InitialSize) || budget.Available() >= size {
-		t.Errorf("with %d bytes in a buffer, %d of %d bytes are available", one.Len(), budget.Available(), size)
+		t.Errorf("with %d bytes in a buffer, %d of %d bytes are available, want fewer", one.Len(), budget.Available(), size)
 	}
 	if fill(&other, 'c', 8*InitialSize) {
 		t.Error("a buffer grew beyond the budget")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -29,16 +29,16 @@
 		t.Fatalf("got %d lines, %v, want 4 lines and EOF", len(lines), err)
 	}
 	if at, err := lines[0].Float("timeS"); lines[0].Name != "CLOCK" || at != 8.5 || err != nil {
-		t.Errorf("got %+v, %v", lines[0], err)
+		t.Errorf("first line: got %+v, %v, want CLOCK with timeS 8.5", lines[0], err)
 	}
 	if text, err := lines[1].Text("settings"); text != "{\"a\":\"b=c\td\"}" || err != nil {
-		t.Errorf("got %q, %v", text, err)
+		t.Errorf("field settings: got %q, %v, want the rest of the line", text, err)
 	}
 	if text, _ := lines[2].Text("msg"); text != long {
-		t.Errorf("a value longer than the buffer is read as %d bytes", len(text))
+		t.Errorf("a value longer than the read buffer is read as %d bytes", len(text))
 	}
 	if lines[3].Name != "YOUR_TURN" || lines[3].Has("i") {
-		t.Errorf("got %+v", lines[3])
+		t.Errorf("last line: got %+v, want YOUR_TURN without fields", lines[3])
 	}
 	for _, bad := range []string{"\ti=1\n", "CLOCK\ttimeS\n", "CLOCK\t=1\n"} {
 		if _, err := read(t, bad); err == nil || errors.Is(err, io.EOF) {
@@ -52,32 +52,32 @@
 	lines, _ := read(t, "X\tn=7\tbig=9223372036854775808\tx=1.5\tyes=1\tno=0\tdata=00ff\tnone=-\tload=a:1,b:2.5\tbad=z\n")
 	l := lines[0]
 	if n, err := l.Int("n"); n != 7 || err != nil {
-		t.Errorf("Int: %d, %v", n, err)
+		t.Errorf("Int: got %d, %v, want 7", n, err)
 	}
 	if n, err := l.Uint("big"); n != 1<<63 || err != nil {
-		t.Errorf("Uint: %d, %v", n, err)
+		t.Errorf("Uint: got %d, %v, want 1<<63", n, err)
 	}
 	if x, err := l.OptionalFloat("x"); x != 1.5 || err != nil {
-		t.Errorf("OptionalFloat: %v, %v", x, err)
+		t.Errorf("OptionalFloat: got %v, %v, want 1.5", x, err)
 	}
 	if yes, err := l.OptionalBool("yes"); !yes || err != nil {
-		t.Errorf("OptionalBool: %v, %v", yes, err)
+		t.Errorf("OptionalBool of 1: got %v, %v, want true", yes, err)
 	}
 	if no, err := l.OptionalBool("no"); no || err != nil {
-		t.Errorf("OptionalBool: %v, %v", no, err)
+		t.Errorf("OptionalBool of 0: got %v, %v, want false", no, err)
 	}
 	if b, err := l.Hex("data"); !bytes.Equal(b, []byte{0, 255}) || err != nil {
-		t.Errorf("Hex: %x, %v", b, err)
+		t.Errorf("Hex: got %x, %v, want 00ff", b, err)
 	}
 	if b, err := l.Hex("none"); len(b) != 0 || err != nil {
-		t.Errorf("Hex of an empty field: %x, %v", b, err)
+		t.Errorf("Hex of an empty field: got %x, %v, want no bytes", b, err)
 	}
 	sum := 0.0
 	if has, err := l.Pairs("load", func(_ string, v float64) { sum += v }); !has || sum != 3.5 || err != nil {
-		t.Errorf("Pairs: %v, %v, %v", has, sum, err)
+		t.Errorf("Pairs: got %v, sum %v, %v, want true, sum 3.5", has, sum, err)
 	}
 	if n, err := l.OptionalInt("absent"); n != 0 || err != nil {
-		t.Errorf("OptionalInt of a missing field: %d, %v", n, err)
+		t.Errorf("OptionalInt of a missing field: got %d, %v, want 0", n, err)
 	}
 	for name, err := range map[string]error{
 		"Int of a missing field": second(l.Int("absent")), "Uint of a missing field": second(l.Uint("absent")),
