--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Guards against a limit that stays the same when endpoints are added: in a fleet that grew from 37 to 189
-// endpoints, the new capacity was not used.
+// TestLimitFollowsTheNumberOfEndpoints checks that the limit is proportional to the number of endpoints.
+// With a limit that stayed the same, a fleet that grew from 37 to 189 endpoints did not use the new
+// capacity.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	g, _ := newTestGateway(t, withSingleGateway)
 	before := g.limiter.limit
@@ -16,7 +17,7 @@
 		more = append(more, Endpoint{ID: fmt.Sprint("m", i), Zone: "a"})
 	}
 	if g.HandleEndpoints(101, more, false); g.limiter.limit != 10*before {
-		t.Fatalf("the limit is %v with 3 endpoints, %v with 30", before, g.limiter.limit)
+		t.Fatalf("the limit is %v with 3 endpoints and %v with 30, want 10 times as much", before, g.limiter.limit)
 	}
 	g.HandleEndpoints(102, nil, true)
 	if g.HandleEndpoints(103, more, true); g.limiter.limit <= 0 {
@@ -24,19 +25,20 @@
 	}
 }
 
-// Guards against requests that wait while most endpoints are idle: a gateway of a large fleet has a limit of
-// a few attempts and needs the burst allowance when several requests arrive at once.
+// TestSmallLimitAllowsShortBursts checks that a gateway of a large fleet sends several requests that arrive
+// at once. Its limit is a few attempts. Without the burst allowance, requests would wait while most
+// endpoints are idle.
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
-		t.Fatalf("the limit is %.2f, the test needs one below 3", g.limiter.limit)
+		t.Fatalf("the limit is %.2f, want a limit below 3", g.limiter.limit)
 	}
 	g.limiter.latencyRatio = 2 * highLatencyRatio // slow replies must not prevent a burst
 	for i := range 5 {
 		sendUnlimited(g, 100, fmt.Sprint("q", i))
 	}
 	if n := len(r.ofKind("send", "")); n != 5 {
-		t.Fatalf("%d of 5 requests sent at once", n)
+		t.Fatalf("%d of 5 requests sent at once, want all", n)
 	}
 	for i := range 60 {
 		sendUnlimited(g, 100, fmt.Sprint("more", i))
@@ -46,7 +48,7 @@
 	}
 }
 
-// A gateway of a small fleet has no burst allowance.
+// TestSmallFleetKeepsToItsLimit checks that a gateway of a small fleet has no burst allowance.
 func TestSmallFleetKeepsToItsLimit(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	g.limiter.latencyRatio = 2 * highLatencyRatio
@@ -104,18 +106,19 @@
 		limiter.observe(0.01, 1, false, true)
 	}
 	if limiter.limit != 10*maxConcurrencyPerEndpoint {
-		t.Errorf("fast replies raise the limit to %v", limiter.limit)
+		t.Errorf("fast replies raise the limit to %v, want the maximum", limiter.limit)
 	}
 	for range 10_000 {
 		limiter.observe(1, 1, true, false)
 	}
 	if limiter.limit != 10*minConcurrencyPerEndpoint {
-		t.Errorf("timeouts lower the limit to %v", limiter.limit)
+		t.Errorf("timeouts lower the limit to %v, want the minimum", limiter.limit)
 	}
 }
 
-// Guards against overload by many gateways that each round a fractional limit up to a whole attempt while
-// replies are slow.
+// TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow checks that attempts are spaced out while replies are
+// slow and the limit is below 1. If each of many gateways rounded its limit up to one attempt, they would
+// overload the endpoints.
 func TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow(t *testing.T) {
 	limiter := newTestLimiter(1, 1)
 	limiter.limit = 0.5
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -8,7 +8,8 @@
 // loadReportExpiry is the age at which a load report is no longer used.
 const loadReportExpiry Seconds = 3.0
 
-// endpointTable holds the listed endpoints, and the removed ones that still have attempts in flight.
+// endpointTable holds the endpoints of the endpoint list. It keeps a removed endpoint until evictRemoved
+// finds it without attempts in flight.
 type endpointTable struct {
 	classCount    int
 	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
@@ -78,8 +79,8 @@
 	}
 }
 
-// indexByHash makes the endpoint available in byHash. If several endpoints share a hash, their health updates
-// cannot be told apart, so the entry becomes nil and the updates are ignored.
+// indexByHash adds the endpoint to byHash. If several endpoints share a hash, their health updates cannot be
+// told apart, so the entry becomes nil and the updates are ignored.
 func (t *endpointTable) indexByHash(e *endpoint) {
 	if _, shared := t.byHash[e.hash]; shared {
 		t.byHash[e.hash] = nil
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -15,10 +15,10 @@
 	b.HandlePeerMessage(100.01, 0, ra.ofKind("send_to_peer", "")[0].data)
 	outlier, loaded := b.endpoints.byID["s2"], b.endpoints.byID["s1"]
 	if score := b.outliers.score(outlier, b.classes.byName["pay"].index); score < 0.9 {
-		t.Fatalf("the score for the failed class is %.2f", score)
+		t.Fatalf("the score for the failed class is %.2f, want at least 0.9", score)
 	}
 	if score := b.outliers.score(outlier, b.classes.byName["read"].index); score > 0 {
-		t.Fatalf("the score for another class is %.2f", score)
+		t.Fatalf("the score for another class is %.2f, want 0", score)
 	}
 	if u := loaded.utilization; u < 0.59 || u > 0.61 {
 		t.Fatalf("the utilization is %v, want 0.6", u)
@@ -72,12 +72,12 @@
 			e.setUtilization(0.1, 99)
 			e.lastSuccessAt[1] = 99
 			buffer.merge(table, healthUpdate{endpointHash: e.hash, class: tc.class, value: 0.7, at: tc.at})
-			if passedOn := len(buffer.updates) == 1; passedOn != tc.want {
-				t.Errorf("forwarded: %t, want %t", passedOn, tc.want)
+			if forwarded := len(buffer.updates) == 1; forwarded != tc.want {
+				t.Errorf("forwarded: %t, want %t", forwarded, tc.want)
 			}
-			taken := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
-			if taken != tc.want {
-				t.Errorf("applied: %t, want %t", taken, tc.want)
+			applied := e.utilization == 0.7 || e.outlierScores[0].level == 0.7 || e.outlierScores[1].level == 0.7
+			if applied != tc.want {
+				t.Errorf("applied: %t, want %t", applied, tc.want)
 			}
 		})
 	}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -30,12 +30,14 @@
 		}
 	}
 	if warming > warm/2 {
-		t.Fatalf("the warming endpoint got %d attempts, the two warm ones got %d", warming, warm)
+		t.Fatalf("the warming endpoint got %d attempts and the two warm ones got %d, want at most half as many", warming, warm)
 	}
 }
 
-// Guards against a deadlock in a rollout that replaces all endpoints: with no completed work left, the share
-// of the warming endpoints fell to 0, and no requests were sent to them.
+// TestWarmingEndpointsServeTheLoadAlone checks that requests are still sent after a rollout has replaced all
+// endpoints. The share of warming endpoints depends on the completed work. Without the lower bound
+// minCompletedFraction, it would fall to 0 once no warm endpoint completes work, and no requests would be
+// sent.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
@@ -45,7 +47,7 @@
 		}
 		g.HandleEndpoints(now, all, true)
 	}
-	due := map[int][]action{} // by the step of the reply, which comes 0.1 s after the attempt
+	due := map[int][]action{} // attempts by the step at which their reply arrives, 0.1 s after they were sent
 	seen := 0
 	sendFor := func(from, until Seconds) (sent int) {
 		for i := int(from * 50); i < int(until*50); i++ {
@@ -62,18 +64,19 @@
 		}
 		return sent
 	}
-	replaceEndpoints(50, "old") // warmed up long before 100
+	replaceEndpoints(50, "old") // fully warm by 100
 	if n := sendFor(100, 106); n < 290 {
-		t.Fatalf("%d of 300 requests were sent to warm endpoints", n)
+		t.Fatalf("%d of 300 requests were sent to warm endpoints, want at least 290", n)
 	}
 	replaceEndpoints(106, "new")
 	if n := sendFor(106, 111); n < 240 {
-		t.Errorf("%d of 250 requests were sent while all endpoints were warming", n)
+		t.Errorf("%d of 250 requests were sent while all endpoints were warming, want at least 240", n)
 	}
 }
 
-// Guards against warming endpoints that stay idle at gateways with little traffic, while warm endpoints are
-// overloaded: the work sent to them was once proportional to the square of the gateway's request rate.
+// TestWarmingEndpointsGetTheirShareFromEveryGateway checks that gateways with little traffic send enough
+// work to warming endpoints. If this work were proportional to the square of the gateway's request rate,
+// warming endpoints would stay almost idle while warm endpoints are overloaded.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
 		g, r := newLargeFleetGateway(t)
@@ -105,9 +108,9 @@
 				r.actions = nil
 			}
 		}
-		part := 30 * fraction / (30*fraction + 30)
-		if got := float64(warming) / float64(all); got < 0.4*part || got > 0.9*part {
-			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, part)
+		capacityFraction := 30 * fraction / (30*fraction + 30)
+		if got := float64(warming) / float64(all); got < 0.4*capacityFraction || got > 0.9*capacityFraction {
+			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, capacityFraction)
 		}
 	}
 }
@@ -133,10 +136,10 @@
 		return n
 	}
 	if young, old := float64(count("read", 0.5))/0.24, float64(count("read", 8))/0.84; young > 0.6*old || young == 0 {
-		t.Errorf("attempts relative to capacity: %.0f at a new endpoint, %.0f at an older one", young, old)
+		t.Errorf("attempts relative to capacity: %.0f at a new endpoint and %.0f at an older one, want some but at most 0.6 times as many", young, old)
 	}
 	if young, old := count("pay", 0.5), count("pay", 8); young > 0 || old == 0 {
-		t.Errorf("non-idempotent attempts: %d at a new endpoint, %d at an older one", young, old)
+		t.Errorf("non-idempotent attempts: %d at a new endpoint and %d at an older one, want none and some", young, old)
 	}
 }
 
@@ -167,11 +170,11 @@
 	}
 }
 
-// Guards against gateways that all start with the same credit and so send to a warming endpoint at the same
-// time.
+// TestInitialCreditsAreSpreadOverTheGateways checks that the initial credits of the gateways are spread
+// evenly. With equal credits, all gateways would send to a warming endpoint at the same time.
 func TestInitialCreditsAreSpreadOverTheGateways(t *testing.T) {
 	const gateways = 100
-	var credits [10]int // number of gateways by tenth
+	var credits [10]int // number of gateways by tenth of a credit
 	for self := range gateways {
 		s := newTestSlowStart(gateways)
 		s.self = self
@@ -193,7 +196,7 @@
 	first := &request{class: classes[0]}
 	s.accrueCredits(first, endpoints)
 	credit := warming.slowStartCredit
-	// The credit is 0.6 of the capacity × OverloadMultiple 3 / 3 endpoints × minCompletedFraction 0.5.
+	// The credit is 0.6 (warm-up fraction) × 3 (OverloadMultiple) / 3 (endpoints) × 0.5 (minCompletedFraction).
 	if math.Abs(credit-0.3) > 1e-9 {
 		t.Fatalf("a request adds a credit of %v, want 0.3", credit)
 	}
@@ -213,8 +216,8 @@
 	}
 }
 
-// Guards against bursts: credits that many gateways could not spend for some time must not be spent all at
-// once.
+// TestUnspentCreditsExpire checks that a credit expires if it is not spent within the overload window.
+// Otherwise many gateways could spend old credits at the same time and overload the endpoint.
 func TestUnspentCreditsExpire(t *testing.T) {
 	s := newTestSlowStart(1)
 	classes := []*class{newClass(testSettings().Classes[0], 0)}
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -1,7 +1,8 @@
 package policy
 
-// tokenBucket refills at a constant rate up to a burst. Rate and burst are parameters of each call because
-// the fraction of a quota that a bucket stands for may change. The number of tokens may be negative.
+// tokenBucket holds a number of tokens that grows at a constant rate up to a burst. The number may be
+// negative. Callers pass the rate and the burst, because the fraction of a quota that the bucket represents
+// may change.
 type tokenBucket struct {
 	tokens    float64 // at updatedAt
 	updatedAt Seconds
@@ -12,7 +13,7 @@
 	return min(burst, b.tokens+rate*(now-b.updatedAt))
 }
 
-// refill adds the tokens accrued since updatedAt.
+// refill adds the tokens accrued since updatedAt, up to the burst.
 func (b *tokenBucket) refill(rate, burst float64, now Seconds) {
 	b.tokens, b.updatedAt = b.level(rate, burst, now), now
 }
