--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -198,8 +198,8 @@
 	return q, b.String()
 }
 
-// connection opens a connection, sends batches of requests on it, and reads the replies or disconnects.
-func (c *faultClient) connection(t *testing.T) {
+// runConnection opens a runConnection, sends batches of requests on it, and reads the replies or disconnects.
+func (c *faultClient) runConnection(t *testing.T) {
 	dialledAt := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
@@ -374,7 +374,7 @@
 		c := &faultClient{run: record, proxy: proxy, rng: rand.New(rand.NewPCG(seed, uint64(i))), number: i}
 		clients.Go(func() {
 			for time.Now().Before(until) && !t.Failed() {
-				c.connection(t)
+				c.runConnection(t)
 			}
 		})
 	}
