--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -198,7 +198,7 @@
 	return q, b.String()
 }
 
-// runConnection opens a runConnection, sends batches of requests on it, and reads the replies or disconnects.
+// runConnection opens a connection, sends batches of requests on it, and reads the replies or disconnects.
 func (c *faultClient) runConnection(t *testing.T) {
 	dialledAt := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
