--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,7 +1,6 @@
-// Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits, delays and stalls
-// the data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy
-// records when it read and wrote each byte, so that a test can find out what either end had sent or received at a given
-// time.
+// Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits and delays the
+// data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy also
+// records when it read and wrote each byte.
 package faultproxy
 
 import (
@@ -15,14 +14,14 @@
 
 // Schedule holds the probability of each fault, per connection or per chunk (the data that one read returned).
 type Schedule struct {
-	Reset          float64       // per connection: both sides are reset
-	HalfClose      float64       // per connection: one direction ends early
-	EndWithinBytes int           // a reset or half-close happens within this many bytes
-	Split          float64       // per chunk: it is written in several parts
-	Delay          float64       // per chunk: it is delayed by a random time
-	MaxDelay       time.Duration // upper bound of a delay
-	Stall          float64       // per chunk: it is held back for StallDuration
-	StallDuration  time.Duration
+	Reset             float64 // per connection: both sides are reset
+	HalfClose         float64 // per connection: one direction ends early
+	EndWithinBytes    int     // maximum number of bytes that one direction forwards before a reset or half-close
+	Split             float64 // per chunk: it is written in several parts
+	Delay             float64 // per chunk: it is delayed by a random time below MaxDelay
+	MaxDelay          time.Duration
+	LongDelay         float64 // per chunk: it is delayed by LongDelayDuration, in addition to Delay
+	LongDelayDuration time.Duration
 }
 
 // progress is the time at which a transfer reached a total number of bytes.
@@ -31,7 +30,8 @@
 	at    time.Time
 }
 
-// Transfer records when the proxy read bytes from one end, or wrote bytes to it. It is safe for concurrent use.
+// Transfer records when the proxy read the bytes that came from one end, or wrote the bytes for it. It is safe for
+// concurrent use.
 type Transfer struct {
 	mu      sync.Mutex
 	history []progress
@@ -39,21 +39,22 @@
 }
 
 // recordBytes records that n more bytes were transferred now.
-func (p *Transfer) recordBytes(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Transfer) recordBytes(n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	before := 0
-	if len(p.history) > 0 {
-		before = p.history[len(p.history)-1].bytes
+	if len(t.history) > 0 {
+		before = t.history[len(t.history)-1].bytes
 	}
-	p.history = append(p.history, progress{before + n, time.Now()})
+	t.history = append(t.history, progress{before + n, time.Now()})
 }
 
-// TimeOfByte returns the time at which the given number of bytes had been transferred, or false if fewer have been.
-func (p *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, m := range p.history {
+// TimeOfByte returns the time at which the total number of transferred bytes reached the given number. It returns false
+// if fewer bytes have been transferred.
+func (t *Transfer) TimeOfByte(bytes int) (time.Time, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, m := range t.history {
 		if m.bytes >= bytes {
 			return m.at, true
 		}
@@ -62,18 +63,18 @@
 }
 
 // Ended returns the time at which the transfer ended, or the zero time if it has not.
-func (p *Transfer) Ended() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.ended
+func (t *Transfer) Ended() time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ended
 }
 
 // recordEnd records that the transfer ended now. Only the first call has an effect.
-func (p *Transfer) recordEnd() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ended.IsZero() {
-		p.ended = time.Now()
+func (t *Transfer) recordEnd() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ended.IsZero() {
+		t.ended = time.Now()
 	}
 }
 
@@ -91,17 +92,17 @@
 }
 
 // EndedByProxy reports whether the proxy ended the connection, or one direction of it, as an injected fault.
-func (l *Connection) EndedByProxy() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.endedByProxy
+func (c *Connection) EndedByProxy() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.endedByProxy
 }
 
 // markEndedByProxy records that the proxy ended the connection, or one direction of it, as an injected fault.
-func (l *Connection) markEndedByProxy() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endedByProxy = true
+func (c *Connection) markEndedByProxy() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endedByProxy = true
 }
 
 // Proxy forwards connections to one server. It runs a goroutine that accepts connections until Close, and several
@@ -113,11 +114,11 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	accepted    *sync.Cond             // uses mu; signalled for each new connection
-	connections map[string]*Connection // by client address; an address that is used again has the newest one
-	client      map[string]net.Addr    // client address by the local address of the proxy's connection to the server
+	connections map[string]*Connection // the newest connection from each client address
+	client      map[string]net.Addr    // client addresses, keyed by the local address of the proxy's connection to the server
 }
 
-// New starts a proxy for the server at an address.
+// New starts a proxy for the server at the address server. The faults are drawn from a random generator with this seed.
 func New(server string, schedule Schedule, seed uint64) (*Proxy, error) {
 	p, err := newProxy(server, schedule, seed)
 	if err != nil {
@@ -157,8 +158,8 @@
 	return p.connections[clientAddr.String()]
 }
 
-// WaitConnection waits until the proxy has accepted a connection from clientAddr, no earlier than dialledAt, and returns
-// it. It ignores earlier connections from the same address.
+// WaitConnection blocks until the proxy has accepted a connection from clientAddr, and returns it. It ignores
+// connections from the same address that were accepted before dialledAt.
 func (p *Proxy) WaitConnection(clientAddr net.Addr, dialledAt time.Time) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,8 +171,8 @@
 	}
 }
 
-// ClientAddr returns the address of the client whose connection reaches the server from proxyAddr, or nil if there is
-// none.
+// ClientAddr returns the address of the client for which the proxy connected to the server. proxyAddr is the address of
+// the proxy on that connection to the server. The result is nil if there is no such connection.
 func (p *Proxy) ClientAddr(proxyAddr net.Addr) net.Addr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,18 +233,19 @@
 	connection *Connection
 	direction  *Direction
 	rng        *rand.Rand
-	endAfter   int // bytes after which the proxy ends the direction; 0 means never
-	reset      bool
+	endAfter   int  // bytes after which the proxy ends the direction as an injected fault; 0 means never
+	reset      bool // the injected fault is a reset, not a half-close
 }
 
 const (
-	// maxQueuedChunks is the number of chunks that may wait to be written. The queue is long so that chunks are read,
-	// and their arrival is recorded, while earlier ones are delayed.
+	// maxQueuedChunks is the maximum number of chunks that wait to be written. The queue is long, so that delays of
+	// earlier chunks do not delay the reads, whose times are recorded.
 	maxQueuedChunks = 1 << 12
 	chunkSize       = 16 << 10
 )
 
-// copy forwards the data of one direction until it ends. It passes on the way it ended: a half-close or a reset.
+// copy forwards the data of one direction until it ends. If the sender ended it with a half-close or a reset, copy ends
+// the receiver's side in the same way.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
@@ -265,7 +267,7 @@
 		}
 	}()
 	if !p.forward(chunks, from, to) {
-		for range chunks { // drained so that the reader does not block before its connection ends
+		for range chunks { // the reading goroutine must not block on a full channel until its connection ends
 		}
 	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
@@ -307,8 +309,8 @@
 	if p.rng.Float64() < p.schedule.Delay && p.schedule.MaxDelay > 0 {
 		time.Sleep(time.Duration(p.rng.Int64N(int64(p.schedule.MaxDelay))))
 	}
-	if p.rng.Float64() < p.schedule.Stall {
-		time.Sleep(p.schedule.StallDuration)
+	if p.rng.Float64() < p.schedule.LongDelay {
+		time.Sleep(p.schedule.LongDelayDuration)
 	}
 	split := p.rng.Float64() < p.schedule.Split
 	for len(chunk) > 0 {
