--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the idle client was not evicted")
 	}
-	h.onLoop(func() { // make the third client busy, and let the last write progress of the stalled one lie far back
+	h.onLoop(func() { // make the third client busy, and the last progress of the stalled write a long time ago
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			timeout := time.Millisecond
 			if tc.before != "" {
-				timeout = time.Hour // until the first command has its reply, even on a busy machine
+				timeout = time.Hour // must not pass before the first reply, even on a busy machine
 			}
 			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.commandTimeout = timeout })
 			c := h.client()
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestNoAttemptAfterDialWhileReplyIsPending checks that a hedged request is not sent if the connection of the first
+// TestNoAttemptAfterDialWhileEndIsPending checks that a hedged request is not sent if the connection of the first
 // attempt has ended before the dial for the hedged request completes, even though the event loop has not handled that
 // end yet. The end of the first attempt may complete the request, which must not be sent again after that.
-func TestNoAttemptAfterDialWhileReplyIsPending(t *testing.T) {
+func TestNoAttemptAfterDialWhileEndIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
 	unblock := make(chan struct{})
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -400,8 +400,8 @@
 	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
 
-// expireIdleClients advances event time past the idle timeout and runs the sweep of the clients, which requests the
-// close of idle connections. Event loop only.
+// expireIdleClients advances the event loop's time past the idle timeout and runs the sweep of the clients, which
+// requests the close of idle connections. Event loop only.
 func (h *harness) expireIdleClients() {
 	h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + clientIdleTimeout + 1)
 	h.proxy.clients.sweep()
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestDecisionModuleTimeIsMonotonic checks that event time, which the decision module gets, does not go back if an
-// event is handled after one that happened later.
+// TestDecisionModuleTimeIsMonotonic checks that the time that the event loop passes to the decision module does not go
+// back if an event is handled after one that happened later.
 func TestDecisionModuleTimeIsMonotonic(t *testing.T) {
 	h := startProxy(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestReadCommandIsServedBeforeClose checks that a request gets a reply if its command is still in the event queue when
-// the event loop wants to close the connection, which has no other open command.
+// the close of its idle connection is requested.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -185,14 +185,14 @@
 }
 
 // TestPeerMessagesAmongThousandGateways checks the peer messages of the decision module in a large fleet. The first and
-// the last gateway are members for all customers of the test. Each sends the other a message that fits into a datagram,
-// and replies to the message that it gets.
+// the last gateway serve all customers of the test, and each owns some of them. Each sends the other a message that
+// fits into a datagram, and replies to the message that it gets.
 func TestPeerMessagesAmongThousandGateways(t *testing.T) {
 	settings := largeFleetConfig(0, largeFleetPeers(t)).Settings.Settings
 	settings.PeerMessageRate = 40
 	first := newRecordedGateway(t, settings, 0)
 	last := newRecordedGateway(t, settings, largeFleetSize-1)
-	for i := range 40 { // both gateways serve each customer, and each owns some of them
+	for i := range 40 {
 		for _, g := range []*recordedGateway{first, last} {
 			g.HandleRequest(100, policy.Request{
 				ID: fmt.Sprint(g.number, "-", i), Class: "look", Plan: "basic", Customer: fmt.Sprintf("%016x", i),
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -40,7 +40,8 @@
 }
 
 // TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock, not
-// with event time. If the event loop lags, the current event may have happened within a window that has ended since.
+// with the time of the current event. If the event loop lags, that event may have happened within a window that has
+// ended since.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send(holdCommand("a", "body")...)
