--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -58,7 +58,8 @@
 }
 
 // TestSilentWatchIsReopened checks that the client does not stay on a broken connection. After ReadTimeout without
-// input, it must open another watch from the last version, and poll a complete list again.
+// input on a watch, it must open another watch from the last version. If the response with the complete list falls
+// silent, it must poll that list again.
 func TestSilentWatchIsReopened(t *testing.T) {
 	address, polls := discoverytest.NewManualAgent(t)
 	client := runClient(t, address, func(o *Options) { o.ReadTimeout = 200 * time.Millisecond })
@@ -114,8 +115,7 @@
 	}
 }
 
-// TestUnusableListsBackOff checks that the backoffs between polls of the complete list grow to their maximum while no
-// list can be used.
+// TestUnusableListsBackOff checks that the backoffs grow to their maximum while the agent sends only unusable lists.
 func TestUnusableListsBackOff(t *testing.T) {
 	var backoffs []time.Duration
 	backoffStarted, endBackoff := make(chan time.Duration), make(chan time.Time)
@@ -224,7 +224,7 @@
 						return time.After(d)
 					}
 					backingOff <- struct{}{}
-					return nil // the backoff never ends
+					return nil // the backoff does not end by itself
 				}
 			})
 			tc.reach(t, client, oldPolls)
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -23,7 +23,7 @@
 // ScriptedAgent is an agent that responds to each poll with the lines that a function returns.
 type ScriptedAgent struct {
 	server *httptest.Server
-	// Polls receives the URI of each poll, in order.
+	// Polls receives the URI of each poll.
 	Polls chan string
 }
 
@@ -54,13 +54,13 @@
 // Poll is a poll whose response the test writes part by part.
 type Poll struct {
 	URI string
-	// Cancelled is closed when the client cancels the poll.
+	// Cancelled is closed when the client cancels the poll, and after the response has ended.
 	Cancelled <-chan struct{}
 	parts     chan string
 	ended     chan struct{}
 }
 
-// Write writes a part of the response, unless the client has cancelled the poll.
+// Write writes a part of the response, unless the client has cancelled the poll or the response has ended.
 func (p Poll) Write(text string) {
 	select {
 	case p.parts <- text:
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -96,7 +96,7 @@
 	trickle []*agentConn // connections that get one more byte with each step
 }
 
-// agentConn is a connection from a client. Its writes ignore errors, as some tests let the client disconnect.
+// agentConn is a connection from a client. Its writes ignore errors, as the client may have closed the connection.
 type agentConn struct{ *net.TCPConn }
 
 const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -225,7 +225,7 @@
 
 // TestChangeIsAppliedInTimeAfterAnyFailure checks that the client receives a change in time after each kind of failure.
 // The client must act on a change within 6 s of the time at which the agent has it and can be reached; the test allows
-// two thirds of that. Each failure lasts until the backoffs between polls have reached their maximum.
+// two thirds of that. Each failure lasts for at least recoverySteps steps of the clock, in which the backoffs can grow.
 func TestChangeIsAppliedInTimeAfterAnyFailure(t *testing.T) {
 	for _, mode := range failureModes() {
 		for _, recovery := range recoveries {
@@ -243,7 +243,7 @@
 	address string
 	clock   *fakeClock
 	client  *runningClient
-	healthy chan struct{} // closed when dials to the agent succeed
+	healthy chan struct{} // closed once dials to the agent succeed
 	dials   chan struct{} // receives a value for each dial
 }
 
@@ -252,7 +252,8 @@
 	maxRecoveryConnections = 50
 	recoverySteps          = 21
 	maxStepsToChange       = 200
-	// stepSettleTime is the real time that the client and the agent get after a step of the clock to act on it.
+	// stepSettleTime is the real time that the client and the agent get to act on a step of the clock before the
+	// recovery. After the recovery, awaitChange gives them 20 times as long.
 	stepSettleTime = 10 * time.Millisecond
 )
 
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// want returns the expected start time. If the wall clock has shown the listed time twice, the later occurrence is
+// want returns the expected start time. If the wall clock may have shown the listed time twice, the later occurrence is
 // expected, as a start time that is too early could overload the endpoint.
 func (tc stepCase) want() float64 {
 	shownAgainAt := tc.startAt - tc.step
@@ -84,9 +84,8 @@
 	return tc.startAt
 }
 
-// TestStartTimesAfterProcessRestart checks that a listed start in the future is taken for the current time. This
-// happens if the wall clock is set back after the start of an endpoint, and this process starts after the step.
-// Otherwise the endpoint's slow start would last for as long as the wall clock was set back.
+// TestStartTimesAfterProcessRestart checks that a listed start in the future is taken for the current time. A listed
+// start is in the future if the wall clock was set back after the start, and this process started after that step.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
@@ -129,7 +128,7 @@
 // its slow start, and directly after it is listed with a new start time.
 type attemptCounts struct{ warmingUp, warm, restarted int }
 
-// count adds attempts that were made at a given time to the period that contains it.
+// count adds attempts to the count of the period that contains the given time, if there is one.
 func (counts *attemptCounts) count(now float64, attempts int) {
 	switch {
 	case now >= 10.5 && now < 12.5:
@@ -231,8 +230,8 @@
 }
 
 // TestSlowStartAcrossClockSteps checks that a step of the wall clock neither skips nor prolongs the slow start of an
-// endpoint. In each period, the number of attempts on a joining endpoint must be within a third of the number without a
-// step.
+// endpoint. In each period of attemptCounts, the number of attempts on the joining endpoint must be within a third of
+// the number without a step.
 func TestSlowStartAcrossClockSteps(t *testing.T) {
 	want := simulateSlowStart(t, steppedClock{start: 1e9})
 	if want.warmingUp == 0 || want.warm < 2*want.warmingUp {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestPostAfterRunReturnsDoesNotBlock checks that goroutines that outlive the loop do not block in Post. Once Run has
-// returned, nothing receives from the event queue, so more events are posted than the queue holds.
+// TestPostAfterRunReturnsDoesNotBlock checks that goroutines that outlive the loop do not block in Post. Nothing
+// receives from the event queue once Run has returned. So the test posts more events than the queue holds.
 func TestPostAfterRunReturnsDoesNotBlock(t *testing.T) {
 	loop := New(NewClock(), failOnPanic(t))
 	loop.Run(func() bool { return true }, nil, nil)
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestErrorClassification checks the class of each error number, as listed in docs/endings.md.
+// TestErrorClassification checks how error numbers are classified; see docs/endings.md.
 func TestErrorClassification(t *testing.T) {
 	for _, tc := range []struct {
 		errno                                        syscall.Errno
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -42,8 +42,8 @@
 	return local, raw, remote
 }
 
-// TestWriteAllLeavesNoDeadline checks that writes succeed long after WriteAll has returned. They would fail if WriteAll
-// left its deadline on the connection.
+// TestWriteAllLeavesNoDeadline checks that writes succeed after the deadline that WriteAll had set has passed. A Write
+// would fail if WriteAll left its deadline on the connection.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
 	calls := System()
 	local, raw, remote := connectedPair(t)
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -30,13 +30,13 @@
 	if len(got) == 5 {
 		before, rest, _ := strings.Cut(got[3], ",d=")
 		value, after, _ := strings.Cut(rest, ",")
-		remainingMS, _ = strconv.Atoi(value) // 0 is out of range
+		remainingMS, _ = strconv.Atoi(value) // 0 if malformed, which fails the check below
 		got[3] = before + ",d=N," + after
 	}
 	if !slices.Equal(got, want) {
 		t.Fatalf("the endpoint got %q, want %q", got, want)
 	}
-	if remainingMS < 1 || remainingMS > 300000 { // the attempt's timeout minus the time of the dial
+	if remainingMS < 1 || remainingMS > 300000 { // at most the attempt's timeout of 300 s
 		t.Errorf("the field d is %d, want 1 to 300000", remainingMS)
 	}
 	q := receive(t, h.decider.requests)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestAttemptOutcomes checks the status that the decision module gets for each kind of reply and for broken
-// connections. The status decides whether the request counts as possibly executed.
+// TestAttemptOutcomes checks the status that the decision module gets for different replies, closed connections and a
+// refused dial.
 func TestAttemptOutcomes(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	for name, tc := range map[string]struct {
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -57,7 +57,7 @@
 				old.mustClose()
 			}
 			var c *backendConn
-			h.onLoop(func() { // the reader of this pooled connection has not run yet
+			h.onLoop(func() { // this pooled connection has no reader, as if its reader had not run yet
 				c = h.addIdleConn("s0", conn)
 			})
 			h.eventually("the bytes or the end have arrived", func() bool { return !netcalls.NoDataPending(c.rawConn) })
@@ -76,10 +76,10 @@
 	}
 }
 
-// TestDuplicateReplyAfterNextCommand checks that a duplicate of a reply is not taken for the reply to the next command,
-// if it arrives after that command was written. Otherwise a client would get the value of another request. After a
-// duplicate rejection, a request that may be executing would be sent again. The next attempt must end as Error, as its
-// own reply can't be told from a duplicate.
+// TestDuplicateReplyAfterNextCommand checks that a duplicate of a reply is not taken for the reply to a later command
+// that was written before the duplicate arrived. A client could get the value of another request, and a duplicate
+// rejection could cause a request that may be executing to be sent again. The attempt of the later command must end as
+// Error, as its own reply can't be told from a duplicate.
 func TestDuplicateReplyAfterNextCommand(t *testing.T) {
 	other := strings.Replace(valueReply, "v", "w", 1)
 	for name, tc := range map[string]struct{ first, between, duplicate string }{
@@ -125,7 +125,8 @@
 }
 
 // TestEqualReplyAfterDuplicateWindowIsAccepted checks that a reply is not taken for a duplicate of an equal reply that
-// arrived long before. A duplicate would have arrived within duplicateWindow, before the second command was written.
+// arrived more than duplicateWindow before the write of the second command. A duplicate of the first reply would have
+// arrived before that write.
 func TestEqualReplyAfterDuplicateWindowIsAccepted(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
@@ -208,9 +209,9 @@
 	}
 }
 
-// TestFailedDialLeavesIdleConnection checks that an attempt whose dial fails is written to another connection to the
+// TestAttemptUsesIdleConnectionAfterFailedDial checks that an attempt whose dial fails is written to another connection to the
 // endpoint, if one has become idle in the meantime.
-func TestFailedDialLeavesIdleConnection(t *testing.T) {
+func TestAttemptUsesIdleConnectionAfterFailedDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
 	h := startProxy(t, testConfig(addr), func(h *harness) {
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -58,8 +58,8 @@
 	h.wantNotSent(b)
 }
 
-// TestSlowCommandWriteIsCutOff checks that the write of a command is aborted after writeTimeout. A command that is
-// completed later states more time than its client has left.
+// TestSlowCommandWriteIsCutOff checks that the write of a long command is aborted after its reserve and writeTimeout. A
+// command that is completed later states more time than its attempt has left.
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeTimeout = 0.01 })
 	c := h.client()
@@ -118,8 +118,8 @@
 }
 
 // TestPartiallyWrittenAttemptEndsWithItsRequest checks that the write of a command is aborted when the client
-// disconnects, and when the request gets its final reply. Otherwise the endpoint would execute the request after its
-// end, once the rest of the command was written.
+// disconnects, and when the request is rejected. If the rest of the command was still written, the endpoint could
+// execute the request after it has ended.
 func TestPartiallyWrittenAttemptEndsWithItsRequest(t *testing.T) {
 	for name, end := range map[string]func(h *harness, c *testConn){
 		"the client disconnects": func(_ *harness, c *testConn) { c.mustClose() },
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -20,9 +20,9 @@
 }
 
 // TestDiscoveryWatch checks how the gateway follows the endpoint list. After the end of a watch, the next watch must
-// start at the last version. A change must be merged into the list, and a complete list must replace it. A value that
-// is malformed or has an older version may contain changes that are not sent again. After it, the gateway must poll the
-// complete list and skip the invalid entries of that list.
+// start at the last version. A complete list must replace the endpoints. After a value that can't be used, the gateway
+// must poll the complete list, as the agent does not send the changes in that value again. The gateway must skip the
+// invalid entries of the complete list.
 func TestDiscoveryWatch(t *testing.T) {
 	for name, unusableLine := range map[string]string{
 		"malformed": "nonsense", "unknown state": discoverytest.ListJSON(7, false, "y", "odd"),
@@ -107,7 +107,7 @@
 			wall := h.proxy.wallClock
 			h.proxy.wallClock = func() float64 { return wall() + step }
 			now = h.proxy.clock.Now()
-			at = wall() + step // by the stepped wall clock; a start before the step would be listed with the old time
+			at = wall() + step // the current time by the stepped wall clock
 			started := inService("s", "127.0.0.1:1")
 			started.StartedMS = int64(at * 1000)
 			h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{started}})
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -23,16 +23,16 @@
 // fleetSize is the size of the fleet that the measured gateway is part of.
 type fleetSize struct{ gateways, endpoints int }
 
-// gatewayUsage is the resource usage of one gateway during the benchmark.
+// gatewayUsage is the resource usage of a process that runs one gateway with its endpoint and its client.
 type gatewayUsage struct {
 	cpu         time.Duration
 	heapMB      float64 // MiB
 	connections int     // number of connections made to endpoints
 }
 
-// BenchmarkFleetSize measures the processor time, heap and connections of one gateway in a fleet of the usual size and
-// in the largest fleet. The requests are the same in both. The gateway uses the real decision module. Endpoints reply
-// at once, and the gateways of the customer change with each request.
+// BenchmarkFleetSize runs one gateway in a fleet of the usual size and in the largest fleet. It measures the processor
+// time and the heap of this process, and the number of connections to endpoints. The gateway uses the real decision
+// module. Endpoints reply at once, and each request names other gateways for its customer than the request before.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	return c
 }
 
-// measureUsage runs one gateway in a fleet of a given size, and returns its resource usage.
+// measureUsage runs one gateway in a fleet of a given size, sends it requests, and returns the resource usage.
 func measureUsage(b *testing.B, size fleetSize) gatewayUsage {
 	b.Helper()
 	address, connections, closeEndpoint := listenReplyingEndpoint(b)
@@ -156,7 +156,7 @@
 	return listener.Addr().String(), connections, func() { _ = listener.Close() }
 }
 
-// replyToAll replies to each command on a connection at once, with a different value each time. It ends with the
+// replyToAll replies to each request on a connection at once, with a different value each time. It ends with the
 // connection.
 func replyToAll(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
