--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -85,7 +85,8 @@
 }
 
 // TestStartTimesAfterProcessRestart checks that a listed start in the future is taken for the current time. A listed
-// start is in the future if the wall clock was set back after the start, and this process started after that step.
+// start is in the future if the wall clock was set back after the start, and this process started after that step. An
+// endpoint with a start in the future would keep its minimum capacity until that time.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestWriteAllTimesOutOnlyWithoutProgress checks that WriteAll continues while the peer reads slowly, and times out
-// once the peer has stopped reading.
+// after the peer has stopped reading.
 func TestWriteAllTimesOutOnlyWithoutProgress(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	calls := System()
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestRequestAndValueAreForwardedUnchanged checks that a command and the value in its reply are forwarded byte for
-// byte. Only the field d of the command, which states the remaining time, changes.
+// byte, except for the field d of the command, which states the remaining time.
 func TestRequestAndValueAreForwardedUnchanged(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(300))
@@ -59,7 +59,7 @@
 }
 
 // TestAttemptOutcomes checks the status that the decision module gets for different replies, closed connections and a
-// refused dial.
+// refused dial. From the status, the decision module tells whether the endpoint may have executed the command.
 func TestAttemptOutcomes(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	for name, tc := range map[string]struct {
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -100,7 +100,7 @@
 
 // TestTimeoutAtLastByteOfCommand checks the outcome of an attempt that times out after the writer has written the last
 // byte, but before it has set commandWritten. The outcome must be Timeout, as the endpoint may execute the command. If
-// the request was reported as not executed, it could be sent again and executed twice.
+// the outcome was ConnectFailed, the request could be sent again and executed twice.
 func TestTimeoutAtLastByteOfCommand(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) {
 		h.proxy.endpoints.afterWrite = func(c *backendConn) { // delays commandWritten until the timeout has closed the connection
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -21,8 +21,8 @@
 
 // TestDiscoveryWatch checks how the gateway follows the endpoint list. After the end of a watch, the next watch must
 // start at the last version. A complete list must replace the endpoints. After a value that can't be used, the gateway
-// must poll the complete list, as the agent does not send the changes in that value again. The gateway must skip the
-// invalid entries of the complete list.
+// must poll the complete list, as that value may contain changes that the agent does not send again. The gateway must
+// skip the invalid entries of the complete list.
 func TestDiscoveryWatch(t *testing.T) {
 	for name, unusableLine := range map[string]string{
 		"malformed": "nonsense", "unknown state": discoverytest.ListJSON(7, false, "y", "odd"),
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -32,7 +32,7 @@
 
 // BenchmarkFleetSize runs one gateway in a fleet of the usual size and in the largest fleet. It measures the processor
 // time and the heap of this process, and the number of connections to endpoints. The gateway uses the real decision
-// module. Endpoints reply at once, and each request names other gateways for its customer than the request before.
+// module. Endpoints reply at once, and the first gateway of the customer changes with each request.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
@@ -136,7 +136,7 @@
 
 // listenReplyingEndpoint starts an endpoint that replies at once. It sends a value on the channel connections for each
 // connection that it accepts.
-func listenReplyingEndpoint(b *testing.B) (address string, connections chan struct{}, closeAll func()) {
+func listenReplyingEndpoint(b *testing.B) (address string, connections chan struct{}, closeListener func()) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestDialErrors checks that a dial which fails because of a local fault is retried, and reported as NotSent if the
-// fault lasts. Other errors must be reported as ConnectFailed, as the endpoint may be their cause.
+// TestDialErrors checks that a dial that fails because of a local fault is retried, and that the attempt ends as NotSent
+// if the fault lasts. After another error, the attempt must end as ConnectFailed, as the endpoint may be the cause.
 func TestDialErrors(t *testing.T) {
 	for _, tc := range []struct {
 		errno syscall.Errno
