--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestEndlessListIsBounded checks that the client gives up a value that exceeds the size limit, which bounds its memory
-// use. It must then poll the complete list, as the change in the value is lost.
+// TestEndlessListIsBounded checks that the client stops reading a value that exceeds maxValueSize, as an endless value
+// would exhaust the memory. It must then poll the complete list, as the change in the value is lost.
 func TestEndlessListIsBounded(t *testing.T) {
 	const partSize = 4 << 10
 	address, polls := discoverytest.NewManualAgent(t)
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -97,7 +97,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), polls
 }
 
-// write writes and flushes a part of a response. It ignores errors, as some tests let the client disconnect.
+// write writes and flushes a part of a response. It ignores errors, as the client may have disconnected.
 func write(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestConnectionWithUnsolicitedBytesIsNotReused checks that a pooled connection is not reused if it has unread bytes or
-// was closed, even if its reader has not detected that yet. The unread bytes may be a duplicate of the last reply,
-// which would be taken for the reply to the next command.
+// the endpoint has closed it, even if its reader has not detected that yet. The unread bytes may be a duplicate of the
+// last reply, which would be taken for the reply to the next command.
 func TestConnectionWithUnsolicitedBytesIsNotReused(t *testing.T) {
 	for name, unsolicited := range map[string]string{"a duplicate": valueReply, "garbage": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -77,9 +77,9 @@
 }
 
 // TestDuplicateReplyAfterNextCommand checks that a duplicate of a reply is not taken for the reply to a later command
-// that was written before the duplicate arrived. A client could get the value of another request, and a duplicate
-// rejection could cause a request that may be executing to be sent again. The attempt of the later command must end as
-// Error, as its own reply can't be told from a duplicate.
+// that was written before the duplicate arrived. Otherwise a client could get the value of another request, or a
+// request that may be executing could be sent again after a duplicate rejection. The attempt of the later command must
+// end as Error, as its own reply can't be told from a duplicate.
 func TestDuplicateReplyAfterNextCommand(t *testing.T) {
 	other := strings.Replace(valueReply, "v", "w", 1)
 	for name, tc := range map[string]struct{ first, between, duplicate string }{
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestAttemptUsesIdleConnectionAfterFailedDial checks that an attempt whose dial fails is written to another connection to the
-// endpoint, if one has become idle in the meantime.
+// TestAttemptUsesIdleConnectionAfterFailedDial checks that an attempt whose dial fails is written to another connection
+// to the endpoint, if one has become idle in the meantime.
 func TestAttemptUsesIdleConnectionAfterFailedDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	fail, dialed := make(chan struct{}), make(chan struct{}, 2)
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRemainingTimeIsComputedAtWrite checks that a command does not state more time than its client has left. The
-// remaining time must be computed from the clock, as event time stays behind it while an event is handled.
+// remaining time must be computed from the clock, as event time does not advance while an event is handled.
 func TestRemainingTimeIsComputedAtWrite(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=20000,units=2,spread=2,first=1")
@@ -58,8 +58,8 @@
 	h.wantNotSent(b)
 }
 
-// TestSlowCommandWriteIsCutOff checks that the write of a long command is aborted after its reserve and writeTimeout. A
-// command that is completed later states more time than its attempt has left.
+// TestSlowCommandWriteIsCutOff checks that the write of a long command is aborted if it takes longer than the reserve of
+// the command plus writeTimeout. A command that is completed later states more time than its attempt has left.
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeTimeout = 0.01 })
 	c := h.client()
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -31,7 +31,7 @@
 }
 
 // BenchmarkFleetSize runs one gateway in a fleet of the usual size and in the largest fleet. It measures the processor
-// time and the heap of this process, and the number of connections to endpoints. The gateway uses the real decision
+// time and the heap of the process, and the number of connections to endpoints. The gateway uses the real decision
 // module. Endpoints reply at once, and the first gateway of the customer changes with each request.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -243,7 +243,7 @@
 }
 
 // failReadsAndWrites makes the first five reads and the first five writes of each connection fail, and every second
-// write of the event loop. All reads and writes are limited to partSize bytes; 0 for no limit.
+// non-blocking write. All reads and writes are limited to partSize bytes; 0 for no limit.
 func failReadsAndWrites(h *harness, errno syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, newInjectedFailures(5, errno, "read"), newInjectedFailures(5, errno, "write"), partSize}
