--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestIdempotencyWindowIsCheckedByClock checks that the end of the idempotency window is compared with the clock, not
-// with the time of the event being handled. If the event loop lags, the event may have happened within a window that has
+// with the time of the current event. If the event loop lags, that event may have happened within a window that has
 // ended since.
 func TestIdempotencyWindowIsCheckedByClock(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
@@ -62,7 +62,7 @@
 	c := h.client()
 	c.send(holdCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, l)
-	h.wantOutcome(policy.ConnectFailed) // the endpoint has read nothing
+	h.wantOutcome(policy.ConnectFailed) // the endpoint has not read yet, so the write could not end
 	b.wantNoCommand()
 }
 
