--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -11,16 +11,17 @@
 
 // The deadline of a request counts from the arrival of its last byte at this machine. The reader may read that byte
 // much later, if too many commands are open or the process is stalled. The kernel does not report when each byte
-// arrived, so the arrival time is estimated. The estimate errs on the early side, so that no deadline is too late.
+// arrived, so the arrival time is estimated. Where the arrival time is uncertain, the estimate is early rather than
+// late, because a late estimate would extend the deadline.
 
 // arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
-	earliest policy.Seconds // no byte arrived before this time
+	earliest policy.Seconds // estimated arrival of commands that end before the last byte
 	lastByte policy.Seconds // estimated arrival of the last byte
 }
 
-// commandArrivedAt returns the estimated arrival time of a command that ends within the read. lastInRead reports whether
-// the command ends with the last byte of the read. If it does not, the lower bound for the read is returned.
+// commandArrivedAt returns the estimated arrival time of a command that ends within the read. lastInRead reports
+// whether the command ends with the last byte of the read.
 func (a arrival) commandArrivedAt(lastInRead bool) policy.Seconds {
 	if lastInRead {
 		return a.lastByte
@@ -28,9 +29,10 @@
 	return a.earliest
 }
 
-// arrivalTracker records when the bytes in a connection's read buffer arrived. The connection's reader owns it.
+// arrivalTracker records the estimated arrival times of the bytes in a connection's read buffer. The connection's
+// reader owns it.
 type arrivalTracker struct {
-	lastEmptyAt policy.Seconds // last time at which the socket was known to be empty
+	lastEmptyAt policy.Seconds // end of the last read that emptied the socket; at first about the time of acceptance
 	reads       []bufferedRead // reads with bytes in the buffer, oldest first
 }
 
@@ -75,7 +77,7 @@
 func (t *arrivalTracker) estimate(raw syscall.RawConn, stalls *eventloop.StallDetector, startedAt, endedAt policy.Seconds, filled bool) arrival {
 	arrived := arrival{earliest: endedAt, lastByte: endedAt}
 	if startedAt-t.lastEmptyAt > eventloop.StallThreshold {
-		// The reader was delayed: all bytes may have arrived right after the previous read.
+		// The bytes may have arrived at any time since the socket was last empty.
 		arrived.earliest = t.lastEmptyAt
 	} else {
 		arrived.earliest = max(stalls.OnTimeUntil(endedAt), t.lastEmptyAt)
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -11,8 +11,7 @@
 )
 
 const (
-	// shutdownTimeout is the time that a client has to close its side of a connection after this gateway has shut down
-	// the sending side.
+	// shutdownTimeout is the time that closeGracefully gives a client to close its side of a connection.
 	shutdownTimeout = 500 * time.Millisecond
 	// replyDeliveryTime is the time in seconds after which a written reply is assumed to have reached its client. A
 	// reset of the connection before that may destroy the reply.
@@ -25,27 +24,28 @@
 // clientConn is a connection from a client.
 //
 // Three goroutines share it:
-//   - The reader, started by the listener, owns the field reader and the read deadline. It ends with the connection.
+//   - The reader, started by the listener, owns the field reader and the read deadline. It ends with the
+//     connection, or after it has rejected input.
 //   - The event loop owns the fields after reader and closes the connection.
-//   - A writer, started by the event loop while the socket cannot take all pending bytes, owns the write deadline. It
-//     ends when the write is complete, at its stall timeout or with the connection, and clears the deadline.
+//   - A writer, started by the event loop when the socket cannot take all pending bytes, owns the write deadline. It
+//     ends when the write is complete or has failed, and clears the deadline.
 //
 // To close an idle connection without losing a command, the event loop first pauses the reader: requestClose interrupts
 // the reader with a read deadline in the past, and the reader posts readerPaused and waits for resume or done.
 type clientConn struct {
 	services *services
-	set      *clientSet // set that holds the connection
-	number   uint64     // sequence number in the order of acceptance
+	set      *clientSet
+	number   uint64 // sequence number in the order of acceptance
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
-	permits  chan struct{} // an element per command without a written reply: the reader adds it, the event loop removes it
+	permits  chan struct{} // holds an element per command without a completely written reply; see acquirePermit
 	done     chan struct{} // closed when the connection is closed
 	resume   chan struct{} // ends a pause of the reader
 
 	pauseRequested  atomic.Bool          // the reader must pause when its read is interrupted
 	discardInput    atomic.Bool          // the reader must discard all further input after its pause
 	hasReceived     atomic.Bool          // at least one byte was read
-	writeProgressAt eventloop.AtomicTime // last time at which the socket took bytes from the writer
+	writeProgressAt eventloop.AtomicTime // last progress of the writer, at first its start
 
 	reader clientReader
 
@@ -57,9 +57,9 @@
 	closeReason           closeReason // reason given with the close request
 	closeRequested        bool        // the reader was asked to pause so that the connection can be closed
 	usedSinceCloseRequest bool        // a reply was queued after the close request
-	hasSentCommand        bool        // the client has sent a complete command
+	hasSentCommand        bool        // a command of the client was handled, or its input was rejected
 	inputDiscarded        bool        // the reader has rejected input and finished discarding what follows it
-	sendingShutDown       bool        // the sending side is closed; further commands are ignored
+	sendingShutDown       bool        // shutDownSending was called; further commands are ignored
 	overLimit             bool        // accepted beyond the connection limit; requests are rejected until there is room
 	closed                bool
 }
@@ -68,8 +68,8 @@
 // event loop has not handled yet.
 func (c *clientConn) idle() bool { return c.pipeline.empty() && !c.writing }
 
-// replyLocally replies to a command without the decision module. If last is set, this is the connection's last reply,
-// after which the connection is closed. Event loop only.
+// replyLocally replies to a command, or to rejected input, without the decision module. If last is set, this is the
+// connection's last reply, after which the connection is closed. Event loop only.
 func (c *clientConn) replyLocally(reply []byte, last bool) {
 	if c.closed || c.sendingShutDown {
 		return
@@ -96,8 +96,8 @@
 }
 
 // readerPaused runs when the reader has paused and all commands that it has read are handled. It closes the connection
-// if the connection is idle, has no unread input, and has queued no reply since the close request. During a drain, a
-// reply since the close request does not keep the connection open. Otherwise the reader continues. Event loop only.
+// if it is idle, has no unread input and, except during a drain, has queued no reply since the close request. If the
+// connection stays open, the reader continues. Event loop only.
 func (c *clientConn) readerPaused() {
 	if c.closed {
 		return
@@ -115,9 +115,10 @@
 }
 
 // closeGracefully closes a connection without pending replies. Closing a socket that holds unread bytes resets the
-// connection, which destroys replies that the client has not received yet. So after a recent reply, only the sending
-// side is shut down at first, and the reader discards further input until the client closes its side or shutdownTimeout
-// has passed. The client has to repeat the discarded commands on another connection.
+// connection, which destroys replies that the client has not received yet. So if the connection was used within
+// replyDeliveryTime, only the sending side is shut down at first, and the reader discards further input for up to
+// shutdownTimeout before the connection is closed. The client has to repeat the discarded commands on another
+// connection.
 func (c *clientConn) closeGracefully() {
 	if c.services.loop.Now()-c.lastUsedAt > replyDeliveryTime {
 		c.close(c.closeReason, nil)
@@ -128,7 +129,7 @@
 	c.resume <- struct{}{}
 }
 
-// shutDownSending closes the sending side of the connection. Event loop only.
+// shutDownSending closes the sending side of the connection. Later commands are ignored. Event loop only.
 func (c *clientConn) shutDownSending() {
 	c.sendingShutDown = true
 	_ = c.conn.CloseWrite() // fails if the connection has ended, which the reader reports
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// listenerQuietPeriod is the timeout of accept after the first deadline, which the event loop sets. An accept that
-	// times out after waiting for at least half of listenerQuietPeriod counts as a quiet period.
+	// listenerQuietPeriod is the time from a timeout of accept to the next deadline of the listener. The event loop
+	// sets the first deadline. An accept that times out after waiting for at least half of listenerQuietPeriod counts
+	// as a quiet period.
 	listenerQuietPeriod = 10 * time.Millisecond
 	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. A timeout after a shorter
 	// wait resets the count; an accepted connection does not.
@@ -27,13 +28,13 @@
 // closes the listener, notifies the event loop and ends. It also ends when the event loop has ended.
 type clientListener struct {
 	services     *services
-	clients      *clientSet // only connSlots is used; the event loop owns the rest
+	clients      *clientSet // the listener itself uses only connSlots
 	listener     *net.TCPListener
 	parser       *command.Parser
 	accepted     uint64 // number of connections accepted so far
-	quietPeriods int    // number of quiet periods so far; see quietPeriodsToClose
+	quietPeriods int    // see quietPeriodsToClose
 
-	// Both are called on the event loop: onError with each error of accept, onEnd once the listener is closed.
+	// Both are called on the event loop: onError with unexpected errors of accept, onEnd once the listener is closed.
 	onError func(error)
 	onEnd   func()
 }
@@ -72,8 +73,8 @@
 	}
 }
 
-// acceptOne accepts one connection into the slot that the caller has acquired. If none was accepted but another attempt
-// may succeed, it releases the slot. It reports whether to continue.
+// acceptOne accepts one connection into the slot that the caller has acquired. If it accepts none but is to be called
+// again, it releases the slot. It reports whether to continue.
 func (l *clientListener) acceptOne() (more bool) {
 	shared := l.services
 	startedAt := time.Now()
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -1,6 +1,6 @@
 package proxy
 
-// maxPipelined is the maximum number of open commands per connection.
+// maxPipelined is the maximum number of commands of a connection without a completely written reply.
 const maxPipelined = 32
 
 // pipelineSlot reserves the position of a reply in the order of its connection's commands.
@@ -10,8 +10,9 @@
 	last    bool     // the connection is closed after this reply
 }
 
-// unwrittenReply is a reply that is queued but not completely written to the socket. It holds the permit of its command
-// until it is written, so that the reader stops reading from a client that does not read its replies.
+// unwrittenReply is a reply that is queued but not completely written to the socket. Unless it is the connection's last
+// reply, it holds the permit of its command until it is written, so that the reader stops handling commands of a client
+// that does not read its replies.
 type unwrittenReply struct {
 	requestID string // empty if the command is not a request
 	remaining int    // bytes not written yet
@@ -35,8 +36,8 @@
 // unfinished returns the number of commands without a completely written reply.
 func (p *replyPipeline) unfinished() int { return len(p.slots) + len(p.unwritten) }
 
-// queueDue moves final replies from the front of the pipeline to pending, up to the first open command or the
-// connection's last reply. It returns how many replies it moved and their total size in bytes.
+// queueDue moves final replies from the front of the pipeline to pending. It stops before the first open command, and
+// after the connection's last reply. It returns how many replies it moved and their total size in bytes.
 func (p *replyPipeline) queueDue() (replies, bytes int) {
 	before := len(p.pending)
 	for replies < len(p.slots) && p.slots[replies].reply != nil && !p.lastReplyQueued {
@@ -73,7 +74,7 @@
 	return permits
 }
 
-// drop discards the open commands and the pending replies. The ids of unwritten replies are kept for the log.
+// drop discards the open commands, the final replies behind them and the pending replies.
 func (p *replyPipeline) drop() { p.slots, p.pending = nil, nil }
 
 // requestIDs returns the ids of the requests that have no completely written reply, oldest first.
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -6,9 +6,10 @@
 	"reedlead/internal/netcalls"
 )
 
-// A connection has maxPipelined permits for open commands. A reader that waits for a permit reads ahead, because unread
-// commands could otherwise fill the receive buffer of the socket. This machine would then not receive a FIN behind them,
-// and the gateway would go on forwarding open requests of a client that has disconnected.
+// A connection has maxPipelined permits. Each command holds one until its reply is written. A reader that waits for a
+// permit reads ahead, because unread commands could otherwise fill the receive buffer of the socket. This machine would
+// then not receive a FIN behind them, and the gateway would go on forwarding open requests of a client that has
+// disconnected.
 
 const (
 	// readAheadInterval is the interval at which a waiting reader checks its socket.
@@ -19,8 +20,8 @@
 	readAheadBudgetShare = 0.5
 )
 
-// acquirePermit waits until the connection may have another open command, and reads ahead in the meantime. It returns
-// false if the connection has ended.
+// acquirePermit waits for a permit for the next command, and reads ahead in the meantime. It returns false if the
+// connection is closed first.
 func (r *clientReader) acquirePermit() bool {
 	c := r.client
 	select {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -23,7 +23,7 @@
 	discardTimeout = 2 * time.Second
 	// maxDiscardedBytes is the maximum number of bytes that are discarded before a connection is closed.
 	maxDiscardedBytes = 1 << 20
-	// typicalArguments is the number of arguments that can be parsed without an allocation.
+	// typicalArguments is the number of arguments for which the parser needs no new slice.
 	typicalArguments = 8
 )
 
@@ -39,9 +39,9 @@
 	errNoCommand    = errors.New("no whole command in time")
 )
 
-// clientReader reads the commands of one connection and posts each to the event loop, with the arrival time of its last
-// byte. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends when the connection
-// ends, or after it has rejected input.
+// clientReader reads the commands of one connection and posts them to the event loop. For an invalid command, it posts
+// an error reply. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends when the
+// connection ends, or after it has rejected input.
 //
 // A read deadline is set until the first command is complete, and while a later command is incomplete. To pause the
 // reader, the event loop sets a deadline in the past.
@@ -105,9 +105,10 @@
 	return true
 }
 
-// updateDeadline updates the read deadline after a read. used is the total length of the commands that were handled, and
-// unfinished says that a part of another command follows them. updateDeadline sets the deadline when an unfinished
-// command has begun, and clears it when there is none.
+// updateDeadline sets a read deadline when a command is first found unfinished, and clears it when no command is
+// unfinished. Further parts of the command do not extend the deadline, and the first command of the connection keeps
+// the one that run has set. used is the total length of the commands that were handled; unfinished reports whether a
+// part of another command follows them.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
 	case unfinished && (used > 0 || !r.deadlineActive):
@@ -158,7 +159,7 @@
 }
 
 // handleCommands posts the complete commands in the buffer to the event loop and returns their total length. ok is
-// false if the connection has ended or is about to end.
+// false if the connection has ended or its input was rejected.
 func (r *clientReader) handleCommands(at policy.Seconds, arrived arrival) (used int, ok bool) {
 	var space [typicalArguments][]byte
 	r.arrivals.record(r.buffer.Len(), arrived)
@@ -185,7 +186,7 @@
 	return used, true
 }
 
-// handleCommand posts one complete command, which arrived at arrivedAt and was read at the time at, to the event loop.
+// handleCommand posts one complete command, which arrived at arrivedAt, to the event loop as an event of the time at.
 // If the command is invalid, it returns the error to send to the client.
 func (r *clientReader) handleCommand(at, arrivedAt policy.Seconds, args [][]byte) error {
 	shared, c := r.services, r.client
@@ -228,9 +229,10 @@
 // errorReply returns the error reply for err in RESP.
 func errorReply(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
 
-// rejectInput replies with an error to input that cannot be handled, and ends the connection. Before that it discards
-// further input for up to discardTimeout, because closing a socket with unread bytes resets the connection and may
-// destroy the reply.
+// rejectInput replies with an error to input that cannot be handled. It then discards further input for up to
+// discardTimeout, because closing a socket with unread bytes resets the connection and may destroy the reply. After
+// that, the connection is closed: directly if the client has closed its side or no reply is outstanding, and otherwise
+// after the last reply.
 func (r *clientReader) rejectInput(at policy.Seconds, err error) {
 	c, reply := r.client, errorReply(err)
 	r.services.loop.Post(at, func() { c.replyLocally(reply, true) })
@@ -244,7 +246,7 @@
 }
 
 // discardRemaining frees the read buffer, and reads and discards up to maxDiscardedBytes of input until the timeout. It
-// reports whether the client has closed the connection or its sending side.
+// reports whether the input ended earlier, usually because the client has closed the connection or its sending side.
 func (r *clientReader) discardRemaining(timeout time.Duration) (closedByClient bool) {
 	r.buffer.Free()
 	_ = r.client.conn.SetReadDeadline(time.Now().Add(timeout)) // if it fails, so does the read
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -16,7 +16,7 @@
 	// and beyond it.
 	clientShare    = 1.0 / 2
 	overLimitShare = 1.0 / 8
-	// acceptAhead is the number of accepted connections that may wait for the event loop.
+	// acceptAhead is the number of additional slots, for accepted connections that wait for the event loop.
 	acceptAhead = 8
 	// commandTimeout is the time in which a client has to send its first command, and to complete any later command. It
 	// is below 3 s, because input that cannot be parsed must get a reply within 3 s.
@@ -41,16 +41,16 @@
 }
 
 // clientSet holds the client connections and limits their number. The event loop owns it. The listener also uses
-// connSlots, and readers use commandTimeout.
+// connSlots, and readers use commandTimeout and requests.
 type clientSet struct {
 	services           *services
 	requests           *requestTable
 	status             gatewayStatus
 	conns              map[*clientConn]struct{}
-	limit              int // maximum number of open connections; below configuredLimit while descriptors are short
+	limit              int // further connections get rejections; below configuredLimit while descriptors are short
 	configuredLimit    int
-	overLimitAllowance int // connections accepted beyond the limit so that their requests get a rejection
-	closing            int // open connections whose close was requested
+	overLimitAllowance int // number of connections accepted beyond the limit so that their requests get a rejection
+	closing            int // number of open connections whose close was requested
 	// connSlots holds an element for each connection. The listener adds it before it accepts the connection, and the
 	// event loop removes it when it closes the connection.
 	connSlots chan struct{}
@@ -59,7 +59,7 @@
 	commandTimeout time.Duration
 }
 
-// init derives the limits from the number of descriptors that the process may use.
+// init initializes the set, and derives its limits from the number of descriptors that the process may open.
 func (s *clientSet) init(shared *services, requests *requestTable, status gatewayStatus, descriptors int) {
 	usable := usableDescriptors(descriptors)
 	s.services, s.requests, s.status = shared, requests, status
@@ -94,24 +94,24 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, connections with maxPipelined unfinished commands whose
-// client has disconnected, and idle connections beyond the limit. The idle timeout does not apply to a client that has
-// not sent a command yet: its reader rejects it at the command deadline.
+// sweep closes connections that have been idle for too long, and connections with maxPipelined unfinished commands
+// whose client has disconnected. If too many connections are open, it evicts idle and stalled ones. The idle timeout
+// does not apply to a client that has not sent a command yet: its reader rejects it at the command deadline.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
 		if c.hasSentCommand && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
-		// The reader waits for a permit and may not notice the disconnect, as reading ahead is limited.
+		// The reader may be waiting for a permit, and not notice the disconnect because reading ahead is limited.
 		if c.pipeline.unfinished() >= maxPipelined && netcalls.ClosedByPeer(c.rawConn) {
 			c.abandon(peerClosed, nil)
 		}
 	}
-	s.enforceLimit() // add does the same, but there may be no new connection
+	s.enforceLimit() // add also evicts, but there may be no new connection
 }
 
-// enforceLimit evicts connections if more than limit are open.
+// enforceLimit evicts connections if more than limit are open, not counting those whose close was requested.
 func (s *clientSet) enforceLimit() {
 	if s.notClosing() > s.limit {
 		s.evictToLimit(nil)
@@ -176,7 +176,7 @@
 	rankNoCommand                           // the client has not sent any bytes
 	rankIdle                                // a command was handled, none is open, and no reply is left to write
 	// rankUnhandledInput is the rank of a connection with bytes of its first command that are not handled yet. It stays
-	// open until that command is handled, so evicting it makes no room immediately.
+	// open while it has unhandled input, so evicting it makes no room immediately.
 	rankUnhandledInput
 	rankStalled // the client does not read its replies
 )
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -10,8 +10,8 @@
 // its configuration says. Connections are then evicted to free descriptors for discovery, new connections and files.
 
 const (
-	// evictionDivisor determines how many client connections are evicted when no descriptor is left: 1/evictionDivisor
-	// of them.
+	// evictionDivisor sets how many client connections to evict when no descriptor is left: about 1/evictionDivisor of
+	// them.
 	evictionDivisor = 8
 	// limitRecoveryDivisor determines how fast a lowered client limit recovers: each check that finds a free descriptor
 	// raises it by 1/limitRecoveryDivisor of the configured limit.
@@ -27,7 +27,8 @@
 	return file.Close()
 }
 
-// descriptorGuard evicts connections and lowers the client limit when descriptors run out. The event loop owns it.
+// descriptorGuard evicts connections and lowers the client limit when descriptors run out, and later raises the limit
+// again. The event loop owns it.
 type descriptorGuard struct {
 	services  *services
 	clients   *clientSet
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// acceptGrace is the time after the shutdown signal during which connections are accepted. After a planned restart
-	// is announced, new connections arrive for 0.4 s, and losses count as failures from 0.7 s on. The listener closes
-	// between these times.
+	// acceptGrace is the time after the shutdown signal during which connections are accepted. The signal announces a
+	// planned restart: clients may open connections for 0.4 s after it, and connections lost from 0.7 s on count as
+	// failures. The listener closes between these times.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL may follow the shutdown signal after min(longest request timeout, maxSigkillTimeout) + sigkillDelay.
-	// Requests that are still open sigkillMargin before SIGKILL get an error reply. The sending sides of the connections
-	// are shut down sigkillMargin/2 before SIGKILL, and the connections are closed sigkillMargin/4 before it.
+	// SIGKILL may follow the shutdown signal after min(longest timeout of a request class, maxSigkillTimeout) +
+	// sigkillDelay. Requests that are still open sigkillMargin before SIGKILL get an error reply. The sending sides of
+	// the connections are shut down sigkillMargin/2 before SIGKILL, and the connections are closed sigkillMargin/4
+	// before it.
 	sigkillDelay      = 700 * time.Millisecond
 	maxSigkillTimeout = 3 * time.Second
 	sigkillMargin     = 150 * time.Millisecond
@@ -62,16 +63,17 @@
 	return d.acceptingStopped && d.listenerEnded && d.clients.open() == 0
 }
 
-// stopAccepting ends the accept grace: the listener accepts the waiting connections and closes, and idle connections
-// are closed. Clients may go on sending on the other connections until expire.
+// stopAccepting ends the accept grace: the listener accepts the waiting connections and closes, and connections are
+// closed once they are idle.
 func (d *drain) stopAccepting() {
 	d.acceptingStopped = true
 	_ = d.listener.SetDeadline(time.Now()) // fails only on a closed listener
 	d.clients.closeIdle()
 }
 
-// expire ends a drain at its timeout. It fails the open requests early enough for the replies to reach their clients
-// before SIGKILL. Later requests are rejected until their connection is shut down.
+// expire runs at the timeout of the drain, sigkillMargin before SIGKILL. It fails the open requests, so that their
+// replies can still reach the clients. Later requests are rejected until their connection is shut down. Connections
+// that remain are closed.
 func (d *drain) expire() {
 	d.timedOut = true
 	if !d.acceptingStopped {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy runs a gateway on real sockets. It executes the decisions of the decision module, package policy, and
-// reports their outcomes to it. It makes no decisions about quotas, endpoints or retries itself.
+// Package proxy runs a gateway on real sockets. The decision module, package policy, decides about quotas, endpoints
+// and retries. Package proxy executes its decisions and reports the outcomes to it.
 package proxy
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	// inputMemoryShare is the share of the process memory that incomplete and queued input may use, in addition to one
-	// buffer per connection. Garbage that has not been collected takes about as much again, and the program itself
-	// needs several MB.
+	// inputMemoryShare is the share of the process memory that buffered input, the arguments of open requests and
+	// unwritten replies may use, in addition to one buffer of readbuf.InitialSize per connection. Garbage that has not
+	// been collected takes about as much again, and the program itself needs several MB.
 	inputMemoryShare = 0.2
 	defaultMemoryMB  = 192 // used if the configuration sets none
 	sweepInterval    = time.Second
@@ -33,13 +33,15 @@
 
 // Proxy is a gateway on real sockets. It executes the actions of the decision module and passes events to it.
 //
-// The event loop owns all state that is not documented as owned by another goroutine. The other goroutines post their
-// events to the loop:
+// The event loop owns all state that is not documented as owned by another goroutine. These goroutines post events
+// to the loop:
 //   - the client listener, until its socket is closed
-//   - a reader per connection, until the connection ends
+//   - a reader per connection, until the connection ends or its input is rejected
 //   - a goroutine per dial, and per write that cannot complete immediately
 //   - the discovery client, until serve returns
-//   - the receiver and the sender of the peer link, until the link is closed
+//   - the receiver of the peer link, until the link is closed
+//
+// The sender of the peer link posts none: it sends the datagrams that the loop has queued.
 type Proxy struct {
 	services
 
@@ -162,8 +164,8 @@
 	p.loop.Run(p.drain.complete, ctx.Done(), p.drain.start)
 }
 
-// sweep runs every sweepInterval. It samples the wall clock, closes connections that have been idle for too long, and
-// evicts connections if no descriptor is free.
+// sweep runs every sweepInterval. It samples the wall clock and runs the periodic checks of the endpoints, the clients
+// and the descriptors.
 func (p *Proxy) sweep() {
 	p.startTimes.Sample(p.clock.Now(), p.wallClock())
 	p.endpoints.sweep()
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -15,7 +15,7 @@
 
 // Reasons for closing a client connection.
 const (
-	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it
+	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it, or reading failed
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
 	evicted            closeReason = "evicted"              // closed to make room for other connections
 	draining           closeReason = "draining"             // the process is shutting down
@@ -23,16 +23,16 @@
 	tooManyConnections closeReason = "too_many_connections" // the limit and the allowance beyond it are exhausted
 	protocolError      closeReason = "protocol_error"       // its input was rejected with an error
 	writeFailed        closeReason = "write_failed"         // writing a reply failed
-	unreadReplies      closeReason = "unread_replies"       // the client read none of its replies for stallTimeout
+	unreadReplies      closeReason = "unread_replies"       // writing replies made no progress for stallTimeout
 	memoryBudget       closeReason = "memory_budget"        // the input budget has no room for its unwritten replies
 	lastReplyWritten   closeReason = "last_reply_written"   // the last reply of the connection was written
 )
 
-// Reasons for closing a backend connection, in addition to peerClosed, idleTimeout and evicted.
+// Reasons for closing a backend connection, in addition to peerClosed, idleTimeout, evicted and writeFailed.
 const (
-	endpointRetired  closeReason = "endpoint_retired"  // its endpoint drains, moved, restarted or was removed
-	attemptAbandoned closeReason = "attempt_abandoned" // its attempt timed out, was cancelled or is no longer needed
-	notUsable        closeReason = "not_usable"        // broken, idle for too long, or dialed before its endpoint changed
+	endpointRetired  closeReason = "endpoint_retired"  // it was idle, and its endpoint drains, has changed or was removed
+	attemptAbandoned closeReason = "attempt_abandoned" // its attempt ended before the reply was read, such as by a timeout
+	notUsable        closeReason = "not_usable"        // broken, idle for too long, or its endpoint has changed
 )
 
 // logClosed logs why a client connection was closed. It logs at debug level if the connection has neither open requests
@@ -58,7 +58,7 @@
 	c.services.log.Log(context.Background(), level, "client connection closed", attrs...)
 }
 
-// logClosed logs why a backend connection was closed, and the attempt that it carried.
+// logClosed logs why a backend connection was closed, and which attempt of a request it carried, if any.
 func (c *backendConn) logClosed(why closeReason, err error) {
 	attrs := []any{"endpoint", c.endpoint.ID, "address", c.dialedAs.Addr, "reason", why.String()}
 	if err != nil {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -12,18 +12,18 @@
 	"github.com/tidwall/redcon"
 )
 
-// request is a client's request. It gets exactly one final reply, or none if the client disconnects. The event loop
+// request is a client's request. It gets one final reply, or none if its connection is closed first. The event loop
 // owns it.
 type request struct {
 	*command.Request
 	client    *clientConn
 	slot      *pipelineSlot
-	arrivedAt policy.Seconds // when its last byte arrived at this machine
+	arrivedAt policy.Seconds // estimated arrival of its last byte at this machine
 	deadline  policy.Seconds
 	timer     *eventloop.Timer // fails the request if the decision module does not reply in time
 	attempts  []*attempt       // indexed by number; those beyond MaxAttempts are not sent
 	inFlight  int              // attempts whose outcome has not been reported
-	done      bool             // it has its final reply, or its client has disconnected
+	done      bool             // it has its final reply, or its connection was abandoned
 }
 
 // Reasons for which the proxy itself, not the decision module, rejects or fails a request.
@@ -46,8 +46,8 @@
 	byID     map[string]*request // open requests, and finished ones with an attempt in flight
 }
 
-// admit opens a request whose last byte arrived at arrivedAt and passes it to the decision module, or rejects it if
-// rejectIfInadmissible finds a reason.
+// admit opens a request whose last byte arrived at arrivedAt and passes it to the decision module, unless the request
+// is inadmissible.
 func (t *requestTable) admit(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) {
 	admitted := false
 	defer func() {
@@ -63,8 +63,8 @@
 }
 
 // rejectIfInadmissible rejects a request if its id is in use, a limit is reached or the drain has timed out. It reports
-// whether the request is inadmissible. A request whose client can no longer receive a reply is also inadmissible, but
-// gets no reply.
+// whether the request is inadmissible. For a connection beyond the limit, it first tries to evict others. A request
+// whose client can no longer receive a reply is also inadmissible, but gets no reply.
 func (t *requestTable) rejectIfInadmissible(c *clientConn, parsed *command.Request) bool {
 	maxOpen := t.settings.MaxOpenRequests
 	switch {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// open registers a request and reserves a slot for its reply in the connection's pipeline.
+// open registers a request, reserves a slot for its reply in the connection's pipeline, and starts its timer.
 func (t *requestTable) open(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
 	c.overLimit, c.hasSentCommand = false, true
 	r := &request{
@@ -95,7 +95,7 @@
 	c.lastUsedAt = t.services.loop.Now()
 	t.byID[r.ID] = r
 	t.trace.accepted(r)
-	// The decision module replies well before this timer fires. If it fails to, the client still gets a reply.
+	// The client gets a reply even if the decision module gives none.
 	r.timer = t.services.loop.After(r.deadline+t.settings.ReplySlack-t.services.loop.Now(), func() { t.expire(r) })
 	return r
 }
@@ -108,13 +108,13 @@
 }
 
 // notifyReplyNotNeeded notifies the decision module that a request needs no reply, because it has one already or its
-// client has disconnected. The module handles both cases as a disconnect.
+// connection was abandoned. The module handles both cases as a disconnect.
 func (t *requestTable) notifyReplyNotNeeded(r *request) {
 	t.services.decider.HandleClientDisconnected(t.services.loop.Now(), r.ID)
 }
 
 // decide passes a request to the decision module. If the module panics before it has sent an attempt, the request fails
-// immediately instead of at its deadline.
+// immediately instead of when its timer fires.
 func (t *requestTable) decide(r *request) {
 	r.Deadline = r.deadline
 	decided := false
@@ -164,9 +164,9 @@
 	r.client.flush()
 }
 
-// finish marks a request as done. It aborts attempts whose command is being written, stops the timer, and releases the
-// arguments and their share of the input budget. Attempts that are already written do not need the arguments. The
-// request is removed once the outcomes of all its attempts have been reported.
+// finish marks a request as done. It aborts attempts whose command is not completely written, stops the timer, and
+// releases the arguments and their share of the input budget. Attempts that are already written do not need the
+// arguments. The request is removed once the outcomes of all its attempts have been reported.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortPartialWrites(r)
@@ -176,7 +176,7 @@
 	t.removeIfDone(r)
 }
 
-// abandon finishes a request whose client has disconnected and notifies the decision module.
+// abandon finishes a request whose connection was abandoned, and notifies the decision module.
 func (t *requestTable) abandon(r *request) {
 	if r.done {
 		return
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -21,9 +21,8 @@
 	HandleHealthCheck(now policy.Seconds, result policy.HealthCheckResult)
 }
 
-// services holds the values that the components of a proxy share. All fields are set before the goroutines start. The
-// event loop owns warnings and decider. All goroutines may use the other fields, as the documentation of their types
-// allows.
+// services holds the values that the components of a proxy share. The event loop owns warnings and decider. Any
+// goroutine may use the other fields, as the documentation of their types allows.
 type services struct {
 	log   *slog.Logger
 	calls *netcalls.Calls
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -5,15 +5,14 @@
 // gatewayStatus is the state of the whole gateway that client connections depend on. Proxy implements it. Event loop
 // only.
 type gatewayStatus interface {
-	// isReady reports whether this gateway can serve requests.
+	// isReady reports whether health checks of this gateway succeed.
 	isReady() bool
 	// isDraining reports whether connections are closed once they are idle, because the process is shutting down.
 	isDraining() bool
 }
 
-// isReady implements gatewayStatus. If discovery is down and the initial list has no endpoint in service, the gateway
-// still becomes ready after readyTimeout: it replies to requests, although it can serve them only once discovery is
-// back.
+// isReady implements gatewayStatus. Even without an endpoint in service, the gateway becomes ready at readyAt: it
+// replies to requests, although it can serve them only once an endpoint is in service.
 func (p *Proxy) isReady() bool {
 	return p.endpoints.hasInService() || p.loop.Now() >= p.readyAt
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -10,8 +10,8 @@
 )
 
 // Messages of the trace, which follows each request by its id through the logs of all gateways that it reaches. It is
-// logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's own clock;
-// only endpoint_started is in seconds of Unix time.
+// logged at debug level, and cmd/audit reads its messages and keys. Times are in seconds of the process's clock, except
+// for endpoint_started, which is the Unix time that discovery reports.
 const (
 	traceAccepted           = "request accepted"
 	traceAttemptSent        = "attempt sent"
@@ -41,7 +41,7 @@
 }
 
 // attemptSent logs that the command of an attempt was completely written. The write began at writeStarted and ended at
-// the time at. Any goroutine may call attemptSent, because the attempt's fields that it reads no longer change.
+// the time at. Any goroutine may call attemptSent, because the fields that it reads no longer change.
 func (t *tracer) attemptSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds) {
 	if !t.enabled() || a.request == nil {
 		return
@@ -88,7 +88,7 @@
 	return "value"
 }
 
-// clientDisconnected logs that the client of an open request has disconnected.
+// clientDisconnected logs that the client connection of an open request was abandoned.
 func (t *tracer) clientDisconnected(r *request) {
 	if !t.enabled() {
 		return
@@ -96,7 +96,7 @@
 	t.services.log.Debug(traceClientDisconnected, "id", r.ID, "at", t.services.clock.Now())
 }
 
-// class returns the settings of a request's class.
+// class returns the settings of a request's class, or the zero value if the class is unknown.
 func (t *tracer) class(r *request) policy.Class {
 	for _, c := range t.classes {
 		if c.Name == r.Class {
