--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -80,7 +80,7 @@
 
 // add adds a connection that the listener has accepted, or closes it if too many are open.
 func (s *clientSet) add(c *clientConn) {
-	c.overLimit = s.evictToLimit(c)
+	c.overLimit = s.makeRoom(c)
 	if c.overLimit && s.notClosing() >= s.limit+s.overLimitAllowance {
 		s.services.warn("client rejected: too many connections", "open", s.open())
 		c.close(tooManyConnections, nil)
@@ -114,7 +114,7 @@
 // enforceLimit evicts connections if more than limit are open, not counting those whose close was requested.
 func (s *clientSet) enforceLimit() {
 	if s.notClosing() > s.limit {
-		s.evictToLimit(nil)
+		s.makeRoom(nil)
 	}
 }
 
@@ -127,10 +127,10 @@
 	}
 }
 
-// evictToLimit evicts idle and stalled connections, the lowest eviction rank first, until fewer than limit connections
+// makeRoom evicts idle and stalled connections, the lowest eviction rank first, until fewer than limit connections
 // are open. Connections whose close was requested are not counted. newcomer, which may be nil, is neither counted nor
-// evicted. evictToLimit reports whether too many remain open because none of them can be evicted.
-func (s *clientSet) evictToLimit(newcomer *clientConn) (overLimit bool) {
+// evicted. makeRoom reports whether too many remain open because none of them can be evicted.
+func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
 		switch {
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -84,7 +84,7 @@
 	}
 	shared.log.Info(
 		"client socket is full", "connection", c.number, "unwritten_bytes", len(rest),
-		"open_requests", c.openRequestIDs(),
+		"open_requests", c.unfinishedRequestIDs(),
 	)
 	c.writing, c.pipeline.pending = true, nil
 	c.startWriter(rest)
@@ -136,5 +136,5 @@
 	return c.writing && now-c.writeProgressAt.Load() > evictStalledAfter
 }
 
-// openRequestIDs returns the ids of the client's requests that have no completely written reply.
-func (c *clientConn) openRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
+// unfinishedRequestIDs returns the ids of the client's requests that have no completely written reply.
+func (c *clientConn) unfinishedRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -39,7 +39,7 @@
 				c.pipeline.add(&pipelineSlot{})
 			}
 		}
-		if h.proxy.clients.evictToLimit(nil) {
+		if h.proxy.clients.makeRoom(nil) {
 			t.Error("the stalled client was not evicted")
 		}
 	})
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -61,6 +61,6 @@
 		}
 	}
 	s.limit = max(minClients, min(s.limit, s.notClosing()-evictions))
-	s.evictToLimit(nil)
+	s.makeRoom(nil)
 	return true
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -400,7 +400,7 @@
 // evictIdleClient evicts the connection of the only client if it is idle. Event loop only.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
-	h.proxy.clients.evictToLimit(nil)
+	h.proxy.clients.makeRoom(nil)
 }
 
 // closePool removes all endpoints, which closes their idle connections.
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
-	open := c.openRequestIDs()
+	open := c.unfinishedRequestIDs()
 	unwritten := c.reservedOutput + len(c.pipeline.pending)
 	if len(open) == 0 && unwritten == 0 {
 		c.services.log.Debug("client connection closed", attrs...)
