--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -52,7 +52,7 @@
 	for range c.pipeline.recordWritten(n) {
 		select {
 		case <-c.permits:
-		default: // the command took no permit
+		default: // no permit is held; the event loop must not block
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,11 +37,11 @@
 // to the loop:
 //   - the client listener, until its socket is closed
 //   - a reader per connection, until the connection ends or its input is rejected
-//   - a goroutine per dial, and per write that cannot complete immediately
+//   - a goroutine per dial, and per write to a client that cannot complete immediately
 //   - the discovery client, until serve returns
 //   - the receiver of the peer link, until the link is closed
 //
-// The sender of the peer link posts none: it sends the datagrams that the loop has queued.
+// The writers of backend connections and the sender of the peer link post no events.
 type Proxy struct {
 	services
 
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -15,7 +15,7 @@
 
 // Reasons for closing a client connection.
 const (
-	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it, or reading failed
+	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it, or its reader stopped
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
 	evicted            closeReason = "evicted"              // closed to make room for other connections
 	draining           closeReason = "draining"             // the process is shutting down
@@ -30,9 +30,9 @@
 
 // Reasons for closing a backend connection, in addition to peerClosed, idleTimeout, evicted and writeFailed.
 const (
-	endpointRetired  closeReason = "endpoint_retired"  // it was idle, and its endpoint drains, has changed or was removed
+	endpointRetired  closeReason = "endpoint_retired"  // it was idle when its endpoint left service, moved or restarted
 	attemptAbandoned closeReason = "attempt_abandoned" // its attempt ended before the reply was read, such as by a timeout
-	notUsable        closeReason = "not_usable"        // broken, idle for too long, or its endpoint has changed
+	notUsable        closeReason = "not_usable"        // broken, idle for too long, or its endpoint left service or changed
 )
 
 // logClosed logs why a client connection was closed. It logs at debug level if the connection has neither open requests
