--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -411,7 +411,7 @@
 // close of its connection is requested. Event loop only.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
-	h.proxy.clients.evictToLimit(nil)
+	h.proxy.clients.makeRoom(nil)
 }
 
 // closePool removes all endpoints, which closes their idle connections.
