--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -57,7 +57,7 @@
 	closeReason           closeReason // reason given with the close request
 	closeRequested        bool        // the reader was asked to pause so that the connection can be closed
 	usedSinceCloseRequest bool        // a reply was queued after the close request
-	hasSentCommand        bool        // a command of the client was handled, or its input was rejected
+	inputHandled          bool        // a command of the client was handled, or its input was rejected
 	inputDiscarded        bool        // the reader has rejected input and finished discarding what follows it
 	sendingShutDown       bool        // shutDownSending was called; further commands are ignored
 	overLimit             bool        // accepted beyond the connection limit; requests are rejected until there is room
@@ -74,7 +74,7 @@
 	if c.closed || c.sendingShutDown {
 		return
 	}
-	c.hasSentCommand = true
+	c.inputHandled = true
 	c.pipeline.add(&pipelineSlot{reply: reply, last: last})
 	c.flush()
 }
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -16,8 +16,8 @@
 	readAheadInterval = 10 * time.Millisecond
 	// maxReadAhead is the number of buffered bytes at which a waiting reader stops reading ahead.
 	maxReadAhead = 256 << 10
-	// readAheadBudgetShare is the share of the input budget that reading ahead must leave available.
-	readAheadBudgetShare = 0.5
+	// readAheadReserveShare is the share of the input budget that reading ahead must leave available.
+	readAheadReserveShare = 0.5
 )
 
 // acquirePermit waits for a permit for the next command, and reads ahead in the meantime. It returns false if the
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -30,8 +30,8 @@
 // pingCommand is the command of a health check, which asks whether this gateway can serve requests.
 const pingCommand = "PING"
 
-// maxQuotedBytes is the maximum number of bytes of an unknown command that an error quotes.
-const maxQuotedBytes = 40
+// maxQuotedRunes is the maximum number of characters of an unknown command that an error quotes.
+const maxQuotedRunes = 40
 
 // Errors that are sent to the client.
 var (
@@ -208,7 +208,7 @@
 	case bytes.EqualFold(args[0], []byte(pingCommand)):
 		shared.loop.Post(at, func() { c.replyToPing() })
 	default:
-		return fmt.Errorf("unknown command %.*q", maxQuotedBytes, args[0])
+		return fmt.Errorf("unknown command %.*q", maxQuotedRunes, args[0])
 	}
 	return nil
 }
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -100,7 +100,7 @@
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
-		if c.hasSentCommand && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
+		if c.inputHandled && c.idle() && now-c.lastUsedAt > clientIdleTimeout {
 			c.requestClose(idleTimeout)
 		}
 		// The reader may be waiting for a permit, and not notice the disconnect because reading ahead is limited.
@@ -173,7 +173,7 @@
 // Ranks of a connection, by its state.
 const (
 	rankLastReplyQueued evictionRank = iota // the connection's last reply was queued
-	rankNoCommand                           // the client has not sent any bytes
+	rankNothingReceived                     // the client has not sent any bytes
 	rankIdle                                // a command was handled, none is open, and no reply is left to write
 	// rankUnhandledInput is the rank of a connection with bytes of its first command that are not handled yet. It stays
 	// open while it has unhandled input, so evicting it makes no room immediately.
@@ -188,10 +188,10 @@
 		return rankStalled
 	case c.pipeline.lastReplyQueued:
 		return rankLastReplyQueued
-	case c.hasSentCommand:
+	case c.inputHandled:
 		return rankIdle
 	case c.hasReceived.Load() || !netcalls.NoDataPending(c.rawConn):
 		return rankUnhandledInput
 	}
-	return rankNoCommand
+	return rankNothingReceived
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -92,7 +92,7 @@
 	p.startTimes.Sample(p.loop.Now(), p.wallClock())
 	p.readyAt = p.loop.Now() + readyTimeout.Seconds()
 	input := int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryShare)
-	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadBudgetShare))
+	p.inputBudget = readbuf.NewBudget(input, int64(float64(input)*readAheadReserveShare))
 	if err := p.openSockets(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -85,7 +85,7 @@
 
 // open registers a request, reserves a slot for its reply in the connection's pipeline, and starts its timer.
 func (t *requestTable) open(c *clientConn, parsed *command.Request, arrivedAt policy.Seconds) *request {
-	c.overLimit, c.hasSentCommand = false, true
+	c.overLimit, c.inputHandled = false, true
 	r := &request{
 		Request: parsed, client: c, slot: &pipelineSlot{},
 		arrivedAt: arrivedAt, deadline: arrivedAt + parsed.Timeout,
