--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -32,7 +32,7 @@
 // arrivalTracker records the estimated arrival times of the bytes in a connection's read buffer. The connection's
 // reader owns it.
 type arrivalTracker struct {
-	lastEmptyAt policy.Seconds // end of the last read that emptied the socket; at first about the time of acceptance
+	lastEmptyAt policy.Seconds // when a read last emptied the socket; at first when it was accepted or a stall began
 	reads       []bufferedRead // reads with bytes in the buffer, oldest first
 }
 
@@ -94,8 +94,8 @@
 	return arrived
 }
 
-// lastDataAge returns the time since data last arrived on a connection, with a resolution of one millisecond. ok is
-// false if the system does not report it.
+// lastDataAge returns the time since data last arrived on a connection, which the kernel counts in whole milliseconds.
+// ok is false if the kernel does not report it.
 func lastDataAge(raw syscall.RawConn) (age policy.Seconds, ok bool) {
 	const millisecondsPerSecond = 1000
 	failed := raw.Control(func(fd uintptr) {
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -24,8 +24,8 @@
 // clientConn is a connection from a client.
 //
 // Three goroutines share it:
-//   - The reader, started by the listener, owns the field reader and the read deadline. It ends with the
-//     connection, or after it has rejected input.
+//   - The reader, started by the listener, owns the field reader except during a pause. It ends with the connection,
+//     or after it has discarded input.
 //   - The event loop owns the fields after reader and closes the connection.
 //   - A writer, started by the event loop when the socket cannot take all pending bytes, owns the write deadline. It
 //     ends when the write is complete or has failed, and clears the deadline.
@@ -43,24 +43,24 @@
 	resume   chan struct{} // ends a pause of the reader
 
 	pauseRequested  atomic.Bool          // the reader must pause when its read is interrupted
-	discardInput    atomic.Bool          // the reader must discard all further input after its pause
+	discardInput    atomic.Bool          // after its pause, the reader must discard further input and end
 	hasReceived     atomic.Bool          // at least one byte was read
 	writeProgressAt eventloop.AtomicTime // last progress of the writer, at first its start
 
 	reader clientReader
 
 	pipeline              replyPipeline
-	reservedOutput        int  // bytes of the input budget reserved for unwritten replies
-	writing               bool // a writer goroutine is running
-	openedAt              policy.Seconds
-	lastUsedAt            policy.Seconds
-	closeReason           closeReason // reason given with the close request
-	closeRequested        bool        // the reader was asked to pause so that the connection can be closed
-	usedSinceCloseRequest bool        // a reply was queued after the close request
-	inputHandled          bool        // a command of the client was handled, or its input was rejected
-	inputDiscarded        bool        // the reader has rejected input and finished discarding what follows it
-	sendingShutDown       bool        // shutDownSending was called; further commands are ignored
-	overLimit             bool        // accepted beyond the connection limit; requests are rejected until there is room
+	reservedOutput        int            // bytes of the input budget reserved for unwritten replies
+	writing               bool           // a writer goroutine is running
+	openedAt              policy.Seconds // when the event loop added the connection
+	lastUsedAt            policy.Seconds // when it was added, opened a request or queued a reply, whichever was last
+	closeReason           closeReason    // reason given with the close request
+	closeRequested        bool           // the reader was asked to pause so that the connection can be closed
+	usedSinceCloseRequest bool           // a reply was queued after the close request
+	inputHandled          bool           // a command of the client was handled, or its input was rejected
+	inputDiscarded        bool           // the reader has rejected input and finished discarding what follows it
+	sendingShutDown       bool           // shutDownSending was called; further commands are ignored
+	overLimit             bool           // accepted beyond the connection limit; requests are rejected until there is room
 	closed                bool
 }
 
@@ -135,8 +135,8 @@
 	_ = c.conn.CloseWrite() // fails if the connection has ended, which the reader reports
 }
 
-// abandon closes a connection without writing its pending replies. It ends the open requests and notifies the decision
-// module that their client has disconnected. Event loop only.
+// abandon closes a connection without writing its pending replies. It finishes the open requests and notifies the
+// decision module that their client has disconnected. Event loop only.
 func (c *clientConn) abandon(why closeReason, cause error) {
 	if c.closed {
 		return
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// listenerQuietPeriod is the time from a timeout of accept to the next deadline of the listener. The event loop
-	// sets the first deadline. An accept that times out after waiting for at least half of listenerQuietPeriod counts
-	// as a quiet period.
+	// To stop the listener, the event loop sets a deadline on it. After each timeout of accept, the next
+	// deadline is listenerQuietPeriod later. An accept that times out after at least half of that time counts as a quiet
+	// period.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. A timeout after a shorter
-	// wait resets the count; an accepted connection does not.
+	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. Connections may be accepted
+	// between them, but a timeout after a shorter wait resets the count.
 	quietPeriodsToClose = 2
 )
 
@@ -28,7 +28,7 @@
 // closes the listener, notifies the event loop and ends. It also ends when the event loop has ended.
 type clientListener struct {
 	services     *services
-	clients      *clientSet // the listener itself uses only connSlots
+	clients      *clientSet // the listener's goroutine uses only connSlots
 	listener     *net.TCPListener
 	parser       *command.Parser
 	accepted     uint64 // number of connections accepted so far
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -19,7 +19,7 @@
 	hasPermit bool
 }
 
-// replyPipeline orders the replies of a connection by its commands. The event loop owns it.
+// replyPipeline keeps the replies of a connection in the order of its commands. The event loop owns it.
 type replyPipeline struct {
 	slots           []*pipelineSlot  // open commands and final replies behind them; at most maxPipelined+1
 	pending         []byte           // queued replies that are neither written nor handed to a writer goroutine
--- a/internal/proxy/client_read_ahead.go
+++ b/internal/proxy/client_read_ahead.go
@@ -16,7 +16,7 @@
 	readAheadInterval = 10 * time.Millisecond
 	// maxReadAhead is the number of buffered bytes at which a waiting reader stops reading ahead.
 	maxReadAhead = 256 << 10
-	// readAheadReserveShare is the share of the input budget that reading ahead must leave available.
+	// readAheadReserveShare is the share of the input budget that must be available for a reader to read ahead.
 	readAheadReserveShare = 0.5
 )
 
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -23,11 +23,11 @@
 	discardTimeout = 2 * time.Second
 	// maxDiscardedBytes is the maximum number of bytes that are discarded before a connection is closed.
 	maxDiscardedBytes = 1 << 20
-	// typicalArguments is the number of arguments for which the parser needs no new slice.
+	// typicalArguments is the number of arguments that a command can have before handleCommands needs a larger slice.
 	typicalArguments = 8
 )
 
-// pingCommand is the command of a health check, which asks whether this gateway can serve requests.
+// pingCommand is the command of a health check, which asks whether this gateway is ready.
 const pingCommand = "PING"
 
 // maxQuotedRunes is the maximum number of characters of an unknown command that an error quotes.
@@ -40,8 +40,8 @@
 )
 
 // clientReader reads the commands of one connection and posts them to the event loop. For an invalid command, it posts
-// an error reply. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends when the
-// connection ends, or after it has rejected input.
+// an error reply. Its goroutine, which the listener starts, owns it except during a pause. The goroutine ends with the
+// connection, or after it has discarded input.
 //
 // A read deadline is set until the first command is complete, and while a later command is incomplete. To pause the
 // reader, the event loop sets a deadline in the past.
@@ -57,7 +57,7 @@
 	deadline       time.Time // zero if there is none
 }
 
-// run reads and handles commands until the connection ends or its input is rejected.
+// run reads and handles commands until readOnce reports false.
 func (r *clientReader) run() {
 	defer r.buffer.Free()
 	r.deadlineActive = true
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -35,7 +35,7 @@
 )
 
 // usableDescriptors returns the number of descriptors that connections may use. limit is the number that the process
-// may open. The rest is reserved: see reservedDescriptors.
+// may open. The difference is reserved: see reservedDescriptors.
 func usableDescriptors(limit int) int {
 	return limit - reservedDescriptors - int(float64(limit)*reservedDescriptorShare)
 }
@@ -47,15 +47,15 @@
 	requests           *requestTable
 	status             gatewayStatus
 	conns              map[*clientConn]struct{}
-	limit              int // further connections get rejections; below configuredLimit while descriptors are short
-	configuredLimit    int
+	limit              int // requests on further connections are rejected; lowered while descriptors are short
+	configuredLimit    int // highest value of limit
 	overLimitAllowance int // number of connections accepted beyond the limit so that their requests get a rejection
 	closing            int // number of open connections whose close was requested
 	// connSlots holds an element for each connection. The listener adds it before it accepts the connection, and the
 	// event loop removes it when it closes the connection.
 	connSlots chan struct{}
 
-	stallTimeout   time.Duration
+	stallTimeout   time.Duration // see the constants of these names
 	commandTimeout time.Duration
 }
 
@@ -78,7 +78,8 @@
 // notClosing returns the number of open connections whose close was not requested.
 func (s *clientSet) notClosing() int { return len(s.conns) - s.closing }
 
-// add adds a connection that the listener has accepted, or closes it if too many are open.
+// add adds a connection that the listener has accepted. If the limit is reached, it tries to evict other connections. It
+// closes the new one if that fails and overLimitAllowance is used up too.
 func (s *clientSet) add(c *clientConn) {
 	c.overLimit = s.makeRoom(c)
 	if c.overLimit && s.notClosing() >= s.limit+s.overLimitAllowance {
@@ -95,8 +96,8 @@
 }
 
 // sweep closes connections that have been idle for too long, and connections with maxPipelined unfinished commands
-// whose client has disconnected. If too many connections are open, it evicts idle and stalled ones. The idle timeout
-// does not apply to a client that has not sent a command yet: its reader rejects it at the command deadline.
+// whose client has disconnected. If more than limit are open, it evicts idle and stalled ones. The idle timeout applies
+// only after the first command: until then, the reader enforces the command timeout.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
@@ -129,7 +130,7 @@
 
 // makeRoom evicts idle and stalled connections, the lowest eviction rank first, until fewer than limit connections
 // are open. Connections whose close was requested are not counted. newcomer, which may be nil, is neither counted nor
-// evicted. makeRoom reports whether too many remain open because none of them can be evicted.
+// evicted. makeRoom reports whether limit or more remain because no other one can be evicted.
 func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
@@ -175,8 +176,8 @@
 	rankLastReplyQueued evictionRank = iota // the connection's last reply was queued
 	rankNothingReceived                     // the client has not sent any bytes
 	rankIdle                                // a command was handled, none is open, and no reply is left to write
-	// rankUnhandledInput is the rank of a connection with bytes of its first command that are not handled yet. It stays
-	// open while it has unhandled input, so evicting it makes no room immediately.
+	// rankUnhandledInput is the rank of a connection whose first input, or whose close by the client, is not handled
+	// yet. It stays open until then, so evicting it frees no descriptor immediately.
 	rankUnhandledInput
 	rankStalled // the client does not read its replies
 )
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -6,8 +6,9 @@
 	"reedlead/internal/netcalls"
 )
 
-// The connection limits leave a reserve of descriptors. The process may still run out of them if it can open fewer than
-// its configuration says. Connections are then evicted to free descriptors for discovery, new connections and files.
+// The connection limits leave a reserve of descriptors. The process may still run out of them, such as when it can open
+// fewer than its configuration says. Connections are then evicted to free descriptors for discovery, new connections
+// and files.
 
 const (
 	// evictionDivisor sets how many client connections to evict when no descriptor is left: about 1/evictionDivisor of
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -31,7 +31,7 @@
 	requests *requestTable
 
 	acceptGrace time.Duration // time after the signal during which connections are accepted
-	timeout     time.Duration // time after the signal at which open requests fail
+	timeout     time.Duration // time from the signal until open requests fail
 
 	acceptingStopped bool // the accept grace is over, and connections are closed once they are idle
 	listenerEnded    bool // the listener is closed, or the drain no longer waits for it
@@ -72,8 +72,8 @@
 }
 
 // expire runs at the timeout of the drain, sigkillMargin before SIGKILL. It fails the open requests, so that their
-// replies can still reach the clients. Later requests are rejected until their connection is shut down. Connections
-// that remain are closed.
+// replies can still reach the clients, and rejects later requests. sigkillMargin/2 later it shuts down the sending
+// sides of the connections, and sigkillMargin/4 after that it closes those that are still open.
 func (d *drain) expire() {
 	d.timedOut = true
 	if !d.acceptingStopped {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -26,8 +26,8 @@
 	inputMemoryShare = 0.2
 	defaultMemoryMB  = 192 // used if the configuration sets none
 	sweepInterval    = time.Second
-	// readyTimeout is the time after the start at which the gateway reports that it is ready even without an endpoint
-	// in service. Nine in ten gateways have to be ready within 10 s.
+	// readyTimeout is the time from the start until the gateway reports that it is ready even without an endpoint in
+	// service. Nine in ten gateways have to be ready within 10 s.
 	readyTimeout = 2 * time.Second
 )
 
@@ -35,11 +35,12 @@
 //
 // The event loop owns all state that is not documented as owned by another goroutine. These goroutines post events
 // to the loop:
-//   - the client listener, until its socket is closed
-//   - a reader per connection, until the connection ends or its input is rejected
-//   - a goroutine per dial, and per write to a client that cannot complete immediately
-//   - the discovery client, until serve returns
-//   - the receiver of the peer link, until the link is closed
+//   - the client listener
+//   - a reader per client connection and per backend connection
+//   - a writer for each client connection whose socket is full
+//   - a goroutine per dial
+//   - the discovery client
+//   - the receiver of the peer link
 //
 // The writers of backend connections and the sender of the peer link post no events.
 type Proxy struct {
@@ -60,7 +61,7 @@
 	trace       tracer
 	peers       *peerlink.Link    // nil if peer messages are disabled
 	discovery   discovery.Options // without the options that followDiscovery adds
-	// readyAt is the time at which the gateway reports that it is ready even without an endpoint in service.
+	// readyAt is the time from which on the gateway reports that it is ready even without an endpoint in service.
 	readyAt policy.Seconds
 }
 
@@ -148,7 +149,8 @@
 	}
 }
 
-// serve starts the goroutines and runs the event loop until the drain is complete.
+// serve applies the initial endpoint list, starts the goroutines and runs the event loop until the drain is complete. It
+// then closes the sockets that open created.
 func (p *Proxy) serve(ctx context.Context, reloads <-chan config.Config, module decider) {
 	defer p.close()
 	background, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/reason.go
+++ b/internal/proxy/reason.go
@@ -15,7 +15,7 @@
 
 // Reasons for closing a client connection.
 const (
-	peerClosed         closeReason = "peer_closed"          // the other end closed or reset it, or its reader stopped
+	peerClosed         closeReason = "peer_closed"          // closed or reset by the other end, or its reader failed
 	idleTimeout        closeReason = "idle_timeout"         // it was idle for too long
 	evicted            closeReason = "evicted"              // closed to make room for other connections
 	draining           closeReason = "draining"             // the process is shutting down
