--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -38,7 +38,7 @@
 	number   uint64 // sequence number in the order of acceptance
 	conn     netcalls.Conn
 	rawConn  syscall.RawConn
-	permits  chan struct{} // holds an element per command without a completely written reply; see acquirePermit
+	permits  chan struct{} // holds an element per command whose reply is not completely written; see acquirePermit
 	done     chan struct{} // closed when the connection is closed
 	resume   chan struct{} // ends a pause of the reader
 
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -1,6 +1,6 @@
 package proxy
 
-// maxPipelined is the maximum number of commands of a connection without a completely written reply.
+// maxPipelined is the maximum number of commands per connection whose reply is not completely written.
 const maxPipelined = 32
 
 // pipelineSlot reserves the position of a reply in the order of its connection's commands.
@@ -33,7 +33,7 @@
 // empty reports whether there is neither an open command nor a pending reply.
 func (p *replyPipeline) empty() bool { return len(p.slots) == 0 && len(p.pending) == 0 }
 
-// unfinished returns the number of commands without a completely written reply.
+// unfinished returns the number of commands whose reply is not completely written.
 func (p *replyPipeline) unfinished() int { return len(p.slots) + len(p.unwritten) }
 
 // queueDue moves final replies from the front of the pipeline to pending. It stops before the first open command, and
@@ -77,7 +77,7 @@
 // drop discards the open commands, the final replies behind them and the pending replies.
 func (p *replyPipeline) drop() { p.slots, p.pending = nil, nil }
 
-// requestIDs returns the ids of the requests that have no completely written reply, oldest first.
+// requestIDs returns the ids of the requests whose reply is not completely written, oldest first.
 func (p *replyPipeline) requestIDs() (ids []string) {
 	for _, unwritten := range p.unwritten {
 		if unwritten.requestID != "" {
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -16,7 +16,7 @@
 	// and beyond it.
 	clientShare    = 1.0 / 2
 	overLimitShare = 1.0 / 8
-	// acceptAhead is the number of additional slots, for accepted connections that wait for the event loop.
+	// acceptAhead is the number of slots in connSlots for accepted connections that wait for the event loop.
 	acceptAhead = 8
 	// commandTimeout is the time in which a client has to send its first command, and to complete any later command. It
 	// is below 3 s, because input that cannot be parsed must get a reply within 3 s.
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -136,5 +136,5 @@
 	return c.writing && now-c.writeProgressAt.Load() > evictStalledAfter
 }
 
-// unfinishedRequestIDs returns the ids of the client's requests that have no completely written reply.
+// unfinishedRequestIDs returns the ids of the connection's requests whose reply is not completely written.
 func (c *clientConn) unfinishedRequestIDs() (ids []string) { return c.pipeline.requestIDs() }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -38,7 +38,7 @@
 	timedOut         bool // the timeout has passed, and new requests are rejected
 }
 
-// init sets the components and the times of the drain. The timeout depends on the longest timeout of a request class.
+// init sets the components and the times of the drain. The drain's timeout depends on the longest timeout of a class.
 func (d *drain) init(
 	shared *services, listener *net.TCPListener, clients *clientSet, requests *requestTable, classes []policy.Class,
 ) {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -43,7 +43,7 @@
 	drain    *drain // after its timeout, new requests are rejected
 	trace    *tracer
 	attempts *attemptRunner
-	byID     map[string]*request // open requests, and finished ones with an attempt in flight
+	byID     map[string]*request // open requests, and finished ones with inFlight > 0
 }
 
 // admit opens a request whose last byte arrived at arrivedAt and passes it to the decision module, unless the request
@@ -164,9 +164,9 @@
 	r.client.flush()
 }
 
-// finish marks a request as done. It aborts attempts whose command is not completely written, stops the timer, and
-// releases the arguments and their share of the input budget. Attempts that are already written do not need the
-// arguments. The request is removed once the outcomes of all its attempts have been reported.
+// finish marks a request as done. It aborts attempts whose write has started but is not complete, stops the timer, and
+// releases the arguments and their share of the input budget. No attempt needs the arguments any more. The request is
+// removed once the outcomes of all its attempts have been reported.
 func (t *requestTable) finish(r *request) {
 	r.done = true
 	t.attempts.abortPartialWrites(r)
