--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestNewClientTimeoutIsNotTakenForRetries checks that the gateway adapts when clients change their timeout.
-// After maxRemainingObservations requests, it must no longer take first attempts with the new timeout for
-// retries and reject them.
+// TestNewClientTimeoutIsNotTakenForRetries checks that requests are still sent after their clients have
+// changed their timeout. If the gateway kept taking first attempts with the new timeout for retries, it could
+// reject them.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
@@ -34,7 +34,7 @@
 }
 
 // TestClientRetriesAreDetected checks that a client's retry is rejected if its reply is expected after the
-// latency objective. A retry keeps the deadline of the first attempt, and its latency objective starts with
+// latency objective. A retry keeps the deadline of the first attempt, and its latency objective counts from
 // that attempt.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
@@ -65,8 +65,7 @@
 	}
 }
 
-// observeEach calls observe with each of the remaining times in turn, and repeats this for the number of
-// rounds.
+// observeEach calls observe with each of the remaining times in turn, for the given number of rounds.
 func observeEach(detector *clientRetryDetector, rounds int, remaining ...Seconds) {
 	for range rounds {
 		for _, seconds := range remaining {
@@ -82,16 +81,16 @@
 		remaining Seconds
 		want      bool
 	}{
-		"the common time":              {40, []Seconds{2}, 2, false},
-		"about the common time":        {40, []Seconds{2}, 1.98, false},
-		"an uncommon time":             {40, []Seconds{2}, 0.8, true},
-		"one of two common times":      {40, []Seconds{2, 1}, 1, false},
-		"neither of two common times":  {40, []Seconds{2, 1}, 0.5, true},
-		"more than the timeout":        {40, []Seconds{2}, 5, false},
-		"past its deadline":            {40, []Seconds{2}, -1, true},
-		"too few observations":         {minRemainingObservations - 1, []Seconds{2}, 0.8, false},
-		"no time is common":            {10, []Seconds{0.2, 0.5, 0.8, 1.1, 1.4, 1.7}, 2, false},
-		"the oldest counts are halved": {10 * maxRemainingObservations, []Seconds{2}, 0.8, true},
+		"the common time":             {40, []Seconds{2}, 2, false},
+		"about the common time":       {40, []Seconds{2}, 1.98, false},
+		"an uncommon time":            {40, []Seconds{2}, 0.8, true},
+		"one of two common times":     {40, []Seconds{2, 1}, 1, false},
+		"neither of two common times": {40, []Seconds{2, 1}, 0.5, true},
+		"more than the timeout":       {40, []Seconds{2}, 5, false},
+		"past its deadline":           {40, []Seconds{2}, -1, true},
+		"too few observations":        {minRemainingObservations - 1, []Seconds{2}, 0.8, false},
+		"no time is common":           {10, []Seconds{0.2, 0.5, 0.8, 1.1, 1.4, 1.7}, 2, false},
+		"the counts have been halved": {10 * maxRemainingObservations, []Seconds{2}, 0.8, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector := newClientRetryDetector(2)
@@ -103,8 +102,8 @@
 	}
 }
 
-// TestClientRetryDetectorLearnsANewTimeout checks that the detector no longer detects retries after
-// maxRemainingObservations requests with a new client timeout.
+// TestClientRetryDetectorLearnsANewTimeout checks that the detector no longer takes requests with a new
+// client timeout for retries after maxRemainingObservations of them.
 func TestClientRetryDetectorLearnsANewTimeout(t *testing.T) {
 	detector := newClientRetryDetector(2)
 	observeEach(&detector, 2000, 2)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestLimitFollowsTheNumberOfEndpoints checks that the limit is proportional to the number of endpoints.
-// With a limit that stayed the same, a fleet that grew from 37 to 189 endpoints did not use the new
-// capacity.
+// TestLimitFollowsTheNumberOfEndpoints checks that the limit grows in proportion to the number of endpoints,
+// and stays above 0 after an empty endpoint list. With a fixed limit, a fleet that grew from 37 to 189
+// endpoints did not use the new capacity.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	g, _ := newTestGateway(t, withSingleGateway)
 	before := g.limiter.limit
@@ -26,8 +26,7 @@
 }
 
 // TestSmallLimitAllowsShortBursts checks that a gateway of a large fleet sends several requests that arrive
-// at once. Its limit is a few attempts. Without the burst allowance, requests would wait while most
-// endpoints are idle.
+// at once. Its limit is below 3 attempts, so without the burst allowance some of the requests would wait.
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
@@ -73,7 +72,7 @@
 		timedOut      bool
 		spareCapacity bool
 		busy          bool // whether the attempts in flight reach the limit
-		want          int  // -1 if the limit shrinks, 1 if it grows
+		want          int  // -1 if the limit shrinks, 0 if it stays, 1 if it grows
 	}{
 		"fast replies at the limit":        {elapsed: 0.05, busy: true, want: 1},
 		"fast replies below the limit":     {elapsed: 0.05, want: 0},
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -8,7 +8,7 @@
 
 // TestEndpointsWithAConnectionArePreferredByHandshakeCost checks that a handshake cost makes a gateway
 // prefer endpoints with an idle connection. Without the preference, a gateway of a large fleet spreads its
-// attempts over all endpoints, and needs a new connection for almost every attempt.
+// attempts over most endpoints, which takes many handshakes.
 func TestEndpointsWithAConnectionArePreferredByHandshakeCost(t *testing.T) {
 	for _, cost := range []float64{0, 0.08} {
 		s, r := testSettings(), &recorder{}
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestIdleConnectionsCountWhileTheyLast checks that closed connections do not count as idle connections. An
-// attempt without a reply closes its connection, and an endpoint closes a connection after the idle timeout.
+// TestIdleConnectionsCountWhileTheyLast checks that connections in use and closed connections do not count as
+// idle. An attempt without a reply closes its connection, and an endpoint closes an idle connection after the
+// idle timeout.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	g.settings.ConnectionIdleTimeout = 10
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,8 +7,8 @@
 	"reedlead/policy"
 )
 
-// printingActions is a minimal Actions implementation. It prints the actions and keeps the messages to its
-// peer.
+// printingActions is a minimal Actions implementation. It prints attempts sent, rejections and failures, and
+// keeps the messages to its peer.
 type printingActions struct {
 	name     string
 	messages [][]byte // not yet delivered
@@ -32,7 +32,7 @@
 func (p *printingActions) SendToPeer(_ int, data []byte)   { p.messages = append(p.messages, data) }
 
 // exampleSettings returns settings with one class, and one plan whose quota holds 3 units and refills by 1
-// per second.
+// unit per second.
 func exampleSettings(self, gatewayCount int) policy.Settings {
 	return policy.Settings{
 		Self: self, GatewayCount: gatewayCount, PeerMessages: gatewayCount > 1, PeerMessageRate: 40,
@@ -82,7 +82,7 @@
 		gateways[i].HandleEndpoints(now, []policy.Endpoint{{ID: "10.0.0.1:80"}}, true)
 	}
 	gateways[0].HandleRequest(now, exampleRequest(now, "first", 2))
-	for range 30 { // 0.6 s, enough for messages in both directions
+	for range 30 { // 0.6 s, enough for the usage report to arrive
 		now += 0.02
 		for i, gateway := range gateways {
 			gateway.HandleTimer(now, 1)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -9,23 +9,23 @@
 )
 
 // This file simulates a fleet of gateways with its endpoints and clients. Some of the endpoints restart and
-// warm up, and the simulation records the attempts that all gateways together send to them.
+// warm up. The simulation records the attempts that they get from gateways that know of the restart.
 
 const (
 	simulationStart Seconds = 100
 	restartAt       Seconds = 104 // time at which endpoints restart
 	simulationEnd   Seconds = 112
 
-	defaultServiceRate          = 20.0 // mean attempts per second of a warm endpoint
-	endpointQueueLength         = 25.0 // attempts; an endpoint rejects further ones
+	defaultServiceRate          = 20.0 // attempts per second that a warm endpoint serves on average
+	endpointQueueLength         = 25.0 // attempts of mean duration; an endpoint with a longer queue rejects
 	networkDelay        Seconds = 0.01
 
-	listDelay       Seconds = 0.5 // maximum time until a gateway learns of a restart
+	listDelay       Seconds = 0.5 // maximum time until a gateway learns that an endpoint has restarted
 	faultyListDelay Seconds = 3   // listDelay with faults
 
 	burstDuration       Seconds = 3   // duration of the burst of requests that starts at restartAt, with faults
 	burstFactor                 = 2.0 // multiplies the request rate during the burst
-	gatewayRestartShare         = 0.9 // fraction of the gateways that restart with faults
+	gatewayRestartShare         = 0.9 // probability that a gateway restarts, with faults
 	gatewayRestartDelay Seconds = 4   // maximum time from restartAt to the restart of a gateway
 
 	clientTimeout Seconds = 1.5
@@ -33,7 +33,7 @@
 
 // Retries of simulated clients.
 const (
-	clientRetryRate = 0.7 // fraction of the rejected clients that retry
+	clientRetryRate = 0.7 // probability of a retry after a rejection or failure
 	maxClientRetry  = 3
 )
 
@@ -43,20 +43,21 @@
 	restarting          float64 // fraction of the endpoints that restart
 	load                float64 // offered load as a fraction of the capacity of all endpoints when warm
 	seed                uint64
-	serviceRate         float64 // mean attempts per second of a warm endpoint
+	serviceRate         float64 // of a warm endpoint; 0 stands for defaultServiceRate
 	// faults adds a burst of requests, late endpoint lists and restarts of gateways.
 	faults bool
 }
 
-// restartingEndpoints returns the number of endpoints that restart.
+// restartingEndpoints returns the number of endpoints that restart, rounded down.
 func (c fleetCase) restartingEndpoints() int { return int(c.restarting * float64(c.endpoints)) }
 
-// simulatedEndpoint serves one attempt at a time, with the minimum capacity that the settings guarantee.
+// simulatedEndpoint serves one attempt at a time. After a restart, its capacity grows as the slow-start
+// settings specify.
 type simulatedEndpoint struct {
 	id          string
 	restartedAt Seconds // 0 if it has not restarted
 	busyUntil   Seconds
-	sent        []Seconds // send times of attempts by gateways that knew of its last restart
+	sent        []Seconds // send times of attempts; after a restart, only from gateways that know of it
 }
 
 func (e *simulatedEndpoint) capacity(now Seconds, settings Settings) float64 {
@@ -79,8 +80,8 @@
 	return OK, e.busyUntil + networkDelay
 }
 
-// maxSentWithin counts the attempts sent in each window since the last restart. It returns the largest ratio
-// of such a count to the bound of the window, and a description of that window.
+// maxSentWithin counts the attempts in each window that starts with an attempt after the restart. It returns
+// the largest ratio of such a count to the bound of the window, and a description of that window.
 func (e *simulatedEndpoint) maxSentWithin(window Seconds, bound func(from Seconds) float64) (ratio float64, windowDescription string) {
 	for i, from := range e.sent {
 		if e.restartedAt == 0 || from < e.restartedAt {
@@ -105,7 +106,7 @@
 	run    func(now Seconds)
 }
 
-// simulationEvents is a heap of events, ordered by time.
+// simulationEvents is a heap of events, ordered by time and number.
 type simulationEvents []simulationEvent
 
 func (h simulationEvents) Len() int { return len(h) }
@@ -264,8 +265,9 @@
 	})
 }
 
-// retry sends a rejected request again, to a random gateway. It does so with the probability
-// clientRetryRate, at most maxClientRetry times, and only if enough time is left.
+// retry sends a rejected or failed request again after a random delay, to a random gateway. It does so with
+// the probability clientRetryRate, at most maxClientRetry times per request, and only if more than 0.05 s are
+// then left until the deadline.
 func (f *fleetSimulation) retry(id string) {
 	attempt := f.clientAttempts[id]
 	delete(f.clientAttempts, id)
@@ -280,7 +282,7 @@
 }
 
 // overloadBound returns the largest number of attempts that an endpoint may get in a window starting at from:
-// the limit from the settings plus a margin of 2 or 3 standard deviations for random variation.
+// the overload limit at its capacity at that time, plus a margin for random variation.
 func (f *fleetSimulation) overloadBound(e *simulatedEndpoint, from Seconds) float64 {
 	allowed := f.settings.OverloadMultiple * f.serviceRate * e.capacity(from, f.settings) * f.settings.OverloadWindow
 	if allowed < 30 {
@@ -301,7 +303,8 @@
 	return ratio, windowDescription
 }
 
-// sentToRestarted returns the number of attempts sent to restarted endpoints since their restart.
+// sentToRestarted returns the number of attempts that restarted endpoints got from gateways that knew of the
+// restart.
 func (f *fleetSimulation) sentToRestarted() (sent int) {
 	for _, e := range f.endpoints {
 		if e.restartedAt > 0 {
@@ -311,7 +314,7 @@
 	return sent
 }
 
-// simulatedGateway carries out the actions of one gateway.
+// simulatedGateway is one gateway of the simulation. It implements Actions for its Gateway.
 type simulatedGateway struct {
 	fleet       *fleetSimulation
 	policy      *Gateway
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -61,7 +61,7 @@
 		want  bool
 	}{
 		"a newer utilization":             {loadUpdate, 100, true},
-		"a utilization of the same time":  {loadUpdate, 99 + minGossipInterval/2, false},
+		"a hardly newer utilization":      {loadUpdate, 99 + minGossipInterval/2, false},
 		"a newer score":                   {0, 100, true},
 		"a score before the last success": {1, 98, false},
 		"a score of an earlier process":   {0, 40, false},
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestWarmingEndpointsGetNoHealthChecks checks that warming endpoints get no health checks. Together, the
-// health checks of all gateways could exceed the load that slow start allows for a warming endpoint.
+// The health checks of all gateways together could exceed the load that slow start allows for a warming
+// endpoint, so such an endpoint must get none.
 func TestWarmingEndpointsGetNoHealthChecks(t *testing.T) {
 	g, r := newTestGateway(t, func(s *Settings) { s.HealthChecks, s.LoadReportInHealthCheck = true, true })
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a", StartedAt: 99}, {ID: "s2", Zone: "a"}}, true)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -18,7 +18,7 @@
 	data        []byte
 }
 
-// recorder implements Actions by recording the calls in order.
+// recorder implements Actions. It records all calls except SetTimer, in order.
 type recorder struct{ actions []action }
 
 func (r *recorder) Send(id, endpoint string, timeout, writeWithin Seconds) {
@@ -47,7 +47,7 @@
 	r.actions = append(r.actions, action{kind: "send_to_peer", to: gateway, data: bytes.Clone(data)})
 }
 
-// ofKind returns the actions of a kind for a request, or for all requests if id is "".
+// ofKind returns the actions of a kind for a request, or all actions of the kind if id is "".
 func (r *recorder) ofKind(kind, id string) (list []action) {
 	for _, a := range r.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
@@ -57,7 +57,7 @@
 	return list
 }
 
-// testFormat is the message format that testSettings imply.
+// testFormat is the message format that matches testSettings.
 var testFormat = messageFormat{unitsPerWireUnit: 1}
 
 func testSettings() Settings {
@@ -81,8 +81,8 @@
 	}
 }
 
-// newTestGateway returns a gateway at time 100 with three endpoints in three cells of two zones. change may
-// be nil.
+// newTestGateway returns a gateway at time 100 with three endpoints in three cells of two zones. change
+// modifies its settings, and may be nil.
 func newTestGateway(t *testing.T, change func(*Settings)) (*Gateway, *recorder) {
 	t.Helper()
 	s, r := testSettings(), &recorder{}
@@ -100,8 +100,8 @@
 // withSingleGateway configures a fleet of one gateway.
 func withSingleGateway(s *Settings) { s.GatewayCount = 1 }
 
-// sendRequest passes a request to the gateway, with the timeout of its class. All requests of a plan come
-// from the same customer.
+// sendRequest passes a request to the gateway, with the timeout that its class has in testSettings. All
+// requests of a plan come from the same customer.
 func sendRequest(g *Gateway, now Seconds, id, class, plan string, units float64) {
 	timeout := 2.0
 	if class != "read" {
@@ -113,8 +113,8 @@
 	})
 }
 
-// newGatewayPair returns two gateways with their recorders, and a function that ticks both and delivers all
-// messages.
+// newGatewayPair returns two gateways with their recorders, and a function that calls HandleTimer of both and
+// delivers their messages to each other.
 func newGatewayPair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now Seconds)) {
 	t.Helper()
 	return newGatewayPairWith(t, func(*Settings) {})
@@ -141,8 +141,8 @@
 	}
 }
 
-// replyToAll delivers a successful outcome for each attempt sent since the last call, and returns the request
-// IDs.
+// replyToAll delivers a successful outcome for each attempt among the recorded actions from index *seen on.
+// It advances *seen past them, and returns the request IDs.
 func replyToAll(g *Gateway, r *recorder, seen *int, now float64) (ids []string) {
 	for ; *seen < len(r.actions); *seen++ {
 		if a := r.actions[*seen]; a.kind == "send" {
@@ -154,7 +154,7 @@
 }
 
 // newTestMember returns a gateway that is a member for a customer, its recorder, and a function that passes
-// the gateway a request of that customer.
+// the gateway a request of that customer and returns the customer.
 func newTestMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -177,8 +177,8 @@
 // withGatewayCount sets the size of the fleet.
 func withGatewayCount(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
-// ownerReply returns the owner's reply to the last usage report that the gateway has sent, and the number of
-// the owner. change modifies the reply before it is encoded.
+// ownerReply returns the index of the owner and its encoded reply to the first record of the last message
+// that the gateway has sent. change modifies the reply before it is encoded.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
 	sent := r.ofKind("send_to_peer", "")
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestRetriesMustBeWrittenWithinTheIdempotencyWindow checks that each retry with an idempotency key carries
-// the time left for writing it. Such a retry may wait for a connection, but endpoints drop duplicates only
-// until the end of the idempotency window. The window starts with the first attempt that may have executed.
+// TestRetriesMustBeWrittenWithinTheIdempotencyWindow checks the time within which a retry with an idempotency
+// key must be written. The retry may wait for a connection, but endpoints drop it as a duplicate only until
+// the end of the idempotency window. The window starts with the first attempt that may have executed.
 func TestRetriesMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
 	const window Seconds = 2 // IdempotencyWindow of class "put"
 	remaining := func(now, first Seconds) Seconds { return first + window - clockUncertainty - now }
@@ -52,8 +52,8 @@
 }
 
 // An endpoint list update may move the endpoint of the first attempt to another dedup group. It is unknown
-// whether the keys recorded there move along, so a retry needs an endpoint that shares both the old group and
-// the new one.
+// whether the idempotency keys recorded there move along, so a retry needs an endpoint that belongs to both
+// the old group and the new one.
 func TestNoRetryOutsideTheDedupGroupAfterAnEndpointMoves(t *testing.T) {
 	for name, moved := range map[string]Endpoint{
 		"to another zone": {ID: "s1", Zone: "b", Cell: 1},
@@ -87,11 +87,11 @@
 	}
 }
 
-// recordedAttempt is an attempt as seen on the network.
+// recordedAttempt is an attempt for which the gateway called Send.
 type recordedAttempt struct {
 	endpoint  string
 	group     dedupGroup // when the attempt was sent; the endpoint may move later
-	writtenAt Seconds    // time at which the last byte was written
+	writtenAt Seconds    // time at which the last byte is written
 	status    AttemptStatus
 	done      bool
 }
@@ -152,7 +152,8 @@
 	return classes
 }
 
-// listEndpoints passes the gateway a list of eight endpoints in random groups, some of them draining.
+// listEndpoints passes the gateway a list of eight endpoints in random groups. Each of them is draining with
+// a probability of 1/8.
 func (s *retryScenario) listEndpoints(now Seconds) {
 	var list []Endpoint
 	for i := range 8 {
@@ -168,7 +169,7 @@
 	s.gateway.HandleEndpoints(now, list, true)
 }
 
-// run runs the scenario until after the deadline.
+// run runs the scenario until after the deadline, and checks that the request got one final reply.
 func (s *retryScenario) run() {
 	s.t.Helper()
 	for now := 100.0; now < 104.5; now += 0.02 {
@@ -186,7 +187,8 @@
 	}
 }
 
-// observeActions carries out and checks the actions that the gateway requested since the last call.
+// observeActions carries out the sends and cancellations that the gateway requested since the last call, and
+// checks its sends and rejections.
 func (s *retryScenario) observeActions(now Seconds) {
 	s.t.Helper()
 	for ; s.observed < len(s.recorder.actions); s.observed++ {
@@ -204,8 +206,8 @@
 	}
 }
 
-// observeSend writes an attempt at once or after a random delay. An attempt that cannot be written within its
-// writeWithin is not sent.
+// observeSend writes an attempt at once or after a random delay. An attempt that would be written after its
+// writeWithin ends at once with the status NotSent.
 func (s *retryScenario) observeSend(now Seconds, send action) {
 	s.t.Helper()
 	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
@@ -314,8 +316,8 @@
 	}
 }
 
-// TestClientMayRetry checks that clientMayRetry returns false if a retry by the client could execute the
-// request a second time. Clients may retry after a rejection, so the gateway must not reject such a request.
+// TestClientMayRetry checks that clientMayRetry returns false if a retry by the client could cause a harmful
+// second execution. Clients may retry after a rejection, so the gateway must not reject such a request.
 func TestClientMayRetry(t *testing.T) {
 	inFlight := func(r *request) { r.inFlight = 1 }
 	for name, tc := range map[string]struct {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestRejectingOrBrokenEndpointsAreEjected checks that only a few attempts are sent to an endpoint that
-// rejects all attempts or breaks all connections. Such an endpoint is ejected, and gets another attempt only
-// after the ejection period.
+// rejects all attempts, or refuses or loses all connections. Such an endpoint is ejected, and gets another
+// attempt only after the ejection period.
 func TestRejectingOrBrokenEndpointsAreEjected(t *testing.T) {
 	const maxSent = 24
 	for _, status := range []AttemptStatus{Rejected, Reset, ConnectFailed} {
@@ -35,12 +35,13 @@
 			g.HandleTimer(now, 1)
 		}
 		if sent["s1"] < 1 || sent["s1"] > maxSent || sent["s2"] < 100 {
-			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v, want few at s1", status, sent)
+			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v, want few at s1 and at least 100 at s2", status, sent)
 		}
 	}
 }
 
-// A single lost connection may not be the endpoint's fault, so only two in a row eject the endpoint.
+// A single lost connection may not be the endpoint's fault, so the endpoint is ejected only after two in a
+// row.
 func TestTwoConsecutiveConnectionFailuresEject(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, []Endpoint{{ID: "s1", Zone: "a"}}, true)
@@ -55,8 +56,8 @@
 	}
 }
 
-// An endpoint may stop replying to one class while it serves the others. Only attempts of that class must
-// avoid it.
+// An endpoint may stop replying to one class while it serves the others. New attempts of that class must
+// avoid it, and the other classes must still use it.
 func TestOutlierForOneClassServesTheOthers(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for _, requestClass := range g.classes.ordered {
@@ -98,7 +99,7 @@
 
 // TestLargeFleetScoresByTheTimeoutFraction checks that in a large fleet a single timeout does not raise the
 // score to suspectScore, and a single success does not reset it. If one timeout raised it that far, gossip
-// would make all gateways leave the endpoint at once and overload the others.
+// could make all gateways leave the endpoint at once and overload the others.
 func TestLargeFleetScoresByTheTimeoutFraction(t *testing.T) {
 	g, _ := newLargeFleetGateway(t)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
@@ -111,14 +112,14 @@
 	}
 	attempt(100, "a", Timeout)
 	if score := g.outliers.score(e, requestClass.index); score <= 0 || score >= suspectScore {
-		t.Fatalf("the score is %.2f after one attempt without a reply, want a score above 0 and below suspectScore", score)
+		t.Fatalf("the score is %.2f after one timeout, want a score above 0 and below suspectScore", score)
 	}
 	for i := range 12 {
 		attempt(100.2+float64(i)*0.1, fmt.Sprint("b", i), Timeout)
 	}
 	high := g.outliers.score(e, requestClass.index)
 	if high < 0.8 {
-		t.Fatalf("the score is %.2f after thirteen attempts without a reply, want at least 0.8", high)
+		t.Fatalf("the score is %.2f after thirteen timeouts, want at least 0.8", high)
 	}
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -45,6 +45,6 @@
 		t.Errorf("open requests are %q, want %q", ids, want)
 	}
 	if table.find("c") != nil || table.find("b") != requests["b"] {
-		t.Error("find returned a removed request, or did not return one that is in flight")
+		t.Error("find returned a removed request, or did not return one with an attempt in flight")
 	}
 }
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// TestFleetKeepsToTheSlowStartBound checks that the gateways of a fleet together never exceed the overload
-// limit of a warming endpoint in any window of OverloadWindow. One, some or most of the endpoints restart.
+// TestFleetKeepsToTheSlowStartBound checks that the gateways of a fleet together send each warming endpoint
+// at most overloadBound attempts in any window of OverloadWindow. One, some or most of the endpoints restart.
 // Gateways get uneven traffic and learn of the restarts at different times. The load is up to 1.2 times the
 // capacity of all endpoints. With faults, there is also a burst of requests, endpoint lists arrive late, and
 // gateways restart. The count includes retries and hedges of gateways and retries of clients. It excludes
-// attempts from gateways that have not learned of a restart. Warming endpoints must also get a minimum
-// number of attempts, so that a gateway that sends them nothing fails the test.
+// attempts from gateways that have not learned of the restart. Warming endpoints must also get a minimum
+// number of attempts, so that the test fails if the gateways send them nothing.
 func TestFleetKeepsToTheSlowStartBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, endpoints int
@@ -49,8 +49,8 @@
 	}
 }
 
-// simulatedLoads returns the loads to simulate for a fleet, as fractions of its capacity. Simulations of the
-// largest fleets are slow, so they get a single load.
+// simulatedLoads returns the loads to simulate for a fleet, as fractions of its capacity. Simulations of
+// large fleets are slow, so they get a single load.
 func simulatedLoads(gatewaysTimesEndpoints int, faults bool) []float64 {
 	if faults && gatewaysTimesEndpoints > 5000 || gatewaysTimesEndpoints > 20_000 {
 		return []float64{0.8}
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkSlowStart fails the test if a warming endpoint got more attempts than the bound, or if all warming
-// endpoints together got fewer than a minimum.
+// checkSlowStart fails the test if a warming endpoint got more attempts in a window than overloadBound, or if
+// all warming endpoints together got fewer than a minimum.
 func (f *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
 	ratio, windowDescription := f.worstOverload()
@@ -86,7 +86,7 @@
 	t.Logf("load %.1f: %.2f of the bound", f.load, ratio)
 	warming := float64(f.restartingEndpoints())
 	least := 0.05 * f.load * f.serviceRate * warming * (simulationEnd - restartAt)
-	if f.faults || f.fleetCase.gateways < 5 { // warm endpoints may have enough capacity for the load of a few gateways
+	if f.faults || f.fleetCase.gateways < 5 { // warm endpoints may then get almost all attempts
 		least = min(least, 1)
 	}
 	if sent := f.sentToRestarted(); float64(sent) < least {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -35,9 +35,9 @@
 }
 
 // TestWarmingEndpointsServeTheLoadAlone checks that requests are still sent after a rollout has replaced all
-// endpoints. The share of warming endpoints depends on the completed work. Without the lower bound
-// minCompletedFraction, it would fall to 0 once no warm endpoint completes work, and no requests would be
-// sent.
+// endpoints. The credits of warming endpoints shrink with the completed work. Without the lower bound
+// minCompletedFraction, smaller credits would lead to less completed work and so to still smaller credits,
+// until no requests are sent.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestWarmingEndpointsGetTheirShareFromEveryGateway checks that gateways with little traffic send enough
-// work to warming endpoints. If this work were proportional to the square of the gateway's request rate,
-// warming endpoints would stay almost idle while warm endpoints are overloaded.
+// TestWarmingEndpointsGetTheirShareFromEveryGateway checks the fraction of its attempts that a gateway sends
+// to warming endpoints, at a low and at a high request rate. If the fraction fell with the request rate,
+// gateways with little traffic would leave warming endpoints almost idle.
 func TestWarmingEndpointsGetTheirShareFromEveryGateway(t *testing.T) {
 	for _, rate := range []int{10, 50} {
 		g, r := newLargeFleetGateway(t)
@@ -87,7 +87,8 @@
 		g.HandleEndpoints(100, list, true)
 		warming, all := 0, 0
 		fraction := 0.0
-		// Each round covers the ages from 5 s to 6 s, at which the endpoints have about 0.6 of their capacity.
+		// Each round covers the ages from 5 s to 6 s, at which the endpoints have 0.6 to 0.68 of their
+		// capacity.
 		for round := range 2000 / rate {
 			for i := range rate {
 				now := 105 + float64(i)/float64(rate)
@@ -110,13 +111,13 @@
 		}
 		capacityFraction := 30 * fraction / (30*fraction + 30)
 		if got := float64(warming) / float64(all); got < 0.4*capacityFraction || got > 0.9*capacityFraction {
-			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity", rate, got, capacityFraction)
+			t.Errorf("at %d requests per second, warming endpoints get %.3f of the attempts with %.3f of the capacity, want 0.4 to 0.9 times their fraction of the capacity", rate, got, capacityFraction)
 		}
 	}
 }
 
-// In a large fleet an endpoint that has just started gets less work in proportion to its capacity than an
-// older one, because random variation could overload it. It gets no non-idempotent requests.
+// In a large fleet, an endpoint that has just started gets less work in proportion to its capacity than one
+// that is almost warm, because random variation could overload it. It gets no non-idempotent requests.
 func TestNewlyStartedEndpointsGetAReducedShare(t *testing.T) {
 	count := func(class string, age float64) (n int) {
 		g, _ := newLargeFleetGateway(t)
@@ -171,7 +172,7 @@
 }
 
 // TestInitialCreditsAreSpreadOverTheGateways checks that the initial credits of the gateways are spread
-// evenly. With equal credits, all gateways would send to a warming endpoint at the same time.
+// evenly. With equal credits, all gateways could send to a warming endpoint at the same time.
 func TestInitialCreditsAreSpreadOverTheGateways(t *testing.T) {
 	const gateways = 100
 	var credits [10]int // number of gateways by tenth of a credit
@@ -182,7 +183,7 @@
 	}
 	for tenth, count := range credits {
 		if count < 8 || count > 12 {
-			t.Errorf("%d of 100 gateways start with a credit of 0.%d to below the next tenth, want about 10: %v", count, tenth, credits)
+			t.Errorf("%d of 100 gateways have an initial credit in the tenth from 0.%d, want 8 to 12; all tenths: %v", count, tenth, credits)
 		}
 	}
 }
