--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// TestNewClientTimeoutIsNotTakenForRetries checks that requests are still sent after their clients have
-// changed their timeout. If the gateway kept taking first attempts with the new timeout for retries, it could
-// reject them.
+// TestNewClientTimeoutIsNotTakenForRetries checks that the requests of a customer below its rate are all sent
+// after its clients have changed their timeout.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -35,9 +35,7 @@
 }
 
 // TestWarmingEndpointsServeTheLoadAlone checks that requests are still sent after a rollout has replaced all
-// endpoints. The credits of warming endpoints shrink with the completed work. Without the lower bound
-// minCompletedFraction, smaller credits would lead to less completed work and so to still smaller credits,
-// until no requests are sent.
+// endpoints. With no warm endpoint left, the credits of the warming ones must suffice for the load.
 func TestWarmingEndpointsServeTheLoadAlone(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	replaceEndpoints := func(now Seconds, name string) {
