--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -116,8 +116,8 @@
 }
 
 // TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow checks that attempts are spaced out while replies are
-// slow and the limit is below 1. If each of many gateways rounded its limit up to one attempt, they would
-// overload the endpoints.
+// slow and the limit is below 1. If each of many gateways rounded its limit up to one attempt, they could
+// together overload the endpoints.
 func TestFractionalLimitDelaysAttemptsWhileRepliesAreSlow(t *testing.T) {
 	limiter := newTestLimiter(1, 1)
 	limiter.limit = 0.5
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -132,7 +132,7 @@
 	previousAttempts int
 }
 
-// fleetSimulation is the state of a simulation.
+// fleetSimulation holds the simulated gateways, endpoints and client requests, and the scheduled events.
 type fleetSimulation struct {
 	fleetCase
 	settings       Settings
@@ -147,7 +147,7 @@
 	number         int // number of the last event or request
 }
 
-// simulateFleet runs a simulation from simulationStart to simulationEnd.
+// simulateFleet runs a simulation from simulationStart to simulationEnd, and returns its final state.
 func simulateFleet(c fleetCase) *fleetSimulation {
 	c.serviceRate = cmp.Or(c.serviceRate, defaultServiceRate)
 	f := &fleetSimulation{
@@ -183,7 +183,7 @@
 	return settings
 }
 
-// schedule adds an event that calls run.
+// schedule adds an event that calls run at the given time.
 func (f *fleetSimulation) schedule(at Seconds, run func(now Seconds)) {
 	f.number++
 	heap.Push(&f.events, simulationEvent{at: at, number: f.number, run: run})
