--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// maxLineBytes is the maximum size of a log line, in bytes.
+// maxLineBytes bounds the size of a log line, in bytes. A longer line makes the audit fail.
 const maxLineBytes = 1 << 20
 
-// attempt is an attempt that a gateway sent.
+// attempt is an attempt that a gateway sent, with its outcome.
 type attempt struct {
 	event
 	ended   bool    // its outcome was logged
@@ -27,8 +27,8 @@
 	return a.ended && a.endedAt <= at && a.result == rejectedStatus
 }
 
-// sameDedupGroup reports whether the endpoints of two attempts belong to the same dedup group. The endpoints of a group
-// together execute a request with a given idempotency key only once.
+// sameDedupGroup reports whether the endpoints of two attempts belong to the same dedup group. During the idempotency
+// window, the endpoints of a group together execute a request with a given idempotency key at most once.
 func (a *attempt) sameDedupGroup(b *attempt) bool {
 	switch a.dedupScope {
 	case "zone":
@@ -48,11 +48,11 @@
 // audit counts attempts and collects violations over all logs.
 type audit struct {
 	attempts                int
-	retries                 int     // attempts other than the first of their request
-	keyedRetries            int     // retries with an idempotency key in the dedup group of an attempt that may have executed
-	attemptsAfterDisconnect int     // attempts sent after the client had closed its connection
-	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of such an attempt, in seconds
-	minWindowLeft           float64 // shortest remaining idempotency window at one of the keyedRetries, in seconds
+	retries                 int     // attempts other than the first of their request in the same log
+	keyedRetries            int     // retries with an idempotency key in the dedup group of the first attempt that may have executed
+	attemptsAfterDisconnect int     // attempts whose client had closed its connection when the attempt was logged
+	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of writing such an attempt, in seconds
+	minWindowLeft           float64 // shortest rest of an idempotency window at one of the keyedRetries, in seconds; negative after its end
 	violations              []string
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// checkAttempt counts an attempt and checks it against the earlier attempts of its request.
+// checkAttempt counts an attempt, checks it against the history of its request, and adds it to the history.
 func (a *audit) checkAttempt(name string, next *attempt, history *requestHistory) {
 	a.attempts++
 	if next.clientClosed {
@@ -123,7 +123,7 @@
 		a.maxAgeAfterDisconnect = max(a.maxAgeAfterDisconnect, next.writeStarted-next.arrived)
 	}
 	if history.completed {
-		a.addViolation(name, next.requestID, "attempt %d was sent after the final reply", next.attempt)
+		a.addViolation(name, next.requestID, "attempt %d was sent after the final reply or the client's disconnect", next.attempt)
 	}
 	if len(history.attempts) > 0 {
 		a.retries++
@@ -142,7 +142,7 @@
 }
 
 // checkRepeat checks an attempt that follows first, the earliest attempt of its request that may have executed. It
-// returns the violated rule, or "" if the attempt is allowed.
+// returns the violated rule, or "" if the attempt is allowed. It also updates keyedRetries and minWindowLeft.
 func (a *audit) checkRepeat(first, next *attempt) string {
 	if next.idempotency == nonIdempotent {
 		return "the class must not execute twice"
@@ -159,8 +159,8 @@
 	return ""
 }
 
-// checkRejection checks the attempts of a rejected request. The client may repeat the request, so no attempt may have
-// executed unless the request is safe to repeat.
+// checkRejection checks the attempts of a rejected request. The client may repeat the request, so unless it is safe to
+// repeat, the gateway must know of each attempt that it was not executed.
 func (a *audit) checkRejection(name string, e event, history *requestHistory) {
 	for _, sent := range history.attempts {
 		safeToRepeat := sent.idempotency == idempotent || sent.idempotency == idempotencyKey && sent.dedupScope == "all"
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -33,13 +33,14 @@
 	zone, cell   string
 	arrived      float64 // when the last byte of the request arrived
 	writeStarted float64
-	clientClosed bool // the client had closed its connection
+	clientClosed bool // the client had closed its connection when the line was logged
 
 	// Set for requestCompleted.
 	rejection bool // the gateway rejected the request, so the client may repeat it
 }
 
-// idempotency says whether a request of a class may execute more than once.
+// idempotency says whether a request of a class may execute more than once: always, only if endpoints drop repeats of its
+// idempotency key, or never.
 type idempotency string
 
 const (
@@ -71,7 +72,7 @@
 	"full": rejectedStatus,
 }
 
-// parseEvent parses a log line. The kind of a line that is not part of the trace is otherEvent.
+// parseEvent parses a log line. A line that the audit ignores gets the kind otherEvent.
 func parseEvent(line string) event {
 	values := parseLine(line)
 	kind := kindByMessage[values["msg"]]
--- a/cmd/audit/main.go
+++ b/cmd/audit/main.go
@@ -1,13 +1,14 @@
 // Command audit reads the debug logs of the gateways of one fleet and checks these rules:
 //
 //   - After an attempt that may have executed, a request is attempted again only if its class is idempotent, or if the
-//     new attempt is in the dedup group and the idempotency window of the first such attempt.
+//     class has idempotency keys and the new attempt is in the dedup group and the idempotency window of the first
+//     such attempt.
 //   - No attempt is sent after the final reply, or after the gateway has noticed that the client disconnected.
-//   - A request is rejected only if it has not executed or can be repeated safely.
+//   - A request is rejected only if the gateway knows that it has not executed, or if it can be repeated safely.
 //
 // It prints the violations, each with the id of its request, and counts of attempts. One of the counts is the number of
-// attempts that were sent after the client had closed its connection. The exit status is 1 if there are violations, and
-// 2 if the audit fails.
+// attempts whose client had already closed its connection when the attempt was logged. The exit status is 1 if there are
+// violations, and 2 if the audit fails.
 //
 // It understands the log lines of the present version and of the previous one; see event.go.
 package main
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,6 +1,7 @@
-// Command knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault. It reads the names of all
-// tests from standard input. To standard output, it prints a pattern for go test -skip that matches exactly the listed
-// tests. To standard error, it prints the skipped tests and why they fail.
+// Command knownred reads the file that its argument names, a list of tests that fail because of a known fault. It reads
+// the names of all tests from standard input. To standard output, it prints a pattern for go test -skip that matches
+// exactly the listed tests, or nothing if the list is empty. To standard error, it prints the skipped tests and why they
+// fail.
 //
 // A line of the file holds a test name, the cause and the issue number, separated by " | ":
 //
@@ -82,7 +83,8 @@
 
 var entryFormat = regexp.MustCompile(`^(Test\w+) \| (\S.*) \| (\d+)$`)
 
-// parseList parses the list. Each entry must name one of tests, and no test may be listed twice.
+// parseList parses the list. Each entry must name one of tests, no test may be listed twice, and there may be at most
+// maxKnownRed entries.
 func parseList(list string, tests []string) ([]knownRed, error) {
 	var entries []knownRed
 	for i, line := range strings.Split(list, "\n") {
--- a/cmd/reedlead/main.go
+++ b/cmd/reedlead/main.go
@@ -1,7 +1,9 @@
-// Command reedlead runs a gateway: it connects the decision module in package policy to clients, endpoints and peers.
+// Command reedlead runs a gateway: it connects the decision module in package policy to clients, endpoints, the discovery
+// agent and other gateways.
 //
 // EDGE_CONFIG names the configuration file, and EDGE_LOG the log level (INFO by default). The log goes to standard
-// error. SIGHUP reloads the configuration. SIGTERM and SIGINT drain the gateway and end the process.
+// error. SIGHUP reloads the configuration, of which only the discovery address takes effect without a restart. SIGTERM and
+// SIGINT drain the gateway and end the process.
 package main
 
 import (
@@ -22,8 +24,8 @@
 )
 
 const (
-	// maxProcs is the value of GOMAXPROCS. A gateway runs on one core, where a second thread costs processor time and has
-	// no benefit.
+	// maxProcs is the value of GOMAXPROCS. A gateway runs on one core, where a second thread for Go code costs processor
+	// time and has no benefit.
 	maxProcs = 1
 	// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the configured memory. The garbage
 	// collector runs more often as the process nears the soft limit.
@@ -43,7 +45,7 @@
 	}
 }
 
-// run serves until SIGTERM or SIGINT, and returns when the drain is complete.
+// run runs the gateway until SIGTERM or SIGINT, and then drains it.
 func run() error {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -73,7 +75,7 @@
 	return proxy.Run(ctx, cfg, reloads, log)
 }
 
-// limitResources sets GOMAXPROCS and the soft memory limit of the Go runtime.
+// limitResources sets GOMAXPROCS and, if the configuration has a memory limit, the soft memory limit of the Go runtime.
 func limitResources(cfg config.Config) {
 	runtime.GOMAXPROCS(maxProcs)
 	if cfg.MemoryMB > 0 {
@@ -122,8 +124,8 @@
 	}
 }
 
-// readConfigWithRetry reads the configuration. After a transient error, such as a lack of file descriptors, it tries
-// again until it succeeds or done is closed. Without the retries, the reload that a signal requested would be lost.
+// readConfigWithRetry reads the configuration. As long as that fails with a transient error, such as a lack of file
+// descriptors, it tries again until done is closed. Without the retries, the reload that a signal requested would be lost.
 func readConfigWithRetry(path string, done <-chan struct{}) (config.Config, error) {
 	for {
 		cfg, err := config.Read(path)
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -83,8 +83,8 @@
 	return a.handleEvent()
 }
 
-// handleEvent decodes one event completely, then delivers it to its gateway. A panic of the gateway is reported as a
-// FAULT, and the process goes on with the next event.
+// handleEvent decodes one event completely, then delivers it to its gateway. If there is no such gateway, the event is
+// dropped. A panic is reported as a FAULT, and the process continues with the next event.
 func (a *adapter) handleEvent() error {
 	decode, known := decoders[a.line.Name]
 	if !known {
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -10,8 +10,8 @@
 // delivery delivers a decoded event to its gateway.
 type delivery func(*policy.Gateway)
 
-// decoder decodes the event on the adapter's current line for an instance. The delivery is nil if there is nothing to
-// deliver to the gateway.
+// decoder decodes the event on the adapter's current line for a gateway instance. The delivery is nil if there is nothing
+// to deliver to the gateway. The decoders of ENLIST and DOWN add and remove the gateway themselves.
 type decoder func(a *adapter, instance int) (delivery, error)
 
 // decoders holds the decoder of every event by message name.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -27,11 +27,11 @@
 	restOfLineField = "settings"
 )
 
-// Causes of errors. The returned errors wrap them and name the message and the field.
+// Causes of errors in a line. The returned errors wrap them.
 var (
 	ErrMalformed = errors.New("malformed")
 	ErrMissing   = errors.New("is missing")
-	ErrInvalid   = errors.New("cannot be read")
+	ErrInvalid   = errors.New("is invalid")
 )
 
 // Line is one message: its name, and its fields in their order on the line.
@@ -46,7 +46,7 @@
 // Reader reads lines of any length.
 type Reader struct {
 	buffered *bufio.Reader
-	longLine []byte // the current line, if it is longer than the read buffer
+	longLine []byte // holds a line that is longer than the read buffer
 }
 
 // NewReader returns a Reader on r.
@@ -113,7 +113,7 @@
 	return "", false
 }
 
-// missing returns the error for a required field that the line does not have.
+// missing returns the error for a required field that the line does not have, or for a required text that is empty.
 func (l *Line) missing(name string) error {
 	return fmt.Errorf("%s: field %s %w", l.Name, name, ErrMissing)
 }
@@ -215,7 +215,8 @@
 	return b, nil
 }
 
-// Pairs calls visit for each name:value pair of an optional field, and reports whether the line has the field.
+// Pairs calls visit for each name:value pair of an optional field, and reports whether the field has any pairs. It may
+// have called visit for some pairs before it returns an error.
 func (l *Line) Pairs(name string, visit func(name string, value float64)) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
@@ -258,7 +259,7 @@
 
 var whitespaceReplacer = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Text adds a text field. Line breaks and tabs become blanks because they would end the line or the field.
+// Text adds a text field. Line breaks and tabs become spaces because they would end the line or the field.
 func (w *Writer) Text(name, v string) *Writer {
 	w.beginField(name)
 	w.line = append(w.line, whitespaceReplacer.Replace(v)...)
