--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -24,7 +24,7 @@
 	Post = "CALL.POST" // for all other classes, with a body
 )
 
-// Indexes of a request's arguments, and the number of arguments of each command.
+// Indexes of a request's arguments, and the number of arguments of each command, including its name.
 const (
 	argName = iota
 	argCustomer
@@ -44,7 +44,7 @@
 
 	customerLength     = 16 // hex digits
 	customerNumberBits = 33
-	maxNumber          = 1 << 30 // largest value of a field that the settings leave unbounded
+	maxNumber          = 1 << 30 // maximum number of units per request if the settings have no limit
 	maxQuotedBytes     = 40      // maximum number of bytes of a field that an error message quotes
 )
 
@@ -68,7 +68,7 @@
 // span is the half-open range [start, end) of a byte slice.
 type span struct{ start, end int }
 
-// IsRequest reports whether name, in any case, is the name of a request command.
+// IsRequest reports whether name is the name of a request command. It ignores case.
 func IsRequest(name []byte) bool {
 	return bytes.EqualFold(name, []byte(Get)) || bytes.EqualFold(name, []byte(Post))
 }
@@ -110,12 +110,12 @@
 // Parser parses requests and checks them against the settings. It is immutable, and so safe for concurrent use.
 type Parser struct {
 	classes      map[string]policy.Class
-	plans        map[string]string
+	plans        map[string]string // maps each plan's name to itself
 	gatewayCount int
 	maxUnits     int // maximum number of units per request; 0 stands for maxNumber
 }
 
-// NewParser returns a parser that accepts the classes, plans, gateways and units of the settings.
+// NewParser returns a parser that checks classes, plans, gateways and units against the settings.
 func NewParser(settings policy.Settings) *Parser {
 	p := &Parser{
 		classes: map[string]policy.Class{}, plans: map[string]string{},
@@ -130,8 +130,8 @@
 	return p
 }
 
-// Parse parses the arguments of a request. args[0] must be Get or Post, in any case. The Request refers to args without
-// copying them. The client gets the text of the error.
+// Parse parses the arguments of a request. args[0] must be Get or Post, in upper or lower case. Request.Args
+// is args itself, not a copy. The client gets the text of the error.
 func (p *Parser) Parse(args [][]byte) (*Request, error) {
 	post := bytes.EqualFold(args[argName], []byte(Post))
 	want := getArgs
@@ -216,8 +216,8 @@
 // fieldNames holds the names of the known fields on the wire, in the order of their bits.
 var fieldNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
-// parseFields parses a comma-separated list of name=value fields into request. Fields with unknown names are not
-// checked, and are forwarded to the endpoint.
+// parseFields parses a comma-separated list of name=value fields into request. The value of a field with an
+// unknown name is not checked.
 func (p *Parser) parseFields(request *Request, list string) error {
 	var seen fieldSet
 	start := 0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"reedlead/internal/settings"
 )
 
-// Config holds the validated configuration of a gateway.
+// Config holds the configuration of a gateway.
 type Config struct {
 	Name             string
 	ListenAddress    string // IP address and port for clients
@@ -25,9 +25,11 @@
 
 	// PeerListenAddress receives datagrams from other gateways. It is the zero AddrPort if peer messages are disabled.
 	PeerListenAddress netip.AddrPort
-	// PeerAddresses holds the peer address of every gateway, indexed by the gateway's number.
+	// PeerAddresses holds the peer address of every gateway, indexed by the gateway's number. It is nil if peer messages
+	// are disabled.
 	PeerAddresses []netip.AddrPort
-	// BroadcastAddress reaches all gateways with one datagram. It is the zero AddrPort if none is configured.
+	// BroadcastAddress reaches all gateways with one datagram. It is the zero AddrPort if none is configured or
+	// peer messages are disabled.
 	BroadcastAddress netip.AddrPort
 
 	// InitialEndpoints is the endpoint list in use until discovery responds.
@@ -37,7 +39,7 @@
 
 const defaultMaxDescriptors = 1024
 
-// Causes of a FieldError, besides the errors of parsers.
+// Causes of a FieldError that this package defines.
 var (
 	// ErrMissing reports that a required field is missing.
 	ErrMissing = errors.New("missing")
@@ -47,7 +49,7 @@
 	ErrPeerCount = errors.New("want one address per gateway")
 )
 
-// FieldError reports an invalid field of the configuration file.
+// FieldError reports a missing or invalid field of the configuration file.
 type FieldError struct {
 	Field string // its name in the file
 	Err   error
@@ -66,7 +68,7 @@
 	return !reflect.DeepEqual(c, started)
 }
 
-// Read reads and parses the configuration file at path. The error wraps a *FieldError if a field is invalid.
+// Read reads and parses the configuration file at path.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +96,8 @@
 	Settings   json.RawMessage
 }
 
-// Parse parses and validates the text of a configuration file.
+// Parse parses the text of a configuration file. It checks addresses, the seed, the initial endpoints, and two timeouts
+// of the settings; policy.New checks the ranges of policy.Settings.
 func Parse(text []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// parseSettings parses the settings, and checks the timeouts that the network side uses.
+// parseSettings parses the settings, and checks the dial timeout and the idle timeout of connections.
 func (f *file) parseSettings(c *Config) (err error) {
 	if len(f.Settings) == 0 {
 		return &FieldError{"settings", ErrMissing}
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// parsePeers parses the peer addresses of all gateways. It does nothing if peer messages are disabled.
+// parsePeers parses the addresses for peer messages. It does nothing if peer messages are disabled.
 func (f *file) parsePeers(c *Config) (err error) {
 	if !c.Settings.PeerMessages {
 		return nil
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy provides a TCP proxy on loopback for tests. It injects network faults: it splits and delays the
 // data, and resets or half-closes connections. The faults are drawn from a seeded random generator. The proxy also
-// records when it read and wrote each byte.
+// records the times of its reads and writes.
 package faultproxy
 
 import (
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// Schedule holds the probability of each fault, per connection or per chunk (the data that one read returned).
+// Schedule holds the probability of each fault, per connection or per chunk (the data that one read returned), and the
+// limits of the faults.
 type Schedule struct {
 	Reset             float64 // per connection: both sides are reset
 	HalfClose         float64 // per connection: one direction ends early
 	EndWithinBytes    int     // maximum number of bytes that one direction forwards before a reset or half-close
-	Split             float64 // per chunk: it is written in several parts
+	Split             float64 // per chunk: it is written in parts of random size
 	Delay             float64 // per chunk: it is delayed by a random time below MaxDelay
 	MaxDelay          time.Duration
 	LongDelay         float64 // per chunk: it is delayed by LongDelayDuration, in addition to Delay
@@ -30,8 +31,8 @@
 	at    time.Time
 }
 
-// Transfer records when the proxy read the bytes that came from one end, or wrote the bytes for it. It is safe for
-// concurrent use.
+// Transfer records when the proxy read, or wrote, the bytes of one direction of a connection, and when the reading or
+// writing ended. A Transfer is safe for concurrent use.
 type Transfer struct {
 	mu      sync.Mutex
 	history []progress
@@ -179,7 +180,7 @@
 	return p.client[proxyAddr.String()]
 }
 
-// accept accepts and serves connections until the listener is closed.
+// accept accepts and serves connections until the listener fails or is closed.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -196,7 +197,8 @@
 	}
 }
 
-// serve connects to the server and forwards one client connection in both directions until both have ended.
+// serve connects to the server and forwards one client connection in both directions until both have ended. If it can't
+// connect, it resets the client connection.
 func (p *Proxy) serve(client *net.TCPConn, connection *Connection, rng *rand.Rand) {
 	defer func() { _ = client.Close() }()
 	serverConn, err := net.Dial("tcp", p.server)
@@ -244,8 +246,8 @@
 	chunkSize       = 16 << 10
 )
 
-// copy forwards the data of one direction until it ends. If the sender ended it with a half-close or a reset, copy ends
-// the receiver's side in the same way.
+// copy forwards the data of one direction until it ends. If it ends with EOF from the sender, copy half-closes the
+// connection to the receiver; if a read fails otherwise, copy resets that connection.
 func (p *pipe) copy(from, to *net.TCPConn) {
 	defer p.direction.Written.recordEnd()
 	chunks := make(chan []byte, maxQueuedChunks)
@@ -267,7 +269,7 @@
 		}
 	}()
 	if !p.forward(chunks, from, to) {
-		for range chunks { // the reading goroutine must not block on a full channel until its connection ends
+		for range chunks { // keeps the reading goroutine from blocking on a full channel
 		}
 	} else if errors.Is(readErr, io.EOF) {
 		closeWrite(to)
@@ -276,8 +278,8 @@
 	}
 }
 
-// forward writes chunks until the channel is closed, an injected fault ends the direction, or a write fails. It reports
-// whether it wrote all chunks.
+// forward writes chunks until the channel is closed, an injected fault ends the direction, or a write fails. It returns
+// true in the first case only.
 func (p *pipe) forward(chunks <-chan []byte, from, to *net.TCPConn) (all bool) {
 	passed := 0
 	for chunk := range chunks {
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -1,4 +1,4 @@
-// Package readbuf provides the read buffers of connections, which take their memory from a shared budget.
+// Package readbuf provides the read buffers of connections. The growth of the buffers is charged to a shared budget.
 package readbuf
 
 import (
@@ -6,21 +6,22 @@
 	"sync/atomic"
 )
 
-// InitialSize is the initial size of a buffer, in bytes. It is not charged to the budget. A buffer grows when its free
-// space is less than half of InitialSize.
+// InitialSize is the initial size of a buffer, in bytes. It is not charged to the budget. Space
+// enlarges a buffer whose free space is less than half of InitialSize.
 const InitialSize = 4 << 10
 
-// ErrExhausted reports that the budget does not allow a buffer to grow. The client gets the text of the error.
+// ErrExhausted reports that the budget does not allow a buffer to grow. If the buffer is that of a client's connection,
+// the client gets the text of the error.
 var ErrExhausted = errors.New("no room for more input")
 
-// Budget bounds the memory of all connections, in bytes. A buffer reserves its space beyond InitialSize; other users
-// call Reserve and Release. A Budget is safe for concurrent use.
+// Budget limits how many bytes the connections may reserve together. A buffer reserves its space beyond InitialSize; other
+// users call Reserve and Release. A Budget is safe for concurrent use.
 type Budget struct {
 	available        atomic.Int64
 	readAheadReserve int64 // immutable
 }
 
-// NewBudget returns a budget of size bytes. Reading ahead is allowed only while more than readAheadReserve bytes are
+// NewBudget returns a budget of size bytes. Connections may read ahead while more than readAheadReserve bytes are
 // available.
 func NewBudget(size, readAheadReserve int64) *Budget {
 	b := &Budget{readAheadReserve: readAheadReserve}
@@ -31,7 +32,7 @@
 // Available returns the number of bytes that can be reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// AllowsReadAhead reports whether more bytes are available than the reserve on which reading ahead must not draw.
+// AllowsReadAhead reports whether more than the readAheadReserve of NewBudget is available.
 func (b *Budget) AllowsReadAhead() bool { return b.available.Load() > b.readAheadReserve }
 
 // Reserve takes n bytes from the budget and reports whether they were available. If they were not, it takes nothing.
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	// ErrMissingValue reports an array whose first element is not a bulk string.
-	ErrMissingValue = errors.New("first element of the reply is not a bulk string")
+	// ErrMissingValue reports an array that does not start with a non-null bulk string.
+	ErrMissingValue = errors.New("reply does not start with a non-null bulk string")
 	// ErrUnexpectedType reports a RESP value other than an array, a non-null bulk string or an error.
 	ErrUnexpectedType = errors.New("reply is not an array, a non-null bulk string or an error")
 )
@@ -31,8 +31,8 @@
 type Reply struct {
 	Status      policy.AttemptStatus // OK, Error or Rejected
 	Value       []byte               // set if Status is OK and HealthCheck is false: the value as RESP
-	Load        *policy.LoadReport   // nil if there is none or it is invalid
-	HealthCheck bool                 // the reply is to a health check
+	Load        *policy.LoadReport   // nil if the reply has no load report or an invalid one
+	HealthCheck bool                 // the reply is a bulk string, as successful health checks get
 }
 
 // Parse parses one complete reply. An invalid load report is dropped and does not invalidate the reply. Unless Parse
@@ -79,7 +79,7 @@
 	return parsed
 }
 
-// Upper bounds on the values of a load report. The bound on utilization is above 1 because endpoints measure their
+// Upper bounds on the values of a load report: MaxLoadValue applies to all. The bound on utilization is above 1 because endpoints measure their
 // utilization, and a measurement can exceed 1.
 const (
 	MaxLoadValue   = 1e6
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
 // Package resp finds the end of RESP2 commands and replies in the bytes read from a connection, and rejects malformed
-// ones as early as possible. It bounds lengths, counts and nesting. The library that encodes and decodes complete values
-// (redcon) has no such bounds and would wait for a value of any announced size.
+// ones. It bounds lengths, counts and nesting. The library that encodes and decodes complete values (redcon) has no such
+// bounds: it would wait for a value of any size.
 package resp
 
 import (
@@ -14,9 +14,11 @@
 const (
 	// MaxBulkString is the largest size of a bulk string.
 	MaxBulkString = 64 << 10
-	// MaxLine is the largest size of a line.
+	// MaxLine is the largest size of a simple string, an error or an integer, including its type byte and '\r' but not
+	// the final '\n'.
 	MaxLine = 1 << 10
-	// MaxMessage is the largest size of a complete command or reply: one large bulk string and several short elements.
+	// MaxMessage bounds the size of a command or reply. It leaves room for one bulk string of MaxBulkString and several
+	// short elements.
 	MaxMessage = MaxBulkString + 8*MaxLine
 
 	maxElements   = 16 // in an array
@@ -25,7 +27,8 @@
 )
 
 var (
-	// ErrOversized reports a bulk string larger than MaxBulkString, or a command or reply larger than MaxMessage.
+	// ErrOversized reports a bulk string larger than MaxBulkString, or a command or an incomplete reply larger than
+	// MaxMessage.
 	ErrOversized = errors.New("value over 64 KiB")
 
 	errLength         = errors.New("invalid length")
@@ -138,7 +141,7 @@
 // ReplySize returns the size of the reply at the start of b, or 0 if b does not hold all of it.
 func ReplySize(b []byte) (int, error) { return valueSize(b, 0) }
 
-// valueSize is like ReplySize for a value that is nested in depth arrays.
+// valueSize is like ReplySize for a value inside nested arrays; depth is their number.
 func valueSize(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -94,7 +94,7 @@
 // loadInHealthChecks is the value of feedback.how if endpoints report their load only in replies to health checks.
 const loadInHealthChecks = "probe"
 
-// Settings holds the settings of the decision module, and those that only the network side uses.
+// Settings holds policy.Settings, and further settings that only the network side uses.
 type Settings struct {
 	policy.Settings
 	// DialTimeout is the maximum time to establish a connection to an endpoint.
@@ -106,7 +106,7 @@
 	DrainGrace time.Duration
 }
 
-// Parse parses the settings object. It does not check the ranges of values; policy.New does.
+// Parse parses the settings object. It does not check the ranges of values; policy.New checks policy.Settings.
 func Parse(text []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -126,8 +126,8 @@
 	return s, nil
 }
 
-// seconds converts a number of seconds to a duration. A number that a duration can't represent becomes the nearest
-// duration of the same sign, so that a setting above 0 does not become 0 or negative.
+// seconds converts a number of seconds to a duration. A number out of range becomes the nearest duration, and a
+// number above 0 becomes at least 1 ns, so that a positive setting does not become 0 or negative.
 func seconds(s float64) time.Duration {
 	nanoseconds := s * float64(time.Second)
 	switch {
@@ -141,7 +141,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// policySettings translates all settings of the decision module except classes and plans.
+// policySettings translates the settings into policy.Settings, except for classes and plans.
 func (w *wireSettings) policySettings() policy.Settings {
 	return policy.Settings{
 		Self:         w.Me,
