--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRemainingTimeIsComputedAtWrite checks that a command does not state more time than its client has left. The
-// remaining time must be computed from the clock, as event time stays behind it while an event is handled.
+// remaining time must be computed from the clock, as event time does not advance while an event is handled.
 func TestRemainingTimeIsComputedAtWrite(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=20000,units=2,spread=2,first=1")
@@ -58,8 +58,8 @@
 	h.wantNotSent(b)
 }
 
-// TestSlowCommandWriteIsCutOff checks that the write of a command is aborted after writeTimeout. A command that is
-// completed later states more time than its client has left.
+// TestSlowCommandWriteIsCutOff checks that the write of a long command is aborted if it takes longer than the reserve of
+// the command plus writeTimeout. A command that is completed later states more time than its attempt has left.
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeTimeout = 0.01 })
 	c := h.client()
@@ -100,7 +100,7 @@
 
 // TestTimeoutAtLastByteOfCommand checks the outcome of an attempt that times out after the writer has written the last
 // byte, but before it has set commandWritten. The outcome must be Timeout, as the endpoint may execute the command. If
-// the request was reported as not executed, it could be sent again and executed twice.
+// the outcome was ConnectFailed, the request could be sent again and executed twice.
 func TestTimeoutAtLastByteOfCommand(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) {
 		h.proxy.endpoints.afterWrite = func(c *backendConn) { // delays commandWritten until the timeout has closed the connection
@@ -118,8 +118,8 @@
 }
 
 // TestPartiallyWrittenAttemptEndsWithItsRequest checks that the write of a command is aborted when the client
-// disconnects, and when the request gets its final reply. Otherwise the endpoint would execute the request after its
-// end, once the rest of the command was written.
+// disconnects, and when the request is rejected. If the rest of the command was still written, the endpoint could
+// execute the request after it has ended.
 func TestPartiallyWrittenAttemptEndsWithItsRequest(t *testing.T) {
 	for name, end := range map[string]func(h *harness, c *testConn){
 		"the client disconnects": func(_ *harness, c *testConn) { c.mustClose() },
