--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -52,7 +52,7 @@
 	keyedRetries            int     // retries with an idempotency key in the dedup group of the first attempt that may have executed
 	attemptsAfterDisconnect int     // attempts whose client had closed its connection when the attempt was logged
 	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of writing such an attempt, in seconds
-	minWindowLeft           float64 // shortest rest of an idempotency window at one of the keyedRetries, in seconds; negative after its end
+	minWindowLeft           float64 // shortest time left in the idempotency window at one of the keyedRetries, in seconds; negative after the window
 	violations              []string
 }
 
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -39,8 +39,8 @@
 	rejection bool // the gateway rejected the request, so the client may repeat it
 }
 
-// idempotency says whether a request of a class may execute more than once: always, only if endpoints drop repeats of its
-// idempotency key, or never.
+// idempotency says whether a request of a class may be attempted again after an attempt that may have executed: always,
+// only where endpoints drop repeats of its idempotency key, or never.
 type idempotency string
 
 const (
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -3,8 +3,7 @@
 //
 // The simulator sends events in batches, each from a CLOCK line to a YOUR_TURN line. The reply to a batch holds the
 // actions that the gateways took for its events, and a FAULT for each event that made its gateway panic, in the order of
-// the events. The output depends on the input only, so
-// that runs are reproducible.
+// the events. The output depends on the input only, so that runs are reproducible.
 package main
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -130,8 +130,8 @@
 	return p
 }
 
-// Parse parses the arguments of a request. args[0] must be Get or Post, in upper or lower case. Request.Args
-// is args itself, not a copy. The client gets the text of the error.
+// Parse parses the arguments of a request. args[0] must be Get or Post, in upper or lower case. Request.Args is
+// args itself, not a copy. The client gets the text of the error.
 func (p *Parser) Parse(args [][]byte) (*Request, error) {
 	post := bytes.EqualFold(args[argName], []byte(Post))
 	want := getArgs
@@ -216,8 +216,8 @@
 // fieldNames holds the names of the known fields on the wire, in the order of their bits.
 var fieldNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
-// parseFields parses a comma-separated list of name=value fields into request. The value of a field with an
-// unknown name is not checked.
+// parseFields parses a comma-separated list of name=value fields into request. The value of a field with an unknown
+// name is not checked.
 func (p *Parser) parseFields(request *Request, list string) error {
 	var seen fieldSet
 	start := 0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	// peer messages are disabled.
 	BroadcastAddress netip.AddrPort
 
-	// InitialEndpoints is the endpoint list in use until discovery responds.
+	// InitialEndpoints is the endpoint list with which the gateway starts.
 	InitialEndpoints discovery.List
 	Settings         settings.Settings
 }
--- a/internal/readbuf/readbuf.go
+++ b/internal/readbuf/readbuf.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// InitialSize is the initial size of a buffer, in bytes. It is not charged to the budget. Space
-// enlarges a buffer whose free space is less than half of InitialSize.
+// InitialSize is the initial size of a buffer, in bytes. It is not charged to the budget. Space enlarges a buffer whose
+// free part is smaller than half of InitialSize.
 const InitialSize = 4 << 10
 
 // ErrExhausted reports that the budget does not allow a buffer to grow. If the buffer is that of a client's connection,
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -32,7 +32,7 @@
 	Status      policy.AttemptStatus // OK, Error or Rejected
 	Value       []byte               // set if Status is OK and HealthCheck is false: the value as RESP
 	Load        *policy.LoadReport   // nil if the reply has no load report or an invalid one
-	HealthCheck bool                 // the reply is a bulk string, as successful health checks get
+	HealthCheck bool                 // the reply is a bulk string, the form of a reply to a health check
 }
 
 // Parse parses one complete reply. An invalid load report is dropped and does not invalidate the reply. Unless Parse
@@ -79,8 +79,8 @@
 	return parsed
 }
 
-// Upper bounds on the values of a load report: MaxLoadValue applies to all. The bound on utilization is above 1 because endpoints measure their
-// utilization, and a measurement can exceed 1.
+// Upper bounds on the values of a load report. MaxLoadValue applies to all values. MaxUtilization is above 1 because
+// endpoints measure their utilization, and a measurement can exceed 1.
 const (
 	MaxLoadValue   = 1e6
 	MaxUtilization = 4
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings parses the settings object, which both the simulator's ENLIST message and the configuration file of a
-// gateway contain, and translates its keys and values into the terms of the code. No other package decodes those keys.
+// gateway contain, and converts its keys and values to those of the code. No other package decodes these keys.
 package settings
 
 import (
