--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -99,10 +99,11 @@
 	policy.Settings
 	// DialTimeout is the maximum time to establish a connection to an endpoint.
 	DialTimeout time.Duration
-	// MaxOpenRequests is the maximum number of requests at this gateway without a final reply; 0 means no limit.
+	// MaxOpenRequests is the maximum number of requests at this gateway that wait for their final reply or still have an
+	// attempt in flight; 0 means no limit.
 	MaxOpenRequests int
-	// DrainGrace is the time for which a gateway may still send to an endpoint after discovery reports it as draining.
-	// If the settings have none, it is 0, and package discovery uses a default.
+	// DrainGrace is the time within which a gateway must stop sending to an endpoint that starts to drain. Package
+	// discovery derives PollRetryInterval from it, or from a default if it is 0.
 	DrainGrace time.Duration
 }
 
@@ -219,7 +220,7 @@
 	return plans
 }
 
-// EmptyLoadReport is a load report without values. The value -1 means unknown.
+// EmptyLoadReport is a load report without values. A negative value means that the endpoint did not report it.
 var EmptyLoadReport = policy.LoadReport{
 	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
 }
