--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -65,7 +65,7 @@
 		}
 		if a.endpoint.lastSuccessAt[r.class.index] < a.sentAt {
 			a.noReplyRecorded = true
-			w.outliers.recordFailure(a.endpoint, r.class.index, noReplyScore)
+			w.outliers.recordFailure(a.endpoint, r.class.index, noReplySeverity)
 		}
 	}
 }
--- a/policy/class.go
+++ b/policy/class.go
@@ -18,9 +18,9 @@
 	// attempt.
 	meanLatency Seconds
 	successes   int // number of latencies in meanLatency
-	// firstAttempts counts the requests that have accrued slow-start credits.
-	firstAttempts float64
-	retryDetector clientRetryDetector
+	// creditedRequests counts the requests that have accrued slow-start credits.
+	creditedRequests float64
+	retryDetector    clientRetryDetector
 }
 
 // newClass returns a class without statistics.
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -242,7 +242,7 @@
 	}
 	g.recordLoadReport(e, result.Load)
 	if result.Status == Timeout || result.Status == ConnectFailed {
-		g.outliers.recordFailureForAllClasses(e, errorScore)
+		g.outliers.recordFailureForAllClasses(e, errorSeverity)
 	}
 	g.dispatcher.dispatchQueued()
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,18 +8,18 @@
 // An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class. A
 // failure raises the score by a fraction of its distance to 1, the severity.
 const (
-	suspectScore       = 0.3 // above it an endpoint is a suspected outlier, and attempts there are hedged early
-	singleFailureScore = 0.1 // severity of one lost connection, which may not be the endpoint's fault
-	errorScore         = 0.5 // severity of an error, and of each further lost connection in a row
-	repeatedErrorScore = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
-	noReplyScore       = 1.0 // severity of an attempt without a reply; see recordNoReply
+	suspectScore          = 0.3 // above it an endpoint is a suspected outlier, and attempts there are hedged early
+	singleFailureSeverity = 0.1 // severity of one lost connection, which may not be the endpoint's fault
+	errorSeverity         = 0.5 // severity of an error, and of each further lost connection in a row
+	repeatedErrorSeverity = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
+	noReplySeverity       = 1.0 // severity of an attempt without a reply; see recordNoReply
 
-	// repeatedErrors is the number of errors in a row at which repeatedErrorScore replaces errorScore.
+	// repeatedErrors is the number of errors in a row at which repeatedErrorSeverity replaces errorSeverity.
 	repeatedErrors = 2
 
 	// minPublishedScore is the score above which the score after a success is published. A lower score hardly
 	// affects the cost of the endpoint, so other gateways need no correction.
-	minPublishedScore = singleFailureScore / 2
+	minPublishedScore = singleFailureSeverity / 2
 
 	// outlierTimeConstant is the time constant of the decay of scores.
 	outlierTimeConstant Seconds = 4.0
@@ -126,7 +126,7 @@
 		d.recordSuccess(e, classIndex)
 		e.consecutiveConnectionFailures, e.consecutiveRejections = 0, 0
 	case Timeout:
-		d.recordFailure(e, classIndex, min(errorScore, d.attemptWeight))
+		d.recordFailure(e, classIndex, min(errorSeverity, d.attemptWeight))
 	case Error:
 		d.recordError(e, classIndex)
 	case ConnectFailed, Reset:
@@ -139,9 +139,9 @@
 
 func (d *outlierDetector) recordError(e *endpoint, classIndex int) {
 	e.consecutiveErrors[classIndex]++
-	severity := errorScore
+	severity := errorSeverity
 	if e.consecutiveErrors[classIndex] >= repeatedErrors {
-		severity = repeatedErrorScore
+		severity = repeatedErrorSeverity
 	}
 	d.recordFailure(e, classIndex, severity)
 }
@@ -151,10 +151,10 @@
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
-		d.recordFailureForAllClasses(e, singleFailureScore)
+		d.recordFailureForAllClasses(e, singleFailureSeverity)
 		return
 	}
-	d.recordFailureForAllClasses(e, errorScore)
+	d.recordFailureForAllClasses(e, errorSeverity)
 	e.ejectedUntil = d.clock.now + ejectionPeriod*(1+d.random.Float64())
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -134,7 +134,7 @@
 func TestSmallFleetTrustsOneReply(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s1"]
-	g.outliers.recordFailure(e, requestClass.index, errorScore)
+	g.outliers.recordFailure(e, requestClass.index, errorSeverity)
 	g.outliers.recordSuccess(e, requestClass.index)
 	if score := g.outliers.score(e, requestClass.index); score != 0 {
 		t.Fatalf("the score is %.2f after a reply, want 0", score)
@@ -169,10 +169,10 @@
 		outcomes []AttemptStatus
 		want     [2]float64 // by class; the attempts are of class 0
 	}{
-		"an error":                      {1, []AttemptStatus{Error}, [2]float64{errorScore, 0}},
+		"an error":                      {1, []AttemptStatus{Error}, [2]float64{errorSeverity, 0}},
 		"two errors in a row":           {1, []AttemptStatus{Error, Error}, [2]float64{0.95, 0}},
 		"an error and a success":        {1, []AttemptStatus{Error, OK}, [2]float64{0, 0}},
-		"a timeout":                     {1, []AttemptStatus{Timeout}, [2]float64{errorScore, 0}},
+		"a timeout":                     {1, []AttemptStatus{Timeout}, [2]float64{errorSeverity, 0}},
 		"a timeout in a large fleet":    {100, []AttemptStatus{Timeout}, [2]float64{minAttemptWeight, 0}},
 		"a lost connection":             {1, []AttemptStatus{Reset}, [2]float64{0.1, 0.1}},
 		"two lost connections in a row": {1, []AttemptStatus{Reset, ConnectFailed}, [2]float64{0.55, 0.55}},
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -107,8 +107,8 @@
 func (s *slowStart) updateMeanWork(classes []*class) {
 	attempts, work := 0.0, 0.0
 	for _, requestClass := range classes {
-		attempts += requestClass.firstAttempts
-		work += requestClass.firstAttempts * requestClass.meanLatency
+		attempts += requestClass.creditedRequests
+		work += requestClass.creditedRequests * requestClass.meanLatency
 	}
 	s.meanWork = work / max(attempts, 1)
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	r.creditsAccrued = true
-	r.class.firstAttempts++
+	r.class.creditedRequests++
 	s.offeredWork += r.class.meanLatency
 	for _, e := range endpoints {
 		if fraction := s.warmUpFraction(e); fraction < 1 && e.available(s.clock.now) {
