--- a/policy/api.go
+++ b/policy/api.go
@@ -1,22 +1,22 @@
 // Package policy makes the decisions of one gateway of a fleet: which requests are admitted, which endpoint
-// serves each attempt, and when a request is retried, hedged or rejected. The gateways of a fleet coordinate,
-// so that each customer is held to the quota of its plan across all of them.
+// serves each attempt, and when a request is retried, hedged or rejected. The gateways of a fleet exchange
+// messages to apply the quota of a customer's plan to its usage at all of them.
 //
 // The package has no clock, no sockets and no source of entropy. Events arrive as method calls that carry the
 // current time, the random seed is a parameter of New, and effects are calls of the Actions interface. The
 // same settings, seed and events produce the same actions, byte for byte.
 //
-// A hash ring of gateways assigns each customer to one gateway, its owner. The owner counts the customer's
-// usage at all gateways against the quota. The other gateways are members. A member sends usage reports to
-// the owner in batches. It admits requests from its share of the units that remained at the owner's last
-// reply, and falls back to a local window while the owner does not reply.
+// With Settings.PeerMessages, a hash ring of gateways assigns each customer to one gateway, its owner. The
+// owner counts the customer's usage at all gateways against the quota. The other gateways are members. A
+// member reports its usage to the owner. It admits requests from its share of the units that remained at the
+// owner's last reply, and otherwise asks the owner for a grant. While the owner does not reply, it falls back
+// to a local window.
 //
 // Gateway handles the events. Actions carries out its decisions.
 package policy
 
-// Seconds is a duration, or a point in time on the clock that the now arguments of the event methods come
-// from. It is an alias of float64, so that arithmetic with times and rates needs no conversion. All times in
-// this package are in seconds, except LoadReport.ServiceTimeMS.
+// Seconds is a duration, or a time on the clock of the caller, which passes the current time as now to each
+// event method. It is an alias of float64, so that arithmetic with times and rates needs no conversion.
 type Seconds = float64
 
 // Idempotency specifies whether requests of a class may be executed more than once.
@@ -69,11 +69,12 @@
 // Class is the configuration of a class of requests.
 type Class struct {
 	Name string
-	// LatencyObjective is the time from arrival within which a reply earns the full PriorityWeight.
+	// LatencyObjective is the time within which a reply earns the full PriorityWeight. It counts from the
+	// client's first attempt of the request.
 	LatencyObjective Seconds
 	// ObjectiveLatencyMultiple extends the objective by this multiple of the mean latency of the class.
 	ObjectiveLatencyMultiple float64
-	// Timeout is the time that clients wait for a reply.
+	// Timeout is the time that clients wait for a reply, from their first attempt of the request.
 	Timeout Seconds
 	// PriorityWeight is the value of a reply within the objective, at least 0, relative to other classes.
 	PriorityWeight float64
@@ -86,15 +87,15 @@
 	IdempotencyWindow Seconds
 }
 
-// Plan holds the limits of each customer of the plan. They apply to the customer's usage at all gateways
-// together.
+// Plan holds the limits and the priority of its customers. The limits apply to the usage of one customer at
+// all gateways together.
 type Plan struct {
 	Name string
 	// Rate is the rate at which the quota refills, in units per second; 0 means no quota.
 	Rate float64
 	// Burst is the capacity of the quota in units.
 	Burst float64
-	// MaxConcurrent is the maximum number of attempts in flight; 0 means no limit.
+	// MaxConcurrent is the number of attempts in flight from which on no request is admitted; 0 means no limit.
 	MaxConcurrent int
 	// WeightFactor multiplies the PriorityWeight of the class.
 	WeightFactor float64
@@ -120,19 +121,19 @@
 	PeerMessageRate float64
 
 	// Each of these enables an optional feature: messages between gateways, health checks, cancellation of
-	// attempts, hedged requests, and a retryAfter in the replies to rejected requests. Only the network side
-	// uses RetryAfter.
+	// attempts, hedged requests, and a retryAfter in the replies to rejected requests. This package does not
+	// use RetryAfter.
 	PeerMessages, HealthChecks, Cancellation, Hedging, RetryAfter bool
 
-	// MaxAttempts is the maximum number of attempts of a request. Values below 1 count as 1.
+	// MaxAttempts is the maximum number of attempts of a request, including hedges. Values below 1 count as 1.
 	MaxAttempts int
-	// MaxRetryAfter is the upper limit of the retryAfter of rejections. All rejections use this value.
+	// MaxRetryAfter is the retryAfter of every rejection.
 	MaxRetryAfter Seconds
 	// LoadReportInHealthCheck is set if endpoints report their load only in replies to health checks.
 	LoadReportInHealthCheck bool
 
-	// ReplySlack is the time after the deadline within which a final reply still counts as on time. Only the
-	// network side uses it.
+	// ReplySlack is the time after the deadline within which a final reply still counts as on time. This
+	// package does not use it.
 	ReplySlack Seconds
 	// The capacity of an endpoint rises linearly from the fraction SlowStartMinCapacity at its start to 1 after
 	// SlowStartDuration.
@@ -143,7 +144,7 @@
 	OverloadWindow   Seconds
 
 	// CrossZoneCost is the cost of an attempt in another zone, and HandshakeCost is the cost of a new
-	// connection. Both have the unit of the configured prices.
+	// connection. Both have the same unit.
 	CrossZoneCost float64
 	HandshakeCost float64
 	// ConnectionIdleTimeout is the time after which endpoints close an idle connection.
@@ -184,13 +185,14 @@
 	StartedAt Seconds
 }
 
-// Request is a client's request. The gateway must give it exactly one final reply.
+// Request is a client's request. It gets exactly one final reply, from an endpoint or through Actions.Reject
+// or Actions.Fail, unless the client disconnects first. Its ID must differ from those of all open requests.
 type Request struct {
 	ID, Class, Plan, Customer string
 	// Deadline is the time at which the client stops waiting.
 	Deadline Seconds
 	// The customer's requests arrive at GatewayCount gateways with consecutive indexes, starting at
-	// FirstGateway.
+	// FirstGateway. Index 0 follows the last one.
 	FirstGateway, GatewayCount int
 	Units                      float64
 	// ClientRetry is set if the client has sent the request before.
@@ -200,17 +202,17 @@
 // AttemptStatus is the result of an attempt or a health check.
 type AttemptStatus int
 
-// The statuses of an attempt. Whether the request may be retried depends on whether the endpoint may have
-// executed the attempt.
+// The statuses of an attempt. If the endpoint may have executed the attempt, Class.Idempotency decides
+// whether the request may be retried.
 const (
 	OK            AttemptStatus = iota
-	Error                       // the endpoint replied with an error; may have executed
+	Error                       // the endpoint sent an error or an invalid reply; may have executed
 	Rejected                    // the endpoint rejected the attempt without processing it; did not execute
 	Timeout                     // no reply within the timeout; may have executed
 	ConnectFailed               // no connection, or not completely written to it; did not execute
 	Reset                       // the connection was lost; may have executed
 	Cancelled                   // cancelled by this gateway; may have executed
-	NotSent                     // not sent, for a reason at this gateway; did not execute
+	NotSent                     // given up by this gateway before it was sent; did not execute
 )
 
 // String returns the name used in logs.
@@ -237,7 +239,7 @@
 }
 
 // LoadReport is the load that an endpoint reports. Values that it did not report are negative. This package
-// uses Utilization only; the network side uses the other values.
+// uses Utilization only.
 type LoadReport struct {
 	InFlight      float64 // requests in progress
 	Queued        float64 // requests waiting
@@ -269,12 +271,12 @@
 // Reason explains why a request gets a final reply that does not come from an endpoint.
 type Reason string
 
-// Reasons for rejecting a request. A request is failed for the same reasons if it may have executed and a
-// retry by the client is not safe.
+// Reasons for rejecting a request, or for failing it if the client may not safely send it again. UnknownClass
+// always fails the request.
 const (
-	QuotaExceeded           Reason = "quota_exceeded"            // the customer exceeds its quota or a ceiling
-	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // the customer has too many attempts in flight
-	DeadlineTooClose        Reason = "deadline_too_close"        // no useful reply is expected in time
+	QuotaExceeded           Reason = "quota_exceeded"            // a limit of the customer's plan is reached
+	ConcurrencyLimitReached Reason = "concurrency_limit_reached" // queued for a concurrency slot but got none
+	DeadlineTooClose        Reason = "deadline_too_close"        // too late to send an attempt
 	NoEndpointInTime        Reason = "no_endpoint_in_time"       // no endpoint had free capacity in time
 	AttemptsExhausted       Reason = "attempts_exhausted"        // no further attempt is allowed
 	OwnerUnreachable        Reason = "owner_unreachable"         // no grant from the owner arrived in time
@@ -287,16 +289,17 @@
 // Actions carries out the decisions of a Gateway on the network. The Gateway calls these methods only within
 // New and its event methods. They must take effect in the order of the calls.
 type Actions interface {
-	// Send starts the next attempt of a request. The attempt times out after timeout. A timeout of 0 lasts
-	// until the deadline of the request, and a negative one has expired already. The last byte must be written
-	// within writeWithin, or the attempt is not sent. A writeWithin of 0 means no limit.
+	// Send starts the next attempt of a request. The attempt times out after timeout, and at the latest at the
+	// deadline of the request. A timeout of 0 means the deadline, and a negative one has expired already. The
+	// attempt must be given up if it is not completely written within writeWithin; 0 means no limit.
 	Send(id, endpoint string, timeout, writeWithin Seconds)
 	// Reject gives the final reply to a request that the client may safely send again after retryAfter: the
 	// request did not execute, or a second execution does no harm.
 	Reject(id string, retryAfter Seconds, reason Reason)
-	// Fail gives the final reply to a request that failed. The request may have executed.
+	// Fail gives the final reply to a request that the client may not safely send again, because it may have
+	// executed, or whose class is unknown.
 	Fail(id string, reason Reason)
-	// Cancel cancels an attempt in flight.
+	// Cancel cancels an attempt in flight. HandleOutcome receives its end.
 	Cancel(id string, attempt int)
 	// SetTimer schedules a call of HandleTimer with token after delay.
 	SetTimer(token uint64, delay Seconds)
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -2,12 +2,12 @@
 
 const (
 	// noReplyLatencyMultiple is the number of mean latencies after which an attempt without a reply counts as a
-	// failure of its endpoint. It does not count if another attempt of the class has succeeded there since.
+	// failure of its endpoint, unless another attempt of the class has succeeded there in the meantime.
 	noReplyLatencyMultiple = 6.0
 	// minNoReplyDuration is the minimum time without a reply after which an attempt counts as a failure, for
 	// classes with short latencies.
 	minNoReplyDuration Seconds = 0.2
-	// hedgeLatencyMultiple is the number of mean latencies after which an attempt is hedged.
+	// hedgeLatencyMultiple is the number of mean latencies after which an attempt may be hedged.
 	hedgeLatencyMultiple = 4.0
 	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, even
 	// if its endpoint is a suspected outlier.
@@ -70,7 +70,10 @@
 	}
 }
 
-// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none.
+// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. An
+// attempt must be the last of an open request and the only one in flight, and not cancelled. Requests that
+// are non-idempotent or whose reply is being streamed are not hedged.
+//
 // No attempt qualifies before hedgeObjectiveFraction of the objective. After that, an attempt at a suspected
 // outlier qualifies. An attempt at any other endpoint qualifies after hedgeLatencyMultiple mean latencies,
 // if hedged requests are allowed and the dispatch queue is empty.
@@ -93,8 +96,8 @@
 }
 
 // hedge sends a hedged request to another endpoint in addition to a slow attempt. If hedged requests are not
-// allowed, it cancels the slow attempt, whose outcome then leads to a retry. It does nothing if retryPolicy
-// allows no attempt or no other endpoint has capacity.
+// allowed, it cancels the slow attempt instead, so that its outcome leads to a retry. It does neither if
+// retryPolicy allows no attempt or the picker returns no other endpoint.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
 	r.recordPossibleExecution(slow) // so that retries and picker treat the hedge like a retry
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -9,7 +9,7 @@
 	group           dedupGroup // of the endpoint at sentAt; the endpoint may move later
 	sentAt          Seconds
 	done            bool
-	cancelled       bool // by this gateway
+	cancelled       bool // whether this gateway has requested its cancellation
 	noReplyRecorded bool // set by attemptWatcher.recordNoReply
 }
 
@@ -29,7 +29,7 @@
 	requests     *requestTable
 	limiter      *concurrencyLimiter
 	slowStart    *slowStart
-	idleTimeout  Seconds // of connections
+	idleTimeout  Seconds // time after which endpoints close idle connections
 	cancellation bool    // whether attempts can be cancelled
 	// adjustInFlight adds change to the number of attempts in flight of the request's customer.
 	adjustInFlight func(r *request, change int)
@@ -102,7 +102,7 @@
 	return max(r.idempotencyWindowEnd()-now, minAttemptTimeout)
 }
 
-// recordStatus records whether an attempt was written and whether it may have executed.
+// recordStatus records whether an attempt may have been written and whether it may have executed.
 func (r *request) recordStatus(a *attempt, status AttemptStatus) {
 	r.written = r.written || status.written()
 	if status.mayHaveExecuted() {
--- a/policy/class.go
+++ b/policy/class.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	// initialLatencyFraction is the assumed mean latency of a class before its first reply, as a fraction of
+	// initialLatencyFraction is the assumed mean latency of a class before its first success, as a fraction of
 	// the latency objective.
 	initialLatencyFraction = 0.15
 	// minLatencyGain is the minimum weight of a new latency in the mean of its class.
@@ -17,7 +17,7 @@
 	// meanLatency is the mean latency of successful attempts, also used as an estimate of the work of an
 	// attempt.
 	meanLatency Seconds
-	successes   int // number of latencies in meanLatency
+	successes   int // latencies that recordLatency has added
 	// creditedRequests counts the requests that have accrued slow-start credits.
 	creditedRequests float64
 	retryDetector    clientRetryDetector
@@ -65,8 +65,7 @@
 	return table
 }
 
-// priorityDeficit returns 1 minus the ratio of the priority weight of the class to the largest one. It is 0
-// for the classes of the highest priority and close to 1 for low priorities.
+// priorityDeficit returns 1 minus the ratio of the priority weight of the class to the largest one.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
 	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -25,7 +25,7 @@
 	timeout      Seconds // remaining time of the last bin
 	histogram    [remainingBins]int
 	observations int // total of all bins
-	modeCount    int // largest countNear of any bin
+	modeCount    int // largest countNear of the bins observed; halve includes all bins
 }
 
 // newClientRetryDetector returns a detector for a class with the given timeout.
@@ -79,7 +79,7 @@
 
 // likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected a request of
 // the customer less than timeout ago, or the customer's demand exceeds its rate. Only then does a short
-// remaining time count as a sign of a retry. Otherwise first attempts with short deadlines would be rejected
+// remaining time count as a sign of a retry. Otherwise first attempts with short deadlines could be rejected
 // although they are within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,11 +1,11 @@
 package policy
 
-// stallThreshold is the maximum time between two events of a running gateway, whose timer causes an event
-// every timerInterval. After a longer time, the gateway is assumed to have stalled.
+// stallThreshold is the time without an event after which a gateway is assumed to have stalled. The timer of
+// a running gateway causes an event every timerInterval.
 const stallThreshold Seconds = 0.1
 
-// clockUncertainty is the safety margin for the measured age of an execution or report of another process.
-// The true age may be up to this much higher.
+// clockUncertainty is the safety margin for the measured age of a possible execution at an endpoint, and of
+// an owner's reply. The true age may be higher by up to this time.
 const clockUncertainty Seconds = 0.05
 
 // eventClock holds the time of the current event. All components of a Gateway share it; only Gateway advances
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -9,10 +9,14 @@
 	minConcurrencyPerEndpoint     = 3.0
 	maxConcurrencyPerEndpoint     = 64.0
 
-	limitIncrease   = 0.1  // attempts added by a fast reply, fewer if the limit is below 1
-	limitDecrease   = 0.03 // fraction of one endpoint's share removed by a slow reply
-	timeoutDecrease = 0.15 // fraction of one endpoint's share removed by a timeout
-	limitReachedGap = 1.5  // the limit grows only if the attempts in flight are at most this far below it
+	limitIncrease = 0.1 // attempts by which a reply raises the limit, fewer if the limit is below 1
+
+	// A slow reply or a timeout removes this fraction of the limit, or of initialConcurrencyPerEndpoint if that
+	// is less.
+	limitDecrease   = 0.03
+	timeoutDecrease = 0.15
+
+	limitReachedGap = 1.5 // the limit grows only if the attempts in flight are at most this far below it
 
 	lowLatencyRatio  = 0.15 // latencyRatio below which replies count as fast
 	highLatencyRatio = 0.22 // latencyRatio above which replies count as slow
@@ -23,8 +27,9 @@
 	burstDeviations = 4.0
 )
 
-// concurrencyLimiter limits the attempts in flight at all endpoints together. The limit grows while replies
-// are fast or endpoints have spare capacity, and shrinks while replies are slow.
+// concurrencyLimiter limits the attempts of this gateway in flight at all endpoints together. The limit grows
+// while replies are fast or the endpoints have spare capacity, if the attempts in flight come close to it. It
+// shrinks on timeouts and while replies are slow, unless the endpoints have spare capacity.
 type concurrencyLimiter struct {
 	clock        *eventClock
 	gatewayCount int
@@ -61,10 +66,9 @@
 }
 
 // atLimit reports whether an attempt of a class with the given mean latency must wait. If only a fraction of
-// an attempt is free, the attempt may start while replies are fast. While replies are slow, it must wait
-// until a pause after the last attempt is over. The pause is inversely proportional to the free fraction,
-// which keeps the mean within the limit. Without it, all gateways of a large fleet would round their limits
-// up, and together overload the endpoints.
+// an attempt is free, the attempt may start unless replies are slow. While replies are slow, it must wait for
+// a pause after the last attempt was sent. The smaller the free fraction, the longer the pause. Without the
+// pause, all gateways of a large fleet would round their limits up, and together overload the endpoints.
 func (l *concurrencyLimiter) atLimit(meanLatency Seconds) bool {
 	free := l.limit + l.burstAllowance*math.Sqrt(l.limit) - float64(l.inFlight)
 	if free <= 0 {
@@ -90,7 +94,8 @@
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
-	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit) // one attempt reflects one endpoint only
+	// An attempt tells about one endpoint, so it scales at most that endpoint's part of the limit.
+	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit)
 	if timedOut && !spareCapacity {
 		l.limit *= 1 - timeoutDecrease*endpointShare
 	}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -29,9 +29,10 @@
 	meanInFlight    float64 // estimated mean of inFlight, as of lastSentAt; see observeSend
 	latencyFactor   float64 // mean ratio of an attempt's latency to the mean latency of its class
 
-	// The last load report, received by this gateway or through gossip.
-	utilization     float64 // 0 to 1
-	utilizationAt   Seconds
+	// The last utilization, from a load report to this gateway or from gossip.
+	utilization   float64 // 0 to 1
+	utilizationAt Seconds
+
 	healthCheckedAt Seconds // time of the last health check sent
 
 	// Outlier detection. Slices are indexed by class.
@@ -60,7 +61,8 @@
 	}
 }
 
-// restart resets the state that was learned about the endpoint's previous process.
+// restart resets the latency factor, connections, outlier scores, failure counts and slow-start credit,
+// because the endpoint runs a new process.
 func (e *endpoint) restart(slowStartCredit float64) {
 	e.latencyFactor = 1
 	e.ejectedUntil = 0
@@ -87,7 +89,7 @@
 	e.lastSentAt = now
 }
 
-// endAttempt counts an attempt as ended. An attempt that ends without a reply also closes its connection.
+// endAttempt counts an attempt as ended. If it ended without a reply, its connection is assumed to be closed.
 func (e *endpoint) endAttempt(replied bool) {
 	e.inFlight--
 	if !replied {
@@ -100,8 +102,9 @@
 	return e.openConnections > e.inFlight && now-e.lastSentAt <= reusableIdleFraction*idleTimeout
 }
 
-// observeSend decays meanInFlight to now and adds the expected duration of an attempt of a class with the
-// given mean latency. It must be called before startAttempt, which updates lastSentAt.
+// observeSend decays meanInFlight to now and adds a new attempt, weighted by its expected duration.
+// meanLatency is the mean latency of its class. It must be called before startAttempt, which updates
+// lastSentAt.
 func (e *endpoint) observeSend(now, meanLatency Seconds) {
 	expected := min(e.latencyFactor*meanLatency/inFlightTimeConstant, 1)
 	e.meanInFlight = e.meanInFlight*e.inFlightDecay(now) + expected
--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file contains the parts of Gateway's event handling that update endpoints.
+// This file contains the parts of Gateway's event handling that concern endpoints.
 
 // sendHealthCheck sends a health check if one is due.
 func (g *Gateway) sendHealthCheck() {
@@ -9,8 +9,7 @@
 	}
 }
 
-// recordLoadReport records the utilization in a load report, if there is any, and publishes it to other
-// gateways.
+// recordLoadReport records the utilization in a load report, if there is any, and adds it to the gossip.
 func (g *Gateway) recordLoadReport(e *endpoint, report *LoadReport) {
 	if report == nil || report.Utilization < 0 {
 		return
@@ -21,7 +20,8 @@
 	})
 }
 
-// recordOutcome updates the endpoint, outlier, slow start and concurrency statistics after an attempt.
+// recordOutcome updates the statistics of the endpoint, its outlier scores, the class, the slow start and the
+// concurrency limit after an attempt.
 func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
 	e, requestClass := a.endpoint, r.class
 	// The concurrency limit covers all endpoints, so a timeout at a suspected outlier does not count against
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -14,8 +14,8 @@
 	minNonIdempotentWarmUp = 0.35
 )
 
-// The cost of an endpoint is measured in attempts in flight there. Each weight below converts another
-// disadvantage into that unit.
+// The cost of an endpoint is measured in attempts in flight there. The first four weights convert other
+// disadvantages into that unit. outlierWeight and costJitter scale the sum.
 const (
 	utilizationWeight  = 2.0  // for a utilization of 1
 	crossZoneWeight    = 25.0 // for a Settings.CrossZoneCost of 1
@@ -37,11 +37,12 @@
 	gatewayCount                 int
 	zone                         string
 	crossZoneCost, handshakeCost float64 // see Settings
-	idleTimeout                  Seconds // after which endpoints close idle connections
+	idleTimeout                  Seconds // time after which endpoints close idle connections
 }
 
-// pick returns the endpoint for the next attempt of a request, or nil if none has capacity. It also accrues
-// the slow-start credits of the request, unless the gateway is at its concurrency limit.
+// pick returns the endpoint for the next attempt of a request. It returns nil if this gateway is at its
+// concurrency limit or no endpoint is eligible. Below the limit, it also accrues the slow-start credits of
+// the request.
 func (p *endpointPicker) pick(r *request) *endpoint {
 	if p.limiter.atLimit(r.class.meanLatency) {
 		return nil
@@ -66,9 +67,10 @@
 	return nil
 }
 
-// allowedOnWarming reports whether a request may be sent to a warming endpoint. Such an endpoint fails under
-// overload, so it receives non-idempotent requests only above minNonIdempotentWarmUp, and keyed requests only
-// if they cannot have executed before.
+// allowedOnWarming reports whether a request may be sent to a warming endpoint, which may fail under
+// overload. A non-idempotent request needs a warm-up fraction of at least minNonIdempotentWarmUp. A request
+// with an idempotency key must not have executed before, because pickWarming does not check whether the
+// endpoint would drop it as a duplicate.
 func (p *endpointPicker) allowedOnWarming(e *endpoint, r *request) bool {
 	switch r.class.Idempotency {
 	case NonIdempotent:
@@ -128,8 +130,8 @@
 }
 
 // cost returns the cost of sending an attempt of the request to the endpoint. It adds the weighted
-// disadvantages to the estimated attempts in flight there, and multiplies the sum by the latency factor and
-// by a factor that grows with the outlier score.
+// disadvantages to the estimated attempts in flight there. It multiplies the sum by the latency factor, by a
+// factor that grows with the outlier score, and by a random factor of 1 to 1 + costJitter.
 func (p *endpointPicker) cost(e *endpoint, r *request, score float64) float64 {
 	load := p.estimatedInFlight(e)
 	if e.Zone != p.zone {
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -12,7 +12,7 @@
 // finds it without attempts in flight.
 type endpointTable struct {
 	classCount    int
-	initialCredit func(hash uint16) float64 // slow-start credit of an endpoint that has just started
+	initialCredit func(hash uint16) float64 // slow-start credit of a new or restarted endpoint
 
 	byID   map[string]*endpoint
 	listed []*endpoint          // endpoints with listed set, ordered by ID
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -1,6 +1,6 @@
 package policy
 
-// finalReplier gives the final reply to requests that get none from an endpoint, and closes requests.
+// finalReplier gives the final reply to requests that get none from an endpoint, and finishes requests.
 type finalReplier struct {
 	clock         *eventClock
 	actions       Actions
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -3,12 +3,11 @@
 import "math/rand/v2"
 
 const (
-	// timerInterval is the time between two timer ticks. Each tick processes queues, attempts in flight and
-	// usage reports.
+	// timerInterval is the time between two timer ticks; see HandleTimer.
 	timerInterval Seconds = 0.02
 	// timerToken identifies the only timer of a Gateway.
 	timerToken = 1
-	// evictionInterval is the time between two evictions of idle customers and removed endpoints.
+	// evictionInterval is the minimum time between two evictions of idle customers and removed endpoints.
 	evictionInterval Seconds = customerExpiry / 4
 	// randomStream is the second half of the PCG seed, the same for all gateways; its value is arbitrary.
 	randomStream = 0x9e3779b97f4a7c15
@@ -24,16 +23,16 @@
 //     requestTable holds the open requests with their attempts. requestAdmitter decides with the quota
 //     side whether to admit, queue or reject a new request. dispatcher sends admitted requests through
 //     attemptSender, or queues them. retryPolicy decides whether an attempt may be sent. attemptWatcher
-//     detects endpoints that do not reply, and hedges slow attempts. finalReplier rejects and closes
-//     requests.
-//   - The endpoint side: endpointTable holds the endpoint list. outlierDetector scores the endpoints.
-//     gossipBuffer holds health updates for other gateways. slowStart limits the attempts at warming
-//     endpoints. concurrencyLimiter limits all attempts in flight. healthChecker limits the rate of health
-//     checks. endpointPicker uses these components to choose the endpoint of an attempt.
-//   - The quota side: quotaController checks the limits of the customers' plans. It holds a quota view for
-//     each customer that another gateway owns, and a ledger for each customer that this gateway owns.
-//     usageReporter reports to the owners through peerProtocol. slotQueue holds the customers with requests
-//     that wait for a concurrency slot. ownerDirectory finds the owner of a customer.
+//     detects late grants and endpoints that do not reply, and hedges slow attempts. finalReplier rejects,
+//     fails and finishes requests.
+//   - The endpoint side: endpointTable holds the endpoint list. outlierDetector scores and ejects
+//     endpoints. gossipBuffer holds health updates for other gateways. slowStart limits the attempts at
+//     warming endpoints. concurrencyLimiter limits the attempts in flight at all endpoints together.
+//     healthChecker schedules health checks. endpointPicker chooses the endpoint of an attempt.
+//   - The quota side: quotaController checks the limits of the customers' plans. customerTable holds the
+//     customers, with a ledger if this gateway is the owner and a quota view otherwise. usageReporter
+//     reports to the owners through peerProtocol. slotQueue holds the customers with requests that wait for
+//     a concurrency slot. ownerDirectory finds the owner of a customer.
 //
 // An event method advances the clock, records the event in the components, and lets the request of the event
 // proceed. After that it retries waiting work: first the dispatch queue, then the requests that wait for a
@@ -70,8 +69,8 @@
 	nextEvictionAt Seconds // see evictExpired
 }
 
-// New returns a Gateway without endpoints; HandleEndpoints provides the list. All random numbers derive from
-// seed. The error is ErrNoActions or a *SettingError.
+// New returns a Gateway without endpoints, and sets its timer. HandleEndpoints provides the endpoint list.
+// All random numbers derive from seed. The error is ErrNoActions or a *SettingError.
 func New(settings Settings, seed uint64, now Seconds, actions Actions) (*Gateway, error) {
 	if actions == nil {
 		return nil, ErrNoActions
@@ -110,7 +109,8 @@
 	}
 }
 
-// initQuotaSide creates the components that track customers and peers, and draws the random incarnation that
+// initQuotaSide creates the components that track customers and peers, and the retryPolicy that they need. It
+// draws the random incarnation that
 // lets peers distinguish this start of the gateway from earlier ones.
 func (g *Gateway) initQuotaSide() {
 	settings := g.settings
@@ -180,8 +180,8 @@
 	}
 }
 
-// HandleClientDisconnected finishes a request whose client has disconnected. Its attempts in flight are not
-// cancelled.
+// HandleClientDisconnected finishes a request whose client has disconnected, or that needs no reply for
+// another reason. Its attempts in flight are not cancelled.
 func (g *Gateway) HandleClientDisconnected(now Seconds, id string) {
 	g.clock.advance(now)
 	if r := g.requests.find(id); r != nil && !r.done {
@@ -189,8 +189,8 @@
 	}
 }
 
-// HandleOutcome processes the end of an attempt. It updates the statistics of the endpoint and the class, and
-// then finishes or retries the request.
+// HandleOutcome processes the end of an attempt. It updates the statistics of the endpoint and the class.
+// Then it finishes the request, retries it, or leaves it to another attempt in flight.
 func (g *Gateway) HandleOutcome(now Seconds, outcome Outcome) {
 	g.clock.advance(now)
 	r, a := g.sender.end(outcome)
@@ -206,7 +206,8 @@
 	g.quota.retrySlotWaiters()
 }
 
-// HandlePeerMessage processes a message from another gateway. Invalid messages are ignored.
+// HandlePeerMessage processes a message from another gateway. Invalid, duplicate and
+// overtaken messages are ignored.
 func (g *Gateway) HandlePeerMessage(now Seconds, from int, data []byte) {
 	g.clock.advance(now)
 	received, ok := g.protocol.receive(from, data)
@@ -262,7 +263,7 @@
 	g.evictExpired()
 }
 
-// evictExpired evicts idle customers and removed endpoints once per evictionInterval.
+// evictExpired evicts idle customers and removed endpoints at most once per evictionInterval.
 func (g *Gateway) evictExpired() {
 	if g.clock.now <= g.nextEvictionAt {
 		return
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -22,13 +22,13 @@
 	at           Seconds // time of the observation
 }
 
-// gossipBuffer holds the health updates to send to other gateways, oldest first. Updates are shared because a
-// gateway of a large fleet has too little traffic of its own to judge each endpoint.
+// gossipBuffer holds the health updates to send to other gateways, in order of publication. Updates are
+// shared because a gateway of a large fleet has too little traffic of its own to judge each endpoint.
 type gossipBuffer struct {
 	updates []healthUpdate
 }
 
-// publish adds an update, and drops the oldest one if the buffer is full.
+// publish adds an update, and drops the first one if the buffer is full.
 func (b *gossipBuffer) publish(update healthUpdate) {
 	b.updates = append(b.updates, update)
 	if len(b.updates) > maxGossip {
@@ -36,8 +36,8 @@
 	}
 }
 
-// recent returns the newest updates, newest first and at most limit. It omits expired updates, and scores of
-// classes whose index does not fit in a message.
+// recent returns at most limit of the last gossipPerMessage updates in the buffer, the last published first.
+// Of these it omits expired updates, and scores of classes whose index does not fit in a message.
 func (b *gossipBuffer) recent(limit int, now Seconds) (updates []healthUpdate) {
 	oldest := max(0, len(b.updates)-gossipPerMessage)
 	for i := len(b.updates) - 1; i >= oldest && len(updates) < limit; i-- {
@@ -49,7 +49,7 @@
 	return updates
 }
 
-// merge applies an update from another gateway, and forwards it if it is newer than the known state.
+// merge passes an update from another gateway to its endpoint, and forwards it if applyUpdate returns true.
 func (b *gossipBuffer) merge(endpoints *endpointTable, update healthUpdate) {
 	e := endpoints.byHash[update.endpointHash]
 	if e != nil && e.applyUpdate(update) {
@@ -57,8 +57,9 @@
 	}
 }
 
-// applyUpdate applies an update from another gateway, and reports whether it should be forwarded. It returns
-// false for an update that is not newer than the known state.
+// applyUpdate applies an update from another gateway, and reports whether it should be forwarded. It ignores
+// an update that is less than minGossipInterval newer than the known state, or older than the last success or
+// the endpoint's start, and returns false.
 func (e *endpoint) applyUpdate(update healthUpdate) bool {
 	if e.StartedAt > update.at {
 		return false // about a previous process of the endpoint
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -31,9 +31,9 @@
 	h.credits = min(h.credits+healthChecksPerRequest, maxHealthCheckCredits)
 }
 
-// next returns the endpoint to check now, or nil. It selects the endpoint whose last load report or health
-// check is oldest. Warming endpoints are not checked, because the checks of all gateways together could
-// exceed their capacity.
+// next returns the endpoint to check now and spends a credit, or returns nil. It selects the endpoint whose
+// last load report or health check is oldest. Warming endpoints are not checked, because the checks of all
+// gateways together could exceed their capacity.
 func (h *healthChecker) next(endpoints []*endpoint) *endpoint {
 	if !h.enabled || h.credits < 1 {
 		return nil
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -25,7 +25,7 @@
 func (r *request) mayHaveExecuted() bool { return r.firstExecution.endpoint != nil }
 
 // recordPossibleExecution records an attempt that may have executed as the first execution. It does nothing
-// if an earlier attempt is recorded.
+// if one is recorded already.
 func (r *request) recordPossibleExecution(a *attempt) {
 	if !r.mayHaveExecuted() {
 		r.firstExecution = possibleExecution{endpoint: a.endpoint, group: a.group, sentAt: a.sentAt}
@@ -67,7 +67,7 @@
 }
 
 // clientMayRetry reports whether the client may safely send the request again: either no attempt can have
-// executed, or a duplicate does no harm at any endpoint.
+// executed, or the class allows a duplicate at any endpoint.
 func (r *request) clientMayRetry() bool {
 	if !r.mayHaveExecuted() && r.inFlight == 0 {
 		return true
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,20 +5,27 @@
 	"math/rand/v2"
 )
 
-// An outlier score is the confidence, from 0 to 1, that an endpoint does not reply to attempts of a class. A
-// failure raises the score by a fraction of its distance to 1, the severity.
+// An outlier score is the confidence, from 0 to 1, that an endpoint fails the attempts of a class. A failure
+// raises the score by a fraction of its distance to 1, the severity.
 const (
-	suspectScore          = 0.3 // above it an endpoint is a suspected outlier, and attempts there are hedged early
-	singleFailureSeverity = 0.1 // severity of one lost connection, which may not be the endpoint's fault
-	errorSeverity         = 0.5 // severity of an error, and of each further lost connection in a row
-	repeatedErrorSeverity = 0.9 // severity of errors in a row: an endpoint that fails fast looks idle
-	noReplySeverity       = 1.0 // severity of an attempt without a reply; see recordNoReply
+	// suspectScore is the score above which an endpoint is a suspected outlier. Attempts there are hedged early.
+	suspectScore = 0.3
+
+	// singleFailureSeverity applies to one refused or lost connection, which may not be the endpoint's fault.
+	singleFailureSeverity = 0.1
+	// errorSeverity applies to an error, to a failed health check, and to each further refused or lost
+	// connection in a row. It is the upper limit for a timeout.
+	errorSeverity = 0.5
+	// repeatedErrorSeverity applies to errors in a row, because an endpoint that fails fast looks idle.
+	repeatedErrorSeverity = 0.9
+	// noReplySeverity applies to an attempt without a reply; see recordNoReply.
+	noReplySeverity = 1.0
 
 	// repeatedErrors is the number of errors in a row at which repeatedErrorSeverity replaces errorSeverity.
 	repeatedErrors = 2
 
-	// minPublishedScore is the score above which the score after a success is published. A lower score hardly
-	// affects the cost of the endpoint, so other gateways need no correction.
+	// minPublishedScore is the level above which the score after a success is published. A lower score hardly
+	// affects the cost of the endpoint, so other gateways do not need it.
 	minPublishedScore = singleFailureSeverity / 2
 
 	// outlierTimeConstant is the time constant of the decay of scores.
@@ -58,10 +65,9 @@
 	random *rand.Rand
 	gossip *gossipBuffer
 
-	// attemptWeight is the weight of one attempt of this gateway in the score. In a large fleet, where many
-	// gateways share their scores, it is below 1, so that the score approaches the fraction of attempts that
-	// get no reply. At weight 1, a single timeout at an overloaded endpoint would make all gateways move to the
-	// next endpoint at once and overload it.
+	// attemptWeight is the fraction by which a success lowers the score, and the severity of a timeout up to
+	// errorSeverity. It is smaller in a large fleet, because many gateways share their scores: a single timeout
+	// at an overloaded endpoint could otherwise make all gateways move to the next one and overload it.
 	attemptWeight float64
 }
 
@@ -101,7 +107,7 @@
 	d.gossip.publish(healthUpdate{endpointHash: e.hash, class: classIndex, value: level, at: d.clock.now})
 }
 
-// recordFailureForAllClasses raises the score for every class.
+// recordFailureForAllClasses raises and publishes the score for every class.
 func (d *outlierDetector) recordFailureForAllClasses(e *endpoint, severity float64) {
 	for classIndex := range e.outlierScores {
 		d.recordFailure(e, classIndex, severity)
@@ -119,7 +125,7 @@
 	}
 }
 
-// recordOutcome adjusts the score of the endpoint after an attempt, and ejects the endpoint if necessary.
+// recordOutcome adjusts the scores of the endpoint after an attempt, and ejects the endpoint if necessary.
 func (d *outlierDetector) recordOutcome(e *endpoint, classIndex int, status AttemptStatus) {
 	switch status {
 	case OK:
@@ -147,7 +153,7 @@
 }
 
 // recordConnectionFailure records a refused or lost connection. It raises the score for all classes, and
-// ejects the endpoint from the consecutiveFailuresToEject-th failure in a row on.
+// ejects the endpoint if it has had at least consecutiveFailuresToEject failures in a row.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// firstWriteFraction is the fraction of the time from arrival to deadline after which a request is rejected
-// unless it has been written to an endpoint. An early rejection leaves the client time for a retry.
+// firstWriteFraction is the fraction of the time from arrival to deadline after which no attempt is sent
+// unless an earlier one was written. An early rejection leaves the client time for a retry.
 const firstWriteFraction = 0.45
 
-// request is a client's request from its arrival until it has its final reply and no attempts in flight.
+// request is a client's request from its arrival until it is done and has no attempts in flight.
 type request struct {
 	Request
 	class    *class
@@ -18,7 +18,7 @@
 
 	// objectiveAt is the time until which a reply earns the full priority weight.
 	objectiveAt Seconds
-	// firstWriteBy is the time after which the request is rejected unless it has been written to an endpoint.
+	// firstWriteBy is the time after which no attempt is sent unless an earlier one was written.
 	firstWriteBy Seconds
 	// priority is the value of priorityAt at the arrival of the request: the weight that a reply earns per unit
 	// of work. Queues serve the highest priority first.
@@ -32,9 +32,9 @@
 
 	attempts []attempt
 	inFlight int // attempts that have not ended
-	// firstExecution is the first attempt that may have executed.
+	// firstExecution is the first attempt recorded as possibly executed.
 	firstExecution possibleExecution
-	written        bool // whether any attempt was written to an endpoint
+	written        bool // whether any ended attempt may have been completely written
 	streaming      bool // whether the reply is being streamed to the client, which rules out retries
 	awaitingOwner  bool // whether it waits for a grant from the owner of the customer
 	charged        bool // whether its units are charged to the customer
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -4,7 +4,7 @@
 
 const (
 	// minCompletedFraction is the lower bound for the estimated fraction of the offered work that was
-	// completed. Without it, a gateway that has just started and has not completed any work would grant no
+	// completed. Without it, a gateway that has just started and has not completed any work would add no
 	// credits.
 	minCompletedFraction = 0.5
 
@@ -26,14 +26,14 @@
 // start, during which it has only a fraction of its capacity. An endpoint fails if all gateways together
 // exceed OverloadMultiple times that capacity within OverloadWindow.
 //
-// Each new request adds a credit to every warming endpoint: the fraction of this gateway's work that the
-// endpoint may receive at its current capacity. A credit of 1 stands for the work of one mean attempt. Once
-// an endpoint has this credit, the gateway may send it one attempt. Gateways start with evenly spread
-// credits, so that their attempts do not coincide. The attempts of all gateways thus add up to the sum of
-// the credits, which stays within the overload limit without coordination. This holds even if most endpoints
-// are warming and demand exceeds their capacity, because requests wait if no endpoint has a credit. Retries
-// of this gateway and of clients spend credits but add none, because retries are most frequent when
-// endpoints are overloaded.
+// Each new request adds a credit to every available warming endpoint: the fraction of this gateway's work
+// that the endpoint may receive at its current capacity. A credit of 1 stands for the work of one mean
+// attempt. Once an endpoint has this credit, the gateway may send it one attempt. Gateways start with evenly
+// spread credits, so that their attempts do not coincide. The credits keep the attempts of all gateways
+// together close to the overload limit or below, without coordination. If most endpoints are warming and
+// demand exceeds their capacity, requests wait until an endpoint has a credit. Retries of this gateway and
+// probable retries of clients spend credits but add none, because retries are most frequent when endpoints
+// are overloaded.
 //
 // Work is measured in seconds of mean latency, and credits in mean attempts.
 type slowStart struct {
@@ -46,9 +46,9 @@
 	overloadWindow   Seconds
 
 	estimatedAt     Seconds // time of the last update of the estimates below
-	offeredWork     Seconds // of first attempts; decays as updateEstimates specifies
+	offeredWork     Seconds // of requests that accrued credits; decays as updateEstimates specifies
 	completedWork   Seconds // of successful attempts; decays like offeredWork
-	meanWork        Seconds // work of the average first attempt
+	meanWork        Seconds // per request that accrued credits
 	totalCapacity   float64 // sum of the warm-up fractions of all endpoints in service
 	warmingCapacity float64 // sum of the warm-up fractions of the warming endpoints in service
 	inServiceCount  float64 // number of endpoints in service
@@ -133,8 +133,8 @@
 // recordSuccess adds the work of a successful attempt to completedWork.
 func (s *slowStart) recordSuccess(requestClass *class) { s.completedWork += requestClass.meanLatency }
 
-// accrueCredits adds the credits of a request to the warming endpoints, once per request and not for probable
-// client retries.
+// accrueCredits adds the credits of a request to the available warming endpoints, once per request and not
+// for probable client retries.
 func (s *slowStart) accrueCredits(r *request, endpoints []*endpoint) {
 	if r.creditsAccrued || r.likelyRetry {
 		return
@@ -168,9 +168,9 @@
 // receives overloadMultiple times as much.
 //
 // A gateway of a large fleet does not see the load that the other gateways send to an endpoint, and this
-// load varies randomly. It therefore limits the share to reducedShare while the other endpoints have
-// capacity for the rest. As the fraction of warming capacity grows, fewer warm endpoints are left, and
-// requiredShare rises towards maxShare.
+// load varies randomly. It therefore uses reducedShare while warm endpoints can take the remaining work. The
+// more of the capacity is warming, the less they can take, so requiredShare rises to maxShare. The larger of
+// reducedShare and requiredShare counts, up to maxShare.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
 	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
@@ -184,7 +184,8 @@
 	return min(maxShare, max(reducedShare, requiredShare))
 }
 
-// creditAvailable reports whether this gateway may send an attempt to a warming endpoint.
+// creditAvailable reports whether a warming endpoint has an unexpired credit for an attempt, and fewer than
+// maxWarmingInFlight attempts of this gateway in flight.
 func (s *slowStart) creditAvailable(e *endpoint) bool {
 	return e.slowStartCredit >= 1 && s.clock.now-e.slowStartCreditAt <= s.overloadWindow &&
 		e.inFlight < maxWarmingInFlight
