--- a/policy/api.go
+++ b/policy/api.go
@@ -9,8 +9,8 @@
 // With Settings.PeerMessages, a hash ring of gateways assigns each customer to one gateway, its owner. The
 // owner counts the customer's usage at all gateways against the quota. The other gateways are members. A
 // member reports its usage to the owner. It admits requests from its share of the units that remained at the
-// owner's last reply, and otherwise asks the owner for a grant. While the owner does not reply, it falls back
-// to a local window.
+// owner's last reply, or asks the owner for a grant. While the owner does not reply, it falls back to a local
+// window.
 //
 // Gateway handles the events. Actions carries out its decisions.
 package policy
@@ -70,11 +70,11 @@
 type Class struct {
 	Name string
 	// LatencyObjective is the time within which a reply earns the full PriorityWeight. It counts from the
-	// client's first attempt of the request.
+	// arrival of the request or, for a detected client retry, from the time at which the client first sent it.
 	LatencyObjective Seconds
 	// ObjectiveLatencyMultiple extends the objective by this multiple of the mean latency of the class.
 	ObjectiveLatencyMultiple float64
-	// Timeout is the time that clients wait for a reply, from their first attempt of the request.
+	// Timeout is the time that clients wait for a reply after they have first sent a request.
 	Timeout Seconds
 	// PriorityWeight is the value of a reply within the objective, at least 0, relative to other classes.
 	PriorityWeight float64
@@ -192,7 +192,7 @@
 	// Deadline is the time at which the client stops waiting.
 	Deadline Seconds
 	// The customer's requests arrive at GatewayCount gateways with consecutive indexes, starting at
-	// FirstGateway. Index 0 follows the last one.
+	// FirstGateway. Index 0 follows the last index of the fleet.
 	FirstGateway, GatewayCount int
 	Units                      float64
 	// ClientRetry is set if the client has sent the request before.
@@ -212,7 +212,7 @@
 	ConnectFailed               // no connection, or not completely written to it; did not execute
 	Reset                       // the connection was lost; may have executed
 	Cancelled                   // cancelled by this gateway; may have executed
-	NotSent                     // given up by this gateway before it was sent; did not execute
+	NotSent                     // given up before it was completely written; did not execute
 )
 
 // String returns the name used in logs.
@@ -305,6 +305,6 @@
 	SetTimer(token uint64, delay Seconds)
 	// HealthCheck sends a health check to an endpoint. HandleHealthCheck receives the result.
 	HealthCheck(endpoint string)
-	// SendToPeer sends a message to a gateway, or to all with Broadcast. Messages may be lost.
+	// SendToPeer sends a message to a gateway, or to all others with Broadcast. Messages may be lost.
 	SendToPeer(gateway int, data []byte)
 }
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. An
-// attempt must be the last of an open request and the only one in flight, and not cancelled. Requests that
-// are non-idempotent or whose reply is being streamed are not hedged.
+// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. No
+// attempt of a request qualifies if the request is done or non-idempotent, or its reply is being streamed.
+// Otherwise, the last attempt may qualify if it is the only one in flight and was not cancelled.
 //
 // No attempt qualifies before hedgeObjectiveFraction of the objective. After that, an attempt at a suspected
 // outlier qualifies. An attempt at any other endpoint qualifies after hedgeLatencyMultiple mean latencies,
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -25,7 +25,7 @@
 	timeout      Seconds // remaining time of the last bin
 	histogram    [remainingBins]int
 	observations int // total of all bins
-	modeCount    int // largest countNear of the bins observed; halve includes all bins
+	modeCount    int // largest result of countNear so far; recomputed by halve
 }
 
 // newClientRetryDetector returns a detector for a class with the given timeout.
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -94,7 +94,7 @@
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
-	// An attempt tells about one endpoint, so it scales at most that endpoint's part of the limit.
+	// An attempt tells about one endpoint only, so it reduces at most that endpoint's part of the limit.
 	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit)
 	if timedOut && !spareCapacity {
 		l.limit *= 1 - timeoutDecrease*endpointShare
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -58,8 +58,8 @@
 }
 
 // applyUpdate applies an update from another gateway, and reports whether it should be forwarded. It ignores
-// an update that is less than minGossipInterval newer than the known state, or older than the last success or
-// the endpoint's start, and returns false.
+// an update about a previous process of the endpoint, an update that is not newer than the known state by at
+// least minGossipInterval, and a score that is older than the last success. For these it returns false.
 func (e *endpoint) applyUpdate(update healthUpdate) bool {
 	if e.StartedAt > update.at {
 		return false // about a previous process of the endpoint
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -29,11 +29,10 @@
 // Each new request adds a credit to every available warming endpoint: the fraction of this gateway's work
 // that the endpoint may receive at its current capacity. A credit of 1 stands for the work of one mean
 // attempt. Once an endpoint has this credit, the gateway may send it one attempt. Gateways start with evenly
-// spread credits, so that their attempts do not coincide. The credits keep the attempts of all gateways
-// together close to the overload limit or below, without coordination. If most endpoints are warming and
-// demand exceeds their capacity, requests wait until an endpoint has a credit. Retries of this gateway and
-// probable retries of clients spend credits but add none, because retries are most frequent when endpoints
-// are overloaded.
+// spread credits, so that their attempts do not coincide. The sum of the credits limits the attempts of all
+// gateways together, without coordination between them. If no endpoint has a credit and none is warm,
+// requests wait. Retries of this gateway and probable retries of clients spend credits but add none, because
+// retries are most frequent when endpoints are overloaded.
 //
 // Work is measured in seconds of mean latency, and credits in mean attempts.
 type slowStart struct {
