--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestDialErrors checks that a dial which fails because of a local fault is retried, and reported as NotSent if the
-// fault lasts. Other errors must be reported as ConnectFailed, as the endpoint may be their cause.
+// TestDialErrors checks that a dial that fails because of a local fault is retried, and that the attempt ends as NotSent
+// if the fault lasts. After another error, the attempt must end as ConnectFailed, as the endpoint may be the cause.
 func TestDialErrors(t *testing.T) {
 	for _, tc := range []struct {
 		errno syscall.Errno
@@ -243,7 +243,7 @@
 }
 
 // failReadsAndWrites makes the first five reads and the first five writes of each connection fail, and every second
-// write of the event loop. All reads and writes are limited to partSize bytes; 0 for no limit.
+// non-blocking write. All reads and writes are limited to partSize bytes; 0 for no limit.
 func failReadsAndWrites(h *harness, errno syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, newInjectedFailures(5, errno, "read"), newInjectedFailures(5, errno, "write"), partSize}
