--- a/policy/clock.go
+++ b/policy/clock.go
@@ -12,8 +12,8 @@
 // it.
 type eventClock struct {
 	now Seconds
-	// resumedAt is the time at which this gateway last resumed after a stall. A missing reply before that time
-	// may be due to the stall and does not count against other processes.
+	// resumedAt is the time of the first event after the last stall. Time without a reply before it may be due
+	// to the stall, so it does not count against other processes.
 	resumedAt Seconds
 }
 
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -45,7 +45,7 @@
 	inFlight            int
 	lastSentAt          Seconds
 	latencyRatio        float64 // mean ratio of latency to the latency objective
-	meanAttemptDuration Seconds // mean time until a reply or timeout
+	meanAttemptDuration Seconds // of attempts that succeeded or timed out
 }
 
 // newConcurrencyLimiter returns the limiter of one gateway of a fleet. It has the limit for one endpoint
@@ -88,7 +88,7 @@
 
 func (l *concurrencyLimiter) endAttempt() { l.inFlight-- }
 
-// observe adjusts the limit after a reply or timeout. elapsed is the duration of the attempt and objective
+// observe adjusts the limit after a success or timeout. elapsed is the duration of the attempt and objective
 // the latency objective of its class. spareCapacity reports whether the endpoints are known to have spare
 // capacity.
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -46,8 +46,7 @@
 	maxRejectionBackoff Seconds = 0.8
 )
 
-// outlierScore is a score that decays exponentially. The field level is its value at the time in the field
-// at.
+// outlierScore is an exponentially decaying score, which had the value level at the time at.
 type outlierScore struct {
 	level float64
 	at    Seconds
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,8 +11,8 @@
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
 
-// allowsAttempt reports whether an attempt of the request may be sent to some endpoint. request.deduplicates
-// checks each endpoint.
+// allowsAttempt reports whether an attempt of the request may be sent to some endpoint. Whether a
+// particular endpoint may receive it also depends on request.deduplicates.
 func (p *retryPolicy) allowsAttempt(r *request) bool {
 	switch {
 	case len(r.attempts) >= p.maxAttempts:
