--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -47,8 +47,8 @@
 	return strings.Replace(f.completed, "%W", reply, 1)
 }
 
-// TestAuditReportsViolations checks that the audit reports every violation and nothing else, for the log lines of the
-// present version and of the previous one.
+// TestAuditReportsViolations checks that the audit reports the violation of each log that has one, and nothing for the
+// other logs. The logs hold the lines of the present version or of the previous one.
 func TestAuditReportsViolations(t *testing.T) {
 	for version, f := range formats {
 		for name, tc := range map[string]struct{ log, want string }{
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestListOfKnownRedTests checks that the pattern matches only the listed tests. It also checks that a malformed entry,
-// an unknown or repeated test, and too many tests give an error.
+// TestListOfKnownRedTests checks the pattern and the log for valid lists. It also checks that a malformed entry, an
+// unknown or repeated test, and too many tests give an error.
 func TestListOfKnownRedTests(t *testing.T) {
 	const names = "TestA\nTestB\nTestC\nTestD\nok  	some/package	0.1s\n"
 	for name, tc := range map[string]struct{ file, out, log, err string }{
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -17,10 +17,10 @@
 type receivedAttempt struct {
 	id      string
 	timeout time.Duration // from field d of the command
-	at      time.Time     // when its last byte arrived
+	at      time.Time     // when the endpoint had read its last line
 }
 
-// hangingEndpoint records the commands that it receives and never replies.
+// hangingEndpoint records the attempts that it receives and never replies.
 type hangingEndpoint struct {
 	addr     string
 	mu       sync.Mutex
@@ -56,8 +56,8 @@
 	}
 }
 
-// maxTimeoutExcess returns the number of attempts, and the largest excess of an attempt's timeout over the time that its
-// client had left. All requests were sent at the time sent and have the same deadline.
+// maxTimeoutExcess returns the largest excess of an attempt's timeout over the time that remained until the deadline of
+// its request, and the number of attempts. All requests were sent at the time sent and have the same deadline.
 func (e *hangingEndpoint) maxTimeoutExcess(sent time.Time, deadline time.Duration) (excess time.Duration, attempts int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,14 +68,14 @@
 }
 
 const (
-	timeoutSlack = 150 * time.Millisecond // tolerance for an attempt's timeout above the time that the client has left
+	timeoutSlack = 150 * time.Millisecond // tolerance for an attempt's timeout above the time that remains until the deadline
 	replySlack   = 500 * time.Millisecond // tolerance for a reply after the deadline of its request
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
-// TestDeadlineCountsFromArrivalBehindOpenRequests checks that no attempt gets more time than its client has left. A
-// request may wait in the socket while earlier requests of its connection are open, and this wait counts toward its
-// deadline.
+// TestDeadlineCountsFromArrivalBehindOpenRequests checks that the timeout of an attempt does not exceed the time that
+// remains until the deadline of its request. A request may have to wait while earlier requests of its connection are
+// open, and this wait counts toward its deadline.
 func TestDeadlineCountsFromArrivalBehindOpenRequests(t *testing.T) {
 	t.Parallel()
 	for _, commands := range []int{60, 400} {
@@ -107,12 +107,11 @@
 	}
 }
 
-// suspension is the time for which the tests suspend the whole process.
+// suspension is the time for which checkArrivalAfterSuspension suspends the gateway process.
 const suspension = 600 * time.Millisecond
 
-// TestDeadlineCountsFromArrivalAfterSuspension checks that no attempt gets more time than its client has left after the
-// whole process was suspended. The deadline of a request that arrives during the suspension counts from its arrival,
-// whether it arrives alone or between another request and a PING.
+// TestDeadlineCountsFromArrivalAfterSuspension checks that the deadline of a request that arrives while the gateway
+// process is suspended counts from its arrival, whether it arrives alone or between another request and a PING.
 func TestDeadlineCountsFromArrivalAfterSuspension(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{900 * time.Millisecond, 400 * time.Millisecond} {
@@ -125,7 +124,7 @@
 }
 
 // checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and resumes the process.
-// It then checks the replies and the timeouts of the attempts.
+// It then checks when the last reply arrived, and the timeouts of the attempts.
 func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -62,7 +62,7 @@
 	return bytes.Count(b.content.Bytes(), []byte(text))
 }
 
-// tail returns the end of the log.
+// tail returns at most the last 4000 bytes of the log.
 func (b *logBuffer) tail() string {
 	const maxTailBytes = 4000
 	b.mu.Lock()
@@ -71,7 +71,7 @@
 	return string(content[max(0, len(content)-maxTailBytes):])
 }
 
-// eventually waits until a condition holds, and fails the test after testTimeout.
+// eventually waits until a condition holds, and fails the test if it does not hold within testTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -88,10 +88,9 @@
 	reconnectPause  = 5 * time.Millisecond
 )
 
-// TestIdleClientsLeaveDescriptors checks that idle clients, which connect again as soon as they are closed, do not take
-// all file descriptors while discovery is down. The gateway needs descriptors to connect to discovery and to endpoints,
-// and to read its configuration. The number of descriptors that the process may open is equal to the configured number
-// in one case, and far smaller in the other.
+// TestIdleClientsLeaveDescriptors checks that the gateway can connect to discovery and to endpoints, and can reload its
+// configuration, although it has fewer file descriptors than there are idle clients, which reconnect whenever they are
+// disconnected. The process may open as many descriptors as configured in one case, and far fewer in the other.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
@@ -118,7 +117,7 @@
 	writeConfig(first)
 	p := launch(t, path, descriptorLimit)
 	idle := startIdleClients(t, listen)
-	eventually(t, "idle clients take the available descriptors", func() bool { return len(idle) > descriptorLimit })
+	eventually(t, "idle clients get more replies than there are descriptors", func() bool { return len(idle) > descriptorLimit })
 	if configured > descriptorLimit {
 		eventually(t, "no descriptor is left", func() bool { return p.log.has("no descriptor left") })
 	}
@@ -149,7 +148,7 @@
 	t        *testing.T
 	endpoint string
 	released chan struct{}
-	polled   chan string // receives the agent's name for each response
+	polled   chan string // receives the agent's name before each response
 }
 
 func newHangingAgents(t *testing.T, endpoint string) *hangingAgents {
@@ -177,8 +176,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startIdleClients starts idleClientCount clients. Each connects, gets one reply, idles until its connection is closed,
-// and connects again. The channel receives a value for each reply.
+// startIdleClients starts idleClientCount clients. Each repeatedly connects, sends a PING, and idles until its connection
+// is closed. The channel receives a value for each reply, unless it is full.
 func startIdleClients(t *testing.T, addr string) <-chan struct{} {
 	idle := make(chan struct{}, 4096)
 	stop := make(chan struct{})
@@ -198,7 +197,8 @@
 	return idle
 }
 
-// connectAndIdle connects once, and idles until the connection or stop is closed.
+// connectAndIdle connects once, sends a PING, and idles until the connection or stop is closed. When a reply arrives, it
+// sends to idle, unless that channel is full.
 func connectAndIdle(addr string, idle chan<- struct{}, stop <-chan struct{}) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -33,7 +33,7 @@
 		"retryAfter":true,"maxRetryAfterS":0.5`
 	idempotencyWindow = 800 * time.Millisecond
 	disconnectSlack   = 100 * time.Millisecond // tolerance for an attempt written after its client has disconnected
-	suspendEvery      = 600 * time.Millisecond
+	suspendEvery      = 600 * time.Millisecond // from the end of a suspension to the start of the next
 	// suspendFor must be less than timeoutSlack. If the process is suspended after it has computed a timeout and before it
 	// writes the command, the timeout is too long by suspendFor.
 	suspendFor     = 140 * time.Millisecond
@@ -57,13 +57,12 @@
 	reply     string
 }
 
-// faultRun records one run with faults: the attempts of each request, and the violations of the rules of
-// TestRequestsUnderFaults.
+// faultRun records one run with faults. The violations are those of the rules of TestRequestsUnderFaults.
 type faultRun struct {
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
 	violations []string
-	replies    map[string]int // number of replies by kind: "value" or the error code
+	replies    map[string]int // number of replies by kind: "value", or "-" and the error code
 	timerLag   atomic.Int64   // largest delay of this process's timers, in nanoseconds
 }
 
@@ -73,7 +72,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// slack returns the tolerance for times that this process measures. It grows with the lag of the process's timers.
+// slack returns an additional tolerance for times that this process measures: twice the largest delay of its timers.
 func (r *faultRun) slack() time.Duration { return 2 * time.Duration(r.timerLag.Load()) }
 
 // measureTimerLag records the largest delay of this process's timers until stop is closed.
@@ -198,7 +197,8 @@
 	return q, b.String()
 }
 
-// runConnection opens a connection, sends batches of requests on it, and reads the replies or disconnects.
+// runConnection opens a connection and sends batches of requests on it. For each batch, it reads the replies or
+// disconnects, and then checks the batch.
 func (c *faultClient) runConnection(t *testing.T) {
 	dialledAt := time.Now()
 	conn, err := net.Dial("tcp", c.proxy.Addr())
@@ -215,8 +215,8 @@
 		var text strings.Builder
 		commands, bodyMax := 1+c.rng.IntN(6), 20_000
 		if c.rng.Float64() < 0.1 {
-			// More requests than may be open on a connection. They must be small enough for the gateway to read all of them
-			// ahead, because it notices a disconnect only after it has read all input.
+			// More requests than may be open on a connection. The others wait, and must be small enough for the gateway to
+			// read all of them ahead. It would otherwise notice a disconnect late.
 			commands, bodyMax = 48, 16_000
 		}
 		for range commands {
@@ -274,7 +274,7 @@
 	if disconnected { // attempts in progress may still be written
 		time.Sleep(3 * disconnectSlack)
 	}
-	previousReply := time.Time{} // when the reply to the previous request arrived
+	previousReply := time.Time{} // when the proxy had read the reply to the previous request
 	for _, q := range batch {
 		arrivedAt, arrived := connection.ToServer.Written.TimeOfByte(q.end)
 		c.checkAttempts(q, arrivedAt, arrived, connection.ToServer.Written.Ended())
@@ -301,7 +301,7 @@
 		}
 		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
 		from := arrivedAt
-		if previousReply.After(from) { // the time spent waiting for earlier replies does not count
+		if previousReply.After(from) { // replies come in order, so one may arrive replySlack after the one before it
 			from = previousReply
 		}
 		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+record.slack() && replied.Sub(from) > replySlack {
@@ -312,8 +312,8 @@
 }
 
 // checkAttempts checks the attempts of a request against the rules of TestRequestsUnderFaults. arrived reports whether
-// the whole request arrived at the gateway, and arrivedAt is the time of its arrival. disconnectedAt is zero if the
-// client has not disconnected.
+// the whole request arrived at the gateway, and arrivedAt is the time of its arrival. disconnectedAt is the time at which
+// forwarding from the client to the gateway ended, or zero if it has not ended.
 func (c *faultClient) checkAttempts(q faultRequest, arrivedAt time.Time, arrived bool, disconnectedAt time.Time) {
 	record := c.run
 	record.mu.Lock()
@@ -388,7 +388,8 @@
 	return record
 }
 
-// suspendRepeatedly suspends the process for suspendFor, every suspendEvery, until stop is closed.
+// suspendRepeatedly lets the process run for suspendEvery, suspends it for suspendFor, and repeats that until stop is
+// closed.
 func suspendRepeatedly(p *program, stop <-chan struct{}) {
 	for {
 		select {
@@ -425,9 +426,13 @@
 // TestRequestsUnderFaults injects seeded faults into real connections and checks the replies that clients got and the
 // attempts that endpoints received:
 //
-//   - Each accepted request gets one complete and correct reply in time.
+//   - Each request that arrived completely gets a complete reply in time, unless the client disconnects or an injected
+//     fault ends the connection. A value is the one for that request.
+//   - A request that must not execute twice is not rejected after it was executed.
 //   - A request is not attempted again after an attempt that executed, unless its class allows it.
-//   - No attempt is written after the client has disconnected, or with a longer timeout than the client has left.
+//   - No attempt is made for a request that did not arrive completely, after the client has disconnected, or with a
+//     timeout longer than the rest of the request's deadline.
+//   - The gateway process does not end.
 //
 // The flags -faults.for, -faults.runs and -faults.seed set the duration, the number and the first seed of the runs.
 func TestRequestsUnderFaults(t *testing.T) {
--- a/cmd/reedlead/log_test.go
+++ b/cmd/reedlead/log_test.go
@@ -31,7 +31,7 @@
 		_ = cmd.Wait()         // the error only says that the process was killed
 	}()
 	closeQuietly(write)
-	if _, err := bufio.NewReader(read).ReadString('\n'); err != nil { // the gateway logs that discovery is unreachable
+	if _, err := bufio.NewReader(read).ReadString('\n'); err != nil { // wait until the gateway writes to its log
 		t.Fatal(err)
 	}
 	closeQuietly(read)
--- a/cmd/reedlead/main_test.go
+++ b/cmd/reedlead/main_test.go
@@ -82,9 +82,9 @@
 // testTimeout is the time after which a test stops waiting for something that must happen.
 const testTimeout = 20 * time.Second
 
-// TestReloadsWhileClientsAreServed checks that reloads do not end the process or interrupt clients. It sends three
-// SIGHUPs, the second with a malformed file. After each of the other two, the gateway must open a watch at the newly
-// configured agent.
+// TestReloadsWhileClientsAreServed checks that reloads do not end the process or interrupt a client. It sends three
+// SIGHUPs, the second after it has written a malformed file. After each of the other two, the gateway must open a watch
+// at the newly configured agent.
 func TestReloadsWhileClientsAreServed(t *testing.T) {
 	fallback := make(chan os.Signal, 8) // keeps SIGHUP from ending the test binary if run does not handle it
 	signal.Notify(fallback, syscall.SIGHUP)
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -34,10 +34,10 @@
 
 const defaultClasses = `[{"name":"look","aimS":10,"deadlineS":20,"effect":"retryable","worth":1}]`
 
-// closeQuietly closes c and ignores the error, which means that c is already closed or broken.
+// closeQuietly closes c and ignores the error: c may already be closed.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// writeText writes to a connection and ignores the error. After a failed write, the test fails for lack of a reply.
+// writeText writes text to w and ignores the error, because some tests break connections on purpose.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // setTimeout makes reads and writes of a connection fail after timeout, so that a test does not hang.
@@ -51,7 +51,7 @@
 	return l.Addr().String()
 }
 
-// listen listens on loopback until the end of the test.
+// listen returns a listener on a free loopback port. It is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	return l
 }
 
-// serveEach serves each accepted connection in a goroutine, until the listener is closed.
+// serveEach serves each accepted connection in its own goroutine, until the listener is closed.
 func serveEach(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
@@ -175,7 +175,7 @@
 	})
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the process, and fails the test if the process has ended.
 func (p *program) signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(signal); err != nil {
@@ -183,7 +183,7 @@
 	}
 }
 
-// dial connects to the gateway as a client.
+// dial connects to the gateway as a client. The connection is closed at the end of the test.
 func (p *program) dial() *net.TCPConn {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.listen)
@@ -223,8 +223,8 @@
 	return l.Addr().String()
 }
 
-// replyToReads replies to each CALL.GET on one connection. It replaces the end of the value by the request's id, because
-// the gateway may take two equal replies on one connection for duplicates.
+// replyToReads replies to each CALL.GET on one connection with value, a reply whose first element it changes to end with
+// the request's id. The gateway may take two equal replies on one connection for duplicates.
 func replyToReads(conn net.Conn, value string) {
 	defer closeQuietly(conn)
 	id := ""
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestWriteDeadlineDoesNotOutliveItsWrite checks that a write deadline is removed when its write completes. The gateway
-// sets a write deadline when a client's socket is full. An earlier version left it in force after the client had read
-// everything: it expired after 5 s, and the gateway closed the connection without a reply to the next request.
+// TestWriteDeadlineDoesNotOutliveItsWrite checks that a client whose socket was full is served for more than 5 s after it
+// has read everything. The gateway sets a write deadline when a socket is full. An earlier version did not remove it: it
+// expired after 5 s, and the gateway closed the connection without a reply to the next request.
 func TestWriteDeadlineDoesNotOutliveItsWrite(t *testing.T) {
 	t.Parallel()
-	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than the socket's buffer holds
+	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than the send buffer of the gateway's socket holds
 	conn, r := startSlowClient(t, replies)
 	expectValues(t, r, "after the socket was full", replies)
 	for from, i := time.Now(), replies; time.Since(from) < readPause+time.Second; i++ {
@@ -81,12 +81,12 @@
 	expectValues(t, r, "after a pause", replies)
 }
 
-// TestClientWithManyUnreadRepliesIsServed checks that the gateway does not close a connection because of many unread
-// replies. It must stop reading requests until the client has read some of the replies.
+// TestClientWithManyUnreadRepliesIsServed checks that a client that sends many requests before it reads any reply gets
+// all replies.
 func TestClientWithManyUnreadRepliesIsServed(t *testing.T) {
 	t.Parallel()
 	replies := (3*sendBufferMax(t) + 3_000_000) / slowValueSize
 	_, r := startSlowClient(t, replies)
-	time.Sleep(200 * time.Millisecond) // time for the endpoint to reply to every request
+	time.Sleep(200 * time.Millisecond) // time for more replies to accumulate
 	expectValues(t, r, "many unread replies", replies)
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestParseAcceptsOnlyCanonicalRequests checks that Parse accepts only the canonical spelling of numbers and customers,
-// and rejects ids and fields that are too long or not printable. An endpoint might parse another spelling of a number
+// and rejects ids and fields that are too long or invalid. An endpoint might parse another spelling of a number
 // differently, and another spelling of a customer would count as a different customer.
 func TestParseAcceptsOnlyCanonicalRequests(t *testing.T) {
 	if err := parseGet(testCustomer, "a", testFields); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 "settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
 
 // TestParseNamesInvalidField checks that Parse accepts a complete configuration file, and that the error for an invalid
-// one names the invalid field.
+// field names it.
 func TestParseNamesInvalidField(t *testing.T) {
 	c, err := Parse([]byte(goodConfig))
 	if err != nil {
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestBudgetReservesMemoryFromReadAhead checks that reading ahead is not allowed when only the memory for other uses is
+// TestBudgetReservesMemoryFromReadAhead checks that reading ahead is not allowed when only the read-ahead reserve is
 // available, and that a failed reservation takes nothing.
 func TestBudgetReservesMemoryFromReadAhead(t *testing.T) {
 	budget := NewBudget(100, 40)
--- a/internal/reply/history_test.go
+++ b/internal/reply/history_test.go
@@ -15,11 +15,11 @@
 		since  policy.Seconds
 		want   bool
 	}{
-		"the same bytes":                     {"value", policy.OK, 9, true},
-		"the same bytes, received too early": {"value", policy.OK, 10, false},
-		"other bytes":                        {"other", policy.OK, 9, false},
-		"another rejection":                  {"-BUSY 2", policy.Rejected, 9, true},
-		"another error":                      {"-ERR 2", policy.Error, 9, false},
+		"the same bytes": {"value", policy.OK, 9, true},
+		"the same bytes as a reply received too early": {"value", policy.OK, 10, false},
+		"other bytes":       {"other", policy.OK, 9, false},
+		"another rejection": {"-BUSY 2", policy.Rejected, 9, true},
+		"another error":     {"-ERR 2", policy.Error, 9, false},
 	} {
 		var h History
 		h.Add([]byte("value"), policy.OK, 10)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// read parses the lines of a text.
+// read parses the lines of a text up to the first error, which is io.EOF at the end of the text.
 func read(t *testing.T, text string) (lines []*Line, err error) {
 	t.Helper()
 	for r := NewReader(strings.NewReader(text)); ; {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestFields checks the values of each field type, and the errors for a missing and for an invalid field.
+// TestFields checks the values of fields, and that missing and invalid fields give an error.
 func TestFields(t *testing.T) {
 	lines, _ := read(t, "X\tn=7\tbig=9223372036854775808\tx=1.5\tyes=1\tno=0\tdata=00ff\tnone=-\tload=a:1,b:2.5\tbad=z\n")
 	l := lines[0]
