--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -89,8 +89,8 @@
 )
 
 // TestIdleClientsLeaveDescriptors checks that the gateway can connect to discovery and to endpoints, and can reload its
-// configuration, although it has fewer file descriptors than there are idle clients, which reconnect whenever they are
-// disconnected. The process may open as many descriptors as configured in one case, and far fewer in the other.
+// configuration, while more idle clients than it has file descriptors reconnect whenever they are disconnected. The
+// process may open as many descriptors as configured in one case, and far fewer in the other.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -301,7 +301,7 @@
 		}
 		replied, _ := connection.ToClient.Read.TimeOfByte(q.replyEnd)
 		from := arrivedAt
-		if previousReply.After(from) { // replies come in order, so one may arrive replySlack after the one before it
+		if previousReply.After(from) { // replies come in order, so one may arrive up to replySlack after the one before it
 			from = previousReply
 		}
 		if late := replied.Sub(arrivedAt) - q.deadline; late > replySlack+record.slack() && replied.Sub(from) > replySlack {
@@ -427,11 +427,12 @@
 // attempts that endpoints received:
 //
 //   - Each request that arrived completely gets a complete reply in time, unless the client disconnects or an injected
-//     fault ends the connection. A value is the one for that request.
+//     fault ends the connection. If the reply is a value, it is the one for that request.
 //   - A request that must not execute twice is not rejected after it was executed.
 //   - A request is not attempted again after an attempt that executed, unless its class allows it.
-//   - No attempt is made for a request that did not arrive completely, after the client has disconnected, or with a
-//     timeout longer than the rest of the request's deadline.
+//   - No attempt is made for a request that did not arrive completely.
+//   - No attempt is written after the client has disconnected, or with a timeout that ends after the deadline of the
+//     request.
 //   - The gateway process does not end.
 //
 // The flags -faults.for, -faults.runs and -faults.seed set the duration, the number and the first seed of the runs.
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -223,8 +223,8 @@
 	return l.Addr().String()
 }
 
-// replyToReads replies to each CALL.GET on one connection with value, a reply whose first element it changes to end with
-// the request's id. The gateway may take two equal replies on one connection for duplicates.
+// replyToReads replies to each CALL.GET on one connection. It puts the request's id at the end of each value, because the
+// gateway may take two equal replies on one connection for duplicates.
 func replyToReads(conn net.Conn, value string) {
 	defer closeQuietly(conn)
 	id := ""
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -66,7 +66,7 @@
 	expectValues(t, r, "after the socket was full", replies)
 	for from, i := time.Now(), replies; time.Since(from) < readPause+time.Second; i++ {
 		writeText(conn, requestCommand(fmt.Sprintf("q%d", i), slowDeadlineMS))
-		expectValues(t, r, time.Since(from).String()+" after it had read all", 1)
+		expectValues(t, r, time.Since(from).String()+" after the client had read all replies", 1)
 		time.Sleep(100 * time.Millisecond) // one request at a time, with pauses between them
 	}
 }
