--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -29,17 +29,16 @@
 		tracker := arrivalTracker{lastEmptyAt: tc.emptyAt}
 		got := tracker.estimate(raw, &stalls, tc.began, tc.ended, tc.filled)
 		if got.earliest > tc.earliest || got.earliest < tc.earliest-1 || got.lastByte < got.earliest || got.lastByte > tc.ended {
-			t.Errorf("%s: got %+v, want earliest up to 1 s before %v", name, got, tc.earliest)
+			t.Errorf("%s: got %+v, want earliest at most 1 s before %v and not after it, and lastByte between earliest and the end of the read", name, got, tc.earliest)
 		}
 		if tc.filled && (got.lastByte != got.earliest || tracker.lastEmptyAt != tc.emptyAt) {
-			t.Errorf("%s: got %+v, and the socket was last empty at %v", name, got, tracker.lastEmptyAt)
+			t.Errorf("%s: got %+v and lastEmptyAt %v, want lastByte equal to earliest, and lastEmptyAt unchanged", name, got, tracker.lastEmptyAt)
 		}
 	}
 }
 
-// TestArrivalOfPipelinedCommands checks that the arrival time of a command is taken from the read that contains its
-// last byte: the arrival time of the read's last byte if the command ends with that byte, and otherwise the read's
-// earliest arrival time.
+// TestArrivalOfPipelinedCommands checks that a command gets its arrival time from the read that contains its last byte:
+// lastByte if that is also the last byte of the read, and otherwise earliest.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
@@ -52,6 +51,6 @@
 	}
 	tracker.discard(12)
 	if got := tracker.commandArrival(18); got != 4 || len(tracker.reads) != 1 {
-		t.Errorf("after the first 12 bytes were discarded: arrived at %v, %d buffered reads", got, len(tracker.reads))
+		t.Errorf("after the first 12 bytes were discarded: arrived at %v, %d buffered reads, want 4 and 1", got, len(tracker.reads))
 	}
 }
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint once its client has disconnected,
-// even if the event loop has not handled the disconnect yet. The name of each case says where the request is when its
-// client disconnects.
+// even if the event loop has not handled the disconnect yet. The name of each case says how far the request has come
+// when its client disconnects.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
@@ -195,7 +195,8 @@
 }
 
 // wantNothingSent checks that request a is done with the outcome NotSent, and that the decision module was notified of
-// the disconnect. No request may be left, conns must be empty, and no connection to the endpoint may be open.
+// the disconnect. It also checks that no request is left, that conns is empty, and that no connection to an endpoint is
+// open.
 func (h *harness) wantNothingSent(conns <-chan *testConn) {
 	h.t.Helper()
 	if o := receive(h.t, h.decider.outcomes); o.Status != policy.NotSent || o.RequestID != "a" || !o.RequestDone {
@@ -212,7 +213,7 @@
 }
 
 // TestDisconnectIsDetectedBehindUnreadCommands checks that a disconnect is detected while the socket holds unread
-// commands that were sent before it. Commands may stay unread while the reader waits for a permit.
+// commands that were sent before the disconnect. Commands may stay unread while the reader waits for a permit.
 func TestDisconnectIsDetectedBehindUnreadCommands(t *testing.T) {
 	ping := encodeCommand("PING")
 	for _, unread := range []string{"", ping, strings.Repeat(ping, 200)} {
--- a/internal/proxy/client_pipeline_test.go
+++ b/internal/proxy/client_pipeline_test.go
@@ -26,17 +26,17 @@
 	}
 	first.reply = []byte("one")
 	if replies, size := p.queueDue(); replies != 2 || size != 6 || string(p.pending) != "onetwo" {
-		t.Errorf("%d replies of %d bytes are due: %q, want both in order", replies, size, p.pending)
+		t.Errorf("%d replies of %d bytes are due, pending %q, want 2 of 6 bytes and onetwo", replies, size, p.pending)
 	}
 	p.add(&pipelineSlot{reply: []byte("end"), last: true})
 	p.add(&pipelineSlot{reply: []byte("behind it")})
 	if replies, _ := p.queueDue(); replies != 1 || !p.lastReplyQueued || string(p.pending) != "onetwoend" {
-		t.Errorf("%d replies are due: %q, want none behind the last reply", replies, p.pending)
+		t.Errorf("%d replies are due, pending %q, want 1 and onetwoend, as the last reply", replies, p.pending)
 	}
 }
 
 // TestPipelineReleasesPermitsOfWrittenReplies checks that the permit of a command is released when the last byte of its
-// reply is written, and that requestIDs lists all requests without a completely written reply.
+// reply is written, and that requestIDs returns the ids of the requests without a completely written reply.
 func TestPipelineReleasesPermitsOfWrittenReplies(t *testing.T) {
 	var p replyPipeline
 	for _, id := range []string{"a", "b"} {
@@ -57,7 +57,7 @@
 	} {
 		permits := p.recordWritten(step.written)
 		if unreplied := p.requestIDs(); permits != step.permits || !slices.Equal(unreplied, step.unreplied) {
-			t.Errorf("%d more bytes written: %d permits released, %v without a written reply, want %+v", step.written, permits, unreplied, step)
+			t.Errorf("%d more bytes written: %d permits released, %v without a completely written reply, want %+v", step.written, permits, unreplied, step)
 		}
 	}
 }
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestStalledClientIsEvicted checks that an idle client is evicted before a client that does not read its replies. If
-// no client is idle, a client whose replies could not be written for a long time is evicted.
+// no client is idle, a client is evicted if the write of its replies has made no progress for a long time.
 func TestStalledClientIsEvicted(t *testing.T) {
 	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
 		h.proxy.clients.limit = 2
@@ -30,9 +30,9 @@
 	idle.mustPing()
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
-		t.Error("the idle client was not evicted")
+		t.Error("the third client got no +PONG, or the idle client was not evicted")
 	}
-	h.onLoop(func() { // make the third client busy, and the last progress of the stalled write a long time ago
+	h.onLoop(func() { // make the third client busy, and date the last progress of the stalled write back
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -16,9 +16,9 @@
 	return timers, available
 }
 
-// TestSilentClientsAndUnfinishedCommandsTimeOut checks that clients cannot keep connections open without completing a
-// command: a client that sends nothing, or only a part of a command, gets an error, and the connection is closed. An
-// earlier request that is still open gets its reply before the error.
+// TestSilentClientsAndUnfinishedCommandsTimeOut checks that a client gets an error, and its connection is closed, if it
+// does not complete its first command within commandTimeout, or takes that long to complete a later one. An earlier
+// request that is still open gets its reply before the error.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, partial string }{
@@ -107,7 +107,7 @@
 	h.eventually("both connections are open", func() bool { return h.proxy.clients.open() == 2 })
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
-		t.Error("the silent connection was not evicted")
+		t.Error("the third client got no +PONG, or the silent connection was not evicted")
 	}
 	if pinged.send("PING"); pinged.readLine() != "+PONG" {
 		t.Error("the client that has sent a command was evicted")
@@ -209,7 +209,7 @@
 }
 
 // TestMalformedInputGetsErrorReply checks that malformed input gets an error reply and does not reach the decision
-// module. A protocol error ends the connection. After any other error, the connection can still be used.
+// module. A protocol error ends the connection. After one error of another kind, the connection can still be used.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	requestWith := func(old, replaced string) string {
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestNoAttemptWhileReplyIsPending checks that no hedged request is sent when the reply to the first attempt is already
+// TestNoHedgedRequestWhileReplyIsPending checks that no hedged request is sent when the reply to the first attempt is already
 // in the event queue or in the socket. Otherwise the request would be sent again although its reply has arrived.
-func TestNoAttemptWhileReplyIsPending(t *testing.T) {
+func TestNoHedgedRequestWhileReplyIsPending(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
 			addr, conns := listenEndpoint(t)
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestNoAttemptAfterDialWhileEndIsPending checks that a hedged request is not sent if the connection of the first
-// attempt has ended before the dial for the hedged request completes, even though the event loop has not handled that
-// end yet. The end of the first attempt may complete the request, which must not be sent again after that.
-func TestNoAttemptAfterDialWhileEndIsPending(t *testing.T) {
+// TestNoHedgedRequestAfterDialWhileEndIsPending checks that a hedged request whose dial completes is not sent if the
+// connection of the first attempt has ended, even if the event loop has not handled that end yet. Handling it may
+// finish the request, and a finished request must not be sent again.
+func TestNoHedgedRequestAfterDialWhileEndIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
 	unblock := make(chan struct{})
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -34,7 +34,7 @@
 	onOutcome    func(policy.Outcome)
 	requests     chan policy.Request
 	outcomes     chan policy.Outcome
-	disconnected chan string // ids of requests
+	disconnected chan string // the request ids that HandleClientDisconnected got
 	lists        chan []policy.Endpoint
 	messages     chan peerMessage
 	healthChecks chan policy.HealthCheckResult
@@ -101,13 +101,13 @@
 	t         *testing.T
 	proxy     *Proxy
 	decider   *fakeDecider
-	ended     chan struct{} // closed when the proxy has ended
-	terminate context.CancelFunc
+	ended     chan struct{}      // closed when the proxy has ended
+	terminate context.CancelFunc // starts the drain, as the shutdown signal does
 	reloads   chan config.Config
 }
 
-// unreachableAgent is an address that refuses connections. It is the address of the discovery agent in testConfig, and
-// tests also use it for an endpoint.
+// unreachableAgent is an address that refuses connections. It stands for the discovery agent in testConfig, and for
+// endpoints in tests.
 const unreachableAgent = "127.0.0.1:1"
 
 // inService returns an endpoint list entry whose state is in service.
@@ -137,8 +137,7 @@
 	return c
 }
 
-// peerConfig returns the configuration of gateway 0, which exchanges peer messages with gateways 1, 2, ... at the given
-// addresses.
+// peerConfig returns a configuration of gateway 0 with peer messages. Gateways 1, 2, ... have the given addresses.
 func peerConfig(others ...netip.AddrPort) config.Config {
 	c := testConfig()
 	c.Settings.PeerMessages = true
@@ -161,7 +160,8 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// startProxy starts a proxy and ends it with the test. change, which may be nil, modifies the harness before the start.
+// startProxy starts a proxy, and ends it when the test ends. change, which may be nil, modifies the harness before the
+// start.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
@@ -227,9 +227,9 @@
 	h.t.Fatal("timed out waiting until " + what)
 }
 
-// whileLoopBlocked blocks the event loop, runs action, and waits until condition returns true. It then calls next on
-// the event loop, before the events that have arrived in the meantime are handled. It fails the test if the condition
-// does not hold within testTimeout.
+// whileLoopBlocked blocks the event loop, runs action, and waits until condition returns true, for at most testTimeout.
+// It then calls next on the event loop, before the events that have arrived in the meantime are handled. It fails the
+// test if condition did not return true.
 func (h *harness) whileLoopBlocked(action func(), condition func() bool, next func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -244,9 +244,9 @@
 	receive(h.t, waiting)
 	action()
 	close(resume)
-	<-done // waitFor limits this wait
+	<-done // waitFor returns after testTimeout at the latest
 	if !held {
-		h.t.Fatal("the condition did not hold while the event loop was blocked")
+		h.t.Fatal("timed out waiting for the condition while the event loop was blocked")
 	}
 }
 
@@ -255,7 +255,7 @@
 	return func() bool { return h.proxy.loop.QueuedEvents() >= n }
 }
 
-// waitFor waits until condition returns true, and returns false if it does not within testTimeout.
+// waitFor waits until condition returns true, for at most testTimeout. It reports whether condition returned true.
 func waitFor(condition func() bool) bool {
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -308,7 +308,8 @@
 	return []string{"CALL.POST", testCustomer, id, "c=hold,t=basic,k=5c0f,d=600000,units=2,spread=2,first=1", body}
 }
 
-// sendEachRequest makes the decision module send each request to s0 with the given attempt timeout.
+// sendEachRequest returns a function that makes the decision module send each request to s0. timeout is the timeout of
+// the attempts; 0 stands for the deadline of the request.
 func sendEachRequest(timeout policy.Seconds) func(*harness) {
 	return func(h *harness) {
 		h.decider.onRequest = func(q policy.Request) { h.proxy.Send(q.ID, "s0", timeout, 0) }
@@ -400,15 +401,15 @@
 	h.proxy.applyList(discovery.List{Endpoints: []discovery.Endpoint{entry}})
 }
 
-// expireIdleClients advances the event loop's time past the idle timeout and runs the sweep of the clients, which
-// requests the close of idle connections. Event loop only.
+// expireIdleClients advances the event loop's time by more than clientIdleTimeout and runs the sweep of the clients,
+// which requests the close of connections that are idle after a command. Event loop only.
 func (h *harness) expireIdleClients() {
 	h.proxy.loop.AdvanceTo(h.proxy.loop.Now() + clientIdleTimeout + 1)
 	h.proxy.clients.sweep()
 }
 
-// evictIdleClient lowers the connection limit to 1 and makes room for a new connection: if the only client is idle, the
-// close of its connection is requested. Event loop only.
+// evictIdleClient lowers the connection limit to 1 and makes room for a new connection. If the only client is idle, this
+// requests the close of its connection. Event loop only.
 func (h *harness) evictIdleClient() {
 	h.proxy.clients.limit = 1
 	h.proxy.clients.makeRoom(nil)
@@ -450,7 +451,7 @@
 	h.wantNoCommand(b)
 }
 
-// awaitPartialWrite waits until the first attempt of a request has a connection, on which its command is not completely
+// awaitPartialWrite waits until the first attempt of a request has a connection, but its command is not completely
 // written.
 func (h *harness) awaitPartialWrite(id string) {
 	h.t.Helper()
@@ -460,7 +461,8 @@
 	})
 }
 
-// allClientsClosed reports whether no client is connected and only the listener holds a slot. Event loop only.
+// allClientsClosed reports whether no client connection is open, and the only slot in use is that of the listener, for
+// the next connection. Event loop only.
 func (h *harness) allClientsClosed() bool {
 	return h.proxy.clients.open() == 0 && len(h.proxy.clients.connSlots) == 1
 }
--- a/internal/proxy/reason_test.go
+++ b/internal/proxy/reason_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestEveryCloseIsLoggedWithItsReason checks that the log gives the reason for which a connection was closed or a
-// request was rejected. The log of a closed client connection also names the requests that were open on it.
-func TestEveryCloseIsLoggedWithItsReason(t *testing.T) {
+// TestCloseIsLoggedWithItsReason checks that the log gives the reason why a connection was closed or a request was
+// rejected. The log line of a closed client connection also names the requests that were open on it.
+func TestCloseIsLoggedWithItsReason(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	var log *lockedBuffer
 	h := startProxy(t, testConfig(addr), func(h *harness) {
@@ -44,18 +44,18 @@
 	log.awaitLine(t, "request rejected", "id=c", "connection=4", "reason=shutting_down")
 }
 
-// TestKindOfNextAttempt checks that the next attempt is the first, a hedged request if another attempt is in flight, or
-// a retry if all earlier attempts have ended.
+// TestKindOfNextAttempt checks the kind of the next attempt: a hedged request if another attempt is in flight, and a
+// retry if all earlier attempts have ended.
 func TestKindOfNextAttempt(t *testing.T) {
 	r := &request{}
 	if got := nextAttemptKind(r); got != firstAttempt {
-		t.Errorf("without earlier attempts: got %s", got)
+		t.Errorf("without earlier attempts: got %s, want first", got)
 	}
 	r.attempts, r.inFlight = []*attempt{{}}, 1
 	if got := nextAttemptKind(r); got != hedge {
-		t.Errorf("with an attempt in flight: got %s", got)
+		t.Errorf("with an attempt in flight: got %s, want hedge", got)
 	}
 	if r.inFlight = 0; nextAttemptKind(r) != retry {
-		t.Errorf("after a completed attempt: got %s", nextAttemptKind(r))
+		t.Errorf("after an attempt that has ended: got %s, want retry", nextAttemptKind(r))
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("without a decision: got %q, want -ERR failed", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "mute" {
-		t.Errorf("the decision module was notified to end request %q, want mute", id)
+		t.Errorf("the decision module was notified that request %q needs no reply, want mute", id)
 	}
 }
 
@@ -48,7 +48,7 @@
 		t.Errorf("after a panic on the outcome: got %q, want -ERR failed", got)
 	}
 	if id := receive(t, h.decider.disconnected); id != "a" {
-		t.Errorf("the decision module was notified to end request %q, want a", id)
+		t.Errorf("the decision module was notified that request %q needs no reply, want a", id)
 	}
 	h.onLoop(func() {
 		if len(h.proxy.requests.byID) != 0 {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestReadCommandIsServedBeforeClose checks that a request gets a reply if its command is still in the event queue when
-// the close of its idle connection is requested.
+// the close of its connection is requested.
 func TestReadCommandIsServedBeforeClose(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"shutdown": func(h *harness) { h.proxy.drain.stopAccepting() },
@@ -111,7 +111,7 @@
 		h := startProxy(t, cfg, nil)
 		h.onLoop(func() {
 			if d := h.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= h.proxy.drain.acceptGrace {
-				t.Errorf("request timeout %g s: the drain times out after %v, SIGKILL arrives after %v", deadlineS, d, kill)
+				t.Errorf("request timeout %g s: the drain times out after %v, SIGKILL arrives after %v, want a timeout after the accept grace and at most 200 ms before SIGKILL", deadlineS, d, kill)
 			}
 		})
 	}
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -69,7 +69,7 @@
 	first := startProxy(t, cfg, nil)
 	last := startProxy(t, largeFleetConfig(largeFleetSize-1, peers), nil)
 	if n := len(receive(t, first.decider.lists)); n != largeFleetSize {
-		t.Fatalf("the decision module got %d endpoints, want one per gateway", n)
+		t.Fatalf("the decision module got %d endpoints, want 1024", n)
 	}
 	c := first.client()
 	if c.send("PING"); c.readLine() != "+PONG" {
@@ -80,7 +80,7 @@
 	first.wantNoDatagramLost()
 	c.send("CALL.GET", testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=1024,first=1023")
 	if q := receive(t, first.decider.requests); q.GatewayCount != largeFleetSize || q.FirstGateway != largeFleetSize-1 {
-		t.Errorf("the decision module got %+v, want spread and first gateway as in the command", q)
+		t.Errorf("the decision module got %+v, want 1024 gateways, the first of them 1023", q)
 	}
 	runtime.GC()
 	var m runtime.MemStats
@@ -104,7 +104,7 @@
 	}
 	watch.Write(string(text) + "\n")
 	if n := len(receive(h.t, h.decider.lists)); n != largeFleetSize {
-		h.t.Errorf("the decision module got %d endpoints, want one per gateway", n)
+		h.t.Errorf("the decision module got %d endpoints, want 1024", n)
 	}
 	watch.Write(discoverytest.ListJSON(8, false, fmt.Sprintf("new-%08x", largeFleetSize-1), "terminating"))
 	if got := fmt.Sprint(h.nextEndpoints()); got != fmt.Sprintf("[new-%08x draining]", largeFleetSize-1) {
@@ -112,7 +112,7 @@
 	}
 	h.onLoop(func() {
 		if n := len(h.proxy.endpoints.byID); n != largeFleetSize {
-			h.t.Errorf("the proxy holds %d endpoints, want one per gateway", n)
+			h.t.Errorf("the proxy holds %d endpoints, want 1024", n)
 		}
 	})
 }
@@ -219,7 +219,7 @@
 	}
 }
 
-// recordedGateway is a decision module that records its peer messages. Its other actions have no effect.
+// recordedGateway is a decision module whose outgoing peer messages are recorded. Its other actions have no effect.
 type recordedGateway struct {
 	*policy.Gateway
 	number int
@@ -249,7 +249,7 @@
 	return g
 }
 
-// messageRecorder implements policy.Actions. It records peer messages and ignores all other actions.
+// messageRecorder implements policy.Actions. It records the peer messages to send, and ignores all other actions.
 type messageRecorder struct{ gateway *recordedGateway }
 
 func (messageRecorder) Send(string, string, float64, float64) {}
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -82,7 +82,8 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// readCommand reads a command and returns its arguments, or nil if the connection ends or times out first.
+// readCommand reads a command and returns its arguments. It returns nil if the connection ends or times out first, or if
+// the first line is malformed.
 func (c *testConn) readCommand() (args []string) {
 	n, err := strconv.Atoi(strings.TrimPrefix(c.readLine(), "*"))
 	if err != nil {
@@ -99,7 +100,8 @@
 	return args
 }
 
-// wantLines checks the next lines. To check for the end of the connection, want an empty line.
+// wantLines checks the next lines, which are given without line ends. An empty string stands for the end of the
+// connection, but an empty line or a timeout passes too.
 func (c *testConn) wantLines(want ...string) {
 	c.t.Helper()
 	for i, line := range want {
@@ -109,7 +111,7 @@
 	}
 }
 
-// wantNoCommand checks that the connection ends without a complete command.
+// wantNoCommand checks that no complete command arrives before the connection ends or times out.
 func (c *testConn) wantNoCommand() {
 	c.t.Helper()
 	if got := c.readCommand(); got != nil {
@@ -177,7 +179,7 @@
 	return listener
 }
 
-// listenEndpoint listens as an endpoint. It returns the address and the connections that it accepts.
+// listenEndpoint listens as an endpoint. It returns the address, and a channel that receives the accepted connections.
 func listenEndpoint(t *testing.T) (addr string, conns chan *testConn) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{})
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestIdempotencyWindowEndsDuringDial checks that an attempt is not written if the idempotency window of its request
-// ends while it waits for a dial. The decision module made the attempt in time, but an endpoint that gets the command
-// after the window may execute the request a second time.
+// ends while the attempt waits for a dial. The decision module made the attempt in time, but an endpoint that gets the
+// command after the window may execute the request a second time.
 func TestIdempotencyWindowEndsDuringDial(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	unblock := make(chan struct{})
@@ -62,7 +62,7 @@
 	c := h.client()
 	c.send(holdCommand("a", strings.Repeat("x", resp.MaxBulkString))...)
 	b := acceptOne(t, l)
-	h.wantOutcome(policy.ConnectFailed) // the endpoint has not read yet, so the write could not end
+	h.wantOutcome(policy.ConnectFailed) // the endpoint has not read yet, so the write could not be completed
 	b.wantNoCommand()
 }
 
