--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestArrivalOfPipelinedCommands checks that a command gets its arrival time from the read that contains its last byte:
-// lastByte if that is also the last byte of the read, and otherwise earliest.
+// lastByte if the read ends there, and otherwise earliest.
 func TestArrivalOfPipelinedCommands(t *testing.T) {
 	var tracker arrivalTracker
 	tracker.record(10, arrival{1, 2})
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -26,9 +26,9 @@
 	h.wantFinalOutcome(policy.OK)
 }
 
-// TestNoAttemptForDisconnectedClient checks that a request is not sent to an endpoint once its client has disconnected,
-// even if the event loop has not handled the disconnect yet. The name of each case says how far the request has come
-// when its client disconnects.
+// TestNoAttemptForDisconnectedClient checks that no attempt of a request is sent once its client has disconnected, even
+// if the event loop has not handled the disconnect yet. The name of each case says how far the request has come when
+// its client disconnects.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, disconnectKind){
 		"queued in the decision module":       disconnectWhileQueuedByPolicy,
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -32,7 +32,7 @@
 	if third.send("PING"); third.readLine() != "+PONG" || idle.readLine() != "" {
 		t.Error("the third client got no +PONG, or the idle client was not evicted")
 	}
-	h.onLoop(func() { // make the third client busy, and date the last progress of the stalled write back
+	h.onLoop(func() { // make the third client busy, and backdate the last progress of the stalled write
 		h.writingClient().writeProgressAt.Store(0)
 		for c := range h.proxy.clients.conns {
 			if !c.writing {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestSilentClientsAndUnfinishedCommandsTimeOut checks that a client gets an error, and its connection is closed, if it
-// does not complete its first command within commandTimeout, or takes that long to complete a later one. An earlier
-// request that is still open gets its reply before the error.
+// does not complete its first command within commandTimeout, or takes longer than that to complete a later one. An
+// earlier request that is still open gets its reply before the error.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, partial string }{
@@ -145,12 +145,12 @@
 	var completed *request
 	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
 	if openTimers, less := h.resourceUsage(); openTimers != timers+2 || less >= available {
-		t.Errorf("%d timers and %d bytes available during the request, %d and %d before", openTimers, less, timers, available)
+		t.Errorf("%d timers and %d bytes available during the request, %d and %d before, want 2 timers more and fewer bytes", openTimers, less, timers, available)
 	}
 	b.write(valueReply)
 	receive(t, h.decider.outcomes)
 	if again, now := h.resourceUsage(); again != timers || now != available || completed.Args != nil {
-		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request; arguments %q", again, now, timers, available, completed.Args)
+		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request, want the same; arguments %q, want none", again, now, timers, available, completed.Args)
 	}
 }
 
@@ -299,7 +299,7 @@
 	next := h.client() // evicts the idle connection beyond the limit
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
-		t.Errorf("a request on the next connection beyond the limit got %q, want -BUSY 1000 and the end of the connection before it", got)
+		t.Errorf("a request on the next connection beyond the limit got %q, want -BUSY 1000, and the earlier connection beyond the limit closed", got)
 	}
 	if len(h.decider.requests) != 0 {
 		t.Error("the decision module got a request that the connection limit had rejected")
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -58,8 +58,9 @@
 	}
 }
 
-// TestNoHedgedRequestWhileReplyIsPending checks that no hedged request is sent when the reply to the first attempt is already
-// in the event queue or in the socket. Otherwise the request would be sent again although its reply has arrived.
+// TestNoHedgedRequestWhileReplyIsPending checks that no hedged request is sent when the reply to the first attempt is
+// already in the event queue or in the socket. Otherwise the request would be sent again although its reply has
+// arrived.
 func TestNoHedgedRequestWhileReplyIsPending(t *testing.T) {
 	for _, where := range []string{"queue", "socket"} {
 		t.Run(where, func(t *testing.T) {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -360,7 +360,7 @@
 
 // startWithSmallSockets starts a proxy with one endpoint, and returns the listener of the endpoint. The decision module
 // sends each request to the endpoint unless change, which may be nil, replaces that. The socket buffers of the
-// endpoint's connections hold only a part of a large command.
+// connections to the endpoint hold only a part of a large command.
 func startWithSmallSockets(t *testing.T, change func(*harness)) (net.Listener, *harness) {
 	t.Helper()
 	listener := listenLoopback(t, net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// wantNoDatagramLost checks that one event can queue a datagram to each other gateway.
+// wantNoDatagramLost checks that no datagram is lost if one event queues one to each other gateway.
 func (h *harness) wantNoDatagramLost() {
 	h.t.Helper()
 	h.onLoop(func() {
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -9,7 +9,7 @@
 	"reedlead/policy"
 )
 
-// waitForClock waits until the clock of the proxy reaches a time.
+// waitForClock waits until the clock of the proxy reaches the given time.
 func waitForClock(p *Proxy, at float64) {
 	for p.clock.Now() < at {
 		time.Sleep(time.Millisecond)
@@ -79,7 +79,7 @@
 	}
 	var b *testConn
 	var used *attempt
-	for b == nil { // until a command is written within the window, which doubles each time
+	for b == nil { // until a command is written within the window; each failure doubles the window
 		post("a")
 		b = acceptOne(t, l)
 		h.eventually("the attempt has a connection or has ended", func() bool {
@@ -100,7 +100,7 @@
 	h.eventually("the command is recorded as written", func() bool { return used.conn.commandWritten.Load() })
 	b.write(valueReply)
 	c.wantValue("the first request")
-	waitForClock(h.proxy, used.writeDeadline+0.1) // plus time for a late runtime timer
+	waitForClock(h.proxy, used.writeDeadline+0.1) // 0.1 s more, because a runtime timer may fire late
 	h.onLoop(func() { writeWithin = 0 })
 	post("b")
 	if got := b.readCommand(); len(got) != 5 || got[2] != "b" {
