--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -16,8 +16,8 @@
 	return timers, available
 }
 
-// TestSilentClientsAndUnfinishedCommandsTimeOut checks that clients cannot keep connections open without completing a
-// command: a client that sends nothing, or only a part of a command, gets an error, and the connection is closed. An
+// TestSilentClientsAndUnfinishedCommandsTimeOut checks that a client gets an error, and its connection is closed, if it
+// does not complete its first command within commandTimeout, or takes longer than that to complete a later one. An
 // earlier request that is still open gets its reply before the error.
 func TestSilentClientsAndUnfinishedCommandsTimeOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
@@ -107,7 +107,7 @@
 	h.eventually("both connections are open", func() bool { return h.proxy.clients.open() == 2 })
 	third := h.client()
 	if third.send("PING"); third.readLine() != "+PONG" || silent.readLine() != "" {
-		t.Error("the silent connection was not evicted")
+		t.Error("the third client got no +PONG, or the silent connection was not evicted")
 	}
 	if pinged.send("PING"); pinged.readLine() != "+PONG" {
 		t.Error("the client that has sent a command was evicted")
@@ -145,12 +145,12 @@
 	var completed *request
 	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
 	if openTimers, less := h.resourceUsage(); openTimers != timers+2 || less >= available {
-		t.Errorf("%d timers and %d bytes available during the request, %d and %d before", openTimers, less, timers, available)
+		t.Errorf("%d timers and %d bytes available during the request, %d and %d before, want 2 timers more and fewer bytes", openTimers, less, timers, available)
 	}
 	b.write(valueReply)
 	receive(t, h.decider.outcomes)
 	if again, now := h.resourceUsage(); again != timers || now != available || completed.Args != nil {
-		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request; arguments %q", again, now, timers, available, completed.Args)
+		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request, want the same; arguments %q, want none", again, now, timers, available, completed.Args)
 	}
 }
 
@@ -209,7 +209,7 @@
 }
 
 // TestMalformedInputGetsErrorReply checks that malformed input gets an error reply and does not reach the decision
-// module. A protocol error ends the connection. After any other error, the connection can still be used.
+// module. A protocol error ends the connection. After one error of another kind, the connection can still be used.
 func TestMalformedInputGetsErrorReply(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	requestWith := func(old, replaced string) string {
@@ -299,7 +299,7 @@
 	next := h.client() // evicts the idle connection beyond the limit
 	next.send(lookCommand("b")...)
 	if got := next.readLine(); got != "-BUSY 1000" || extra.readLine() != "" {
-		t.Errorf("a request on the next connection beyond the limit got %q, want -BUSY 1000 and the end of the connection before it", got)
+		t.Errorf("a request on the next connection beyond the limit got %q, want -BUSY 1000, and the earlier connection beyond the limit closed", got)
 	}
 	if len(h.decider.requests) != 0 {
 		t.Error("the decision module got a request that the connection limit had rejected")
