--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,7 @@
 type admission int
 
 const (
-	rejectRequest admission = iota
+	notAdmitted admission = iota
 	admitRequest
 	askOwner // the request waits for a grant from its customer's owner
 )
@@ -14,7 +14,7 @@
 // String implements fmt.Stringer.
 func (a admission) String() string {
 	switch a {
-	case rejectRequest:
+	case notAdmitted:
 		return "reject"
 	case admitRequest:
 		return "admit"
@@ -93,7 +93,7 @@
 func (a *requestAdmitter) admitOrReject(r *request) {
 	decision := a.decideAdmission(r)
 	switch {
-	case decision == rejectRequest:
+	case decision == notAdmitted:
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
 		// The request arrived too late to be sent; client retries often do. The rejection is not recorded for the
@@ -108,13 +108,13 @@
 
 // decideAdmission checks the quota and ceiling of the request's customer. A request without a plan has no
 // customer and is admitted. If other requests of the customer wait for a concurrency slot, decideAdmission
-// returns rejectRequest, so that the request joins their queue instead of overtaking them.
+// returns notAdmitted, so that the request joins their queue instead of overtaking them.
 func (a *requestAdmitter) decideAdmission(r *request) admission {
 	switch {
 	case r.customer == nil:
 		return admitRequest
 	case len(r.customer.slotWaiters) > 0:
-		return rejectRequest
+		return notAdmitted
 	}
 	return a.quota.admit(r)
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -203,7 +203,7 @@
 	g.admitter.chargeActualUnits(r, outcome)
 	g.dispatcher.finishOrRetry(r, outcome)
 	g.dispatcher.dispatchQueued()
-	g.quota.retrySlotWaiters()
+	g.quota.reconsiderSlotWaiters()
 }
 
 // HandlePeerMessage processes a message from another gateway. Invalid messages are ignored.
@@ -217,7 +217,7 @@
 		g.gossip.merge(g.endpoints, update)
 	}
 	g.quota.handleRecords(from, received)
-	g.quota.retrySlotWaiters()
+	g.quota.reconsiderSlotWaiters()
 	g.quota.reporter.sendDue()
 }
 
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -33,7 +33,7 @@
 }
 
 // retransmit repeats the reports whose reply is overdue. After maxUnansweredReports in a row, the owner
-// counts as unreachable and the report goes to the next gateway on the ring. After maxReportTransmissions,
+// counts as unreachable and the report goes to the next gateway on the ring. After maxOverdueReplies,
 // the local window decides on the waiting requests.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
@@ -99,7 +99,7 @@
 // backoff, it also queues or rejects all other waiting requests.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
-	c.report.askedCount, c.report.transmissions = 0, 0
+	c.report.askedCount, c.report.overdueReplies = 0, 0
 	c.quota.backoffUntil = q.clock.now + reply.backoff
 	quotaAllows := func(r *request) bool {
 		return c.totalUnits+r.Units <= grantedTotal+q.protocol.format.roundingTolerance()
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -64,19 +64,19 @@
 	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
 		t.Fatalf("decided %+v, want both requests rejected", decided)
 	}
-	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != rejectRequest {
+	if c.quota.backoffUntil != 100.5 || q.admit(&request{Request: Request{Units: 1}, plan: c.plan, customer: c}) != notAdmitted {
 		t.Fatal("a request is not rejected during the owner's backoff of 0.5 s")
 	}
 }
 
-func TestLocalWindowDecidesAfterMaxReportTransmissions(t *testing.T) {
+func TestLocalWindowDecidesAfterMaxOverdueReplies(t *testing.T) {
 	clock := &eventClock{now: 100}
 	q, decided, sent := newTestController(clock)
 	c := awaitGrants(q, "q")
 	c.localWindow = tokenBucket{tokens: 2, updatedAt: 100}
-	for range maxReportTransmissions {
+	for range maxOverdueReplies {
 		if len(decided.dispatched) != 0 {
-			t.Fatalf("the local window decided after %d unanswered reports, want %d", len(*sent), maxReportTransmissions)
+			t.Fatalf("the local window decided after %d unanswered reports, want %d", len(*sent), maxOverdueReplies)
 		}
 		clock.now += grantTimeout + timerInterval
 		q.retransmit()
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -143,7 +143,7 @@
 		(c.ceilingShareHasCapacity(r.Units, now) || c.ceilingPoolHasCapacity(r.Units, now)) {
 		return admitRequest
 	}
-	return rejectRequest
+	return notAdmitted
 }
 
 // ledgerHasCapacity reports whether the quota has the given units left and the concurrency limit has a free
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -132,13 +132,13 @@
 // derive the same format from them.
 type messageFormat struct {
 	unitsPerWireUnit float64 // units per wire unit, at least 1
-	widePlan         bool    // records have an additional byte for the plan index
+	widePlanIndex    bool    // records have an additional byte for the plan index
 }
 
 // newMessageFormat returns the format whose wire units are large enough to represent the values that the
 // settings allow.
 func newMessageFormat(settings Settings) messageFormat {
-	format := messageFormat{unitsPerWireUnit: 1, widePlan: len(settings.Plans) > plansInFlags}
+	format := messageFormat{unitsPerWireUnit: 1, widePlanIndex: len(settings.Plans) > plansInFlags}
 	largestBurst := 0.0
 	for _, plan := range settings.Plans {
 		largestBurst = max(largestBurst, plan.Burst)
@@ -155,7 +155,7 @@
 
 // recordSize returns the size of a usage record in bytes.
 func (f messageFormat) recordSize() int {
-	if f.widePlan {
+	if f.widePlanIndex {
 		return baseRecordSize + 1
 	}
 	return baseRecordSize
@@ -216,7 +216,7 @@
 		clampToByte(math.Ceil(record.wantedUnits*stepsPerWireUnit)),
 		clampToByte(firstWanted),
 		clampToByte(record.priorityDeficit*maxByte))
-	if f.widePlan {
+	if f.widePlanIndex {
 		data = append(data, byte(record.planIndex/plansInFlags))
 	}
 	return data
@@ -297,7 +297,7 @@
 	} else {
 		record.firstWantedUnits = float64(data[firstWantedOffset]) / stepsPerWireUnit
 	}
-	if f.widePlan {
+	if f.widePlanIndex {
 		record.planIndex += int(data[planHighOffset]) * plansInFlags
 	}
 	return record.scale(f.unitsPerWireUnit)
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -61,9 +61,9 @@
 // Encoding and decoding must not change a record, in formats with and without scaled units and wide plans. All values
 // are multiples of the wire format's resolution, so none is rounded.
 func TestRecordsRoundTrip(t *testing.T) {
-	for _, f := range []messageFormat{testFormat, {unitsPerWireUnit: 12.5}, {unitsPerWireUnit: 3, widePlan: true}} {
+	for _, f := range []messageFormat{testFormat, {unitsPerWireUnit: 12.5}, {unitsPerWireUnit: 3, widePlanIndex: true}} {
 		for plan := range 3 * plansInFlags {
-			if !f.widePlan && plan >= plansInFlags {
+			if !f.widePlanIndex && plan >= plansInFlags {
 				break
 			}
 			want := usageRecord{
@@ -94,7 +94,7 @@
 // All gateways of a fleet must use the same layout. Any change to these bytes needs a new messageVersion, so that
 // gateways of different versions reject each other's messages.
 func TestMessageLayout(t *testing.T) {
-	format := messageFormat{unitsPerWireUnit: 1, widePlan: true}
+	format := messageFormat{unitsPerWireUnit: 1, widePlanIndex: true}
 	sent := message{
 		incarnation: 3, sequence: 0x0102,
 		records: []usageRecord{
@@ -146,7 +146,7 @@
 }
 
 func TestFullMessageStaysWithinMaxMessageSize(t *testing.T) {
-	for _, format := range []messageFormat{testFormat, {unitsPerWireUnit: 1, widePlan: true}} {
+	for _, format := range []messageFormat{testFormat, {unitsPerWireUnit: 1, widePlanIndex: true}} {
 		full := message{}
 		for format.hasRoomForRecords(len(full.records) + 1) {
 			full.records = append(full.records, usageRecord{key: 1})
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -29,7 +29,7 @@
 // the reports that are due.
 func (q *quotaController) handleTimer() {
 	q.retransmit()
-	q.retrySlotWaiters()
+	q.reconsiderSlotWaiters()
 	q.reporter.sendDue()
 }
 
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -53,7 +53,7 @@
 	case len(c.awaitingOwner) > 0:
 		return askOwner // join the requests that already wait
 	case now < c.quota.backoffUntil:
-		return rejectRequest
+		return notAdmitted
 	case c.mustAskForSlot(r.plan, age), !c.ceilingShareHasCapacity(r.Units, now):
 		return askOwner
 	}
@@ -92,7 +92,7 @@
 	case !stale && need <= max(share, remaining-2*othersDemand*(age+clockUncertainty)):
 		return admitRequest
 	case r.Units > remaining && age < minReportInterval:
-		return rejectRequest
+		return notAdmitted
 	}
 	return askOwner
 }
--- a/policy/quota_view_test.go
+++ b/policy/quota_view_test.go
@@ -15,7 +15,7 @@
 	}{
 		{"within the units that others can't have used", 16, 0, func(*customer) {}, admitRequest},
 		{"beyond the units that others can't have used", 17, 0, func(*customer) {}, askOwner},
-		{"beyond the remaining units", 21, 0, func(*customer) {}, rejectRequest},
+		{"beyond the remaining units", 21, 0, func(*customer) {}, notAdmitted},
 		{"within its share", 1.5, 0.3, func(*customer) {}, admitRequest},
 		{"beyond its share", 3, 0.3, func(*customer) {}, askOwner},
 		{"beyond the remaining units of an older reply", 24, 0.3, func(*customer) {}, askOwner},
@@ -25,7 +25,7 @@
 		{"before the first reply, not enough for every gateway", 3, 0, func(c *customer) { c.quota.remainingKnown = false }, askOwner},
 		{"without demand at other gateways", 20, 0, func(c *customer) { c.quota.othersDemand = 0 }, admitRequest},
 		{"behind a waiting request", 1, 0, func(c *customer) { c.awaitingOwner = []*request{{}} }, askOwner},
-		{"during a backoff", 1, 0, func(c *customer) { c.quota.backoffUntil = now + 0.1 }, rejectRequest},
+		{"during a backoff", 1, 0, func(c *customer) { c.quota.backoffUntil = now + 0.1 }, notAdmitted},
 		{"after a backoff", 1, 0, func(c *customer) { c.quota.backoffUntil = now }, admitRequest},
 		{"with an empty ceiling share", 1, 0, func(c *customer) { c.plan.CeilingRate = 1 }, askOwner},
 	} {
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -27,8 +27,8 @@
 	return displaced
 }
 
-// retry calls handle for each customer with waiting requests, and removes the customers that have none left.
-func (q *slotQueue) retry(handle func(*customer)) {
+// forEach calls handle for each customer with waiting requests, and removes the customers that have none left.
+func (q *slotQueue) forEach(handle func(*customer)) {
 	customers := q.customers
 	q.customers = nil
 	for _, c := range customers {
@@ -82,17 +82,17 @@
 	}
 }
 
-// retrySlotWaiters decides again on all requests that wait for a concurrency slot.
-func (q *quotaController) retrySlotWaiters() {
-	q.slots.retry(func(c *customer) {
-		q.rejectLateWaiters(c)
+// reconsiderSlotWaiters decides again on all requests that wait for a concurrency slot.
+func (q *quotaController) reconsiderSlotWaiters() {
+	q.slots.forEach(func(c *customer) {
+		q.pruneWaiters(c)
 		q.admitWaiters(c)
 	})
 }
 
-// rejectLateWaiters removes the waiting requests that are done, and rejects those that can no longer be
+// pruneWaiters removes the waiting requests that are done, and rejects those that can no longer be
 // served in time or within the quota.
-func (q *quotaController) rejectLateWaiters(c *customer) {
+func (q *quotaController) pruneWaiters(c *customer) {
 	c.slotWaiters = slices.DeleteFunc(c.slotWaiters, func(r *request) bool {
 		if r.done {
 			return true
@@ -111,7 +111,7 @@
 	for len(c.slotWaiters) > 0 && q.clock.now >= c.slotRetryAt && len(c.awaitingOwner) == 0 {
 		r := c.slotWaiters[0]
 		decision := q.admit(r)
-		if decision == rejectRequest {
+		if decision == notAdmitted {
 			return
 		}
 		c.slotWaiters = slices.Delete(c.slotWaiters, 0, 1)
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -150,12 +150,12 @@
 	if len(queue.customers) != 1 || c.slotWaiters[0].priority != 3 || c.slotWaiters[1].priority != 2 {
 		t.Fatalf("%d customers are queued, want 1 with requests of priorities 3 and 2", len(queue.customers))
 	}
-	queue.retry(func(c *customer) { c.slotWaiters = c.slotWaiters[:1] })
+	queue.forEach(func(c *customer) { c.slotWaiters = c.slotWaiters[:1] })
 	if len(queue.customers) != 1 {
-		t.Fatal("retry removed a customer that has a waiting request")
+		t.Fatal("forEach removed a customer that has a waiting request")
 	}
-	queue.retry(func(c *customer) { c.slotWaiters = nil })
+	queue.forEach(func(c *customer) { c.slotWaiters = nil })
 	if len(queue.customers) != 0 {
-		t.Fatal("retry kept a customer without waiting requests")
+		t.Fatal("forEach kept a customer without waiting requests")
 	}
 }
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -17,9 +17,9 @@
 	grantTimeout Seconds = 0.08
 	// reportTimeout is the time after which any other unanswered report is repeated.
 	reportTimeout Seconds = 0.3
-	// maxReportTransmissions is the number of consecutive reports without a reply after which the local window
+	// maxOverdueReplies is the number of consecutive reports without a reply after which the local window
 	// decides on the waiting requests.
-	maxReportTransmissions = 4
+	maxOverdueReplies = 4
 )
 
 // reportState is the state of a customer's reports to its owner.
@@ -31,8 +31,8 @@
 	awaitingReplySince Seconds // 0: no reply is expected
 	// askedCount is the number of waiting requests whose units the last report asked for.
 	askedCount int
-	// transmissions is the number of consecutive reports without a reply.
-	transmissions int
+	// overdueReplies is the number of consecutive reports without a reply.
+	overdueReplies int
 }
 
 // reportBatch holds the customers to report on in the next message to a gateway.
@@ -97,7 +97,7 @@
 // askForGrant schedules an urgent report for the first request that waits for a grant, and sends it at once
 // if the budget allows.
 func (u *usageReporter) askForGrant(c *customer) {
-	c.report.transmissions, c.report.awaitingReplySince = 0, u.clock.now
+	c.report.overdueReplies, c.report.awaitingReplySince = 0, u.clock.now
 	u.watchForReply(c)
 	u.scheduleReport(c, true)
 	u.sendDue()
@@ -196,17 +196,17 @@
 }
 
 // recordOverdue records an overdue reply and ends the wait for it. It returns true if the report has been
-// transmitted maxReportTransmissions times and must not be repeated.
+// transmitted maxOverdueReplies times and must not be repeated.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
 	if !c.report.scheduled { // a scheduled report has not been sent yet
 		u.protocol.recordUnanswered(c.report.gateway)
 	}
-	c.report.transmissions++
+	c.report.overdueReplies++
 	c.report.awaitingReplySince, c.report.askedCount = 0, 0
-	if c.report.transmissions < maxReportTransmissions {
+	if c.report.overdueReplies < maxOverdueReplies {
 		return false
 	}
-	c.report.transmissions = 0
+	c.report.overdueReplies = 0
 	return true
 }
 
@@ -235,7 +235,7 @@
 // It restarts the wait if requests wait for a grant that no report has asked for yet.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
-		c.report.awaitingReplySince, c.report.transmissions = 0, 0
+		c.report.awaitingReplySince, c.report.overdueReplies = 0, 0
 	} else if c.report.askedCount == 0 {
 		c.report.awaitingReplySince = u.clock.now
 		u.watchForReply(c)
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -28,10 +28,10 @@
 	for ; len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) == 0 && now < 101; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxReportTransmissions+1)*(grantTimeout+timerInterval) {
+	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxOverdueReplies+1)*(grantTimeout+timerInterval) {
 		t.Fatalf("the local window had not sent the request by %v", now)
 	}
-	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxReportTransmissions || sent[len(sent)-1].to == first {
+	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxOverdueReplies || sent[len(sent)-1].to == first {
 		t.Fatalf("got reports %v, want the last one to go to another gateway than the first owner", sent)
 	}
 	if g.protocol.reachable(first) {
