--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// admission is the result of checking a request against its customer's quota and ceiling.
+// admission is the result of checking a request against the limits of its customer's plan.
 type admission int
 
 const (
-	notAdmitted admission = iota
+	notAdmitted admission = iota // the request is queued for a concurrency slot or rejected
 	admitRequest
 	askOwner // the request waits for a grant from its customer's owner
 )
@@ -32,7 +32,7 @@
 	quota    *quotaController
 	retries  *retryPolicy
 	replies  *finalReplier
-	// actualUnitsInReply reports whether endpoint replies state the units that a request used.
+	// actualUnitsInReply is set if endpoint replies state the units that a request used.
 	actualUnitsInReply bool
 }
 
@@ -43,8 +43,9 @@
 	a.admitOrReject(r)
 }
 
-// newRequest creates the state of a request that has just arrived. It also adds the request's units to its
-// customer's demand, and passes the time until its deadline to the client-retry detector of its class.
+// newRequest creates the state of a request that has just arrived. It finds or adds the request's customer
+// and adds the units to the customer's demand. It also passes the time until its deadline to the
+// client-retry detector of its class.
 func (a *requestAdmitter) newRequest(incoming Request, requestClass *class) *request {
 	now := a.clock.now
 	remaining := incoming.Deadline - now
@@ -74,9 +75,10 @@
 	return min(objectiveAt, incoming.Deadline)
 }
 
-// priorityAt returns the priority of the request: the weight that its reply earns per unit of work. The
-// weight is lower if the reply is expected after the latency objective. The units of the request do not
-// affect its priority, because both the weight and the work are proportional to them.
+// priorityAt returns the priority of the request: the priority weight of its class, times the weight factor
+// of its plan if it has one. If the reply is expected after the latency objective, the priority is
+// multiplied by LateWeightFraction. It does not depend on the units of the request, because more units
+// increase both the value of the reply and the work.
 func (r *request) priorityAt(now Seconds) float64 {
 	weightFactor := 1.0
 	if r.plan != nil {
@@ -88,8 +90,8 @@
 	return r.class.PriorityWeight * weightFactor
 }
 
-// admitOrReject decides on a request that has just arrived: it dispatches the request, queues it until the
-// owner grants it or a concurrency slot becomes free, or rejects it.
+// admitOrReject decides on a request that has just arrived: it dispatches the request, queues it for a
+// grant or for a concurrency slot, or rejects it.
 func (a *requestAdmitter) admitOrReject(r *request) {
 	decision := a.decideAdmission(r)
 	switch {
@@ -97,7 +99,7 @@
 		a.quota.queueOrReject(r)
 	case !a.retries.allowsAttempt(r):
 		// The request arrived too late to be sent; client retries often do. The rejection is not recorded for the
-		// customer, because the client has no time left to retry.
+		// customer, because a further retry would be even later.
 		a.replies.rejectOrFail(r, DeadlineTooClose)
 	case decision == askOwner:
 		a.quota.awaitGrant(r)
@@ -106,9 +108,9 @@
 	}
 }
 
-// decideAdmission checks the quota and ceiling of the request's customer. A request without a plan has no
-// customer and is admitted. If other requests of the customer wait for a concurrency slot, decideAdmission
-// returns notAdmitted, so that the request joins their queue instead of overtaking them.
+// decideAdmission checks the limits of the request's customer. A request without a plan has no customer and
+// is admitted. If other requests of the customer wait for a concurrency slot, decideAdmission returns
+// notAdmitted, so that the request does not bypass their queue.
 func (a *requestAdmitter) decideAdmission(r *request) admission {
 	switch {
 	case r.customer == nil:
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -1,9 +1,9 @@
 package policy
 
 // A customer's ceiling must hold even if messages are lost or gateways are unreachable or restarted. It is
-// therefore divided statically: each of the customer's gateways has a fixed share, and the primary owner also
-// has a pool from which it grants units. Shares and the pool start empty, because a gateway may have used
-// them up just before it restarted.
+// therefore divided statically: each of the customer's gateways has a fixed share, and the primary owner
+// also has a pool for its own requests and for grants. Shares and the pool start empty, because a gateway
+// may have used them up just before it restarted.
 
 // ceilingPoolFraction is the fraction of a ceiling that forms the pool. The gateways share the rest equally.
 const ceilingPoolFraction = 0.5
@@ -20,13 +20,14 @@
 	return c.plan.CeilingRate * ceilingPoolFraction, c.plan.CeilingBurst * ceilingPoolFraction
 }
 
-// refillCeilingShare refills this gateway's share of the ceiling up to now.
+// refillCeilingShare refills this gateway's share of the ceiling for the time since its last refill.
 func (c *customer) refillCeilingShare(now Seconds) {
 	rate, burst := c.ceilingShareSize()
 	c.ceilingShare.refill(rate, burst, now)
 }
 
-// refillCeilingPool refills the pool up to now. Only the primary owner may call it.
+// refillCeilingPool refills the pool for the time since its last refill. Only the primary owner may call
+// it.
 func (c *customer) refillCeilingPool(now Seconds) {
 	rate, burst := c.ceilingPoolSize()
 	c.ceilingPool.refill(rate, burst, now)
@@ -63,7 +64,7 @@
 	}
 }
 
-// reserveCeilingPool takes units from the pool, or returns false if it holds too few.
+// reserveCeilingPool takes units from the pool. It returns false if there is no pool or it holds too few.
 func (c *customer) reserveCeilingPool(units float64, now Seconds) bool {
 	if !c.ceilingPoolHasCapacity(units, now) {
 		return false
@@ -73,14 +74,15 @@
 }
 
 // isCeilingFull reports whether the share and, at the primary owner, the pool are full to within tolerance
-// units.
+// units. Without a ceiling it returns true.
 func (c *customer) isCeilingFull(tolerance float64, now Seconds) bool {
 	p := c.plan
 	if p.CeilingRate <= 0 {
 		return true
 	}
 	c.refillCeilingShare(now)
-	// The tolerance covers the rounding difference between this expression and ceilingShareSize.
+	// The share was refilled to the burst from ceilingShareSize. This expression may round differently; the
+	// tolerance covers the difference.
 	shareFull := c.ceilingShare.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
 	if !c.isPrimaryOwner {
 		return shareFull
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -3,9 +3,9 @@
 import "math"
 
 // customerExpiry is the time without requests and reports after which a customer may be evicted. A member
-// that has evicted a customer counts its units from 0 again. If the owner still had the earlier count, it
-// would treat the decrease as returned units. The owner therefore evicts members sooner: memberExpiry must be
-// less than customerExpiry.
+// that has evicted a customer counts the customer's units from 0 again. If the owner still had the earlier
+// count, it would treat the decrease as returned units. The owner therefore evicts members sooner:
+// memberExpiry must be less than customerExpiry.
 const customerExpiry Seconds = 10.0
 
 // plan is a Plan with its index and the request limit from the settings.
@@ -16,8 +16,8 @@
 }
 
 // unitsForHigherPriority returns the units that a request must leave for requests of higher priority while
-// its customer is over its rate. priorityDeficit is 0 for the class with the largest priority weight and at
-// most 1.
+// the demand of its customer exceeds the rate. priorityDeficit is a result of classTable.priorityDeficit,
+// from 0 to 1.
 func (p *plan) unitsForHigherPriority(priorityDeficit float64) float64 {
 	return priorityDeficit * lowPriorityReserve * p.Burst
 }
@@ -26,8 +26,8 @@
 // are defined in ledger.go (owner), quota_view.go (member), local_window.go, ceiling.go, owner.go and
 // client_retry.go.
 type customer struct {
-	key  uint32 // upper half of hash; identifies the customer in peer messages
-	hash uint64 // position on the ring
+	key  uint32 // upper half of the name's hash; identifies the customer in peer messages
+	hash uint64 // hash of the name and position on the ring; 0 while gatewayCount is 0
 	plan *plan
 
 	// The gatewayCount consecutive gateways from firstGateway on receive the customer's requests. gatewayCount
@@ -38,40 +38,41 @@
 	primaryOwner   int
 	isPrimaryOwner bool
 
-	usedAt     Seconds // time of the last request or usage report
-	rejectedAt Seconds // time of the last rejection
+	usedAt     Seconds // time of the last request, or of the last report that was sent or received
+	rejectedAt Seconds // time of the last rejection by finalReplier.reject
 
 	// Usage at this gateway only.
-	totalUnits        float64 // units charged since the customer became known
+	totalUnits        float64 // units charged, less those refunded, since the customer was added
 	acknowledgedUnits float64 // the part of totalUnits that the owner has counted
 	demand            demandMeter
 	inFlight          int
 
-	// The quota and ceiling limits.
+	// The state of the quota and the ceiling.
 	quota        quotaView   // at a member
-	ledger       *ledger     // at the owner; nil at a member
+	ledger       *ledger     // at the owner; see currentLedger and becomeMember
 	localWindow  tokenBucket // used while the owner does not reply
 	ceilingShare tokenBucket
 	ceilingPool  tokenBucket
 
-	// awaitingOwner holds the requests that wait for a grant from the owner, in order of arrival.
+	// awaitingOwner holds the requests that wait for a grant from the owner, in the order in which they began
+	// to wait.
 	awaitingOwner []*request
 	report        reportState
-	// slotWaiters holds the requests that wait for a concurrency slot, highest priority first. Admission is
-	// not tried again before slotRetryAt.
+	// slotWaiters holds the requests that wait for a concurrency slot, highest priority first. None of them is
+	// admitted before slotRetryAt.
 	slotWaiters []*request
 	slotRetryAt Seconds
 }
 
-// gateways returns the number of gateways that receive the customer's requests, or 1 if it is unknown. A
-// gateway's fraction of a limit is the limit divided by this number.
+// gateways returns the number of gateways that receive the customer's requests, or 1 if the number is
+// unknown.
 func (c *customer) gateways() float64 { return float64(max(c.gatewayCount, 1)) }
 
 // unacknowledgedUnits returns the units charged at this gateway that the owner has not counted yet.
 func (c *customer) unacknowledgedUnits() float64 { return max(c.totalUnits-c.acknowledgedUnits, 0) }
 
 // remainingUnits returns the units left of the quota: in the ledger if asOwner is set, otherwise in the
-// member's view.
+// member's view. If needed, it creates the ledger, or replaces the ledger by a view.
 func (c *customer) remainingUnits(asOwner bool, now Seconds) float64 {
 	if asOwner {
 		return c.currentLedger(now).window.tokens
@@ -79,8 +80,8 @@
 	return c.remainingUnitsAsMember(now)
 }
 
-// allWindowsFull reports whether the customer's quota, local window and ceiling are as full as those of a new
-// customer, so that evicting it loses no usage.
+// allWindowsFull reports whether the customer's quota, local window and ceiling are full, so that evicting
+// the customer loses no usage. It ignores limits that the plan does not have.
 func (c *customer) allWindowsFull(now Seconds) bool {
 	const tolerance = 1e-9 // units
 	if c.plan.Rate > 0 {
@@ -92,7 +93,8 @@
 	return c.isCeilingFull(tolerance, now)
 }
 
-// isIdle reports whether the customer has no requests, no scheduled report and no expected reply.
+// isIdle reports whether the customer has no attempts in flight, no requests that wait for a grant or a
+// concurrency slot, no scheduled report and no expected reply.
 func (c *customer) isIdle() bool {
 	noRequests := c.inFlight == 0 && len(c.awaitingOwner) == 0 && len(c.slotWaiters) == 0
 	return noRequests && !c.report.scheduled && !c.report.watched
@@ -112,9 +114,10 @@
 // ownerFinder finds the owner of a customer. The owner is the gateway that counts the customer's usage
 // against the whole quota.
 type ownerFinder interface {
-	// owner returns the owner among the gateways that are currently reachable.
+	// owner returns the customer's current owner, which depends on the gateways that are reachable.
 	owner(c *customer) int
-	// findPrimaryOwner returns the gateway that owns the customer while all gateways are reachable.
+	// findPrimaryOwner returns the first of the customer's gateways on the ring, starting at the customer's
+	// hash.
 	findPrimaryOwner(c *customer) int
 }
 
@@ -132,7 +135,8 @@
 	return t
 }
 
-// find returns the customer of a request, and adds it to the table if it is new.
+// find returns the customer of a request, and adds it to the table if it is new. It also records the
+// customer's gateways if they are not known yet.
 func (t *customerTable) find(r Request) *customer {
 	hash := hashName(r.Customer)
 	key := uint32(hash >> 32)
@@ -147,8 +151,8 @@
 	return c
 }
 
-// add creates a customer with a full quota window. Its ceiling share and pool count as empty when this
-// gateway started, and have refilled since then.
+// add creates a customer with a full quota window. Its ceiling share and pool are treated as empty at the
+// start of this gateway and refilled since then.
 func (t *customerTable) add(key uint32, p *plan) *customer {
 	now := t.clock.now
 	c := &customer{
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// awaitGrant queues a request for a grant from its customer's owner. For the first waiting request of a
-// customer, it asks the owner at once. Any other request is included in the next report.
+// awaitGrant queues a request for a grant from its customer's owner. If no other request of the customer
+// waits, it calls askForGrant. Otherwise the customer's next report asks for the units of the request.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
@@ -12,9 +12,10 @@
 	}
 }
 
-// decideWaiters decides on the first count requests that wait for the owner. It admits those for which
-// quotaAllows returns true, and queues the others for a concurrency slot or rejects them. Unless
-// ceilingReserved is set, an admitted request must also fit into this gateway's share of the ceiling.
+// decideWaiters decides on the first count requests that wait for the owner. It skips those that are done,
+// admits those for which quotaAllows returns true, and queues the others for a concurrency slot or rejects
+// them. Unless ceilingReserved is set, an admitted request must also fit into this gateway's share of the
+// ceiling.
 func (q *quotaController) decideWaiters(
 	c *customer, count int, quotaAllows func(*request) bool, ceilingReserved bool,
 ) {
@@ -32,9 +33,9 @@
 	}
 }
 
-// retransmit repeats the reports whose reply is overdue. After maxUnansweredReports in a row, the owner
-// counts as unreachable and the report goes to the next gateway on the ring. After maxOverdueReplies,
-// the local window decides on the waiting requests.
+// retransmit repeats the reports whose reply is overdue. A repeated report goes to another gateway if the
+// previous recipient has become unreachable. After maxOverdueReplies, the local window decides on the
+// waiting requests instead.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
@@ -47,7 +48,8 @@
 }
 
 // handleRecords handles the usage records of a message from another gateway. It answers all reports with a
-// single message. A record from an owner is the reply to a report of this gateway, and goes to applyGrant.
+// single message. A record from an owner is the reply to a report. It goes to applyGrant if the customer's
+// last report was for that gateway.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
@@ -66,7 +68,7 @@
 	q.protocol.send(from, replies)
 }
 
-// replyToReport applies a member's report at the owner and returns the reply.
+// replyToReport applies a member's report and returns the reply. It adds the customer if it is new.
 func (q *quotaController) replyToReport(report memberReport) usageRecord {
 	c := q.customers.byKey[report.key]
 	if c == nil {
@@ -77,7 +79,8 @@
 }
 
 // applyGrant handles the owner's reply to a report: it updates the view of the quota and decides on the
-// requests whose units the report asked for.
+// requests whose units the report asked for. It schedules another report if granted units are unused or
+// further requests wait.
 func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
 	// grantedTotal is the number of units that the owner has counted or reserved for this gateway so far.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -5,7 +5,8 @@
 	memberExpiry Seconds = 8.0
 	// inFlightExpiry is the time without a report after which a member's attempts in flight are ignored.
 	inFlightExpiry Seconds = 3.0
-	// ledgerRecoveryPeriod is the maximum age at which a ledger adopts lower remaining units from reports.
+	// ledgerRecoveryPeriod is the age of a ledger up to which it adopts lower remaining units from the reports
+	// of new members.
 	ledgerRecoveryPeriod Seconds = 2.0
 	// noGateway is passed to ledger.inFlight to exclude no member.
 	noGateway = -1
@@ -19,7 +20,7 @@
 	members   map[int]*member
 }
 
-// member is another gateway that reports its requests of the customer to the owner.
+// member is another gateway that reports its usage of the customer's quota to the owner.
 type member struct {
 	incarnation uint8
 	totalUnits  float64 // last reported count plus the units granted since
@@ -75,9 +76,10 @@
 	receivedAt  Seconds
 }
 
-// recordUsage updates the member that sent a report, and returns it. It charges the difference between the
-// reported total and the total in the ledger. The ledger's total includes grants, so the difference is
-// negative if the member did not use all granted units, and the unused units return to the window.
+// recordUsage updates the member that sent a report, adding it if it is new, and returns it. It charges the
+// difference between the reported total and the total in the ledger. The ledger's total includes grants, so
+// the difference is negative if the member did not use all granted units, and the unused units return to
+// the window.
 func (l *ledger) recordUsage(report memberReport, format messageFormat) *member {
 	m := l.findMember(report)
 	if m == nil {
@@ -107,9 +109,9 @@
 }
 
 // addMember adds the member that sent a report. The member's total starts at the units that an owner has
-// acknowledged, so that recordUsage charges the rest. After a restart of the owner or a change of ownership,
-// the ledger is new and may lack earlier usage. Until ledgerRecoveryPeriod has passed, it therefore adopts
-// the member's remaining units if they are lower.
+// acknowledged, so that recordUsage charges only the unacknowledged ones. After a restart of the owner or a
+// change of ownership, the ledger is new and may lack earlier usage. Until ledgerRecoveryPeriod has passed,
+// it therefore adopts the remaining units of the report if they are known and lower.
 func (l *ledger) addMember(report memberReport) *member {
 	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
@@ -122,8 +124,9 @@
 // currentLedger returns the ledger, refilled up to now. If there is none, it creates the ledger from the
 // gateway's view as a member.
 //
-// An owner other than the primary owner refills the ledger only at its own fraction of the rate while no
-// member reports to it. It may then be partitioned from gateways that admit requests of the same customer.
+// An owner other than the primary owner refills a ledger without members only at the rate divided by the
+// number of the customer's gateways. It may then be partitioned from gateways that admit requests of the
+// same customer.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
@@ -163,10 +166,11 @@
 	return units <= l.window.tokens
 }
 
-// applyUsageReport handles a member's report at the owner: it records the member's usage, grants units if the
-// report asks for them, and returns the reply. Granted units are reserved immediately; the member's next
-// report shows how many of them it used. If no units can be granted, the reply has a backoff, during which
-// the member must not ask again. The backoff function calculates it from the number of reporting members.
+// applyUsageReport handles a member's report at the owner: it records the member's usage, grants units if
+// the report asks for them and the limits allow it, and returns the reply. Granted units are reserved
+// immediately; the member's next report shows how many of them it used. If the report asks for units and
+// none can be granted, the reply has a backoff, during which the member must not ask again. The backoff
+// function calculates it from the number of reporting members.
 func (c *customer) applyUsageReport(
 	report memberReport, format messageFormat, backoff func(members int) Seconds,
 ) usageRecord {
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -92,7 +92,7 @@
 }
 
 // usageRecord is the part of a message that concerns one customer: a report from a member to the owner, or
-// the owner's reply. Four fields depend on the direction:
+// the owner's reply. Some fields differ between reports and replies:
 //   - total is the member's count of units in a report. In a reply, it is the count up to which the owner has
 //     acknowledged or reserved units.
 //   - remaining is the number of units left of the whole quota: the member's estimate in a report, and the
@@ -105,13 +105,13 @@
 	planIndex        int     // index of the plan in the settings
 	fromOwner        bool    // the sender is the customer's owner
 	remainingKnown   bool    // remaining is based on an owner's reply or a ledger, not assumed
-	ceilingPool      bool    // report: the recipient is the primary owner; reply: the grant is from the pool
+	ceilingPool      bool    // report: the recipient is the primary owner; reply: it reserved units of its pool
 	total            float64 // units, modulo 16384
 	remaining        float64 // units, -64 to 8000
 	demand           float64 // units per second, up to 16383.75
 	inFlight         int     // attempts in flight, up to 65535
 	unacknowledged   float64 // units that no owner has acknowledged, up to 63.75; reports only
-	wantedUnits      float64 // units of all waiting requests, up to 63.75; copied from the report to the reply
+	wantedUnits      float64 // units of all requests awaiting a grant, up to 63.75; copied to the reply
 	firstWantedUnits float64 // units of the first waiting request, up to 63.75; reports only
 	priorityDeficit  float64 // of the first waiting request, 0 to 1; reports only
 	backoff          Seconds // time during which the member must not ask again, up to 12.75; replies only
@@ -128,8 +128,8 @@
 	return r
 }
 
-// messageFormat encodes and decodes peer messages. All gateways of a fleet have the same settings, so they
-// derive the same format from them.
+// messageFormat encodes and decodes peer messages. The format depends only on the plans and
+// MaxRequestUnits, which are the same at all gateways of a fleet.
 type messageFormat struct {
 	unitsPerWireUnit float64 // units per wire unit, at least 1
 	widePlanIndex    bool    // records have an additional byte for the plan index
@@ -178,7 +178,9 @@
 	return float64(steps) / stepsPerWireUnit * f.unitsPerWireUnit
 }
 
-// roundingTolerance returns the maximum number of units by which encoding can reduce a grant.
+// roundingTolerance returns the number of units by which requests may exceed a grant, to allow for the
+// rounding of totals. It is almost 0 if a wire unit is one unit, because whole units are then encoded
+// exactly.
 func (f messageFormat) roundingTolerance() float64 {
 	return (f.unitsPerWireUnit-1)/stepsPerWireUnit + 1e-9
 }
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -1,7 +1,8 @@
 package policy
 
-// ownerDirectory determines the owner of a customer: the gateway that counts the customer's usage against the
-// whole quota. Gateways that can reach the same peers determine the same owner.
+// ownerDirectory determines the owner of a customer: the gateway that counts the customer's usage against
+// the whole quota. If peer messages are enabled, the gateways that receive the customer's requests
+// determine the same owner while all of them are reachable.
 type ownerDirectory struct {
 	self, gatewayCount int
 	peerMessages       bool // if false, each gateway owns all its customers
@@ -21,8 +22,9 @@
 	}
 }
 
-// owner returns the current owner of the customer: its primary owner or, while that is unreachable, the next
-// reachable gateway on the ring.
+// owner returns the current owner of the customer: its primary owner or, while that is unreachable, the
+// next of the customer's gateways on the ring that is reachable. It returns this gateway if peer messages
+// are disabled or the customer has a single gateway.
 func (d *ownerDirectory) owner(c *customer) int {
 	switch {
 	case !d.peerMessages || c.gatewayCount == 1:
@@ -33,7 +35,8 @@
 	return d.successor(c, d.reachable)
 }
 
-// findPrimaryOwner returns the gateway that owns the customer while all gateways are reachable.
+// findPrimaryOwner returns the first of the customer's gateways on the ring, starting at the customer's
+// hash.
 func (d *ownerDirectory) findPrimaryOwner(c *customer) int {
 	return d.successor(c, func(int) bool { return true })
 }
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// maxUnansweredReports is the number of consecutive reports without a reply after which a peer counts as
-	// unreachable. The loss of two reports or replies is tolerated.
+	// maxUnansweredReports is the number of reports without a reply after which a peer counts as unreachable,
+	// if no message from the peer arrives in between. Reports on several customers count separately, even if
+	// they were sent in one message.
 	maxUnansweredReports = 3
-	// unreachablePeriod is the time after the last unanswered report during which an unreachable peer is not
-	// tried again.
+	// unreachablePeriod is the time for which an unreachable peer is not tried again. It starts when the
+	// peer's last missing reply is found to be overdue.
 	unreachablePeriod Seconds = 1.0
 	// unboundedMessageRate, in messages per second, is used if Settings.PeerMessageRate sets no limit.
 	unboundedMessageRate = 1e6
@@ -26,7 +27,7 @@
 
 // peer is the state that this gateway keeps for another gateway.
 type peer struct {
-	// unansweredReports counts the reports without a reply since the peer's last message.
+	// unansweredReports counts the reports without a reply since the last message accepted from the peer.
 	unansweredReports int
 	lastUnansweredAt  Seconds
 	// incarnation and sequence identify the newest message accepted from the peer.
@@ -97,8 +98,9 @@
 	p.sendToPeer(gateway, p.format.encode(m, p.clock.now))
 }
 
-// receive decodes a message from another gateway. It returns false if the sender is invalid or the message is
-// malformed, a duplicate, or overtaken by a newer one.
+// receive decodes a message from another gateway. It returns false if the sender is invalid or the message
+// is malformed, a duplicate, or overtaken by a newer one. An accepted message makes the sender reachable
+// again.
 func (p *peerProtocol) receive(from int, data []byte) (message, bool) {
 	now := p.clock.now
 	received, err := p.format.decode(data, now)
@@ -129,7 +131,8 @@
 
 // queryBackoff returns the time during which a member must not ask again after a rejection. All members
 // together may use ownerQueryFraction of the messages that this gateway can receive, so the backoff is
-// proportional to their number. It is also proportional to the load factor; see maxBackoffLoad.
+// proportional to their number. It is also proportional to the load factor, which is limited to
+// maxBackoffLoad.
 func (p *peerProtocol) queryBackoff(members int) Seconds {
 	queryRate := max(p.messageRate*ownerQueryFraction, 1)
 	return float64(members) / queryRate * min(p.receivedRate/queryRate, maxBackoffLoad)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,7 +2,7 @@
 
 // requestHandler carries out the decisions of a quotaController.
 type requestHandler interface {
-	// dispatch sends an admitted request to an endpoint.
+	// dispatch takes over an admitted request, to send it to an endpoint.
 	dispatch(r *request)
 	reject(r *request, reason Reason)
 }
@@ -25,15 +25,15 @@
 // isOwner reports whether this gateway is currently the customer's owner.
 func (q *quotaController) isOwner(c *customer) bool { return q.owners.owner(c) == q.self }
 
-// handleTimer repeats overdue reports, decides again on requests that wait for a concurrency slot, and sends
-// the reports that are due.
+// handleTimer handles overdue replies, decides again on requests that wait for a concurrency slot, and
+// sends the reports that are due.
 func (q *quotaController) handleTimer() {
 	q.retransmit()
 	q.reconsiderSlotWaiters()
 	q.reporter.sendDue()
 }
 
-// admit decides on a request. The owner decides by its ledger, a member by its share of the remaining units.
+// admit decides on a request. The owner decides by its ledger, a member by its view of the quota.
 func (q *quotaController) admit(r *request) admission {
 	if q.isOwner(r.customer) {
 		return r.customer.admitAsOwner(r, q.clock.now)
@@ -71,8 +71,8 @@
 	q.charge(c, r.Units)
 }
 
-// charge adds units to the customer's usage and schedules a report to the owner. Negative units are returned
-// to the quota.
+// charge adds units to the customer's usage, and schedules a report to the owner unless a grant covers the
+// units. Negative units are returned to the quota.
 func (q *quotaController) charge(c *customer, units float64) {
 	if q.isOwner(c) {
 		c.currentLedger(q.clock.now).charge(units)
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -5,11 +5,12 @@
 	// of the remaining units. With an older reply, the member asks the owner, unless the units are enough for
 	// the same request at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
-	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on its number of
-	// attempts in flight. It is shorter than maxReplyAge, because that number changes with every request.
+	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on the number of
+	// attempts in flight that the reply states. It is shorter than maxReplyAge, because that number changes
+	// with every attempt.
 	maxInFlightAge Seconds = 0.1
-	// lowPriorityReserve is the fraction of the burst that requests of the lowest priority must leave for
-	// those of higher priority while their customer is over its rate.
+	// lowPriorityReserve is the fraction of the burst that requests with a priorityDeficit of 1 must leave for
+	// those of higher priority while the demand of their customer exceeds the rate.
 	lowPriorityReserve = 0.18
 )
 
@@ -18,17 +19,19 @@
 	// remainingKnown is set once the window is based on a reply or a ledger. Until then, the window is assumed
 	// to have started full.
 	remainingKnown bool
-	// window holds the remaining units that the owner reported, refilled at the whole rate since then.
+	// window holds the remaining units. It refills at the whole rate of the plan.
 	window tokenBucket
-	// othersDemand, in units per second, and othersInFlight, in attempts, are totals of all other gateways.
+	// othersDemand, in units per second, and othersInFlight, in attempts, are the totals of all other gateways
+	// in the owner's last reply.
 	othersDemand   float64
 	othersInFlight int
 	// backoffUntil is the time from which the owner may be asked again.
 	backoffUntil Seconds
 }
 
-// remainingUnitsAsMember returns the units left of the quota in this member's view. If this gateway was the
-// owner and still holds the ledger, it first converts the ledger to a view.
+// remainingUnitsAsMember returns the units left of the quota in this member's view, less the units that the
+// owner has not counted yet. If this gateway was the owner and still holds the ledger, it first converts
+// the ledger to a view.
 func (c *customer) remainingUnitsAsMember(now Seconds) float64 {
 	if c.ledger != nil {
 		c.becomeMember(now)
@@ -60,21 +63,22 @@
 	return c.admitFromShare(r, remaining, age, now)
 }
 
-// mustAskForSlot reports whether the member must ask the owner for a concurrency slot. It must ask if the
-// owner's last reply, of the given age, is too old, or if at most one slot is free.
+// mustAskForSlot reports whether the member must ask the owner for a concurrency slot. It must ask if its
+// view, of the given age, is older than maxInFlightAge, or if at most one slot is free. It returns false if
+// the plan has no concurrency limit.
 func (c *customer) mustAskForSlot(p *plan, age Seconds) bool {
 	return p.MaxConcurrent > 0 &&
 		(age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
 }
 
-// admitFromShare decides on a request by this member's share of the remaining units, which is proportional to
-// its part of the total demand. age is the age of the owner's last reply. The member also admits a request
-// beyond its share if enough units would be left after the other gateways had used twice their demand since
-// that reply.
+// admitFromShare decides on a request by this member's share of the remaining units, which is proportional
+// to its part of the total demand. age is the time since the view was last set: by a reply, by a ledger, or
+// when the customer was added. The member also admits a request beyond its share if enough units would be
+// left even if the other gateways had used units at twice their demand for that time.
 //
-// Without a reply, or if it is older than maxReplyAge, the member admits a request only if the units are
-// enough for the same request at every gateway of the customer. It rejects a request that exceeds the
-// remaining units of a reply younger than minReportInterval. In all other cases, it asks the owner. If the
+// If the remaining units are unknown or older than maxReplyAge, the member admits a request only if they
+// are enough for the same request at every gateway of the customer. It does not admit a request that
+// exceeds remaining units younger than minReportInterval. In all other cases, it asks the owner. If the
 // plan has no rate, it admits every request.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -55,7 +55,7 @@
 	return 0, false
 }
 
-// mixBits spreads each bit of x over the whole result. It is the finalizer of splitmix64.
+// mixBits spreads each bit of x over the whole result. It is one step of the splitmix64 generator.
 func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -8,9 +8,9 @@
 	customers []*customer
 }
 
-// add queues a request in order of priority. At most Plan.MaxConcurrent requests of a customer may wait: if
-// the queue exceeds this bound, add removes and returns the request of lowest priority, otherwise it returns
-// nil.
+// add queues a request in order of priority. At most Plan.MaxConcurrent requests of a customer may wait. If
+// the queue exceeds this bound, add removes and returns the last request of the lowest priority, which may
+// be r. Otherwise, it returns nil.
 func (q *slotQueue) add(r *request) (displaced *request) {
 	c := r.customer
 	if len(c.slotWaiters) == 0 {
@@ -27,7 +27,7 @@
 	return displaced
 }
 
-// forEach calls handle for each customer with waiting requests, and removes the customers that have none left.
+// forEach calls handle for each customer, and then removes the customers that have no waiting requests.
 func (q *slotQueue) forEach(handle func(*customer)) {
 	customers := q.customers
 	q.customers = nil
@@ -54,8 +54,9 @@
 	}
 }
 
-// worthQueueing reports whether a request that was not admitted should wait for a concurrency slot: the quota
-// has enough units left, and a reply is still possible within the latency objective.
+// worthQueueing reports whether a request that was not admitted should wait for a concurrency slot. The
+// plan must have a concurrency limit, the quota must have enough units left, and an attempt at the next
+// timer tick must not be too late for firstWriteBy and the latency objective.
 func (q *quotaController) worthQueueing(r *request) bool {
 	c := r.customer
 	if c == nil || r.plan.MaxConcurrent == 0 {
@@ -69,8 +70,9 @@
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
-// queueForSlot queues a request for a concurrency slot. If the queue is full, it rejects the last request of
-// the lowest priority. A member asks the owner again after half the expected time until a slot becomes free.
+// queueForSlot queues a request for a concurrency slot. It rejects the request that this displaces, which
+// may be r. A member waits at least half the expected time until a slot becomes free before it asks the
+// owner again.
 func (q *quotaController) queueForSlot(r *request) {
 	c := r.customer
 	if !q.isOwner(c) {
@@ -105,8 +107,9 @@
 	})
 }
 
-// admitWaiters admits the waiting requests in order of priority until there is no free slot or the owner must
-// be asked.
+// admitWaiters admits the waiting requests in order of priority. It stops at the first request that is not
+// admitted, and after asking the owner. It does nothing before slotRetryAt, or while requests of the
+// customer wait for a grant.
 func (q *quotaController) admitWaiters(c *customer) {
 	for len(c.slotWaiters) > 0 && q.clock.now >= c.slotRetryAt && len(c.awaitingOwner) == 0 {
 		r := c.slotWaiters[0]
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -1,8 +1,8 @@
 package policy
 
-// tokenBucket holds a number of tokens that grows at a constant rate up to a burst. The number may be
-// negative. Callers pass the rate and the burst, because the fraction of a quota that the bucket represents
-// may change.
+// tokenBucket holds a number of tokens that grows up to a burst. The number may be negative. Callers pass
+// the rate and the burst, because they may change, for example when this gateway learns how many gateways
+// receive a customer's requests.
 type tokenBucket struct {
 	tokens    float64 // at updatedAt
 	updatedAt Seconds
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -3,7 +3,8 @@
 import "slices"
 
 const (
-	// minReportInterval is the minimum time between two batches to one owner. Urgent batches ignore it.
+	// minReportInterval is the minimum time from one batch to the next batch for the same owner. Urgent
+	// batches do not wait for it.
 	minReportInterval Seconds = 0.1
 	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. It
 	// is less than half because each report causes a reply, and PeerMessageRate must cover both.
@@ -17,8 +18,8 @@
 	grantTimeout Seconds = 0.08
 	// reportTimeout is the time after which any other unanswered report is repeated.
 	reportTimeout Seconds = 0.3
-	// maxOverdueReplies is the number of consecutive reports without a reply after which the local window
-	// decides on the waiting requests.
+	// maxOverdueReplies is the number of consecutive overdue replies after which the local window decides on
+	// the requests that wait for a grant.
 	maxOverdueReplies = 4
 )
 
@@ -29,13 +30,15 @@
 	// watched is set while the customer is in usageReporter.watched.
 	watched            bool
 	awaitingReplySince Seconds // 0: no reply is expected
-	// askedCount is the number of waiting requests whose units the last report asked for.
+	// askedCount is the number of waiting requests whose units the last report asked for. It is 0 once the
+	// reply has arrived or is overdue.
 	askedCount int
-	// overdueReplies is the number of consecutive reports without a reply.
+	// overdueReplies is the number of consecutive overdue replies, including those to reports that were still
+	// scheduled.
 	overdueReplies int
 }
 
-// reportBatch holds the customers to report on in the next message to a gateway.
+// reportBatch holds the customers to report on in the next messages to a gateway.
 type reportBatch struct {
 	customers []*customer
 	pending   bool // the gateway is in usageReporter.pending
@@ -95,7 +98,7 @@
 }
 
 // askForGrant schedules an urgent report for the first request that waits for a grant, and sends it at once
-// if the budget allows.
+// if the budget allows. The wait for the reply starts even if the report is not sent yet.
 func (u *usageReporter) askForGrant(c *customer) {
 	c.report.overdueReplies, c.report.awaitingReplySince = 0, u.clock.now
 	u.watchForReply(c)
@@ -195,8 +198,9 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue records an overdue reply and ends the wait for it. It returns true if the report has been
-// transmitted maxOverdueReplies times and must not be repeated.
+// recordOverdue ends the wait for an overdue reply, and counts it against the recipient of the report if
+// the report was sent. It returns true after maxOverdueReplies overdue replies in a row. The report must
+// then not be repeated.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
 	if !c.report.scheduled { // a scheduled report has not been sent yet
 		u.protocol.recordUnanswered(c.report.gateway)
@@ -210,7 +214,8 @@
 	return true
 }
 
-// repeatReport schedules another report on the customer, to its current owner.
+// repeatReport schedules another report on the customer, to its current owner. If requests wait for a
+// grant, the wait for the reply starts at once.
 func (u *usageReporter) repeatReport(c *customer) {
 	waiting := len(c.awaitingOwner) > 0
 	u.scheduleReport(c, waiting)
@@ -231,8 +236,8 @@
 	u.watched = slices.DeleteFunc(u.watched, func(c *customer) bool { return !c.report.watched })
 }
 
-// recordReply records that a reply has arrived. It ends the wait for a reply if no request waits for a grant.
-// It restarts the wait if requests wait for a grant that no report has asked for yet.
+// recordReply records that a reply has arrived. It ends the wait for a reply if no request waits for a
+// grant. It restarts the wait if requests wait for a grant and askedCount is 0.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.overdueReplies = 0, 0
