--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// For any number of gateways, the shares and the pool must add up to the ceiling.
+// The shares and the pool must start empty, and must add up to the burst of the ceiling once they are full.
 func TestCeilingPartsAddUpToTheCeiling(t *testing.T) {
 	for _, gateways := range []int{1, 2, 6, 100} {
 		p := &plan{Plan: Plan{CeilingRate: 20, CeilingBurst: 40}}
@@ -83,7 +83,7 @@
 			case a.kind == "send":
 				units += 2
 				gateways[from].HandleOutcome(now, Outcome{RequestID: a.id, Status: OK, RequestDone: true, Elapsed: 0.05})
-			case a.kind == "send_to_peer" && seen[from]%5 != 0: // the message is lost if its index is a multiple of 5
+			case a.kind == "send_to_peer" && seen[from]%5 != 0: // the message is lost if its index in actions is a multiple of 5
 				gateways[a.to].HandlePeerMessage(now, from, a.data)
 			}
 		}
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -10,8 +10,8 @@
 	return g.quota.customers.byKey[uint32(hashName(name)>>32)]
 }
 
-// Customers that send a single request and endpoints that leave the list must be evicted. Otherwise the memory of
-// a gateway would grow as long as it runs.
+// Customers that send no more requests must be evicted, and so must endpoints that leave the endpoint list. Otherwise
+// the memory of a gateway would grow as long as it runs. A customer with an attempt in flight must be kept.
 func TestIdleCustomersAreEvicted(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 500 {
--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -159,7 +159,8 @@
 }
 
 // The owner must grant the units of all waiting requests if the quota allows them, and otherwise those of the first
-// request. It has 8 units left. The first request takes 2 units.
+// request. With a concurrency limit, it must grant only those of the first request. The quota has 8 units left, and
+// the first request takes 2 units.
 func TestOwnerGrantsAllWaitingRequestsOrTheFirst(t *testing.T) {
 	const now = Seconds(100)
 	for _, tc := range []struct {
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Regression test: settings could exceed the message format. A record held at most 63.75 wanted units, so members were
-// never granted larger requests. Gateways did not start if the settings had many plans.
+// Regression test: the message format did not fit all settings. A record held at most 63.75 wanted units, so members
+// were never granted larger requests. Gateways did not start if the settings had many plans.
 func TestMessageFormatFitsTheSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		units  float64 // of a request
@@ -58,8 +58,8 @@
 	return append(list, last)
 }
 
-// Encoding and decoding must not change a record, in formats with and without scaled units and wide plans. All values
-// are multiples of the wire format's resolution, so none is rounded.
+// Encoding and decoding must not change a record, in formats with and without scaled units and the additional byte
+// for the plan index. All values are multiples of the wire format's resolution, so none is rounded.
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, f := range []messageFormat{testFormat, {unitsPerWireUnit: 12.5}, {unitsPerWireUnit: 3, widePlanIndex: true}} {
 		for plan := range 3 * plansInFlags {
--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// When a gateway leaves the ring, the customers of all other gateways must keep their owners. A new owner would not
-// have the usage that the ledger of the previous owner holds.
+// If successor skips a gateway, for example an unreachable one, the customers of all other gateways must keep their
+// owners. A new owner would not have the usage that the ledger of the previous owner holds.
 func TestRingMovesOnlyTheCustomersOfAGatewayThatLeaves(t *testing.T) {
 	ring := newOwnerRing(10)
 	const removed = 3
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// If the queue is full, a request of higher priority must displace the last request of lower priority. The displaced
-// request must be rejected at once, and the new request must get the next free slot.
+// If the queue is full, a request of higher priority must displace the last request of the lowest priority. The
+// displaced request must be rejected at once, and the new request must get the next free slot.
 func TestHighestPriorityGetsTheNextSlot(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 4 {
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// Regression test: an owner counted as unreachable after two of its replies were lost. The next gateway on the ring then
-// became the owner and granted units without knowing the customer's usage. This affected peers that exchange few
-// messages.
+// Regression test: the loss of two replies made their owner count as unreachable. The next gateway on the ring then
+// became the owner and granted units without knowing the customer's usage. This happened between gateways that
+// exchange few messages, because any other message from the owner resets the count.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
@@ -187,7 +187,7 @@
 		u.forEachOverdue(func(c *customer) {
 			overdue++
 			if u.recordOverdue(c) {
-				t.Error("recordOverdue reports the first transmission as the last")
+				t.Error("recordOverdue returned true for the first overdue reply, want false")
 			}
 		})
 		if overdue != 1 || u.protocol.peers[1].unansweredReports != 1 || len(u.watched) != 0 {
