--- a/policy/grants.go
+++ b/policy/grants.go
@@ -34,8 +34,8 @@
 }
 
 // retransmit repeats the reports whose reply is overdue. A repeated report goes to another gateway if the
-// previous recipient has become unreachable. After maxOverdueReplies, the local window decides on the
-// waiting requests instead.
+// previous recipient has become unreachable. After maxOverdueReplies in a row for a customer, the local
+// window decides on the customer's waiting requests instead.
 func (q *quotaController) retransmit() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
@@ -48,8 +48,8 @@
 }
 
 // handleRecords handles the usage records of a message from another gateway. It answers all reports with a
-// single message. A record from an owner is the reply to a report. It goes to applyGrant if the customer's
-// last report was for that gateway.
+// single message. A record from an owner goes to applyGrant, unless the customer is unknown or its last
+// report was for another gateway.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -121,12 +121,12 @@
 	return m
 }
 
-// currentLedger returns the ledger, refilled up to now. If there is none, it creates the ledger from the
+// currentLedger returns the ledger after refilling it. If there is none, it creates the ledger from the
 // gateway's view as a member.
 //
-// An owner other than the primary owner refills a ledger without members only at the rate divided by the
-// number of the customer's gateways. It may then be partitioned from gateways that admit requests of the
-// same customer.
+// An owner other than the primary owner may be partitioned from gateways that admit requests of the same
+// customer. While its ledger has no members, it therefore refills the ledger only at the rate divided by
+// the number of the customer's gateways.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
 		window := tokenBucket{tokens: c.remainingUnitsAsMember(now), updatedAt: now}
@@ -167,7 +167,7 @@
 }
 
 // applyUsageReport handles a member's report at the owner: it records the member's usage, grants units if
-// the report asks for them and the limits allow it, and returns the reply. Granted units are reserved
+// the report asks for them and the ledger has enough, and returns the reply. Granted units are reserved
 // immediately; the member's next report shows how many of them it used. If the report asks for units and
 // none can be granted, the reply has a backoff, during which the member must not ask again. The backoff
 // function calculates it from the number of reporting members.
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -7,8 +7,8 @@
 
 const (
 	// maxUnansweredReports is the number of reports without a reply after which a peer counts as unreachable,
-	// if no message from the peer arrives in between. Reports on several customers count separately, even if
-	// they were sent in one message.
+	// if no message from the peer arrives in between. Each customer in a message counts as one report, so the
+	// loss of two messages about one customer is tolerated.
 	maxUnansweredReports = 3
 	// unreachablePeriod is the time for which an unreachable peer is not tried again. It starts when the
 	// peer's last missing reply is found to be overdue.
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -10,8 +10,8 @@
 	// is less than half because each report causes a reply, and PeerMessageRate must cover both.
 	reportFraction = 0.45
 	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch.
-	// minBatchTokens is the number for any other batch. Each batch uses one message, so the other batches leave
-	// at least one message for an urgent batch.
+	// minBatchTokens is the number for any other batch. Each message takes one from the budget, so the other
+	// batches leave at least one message for an urgent batch.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
 	// grantTimeout is the time after which an unanswered report is repeated while requests wait for a grant.
