--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -70,9 +70,9 @@
 	return r.plan.Rate == 0 || r.Units <= available
 }
 
-// queueForSlot queues a request for a concurrency slot. It rejects the request that this displaces, which
-// may be r. A member waits at least half the expected time until a slot becomes free before it asks the
-// owner again.
+// queueForSlot queues a request for a concurrency slot. If this displaces a request, which may be r, it
+// rejects that request. A member waits at least half the expected time until a slot becomes free before it
+// asks the owner again.
 func (q *quotaController) queueForSlot(r *request) {
 	c := r.customer
 	if !q.isOwner(c) {
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Regression test: after a stall, a gateway counted replies as overdue that had arrived during the stall, and
-// considered their owners unreachable.
+// Regression test: a gateway that resumed after a stall counted replies as overdue although they had arrived during
+// the stall. It then considered their owners unreachable.
 func TestStallDoesNotMakeReplyOverdue(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
