--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// If the queue is full, a request of higher priority must displace the last request of lower priority. The displaced
-// request must be rejected at once, and the new request must get the next free slot.
+// If the queue is full, a request of higher priority must displace the last request of the lowest priority. The
+// displaced request must be rejected at once, and the new request must get the next free slot.
 func TestHighestPriorityGetsTheNextSlot(t *testing.T) {
 	g, r := newTestGateway(t, withSingleGateway)
 	for i := range 4 {
@@ -150,12 +150,12 @@
 	if len(queue.customers) != 1 || c.slotWaiters[0].priority != 3 || c.slotWaiters[1].priority != 2 {
 		t.Fatalf("%d customers are queued, want 1 with requests of priorities 3 and 2", len(queue.customers))
 	}
-	queue.retry(func(c *customer) { c.slotWaiters = c.slotWaiters[:1] })
+	queue.forEach(func(c *customer) { c.slotWaiters = c.slotWaiters[:1] })
 	if len(queue.customers) != 1 {
-		t.Fatal("retry removed a customer that has a waiting request")
+		t.Fatal("forEach removed a customer that has a waiting request")
 	}
-	queue.retry(func(c *customer) { c.slotWaiters = nil })
+	queue.forEach(func(c *customer) { c.slotWaiters = nil })
 	if len(queue.customers) != 0 {
-		t.Fatal("retry kept a customer without waiting requests")
+		t.Fatal("forEach kept a customer without waiting requests")
 	}
 }
