--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings parses the settings object, which both the simulator's ENLIST message and the configuration file of a
-// gateway contain, and translates its keys and values into the terms of the code. No other package decodes those keys.
+// gateway contain, and converts its keys and values to those of the code. No other package decodes these keys.
 package settings
 
 import (
@@ -94,19 +94,20 @@
 // loadInHealthChecks is the value of feedback.how if endpoints report their load only in replies to health checks.
 const loadInHealthChecks = "probe"
 
-// Settings holds the settings of the decision module, and those that only the network side uses.
+// Settings holds policy.Settings, and further settings that only the network side uses.
 type Settings struct {
 	policy.Settings
 	// DialTimeout is the maximum time to establish a connection to an endpoint.
 	DialTimeout time.Duration
-	// MaxOpenRequests is the maximum number of requests at this gateway without a final reply; 0 means no limit.
+	// MaxOpenRequests is the maximum number of requests at this gateway that wait for their final reply or still have an
+	// attempt in flight; 0 means no limit.
 	MaxOpenRequests int
-	// DrainGrace is the time for which a gateway may still send to an endpoint after discovery reports it as draining.
-	// If the settings have none, it is 0, and package discovery uses a default.
+	// DrainGrace is the time within which a gateway must stop sending to an endpoint that starts to drain. Package
+	// discovery derives PollRetryInterval from it, or from a default if it is 0.
 	DrainGrace time.Duration
 }
 
-// Parse parses the settings object. It does not check the ranges of values; policy.New does.
+// Parse parses the settings object. It does not check the ranges of values; policy.New checks policy.Settings.
 func Parse(text []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -126,8 +127,8 @@
 	return s, nil
 }
 
-// seconds converts a number of seconds to a duration. A number that a duration can't represent becomes the nearest
-// duration of the same sign, so that a setting above 0 does not become 0 or negative.
+// seconds converts a number of seconds to a duration. A number out of range becomes the nearest duration, and a
+// number above 0 becomes at least 1 ns, so that a positive setting does not become 0 or negative.
 func seconds(s float64) time.Duration {
 	nanoseconds := s * float64(time.Second)
 	switch {
@@ -141,7 +142,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// policySettings translates all settings of the decision module except classes and plans.
+// policySettings translates the settings into policy.Settings, except for classes and plans.
 func (w *wireSettings) policySettings() policy.Settings {
 	return policy.Settings{
 		Self:         w.Me,
@@ -219,7 +220,7 @@
 	return plans
 }
 
-// EmptyLoadReport is a load report without values. The value -1 means unknown.
+// EmptyLoadReport is a load report without values. A negative value means that the endpoint did not report it.
 var EmptyLoadReport = policy.LoadReport{
 	InFlight: -1, Queued: -1, Utilization: -1, ServiceTimeMS: -1, ServedPerS: -1, FailedPerS: -1,
 }
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -28,10 +28,10 @@
 	for ; len(r.ofKind("send", ""))+len(r.ofKind("reject", "")) == 0 && now < 101; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxReportTransmissions+1)*(grantTimeout+timerInterval) {
+	if len(r.ofKind("send", "q")) != 1 || now > 100+(maxOverdueReplies+1)*(grantTimeout+timerInterval) {
 		t.Fatalf("the local window had not sent the request by %v", now)
 	}
-	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxReportTransmissions || sent[len(sent)-1].to == first {
+	if sent := r.ofKind("send_to_peer", ""); len(sent) < maxOverdueReplies || sent[len(sent)-1].to == first {
 		t.Fatalf("got reports %v, want the last one to go to another gateway than the first owner", sent)
 	}
 	if g.protocol.reachable(first) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Regression test: after a stall, a gateway counted replies as overdue that had arrived during the stall, and
-// considered their owners unreachable.
+// Regression test: a gateway that resumed after a stall counted replies as overdue although they had arrived during
+// the stall. It then considered their owners unreachable.
 func TestStallDoesNotMakeReplyOverdue(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	send(100, "q", 2)
@@ -84,9 +84,9 @@
 	}
 }
 
-// Regression test: an owner counted as unreachable after two of its replies were lost. The next gateway on the ring then
-// became the owner and granted units without knowing the customer's usage. This affected peers that exchange few
-// messages.
+// Regression test: the loss of two replies made their owner count as unreachable. The next gateway on the ring then
+// became the owner and granted units without knowing the customer's usage. This happened between gateways that
+// exchange few messages, because any other message from the owner resets the count.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
@@ -187,7 +187,7 @@
 		u.forEachOverdue(func(c *customer) {
 			overdue++
 			if u.recordOverdue(c) {
-				t.Error("recordOverdue reports the first transmission as the last")
+				t.Error("recordOverdue returned true for the first overdue reply, want false")
 			}
 		})
 		if overdue != 1 || u.protocol.peers[1].unansweredReports != 1 || len(u.watched) != 0 {
