--- a/policy/api.go
+++ b/policy/api.go
@@ -70,7 +70,8 @@
 type Class struct {
 	Name string
 	// LatencyObjective is the time within which a reply earns the full PriorityWeight. It counts from the
-	// arrival of the request or, for a detected client retry, from the time at which the client first sent it.
+	// arrival of the request. For a detected client retry it counts from Timeout before the deadline, when the
+	// client is assumed to have first sent the request.
 	LatencyObjective Seconds
 	// ObjectiveLatencyMultiple extends the objective by this multiple of the mean latency of the class.
 	ObjectiveLatencyMultiple float64
@@ -95,12 +96,14 @@
 	Rate float64
 	// Burst is the capacity of the quota in units.
 	Burst float64
-	// MaxConcurrent is the number of attempts in flight from which on no request is admitted; 0 means no limit.
+	// MaxConcurrent is the number of attempts in flight at which no further request is admitted; 0 means no
+	// limit.
 	MaxConcurrent int
 	// WeightFactor multiplies the PriorityWeight of the class.
 	WeightFactor float64
-	// CeilingRate, in units per second, and CeilingBurst limit the units in addition to the quota. Unlike the
-	// quota, this limit holds even if messages are lost or gateways restart. A rate of 0 means no ceiling.
+	// CeilingRate, in units per second, and CeilingBurst are a second limit on the units, besides the quota.
+	// Unlike the quota, the ceiling holds even if messages are lost or gateways restart. A rate of 0 means no
+	// ceiling.
 	CeilingRate  float64
 	CeilingBurst float64
 }
@@ -186,7 +189,8 @@
 }
 
 // Request is a client's request. It gets exactly one final reply, from an endpoint or through Actions.Reject
-// or Actions.Fail, unless the client disconnects first. Its ID must differ from those of all open requests.
+// or Actions.Fail, unless it stops needing one, for example because the client disconnects. Its ID must
+// differ from those of all open requests.
 type Request struct {
 	ID, Class, Plan, Customer string
 	// Deadline is the time at which the client stops waiting.
@@ -209,7 +213,7 @@
 	Error                       // the endpoint sent an error or an invalid reply; may have executed
 	Rejected                    // the endpoint rejected the attempt without processing it; did not execute
 	Timeout                     // no reply within the timeout; may have executed
-	ConnectFailed               // no connection, or not completely written to it; did not execute
+	ConnectFailed               // no connection, or the attempt was not completely written; did not execute
 	Reset                       // the connection was lost; may have executed
 	Cancelled                   // cancelled by this gateway; may have executed
 	NotSent                     // given up before it was completely written; did not execute
@@ -254,8 +258,8 @@
 	RequestID, Endpoint string
 	Attempt             int // index among the attempts of the request, from 0
 	Status              AttemptStatus
-	RequestDone         bool // the request no longer needs a reply
-	Elapsed             Seconds
+	RequestDone         bool        // the request no longer needs a reply
+	Elapsed             Seconds     // duration of the attempt
 	ActualUnits         float64     // only with Settings.ActualUnitsInReply and status OK
 	Load                *LoadReport // nil if none was reported
 }
@@ -294,7 +298,7 @@
 	// attempt must be given up if it is not completely written within writeWithin; 0 means no limit.
 	Send(id, endpoint string, timeout, writeWithin Seconds)
 	// Reject gives the final reply to a request that the client may safely send again after retryAfter: the
-	// request did not execute, or a second execution does no harm.
+	// request did not execute, its class is idempotent, or all endpoints drop duplicates of its key.
 	Reject(id string, retryAfter Seconds, reason Reason)
 	// Fail gives the final reply to a request that the client may not safely send again, because it may have
 	// executed, or whose class is unknown.
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -7,10 +7,11 @@
 	// minNoReplyDuration is the minimum time without a reply after which an attempt counts as a failure, for
 	// classes with short latencies.
 	minNoReplyDuration Seconds = 0.2
-	// hedgeLatencyMultiple is the number of mean latencies after which an attempt may be hedged.
+	// hedgeLatencyMultiple is the number of mean latencies after which an attempt at an endpoint that is not a
+	// suspected outlier may be hedged.
 	hedgeLatencyMultiple = 4.0
-	// hedgeObjectiveFraction is the fraction of the latency objective before which no attempt is hedged, even
-	// if its endpoint is a suspected outlier.
+	// hedgeObjectiveFraction is the fraction of the latency objective for which an attempt must have been in
+	// flight before it is hedged, even if its endpoint is a suspected outlier.
 	hedgeObjectiveFraction = 0.4
 )
 
@@ -29,7 +30,8 @@
 	hedging, cancellation bool
 }
 
-// watch rejects requests whose grant is late, records endpoints that do not reply, and hedges slow attempts.
+// watch rejects requests whose grant is late, records endpoints that do not reply, and hedges or cancels slow
+// attempts.
 func (w *attemptWatcher) watch() {
 	for _, r := range w.requests.open() {
 		if w.rejectOnGrantTimeout(r) {
@@ -70,13 +72,13 @@
 	}
 }
 
-// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. No
-// attempt of a request qualifies if the request is done or non-idempotent, or its reply is being streamed.
-// Otherwise, the last attempt may qualify if it is the only one in flight and was not cancelled.
+// attemptToHedge returns the attempt of the request that is slow enough to hedge, or nil if there is none. A
+// request that is done, non-idempotent or streaming its reply has none. For any other request, only the last
+// attempt is considered, and only if it is the only one in flight and was not cancelled.
 //
-// No attempt qualifies before hedgeObjectiveFraction of the objective. After that, an attempt at a suspected
-// outlier qualifies. An attempt at any other endpoint qualifies after hedgeLatencyMultiple mean latencies,
-// if hedged requests are allowed and the dispatch queue is empty.
+// The attempt must have been in flight for hedgeObjectiveFraction of the latency objective. That is enough at
+// a suspected outlier. At any other endpoint, the attempt must also have been in flight for
+// hedgeLatencyMultiple mean latencies, hedged requests must be allowed, and the dispatch queue must be empty.
 func (w *attemptWatcher) attemptToHedge(r *request) *attempt {
 	if r.done || r.streaming || r.inFlight != 1 || r.class.Idempotency == NonIdempotent {
 		return nil
@@ -95,9 +97,9 @@
 	return last
 }
 
-// hedge sends a hedged request to another endpoint in addition to a slow attempt. If hedged requests are not
-// allowed, it cancels the slow attempt instead, so that its outcome leads to a retry. It does neither if
-// retryPolicy allows no attempt or the picker returns no other endpoint.
+// hedge sends a hedged request to another endpoint in addition to a slow attempt. If only cancellation is
+// allowed, it cancels the slow attempt instead, so that its outcome leads to a retry. It does neither if both
+// are disabled, retryPolicy allows no attempt, or the picker returns no other endpoint.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
 	r.recordPossibleExecution(slow) // so that retries and picker treat the hedge like a retry
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -35,8 +35,8 @@
 	adjustInFlight func(r *request, change int)
 }
 
-// send sends the next attempt of a request to an endpoint. The attempt times out once a reply is no longer
-// useful.
+// send sends the next attempt of a request to an endpoint. The attempt times out at lastUsefulReplyAt, but
+// minAttemptTimeout after now at the earliest.
 func (s *attemptSender) send(r *request, e *endpoint) {
 	e.observeSend(s.clock.now, r.class.meanLatency)
 	s.start(r, e)
@@ -92,9 +92,10 @@
 	s.actions.Cancel(r.ID, index)
 }
 
-// writeWithin returns the time within which an attempt sent now must be written, or 0 for no limit. A retry
-// with an idempotency key may wait for a connection, but must not be written after the idempotency window,
-// because endpoints then no longer drop it as a duplicate.
+// writeWithin returns the time within which an attempt sent now must be written, or 0 for no limit. If a
+// request with an idempotency key may have executed, its next attempt must be written before
+// idempotencyWindowEnd, because endpoints no longer drop it as a duplicate afterwards. In this case the
+// result is at least minAttemptTimeout.
 func (r *request) writeWithin(now Seconds) Seconds {
 	if !r.mayHaveExecuted() || r.class.Idempotency != IdempotencyKey {
 		return 0
--- a/policy/class.go
+++ b/policy/class.go
@@ -33,27 +33,28 @@
 	}
 }
 
-// recordLatency adds the latency of a successful attempt to the mean. The mean is arithmetic at first. It
-// becomes exponentially weighted once the weight of a new latency has fallen to minLatencyGain.
+// recordLatency adds the latency of a successful attempt to the mean. The mean is arithmetic at first, with
+// the initial estimate as one of the values. It becomes exponentially weighted once the weight of a new
+// latency has fallen to minLatencyGain.
 func (c *class) recordLatency(latency Seconds) {
 	c.successes++
 	c.meanLatency += (latency - c.meanLatency) * max(minLatencyGain, 1/float64(c.successes+1))
 }
 
-// objectiveFrom returns the time until which a reply earns the full weight, for a request that the client
-// first sent at start.
+// objectiveFrom returns the time at which the latency objective ends if it counts from start, including the
+// extension by ObjectiveLatencyMultiple.
 func (c *class) objectiveFrom(start Seconds) Seconds {
 	return start + c.LatencyObjective + c.ObjectiveLatencyMultiple*c.meanLatency
 }
 
-// classTable holds the classes of the settings, which do not change during the lifetime of a Gateway.
+// classTable holds a class for each entry of Settings.Classes. Classes are never added or removed; only their
+// statistics change.
 type classTable struct {
 	byName            map[string]*class
 	ordered           []*class // in the order of the settings, indexed by class.index
 	maxPriorityWeight float64  // over all classes
 }
 
-// newClassTable returns a table of the classes in the settings.
 func newClassTable(settings []Class) *classTable {
 	table := &classTable{byName: map[string]*class{}}
 	for index, classSettings := range settings {
@@ -65,7 +66,8 @@
 	return table
 }
 
-// priorityDeficit returns 1 minus the ratio of the priority weight of the class to the largest one.
+// priorityDeficit returns the fraction by which the priority weight of the class is below the largest one,
+// from 0 to 1. It is 1 if all weights are 0.
 func (t *classTable) priorityDeficit(requestClass *class) float64 {
 	return 1 - requestClass.PriorityWeight/max(t.maxPriorityWeight, weightEpsilon)
 }
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -3,8 +3,8 @@
 const (
 	// minRemainingObservations is the number of observations up to which no request is considered a retry.
 	minRemainingObservations = 10
-	// maxRemainingObservations is the number of observations at which all counts are halved, so that recent
-	// requests dominate.
+	// maxRemainingObservations is the number of observations at which the count of each bin is halved, so that
+	// recent requests dominate.
 	maxRemainingObservations = 128
 	// remainingBins is the number of histogram bins, which cover remaining times from 0 to the timeout of the
 	// class.
@@ -28,7 +28,6 @@
 	modeCount    int // largest result of countNear so far; recomputed by halve
 }
 
-// newClientRetryDetector returns a detector for a class with the given timeout.
 func newClientRetryDetector(timeout Seconds) clientRetryDetector {
 	return clientRetryDetector{timeout: timeout}
 }
@@ -65,7 +64,7 @@
 	return sum
 }
 
-// halve divides all counts by 2 and recomputes the totals.
+// halve divides the count of each bin by 2, rounded down, and recomputes observations and modeCount.
 func (d *clientRetryDetector) halve() {
 	d.observations, d.modeCount = 0, 0
 	for bin := range d.histogram {
@@ -77,10 +76,10 @@
 	}
 }
 
-// likelyRetrying reports whether clients of the customer may be retrying: this gateway rejected a request of
-// the customer less than timeout ago, or the customer's demand exceeds its rate. Only then does a short
-// remaining time count as a sign of a retry. Otherwise first attempts with short deadlines could be rejected
-// although they are within the quota.
+// likelyRetrying reports whether clients of the customer may be retrying: a rejection of the customer was
+// recorded at this gateway less than timeout ago, or the customer's demand exceeds the rate of its plan. Only
+// then does a short remaining time count as a sign of a retry. Without this condition, first attempts with
+// short deadlines could be rejected although they are within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
 		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -9,10 +9,10 @@
 	minConcurrencyPerEndpoint     = 3.0
 	maxConcurrencyPerEndpoint     = 64.0
 
-	limitIncrease = 0.1 // attempts by which a reply raises the limit, fewer if the limit is below 1
+	limitIncrease = 0.1 // attempts by which observe raises the limit; fewer if the limit is below 1
 
-	// A slow reply or a timeout removes this fraction of the limit, or of initialConcurrencyPerEndpoint if that
-	// is less.
+	// These are the fractions of the limit, or of initialConcurrencyPerEndpoint if that is less, by which
+	// observe lowers the limit while replies are slow and after a timeout.
 	limitDecrease   = 0.03
 	timeoutDecrease = 0.15
 
@@ -23,7 +23,8 @@
 	lowUtilization   = 0.8  // mean utilization below which endpoints have spare capacity
 	latencyMeanGain  = 0.1  // weight of one attempt in meanAttemptDuration and latencyRatio
 
-	// burstDeviations is the upper limit of burstAllowance, which grows with the number of gateways.
+	// burstDeviations is the value that burstAllowance approaches as the number of gateways grows. In a small
+	// fleet burstAllowance is 0.
 	burstDeviations = 4.0
 )
 
@@ -40,12 +41,12 @@
 	// few attempts, and the number in flight varies randomly by about the square root of the share. Gateways
 	// that exceed their share are offset by others that stay below it.
 	burstAllowance      float64
-	endpointsPerGateway float64
+	endpointsPerGateway float64 // listed endpoints divided by gatewayCount
 
 	inFlight            int
 	lastSentAt          Seconds
 	latencyRatio        float64 // mean ratio of latency to the latency objective
-	meanAttemptDuration Seconds // of attempts that succeeded or timed out
+	meanAttemptDuration Seconds // of the attempts passed to observe
 }
 
 // newConcurrencyLimiter returns the limiter of one gateway of a fleet. It has the limit for one endpoint
@@ -65,10 +66,11 @@
 	l.limit *= float64(max(1, after)) / float64(max(1, before))
 }
 
-// atLimit reports whether an attempt of a class with the given mean latency must wait. If only a fraction of
-// an attempt is free, the attempt may start unless replies are slow. While replies are slow, it must wait for
-// a pause after the last attempt was sent. The smaller the free fraction, the longer the pause. Without the
-// pause, all gateways of a large fleet would round their limits up, and together overload the endpoints.
+// atLimit reports whether an attempt of a class with the given mean latency must wait. It must wait if the
+// attempts in flight have reached the limit, including burstAllowance. If they are less than one below it
+// while replies are slow, the attempt must wait for a pause after the last attempt was sent. The smaller the
+// difference, the longer the pause. Without the pause, all gateways of a large fleet would round their limits
+// up, and together overload the endpoints.
 func (l *concurrencyLimiter) atLimit(meanLatency Seconds) bool {
 	free := l.limit + l.burstAllowance*math.Sqrt(l.limit) - float64(l.inFlight)
 	if free <= 0 {
@@ -89,8 +91,7 @@
 func (l *concurrencyLimiter) endAttempt() { l.inFlight-- }
 
 // observe adjusts the limit after a success or timeout. elapsed is the duration of the attempt and objective
-// the latency objective of its class. spareCapacity reports whether the endpoints are known to have spare
-// capacity.
+// the latency objective of its class. spareCapacity is set if the endpoints are known to have spare capacity.
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// dispatchQueued sends the queued requests for which an endpoint has capacity. It rejects those that are not
-// expected to get a reply within their objective, and those for which no further attempt is allowed.
+// dispatchQueued sends the queued requests for which an endpoint has capacity. It removes requests that are
+// done, and rejects those that are not expected to get a reply within their objective or for which no further
+// attempt is allowed.
 func (d *dispatcher) dispatchQueued() {
 	d.queue.dequeueFunc(func(r *request) bool {
 		if r.done || d.clock.now+r.class.meanLatency > r.objectiveAt || !d.retries.allowsAttempt(r) {
@@ -71,8 +72,8 @@
 	return true
 }
 
-// finishOrRetry finishes a request that needs no reply or whose attempt succeeded. It retries any other
-// request, unless another attempt is in flight or the reply is being streamed.
+// finishOrRetry finishes a request that needs no reply or whose attempt succeeded. It dispatches any other
+// request again, which may reject it, unless another attempt is in flight or the reply is being streamed.
 func (d *dispatcher) finishOrRetry(r *request, outcome Outcome) {
 	if r.done || outcome.RequestDone || outcome.Status == OK {
 		d.replies.finish(r)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -12,7 +12,7 @@
 
 	minLatencyFactor = 0.3
 	maxLatencyFactor = 4.0  // also the ratio assumed for a timeout
-	latencyGain      = 0.1  // weight of a reply in latencyFactor
+	latencyGain      = 0.1  // weight of a success in latencyFactor
 	timeoutGain      = 0.15 // weight of a timeout in latencyFactor
 )
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// restart resets the latency factor, connections, outlier scores, failure counts and slow-start credit,
-// because the endpoint runs a new process.
+// restart ends an ejection and resets the latency factor, connections, outlier scores, failure counts and
+// slow-start credit, because the endpoint runs a new process.
 func (e *endpoint) restart(slowStartCredit float64) {
 	e.latencyFactor = 1
 	e.ejectedUntil = 0
--- a/policy/endpoint_events.go
+++ b/policy/endpoint_events.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file contains the parts of Gateway's event handling that concern endpoints.
+// This file contains helpers of Gateway's event methods that concern endpoints.
 
 // sendHealthCheck sends a health check if one is due.
 func (g *Gateway) sendHealthCheck() {
@@ -20,8 +20,8 @@
 	})
 }
 
-// recordOutcome updates the statistics of the endpoint, its outlier scores, the class, the slow start and the
-// concurrency limit after an attempt.
+// recordOutcome updates the state of the endpoint, the class, the slow start and the concurrency limit after
+// an attempt.
 func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
 	e, requestClass := a.endpoint, r.class
 	// The concurrency limit covers all endpoints, so a timeout at a suspected outlier does not count against
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// minEndpointsConsidered is the minimum number of endpoints below suspectScore that are compared for an
-	// attempt.
+	// minEndpointsConsidered is the minimum number of eligible endpoints below suspectScore that pickCheapest
+	// compares, if there are that many.
 	minEndpointsConsidered = 2
-	// minNonIdempotentWarmUp is the warm-up fraction from which on a warming endpoint may receive
-	// non-idempotent requests.
+	// minNonIdempotentWarmUp is the minimum warm-up fraction at which a warming endpoint gets non-idempotent
+	// requests in a large fleet. Small fleets have no such minimum.
 	minNonIdempotentWarmUp = 0.35
 )
 
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// allowedOnWarming reports whether a request may be sent to a warming endpoint, which may fail under
-// overload. A non-idempotent request needs a warm-up fraction of at least minNonIdempotentWarmUp. A request
-// with an idempotency key must not have executed before, because pickWarming does not check whether the
-// endpoint would drop it as a duplicate.
+// allowedOnWarming reports whether pickWarming may choose a warming endpoint for the request. The endpoint
+// may fail under overload, so a non-idempotent request needs a warm-up fraction of at least
+// minNonIdempotentWarmUp. A request with an idempotency key must not have executed before, because
+// pickWarming does not check whether the endpoint would drop it as a duplicate.
 func (p *endpointPicker) allowedOnWarming(e *endpoint, r *request) bool {
 	switch r.class.Idempotency {
 	case NonIdempotent:
@@ -107,11 +107,11 @@
 	return cheapest
 }
 
-// eligible reports whether the request may be sent to the endpoint now. An endpoint is not eligible if it is
-// out of service or ejected, if it might not recognize a retry with an idempotency key as a duplicate, if it
-// has reached its share of the concurrency limit, or if it is warming up and has no credit. In a large fleet
-// no warming endpoint is eligible, because pickWarming handles them. A high outlier score only raises the
-// cost.
+// eligible reports whether pickCheapest may choose the endpoint for the request. An endpoint is not eligible
+// if it is out of service or ejected, if it might not recognize a retry with an idempotency key as a
+// duplicate, if it has reached its share of the concurrency limit, or if it is warming up and creditAvailable
+// is false. In a large fleet no warming endpoint is eligible, because pickWarming handles them. A high
+// outlier score only raises the cost.
 func (p *endpointPicker) eligible(e *endpoint, r *request) bool {
 	if !e.available(p.clock.now) || !r.deduplicates(e) {
 		return false
--- a/policy/endpoint_table.go
+++ b/policy/endpoint_table.go
@@ -19,7 +19,6 @@
 	byHash map[uint16]*endpoint // nil value if several endpoints share the hash
 }
 
-// newEndpointTable returns an empty table for a gateway with classCount classes.
 func newEndpointTable(classCount int, initialCredit func(hash uint16) float64) *endpointTable {
 	return &endpointTable{
 		classCount:    classCount,
@@ -89,7 +88,8 @@
 	t.byHash[e.hash] = e
 }
 
-// meanUtilization returns the mean of the recently reported utilizations. known is false if there are none.
+// meanUtilization returns the mean of the recent utilizations of the listed endpoints. known is false if
+// there are none.
 func (t *endpointTable) meanUtilization(now Seconds) (mean float64, known bool) {
 	count := 0.0
 	for _, e := range t.listed {
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -10,8 +10,8 @@
 	maxRetryAfter Seconds
 }
 
-// reject gives the final reply to a request that gets none from an endpoint. It also records the rejection
-// for the customer, whose clients are now likely to retry.
+// reject gives the final reply to a request that gets none from an endpoint, unless the request is done. It
+// also records the rejection for the customer, whose clients are now likely to retry.
 func (f *finalReplier) reject(r *request, reason Reason) {
 	if r.done {
 		return
@@ -22,8 +22,8 @@
 	f.rejectOrFail(r, reason)
 }
 
-// rejectOrFail rejects a request if the client may safely send it again, and fails it otherwise. It cancels
-// the attempts in flight and finishes the request.
+// rejectOrFail rejects a request if the client may safely send it again, and fails it otherwise. In both
+// cases it finishes the request, and cancels the attempts in flight if attempts can be cancelled.
 func (f *finalReplier) rejectOrFail(r *request, reason Reason) {
 	if r.clientMayRetry() {
 		f.actions.Reject(r.ID, f.maxRetryAfter, reason)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -22,9 +22,9 @@
 //   - The request side: classTable holds the classes with their mean latencies and client retry detectors.
 //     requestTable holds the open requests with their attempts. requestAdmitter decides with the quota
 //     side whether to admit, queue or reject a new request. dispatcher sends admitted requests through
-//     attemptSender, or queues them. retryPolicy decides whether an attempt may be sent. attemptWatcher
-//     detects late grants and endpoints that do not reply, and hedges slow attempts. finalReplier rejects,
-//     fails and finishes requests.
+//     attemptSender, and queues those that must wait for an endpoint. retryPolicy decides whether an
+//     attempt may be sent. attemptWatcher detects late grants and endpoints that do not reply, and hedges
+//     or cancels slow attempts. finalReplier rejects, fails and finishes requests.
 //   - The endpoint side: endpointTable holds the endpoint list. outlierDetector scores and ejects
 //     endpoints. gossipBuffer holds health updates for other gateways. slowStart limits the attempts at
 //     warming endpoints. concurrencyLimiter limits the attempts in flight at all endpoints together.
@@ -35,7 +35,7 @@
 //     a concurrency slot. ownerDirectory finds the owner of a customer.
 //
 // An event method advances the clock, records the event in the components, and lets the request of the event
-// proceed. After that it retries waiting work: first the dispatch queue, then the requests that wait for a
+// proceed. After that it handles waiting work: first the dispatch queue, then the requests that wait for a
 // concurrency slot, and then the usage reports. Each method does only the steps that its event needs. A
 // change of the order would change the decisions: the order determines which request gets the last free
 // capacity, and which random numbers each decision uses.
@@ -110,8 +110,7 @@
 }
 
 // initQuotaSide creates the components that track customers and peers, and the retryPolicy that they need. It
-// draws the random incarnation that
-// lets peers distinguish this start of the gateway from earlier ones.
+// draws the random incarnation that lets peers distinguish this start of the gateway from earlier ones.
 func (g *Gateway) initQuotaSide() {
 	settings := g.settings
 	incarnation := uint8(g.random.Uint32())
@@ -189,8 +188,9 @@
 	}
 }
 
-// HandleOutcome processes the end of an attempt. It updates the statistics of the endpoint and the class.
-// Then it finishes the request, retries it, or leaves it to another attempt in flight.
+// HandleOutcome processes the end of an attempt. It records the outcome, and then finishes the request,
+// dispatches it again, which may reject it, or leaves it to another attempt in flight or to the reply being
+// streamed. An outcome of an attempt that is not in flight is ignored.
 func (g *Gateway) HandleOutcome(now Seconds, outcome Outcome) {
 	g.clock.advance(now)
 	r, a := g.sender.end(outcome)
@@ -206,8 +206,8 @@
 	g.quota.reconsiderSlotWaiters()
 }
 
-// HandlePeerMessage processes a message from another gateway. Invalid, duplicate and
-// overtaken messages are ignored.
+// HandlePeerMessage processes a message from another gateway. Invalid, duplicate and overtaken messages are
+// ignored.
 func (g *Gateway) HandlePeerMessage(now Seconds, from int, data []byte) {
 	g.clock.advance(now)
 	received, ok := g.protocol.receive(from, data)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// recent returns at most limit of the last gossipPerMessage updates in the buffer, the last published first.
-// Of these it omits expired updates, and scores of classes whose index does not fit in a message.
+// recent returns up to limit of the last gossipPerMessage updates in the buffer, the last published first. It
+// skips expired updates, and scores of classes whose index does not fit in a message.
 func (b *gossipBuffer) recent(limit int, now Seconds) (updates []healthUpdate) {
 	oldest := max(0, len(b.updates)-gossipPerMessage)
 	for i := len(b.updates) - 1; i >= oldest && len(updates) < limit; i-- {
@@ -49,7 +49,8 @@
 	return updates
 }
 
-// merge passes an update from another gateway to its endpoint, and forwards it if applyUpdate returns true.
+// merge applies an update from another gateway to the endpoint that it concerns, and forwards the update if
+// applyUpdate returns true.
 func (b *gossipBuffer) merge(endpoints *endpointTable, update healthUpdate) {
 	e := endpoints.byHash[update.endpointHash]
 	if e != nil && e.applyUpdate(update) {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -17,7 +17,6 @@
 	credits   float64 // number of health checks that may be sent
 }
 
-// newHealthChecker returns a checker without credits.
 func newHealthChecker(settings Settings, clock *eventClock, slowStart *slowStart) *healthChecker {
 	return &healthChecker{
 		clock:     clock,
@@ -31,9 +30,9 @@
 	h.credits = min(h.credits+healthChecksPerRequest, maxHealthCheckCredits)
 }
 
-// next returns the endpoint to check now and spends a credit, or returns nil. It selects the endpoint whose
-// last load report or health check is oldest. Warming endpoints are not checked, because the checks of all
-// gateways together could exceed their capacity.
+// next returns the endpoint to check now and spends a credit, or returns nil. Of the endpoints that are due,
+// it selects the one whose last load report or health check is oldest. Warming endpoints are not checked,
+// because the checks of all gateways together could exceed their capacity.
 func (h *healthChecker) next(endpoints []*endpoint) *endpoint {
 	if !h.enabled || h.credits < 1 {
 		return nil
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// deduplicates reports whether the endpoint would drop the request as a duplicate if it has executed before.
-// It returns true if the request cannot have executed. It also returns true for a class without idempotency
-// keys: mayBeRetriedAt decides whether such a request is retried.
+// deduplicates reports whether the endpoint would drop the request as a duplicate of its first execution. It
+// also returns true if no execution is recorded, or if the class has no idempotency keys: mayBeRetriedAt
+// decides whether a request of such a class is retried.
 //
 // An endpoint list update may move the endpoint of the first execution to another group. It is unknown
 // whether the keys recorded there move along, so the endpoint must share both the old group and the current
@@ -66,8 +66,8 @@
 	return false
 }
 
-// clientMayRetry reports whether the client may safely send the request again: either no attempt can have
-// executed, or the class allows a duplicate at any endpoint.
+// clientMayRetry reports whether the client may safely send the request again: no attempt can have executed,
+// the class is idempotent, or all endpoints drop duplicates of its key.
 func (r *request) clientMayRetry() bool {
 	if !r.mayHaveExecuted() && r.inFlight == 0 {
 		return true
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,17 +6,18 @@
 )
 
 // An outlier score is the confidence, from 0 to 1, that an endpoint fails the attempts of a class. A failure
-// raises the score by a fraction of its distance to 1, the severity.
+// raises the score by its severity times the distance of the score to 1.
 const (
 	// suspectScore is the score above which an endpoint is a suspected outlier. Attempts there are hedged early.
 	suspectScore = 0.3
 
 	// singleFailureSeverity applies to one refused or lost connection, which may not be the endpoint's fault.
 	singleFailureSeverity = 0.1
-	// errorSeverity applies to an error, to a failed health check, and to each further refused or lost
-	// connection in a row. It is the upper limit for a timeout.
+	// errorSeverity applies to an error, to a health check that timed out or got no connection, and to each
+	// further refused or lost connection in a row. It is the upper limit for a timeout.
 	errorSeverity = 0.5
-	// repeatedErrorSeverity applies to errors in a row, because an endpoint that fails fast looks idle.
+	// repeatedErrorSeverity applies to repeated errors; see repeatedErrors. It is high because an endpoint that
+	// fails fast looks idle.
 	repeatedErrorSeverity = 0.9
 	// noReplySeverity applies to an attempt without a reply; see recordNoReply.
 	noReplySeverity = 1.0
@@ -57,16 +58,17 @@
 	return s.level * math.Exp((s.at-now)/outlierTimeConstant)
 }
 
-// outlierDetector scores endpoints by the outcomes of attempts. It ejects an endpoint after a rejection, and
-// after consecutive connection failures.
+// outlierDetector scores endpoints by their successes and failures. It ejects an endpoint after a rejection,
+// and after consecutive connection failures.
 type outlierDetector struct {
 	clock  *eventClock
 	random *rand.Rand
 	gossip *gossipBuffer
 
-	// attemptWeight is the fraction by which a success lowers the score, and the severity of a timeout up to
-	// errorSeverity. It is smaller in a large fleet, because many gateways share their scores: a single timeout
-	// at an overloaded endpoint could otherwise make all gateways move to the next one and overload it.
+	// attemptWeight is the fraction by which a success lowers the score. It is also the severity of a timeout,
+	// but at most errorSeverity then. It is smaller in a large fleet, because many gateways share their scores:
+	// a single timeout at an overloaded endpoint could otherwise make all gateways move to the next one and
+	// overload it.
 	attemptWeight float64
 }
 
@@ -88,7 +90,8 @@
 	return e.outlierScores[classIndex].value(d.clock.now)
 }
 
-// recordFailure raises the score for a class by the fraction severity of its distance to 1, and publishes it.
+// recordFailure raises the score for a class by severity times the distance of the score to 1, and publishes
+// the new score.
 func (d *outlierDetector) recordFailure(e *endpoint, classIndex int, severity float64) {
 	score := d.score(e, classIndex)
 	level := score + severity*(1-score)
@@ -113,8 +116,8 @@
 	}
 }
 
-// recordSuccess lowers the score for a class by the fraction attemptWeight, and publishes a result above
-// minPublishedScore.
+// recordSuccess records the time, ends a series of errors and lowers the score for a class by the fraction
+// attemptWeight. It publishes the new score if it is above minPublishedScore.
 func (d *outlierDetector) recordSuccess(e *endpoint, classIndex int) {
 	e.lastSuccessAt[classIndex], e.consecutiveErrors[classIndex] = d.clock.now, 0
 	level := d.score(e, classIndex) * (1 - d.attemptWeight)
--- a/policy/request.go
+++ b/policy/request.go
@@ -6,7 +6,7 @@
 )
 
 // firstWriteFraction is the fraction of the time from arrival to deadline after which no attempt is sent
-// unless an earlier one was written. An early rejection leaves the client time for a retry.
+// unless request.written is set. An early rejection leaves the client time for a retry.
 const firstWriteFraction = 0.45
 
 // request is a client's request from its arrival until it is done and has no attempts in flight.
@@ -18,12 +18,13 @@
 
 	// objectiveAt is the time until which a reply earns the full priority weight.
 	objectiveAt Seconds
-	// firstWriteBy is the time after which no attempt is sent unless an earlier one was written.
+	// firstWriteBy is the time after which no attempt is sent unless written is set.
 	firstWriteBy Seconds
-	// priority is the value of priorityAt at the arrival of the request: the weight that a reply earns per unit
-	// of work. Queues serve the highest priority first.
+	// priority is the result of priorityAt at the arrival of the request. Queues serve the highest priority
+	// first.
 	priority float64
-	// priorityDeficit is the result of classTable.priorityDeficit for the class.
+	// priorityDeficit is the fraction by which the priority weight of the class is below the largest one, from 0
+	// to 1.
 	priorityDeficit float64
 	// likelyRetry is set if the client has probably sent the request before.
 	likelyRetry bool
@@ -36,9 +37,9 @@
 	firstExecution possibleExecution
 	written        bool // whether any ended attempt may have been completely written
 	streaming      bool // whether the reply is being streamed to the client, which rules out retries
-	awaitingOwner  bool // whether it waits for a grant from the owner of the customer
+	awaitingOwner  bool // whether the request waits for a grant from the owner of the customer
 	charged        bool // whether its units are charged to the customer
-	done           bool // whether it no longer needs a final reply
+	done           bool // whether the request no longer needs a final reply
 }
 
 // lastUsefulReplyAt returns the time until which a reply is worth waiting for: the objective, plus the
@@ -61,7 +62,6 @@
 	arrived []*request
 }
 
-// newRequestTable returns an empty table.
 func newRequestTable() *requestTable { return &requestTable{byID: map[string]*request{}} }
 
 // find returns the request with the ID, or nil if there is none.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,7 +6,7 @@
 	clock       *eventClock
 }
 
-// newRetryPolicy returns the policy for the settings. It allows at least one attempt per request.
+// newRetryPolicy returns the policy for the settings. A Settings.MaxAttempts below 1 counts as 1.
 func newRetryPolicy(settings Settings, clock *eventClock) *retryPolicy {
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -8,10 +8,10 @@
 	// credits.
 	minCompletedFraction = 0.5
 
-	// A gateway of a large fleet gives a warming endpoint a reduced fraction of its share of the work:
-	// minSlowStartShare + slowStartShareSlope × the warm-up fraction. The fraction is smallest at the start,
-	// because random variation of the load is largest relative to a small capacity. It stays below 1, because
-	// one gateway does not see how much the others send.
+	// In a large fleet, reducedShare in creditPerRequest is a warming endpoint's part of the total capacity,
+	// multiplied by a factor: minSlowStartShare + slowStartShareSlope × the warm-up fraction. The factor is
+	// smallest at the start, because random variation of the load is largest relative to a small capacity. It
+	// is always below 1, because a gateway does not see how much the others send.
 	minSlowStartShare   = 0.15
 	slowStartShareSlope = 0.65
 
@@ -53,7 +53,6 @@
 	inServiceCount  float64 // number of endpoints in service
 }
 
-// newSlowStart returns the slow start state of a gateway that has no estimates of work yet.
 func newSlowStart(settings Settings, clock *eventClock) *slowStart {
 	return &slowStart{
 		clock:            clock,
@@ -132,8 +131,8 @@
 // recordSuccess adds the work of a successful attempt to completedWork.
 func (s *slowStart) recordSuccess(requestClass *class) { s.completedWork += requestClass.meanLatency }
 
-// accrueCredits adds the credits of a request to the available warming endpoints, once per request and not
-// for probable client retries.
+// accrueCredits adds a request to the offered work and its credits to the available warming endpoints. It
+// does so once per request, and not for probable client retries.
 func (s *slowStart) accrueCredits(r *request, endpoints []*endpoint) {
 	if r.creditsAccrued || r.likelyRetry {
 		return
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -39,7 +39,7 @@
 	return &SettingError{Setting: setting, Err: fmt.Errorf("%w: is %v, want %s", ErrOutOfRange, value, want)}
 }
 
-// validate returns the first error found in the settings.
+// validate returns the first error found in the settings, or nil.
 func validate(settings Settings) error {
 	switch {
 	case settings.GatewayCount < 1:
