--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -38,7 +38,7 @@
 )
 
 var (
-	// ErrValueTooLong reports a value of more than 4 MiB.
+	// ErrValueTooLong reports that a value and the blank lines before it have more than 4 MiB.
 	ErrValueTooLong = errors.New("list value over 4 MiB")
 	// ErrUnusableList reports that a list, or a part of one, was received but can't be used.
 	ErrUnusableList = errors.New("unusable list")
@@ -184,8 +184,8 @@
 	}
 }
 
-// nextBackoff returns the backoff after a watch that ended with an error. The backoff is short if the watch brought an
-// update, or did not end with an unusable list. Otherwise it doubles with each unusable list in a row, up to
+// nextBackoff returns the backoff after a watch that ended with an error. updated says whether the watch changed
+// c.version. The backoff is short if it did, or if the error is not ErrUnusableList. Otherwise it doubles with each unusable list in a row, up to
 // maxUnusableBackoff, as each complete list costs the agent work.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -6,12 +6,12 @@
 	"net/http"
 )
 
-// poll polls the agent until it responds with HTTP status 200, and returns the body of the response. An agent may
-// never respond to polls that were sent while it was down. So poll starts another poll after each PollRetryInterval,
-// and uses the first such response to any of them. The first poll stays open in case the agent is only slow.
+// poll polls the agent and returns the body of the first response with HTTP status 200. An agent may never respond to
+// polls that were sent while it was down. So poll starts another poll after each PollRetryInterval. The first poll stays
+// open in case the agent is only slow.
 //
-// Once all polls have failed, poll returns the error of the poll that failed last. When ctx ends, the polls and the
-// returned response end too.
+// Once all polls so far have failed, poll returns the error of the one that failed last. When ctx ends, the polls and
+// the returned response end too.
 func (c *Client) poll(ctx context.Context, query string) (io.ReadCloser, error) {
 	group := newPollGroup(c, query)
 	defer close(group.done)
@@ -73,8 +73,8 @@
 	}
 }
 
-// start starts another poll. It leaves open the first poll and the last maxConcurrentRetries polls, and cancels the
-// poll before these.
+// start starts another poll. It keeps the first poll and the last maxConcurrentRetries polls, including the new one,
+// and cancels the poll before these.
 func (g *pollGroup) start(ctx context.Context) {
 	number := len(g.cancels)
 	if oldest := number - maxConcurrentRetries; oldest > 0 {
@@ -102,7 +102,7 @@
 	g.cancels[result.number]()
 }
 
-// accept returns the body of the first response, and cancels all other polls.
+// accept returns the body of a successful response, and cancels all other polls.
 func (g *pollGroup) accept(result pollResult) io.ReadCloser {
 	g.cancelAllBut(result.number)
 	return responseBody{result.body, g.cancels[result.number]}
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// clockStepThreshold is the change of the clock offset since the last sample above which the wall clock is taken to
-	// have been stepped. Smaller changes come from drift, and from the time between the readings of the two clocks.
+	// clockStepThreshold is the largest change of the offset between wall clock and event time, from one sample to the
+	// next, that does not count as a step of the wall clock. Smaller changes come from drift, and from the time between
+	// the readings of the two clocks.
 	clockStepThreshold policy.Seconds = 0.25
 	// maxEpochs is the maximum number of epochs that are kept. An endpoint is usually listed a few seconds after its
 	// start, and the wall clock is stepped at most a few times in between.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
 // Package eventloop runs events and timers one at a time on a single goroutine, so the state that they share needs no
-// locks. Event time is the latest time of the events so far, in seconds of a monotonic clock. It never goes backwards.
+// locks. Event time is the latest time of the events and timers so far, in seconds of a Clock. It never goes backwards.
 package eventloop
 
 import (
@@ -83,10 +83,10 @@
 	}
 }
 
-// Defer runs a function directly after the current event, before any other event.
+// Defer runs a function directly after the current event or timer, before any other.
 func (l *Loop) Defer(run func()) { l.deferred = append(l.deferred, run) }
 
-// Now returns event time, which does not advance while an event runs.
+// Now returns event time, which advances before each event and timer, not while it runs.
 func (l *Loop) Now() policy.Seconds { return l.now }
 
 // Ended returns a channel that is closed when Run has returned.
@@ -118,7 +118,7 @@
 // AdvanceTo sets event time to a time of the clock. It has no effect if event time is already later.
 func (l *Loop) AdvanceTo(at policy.Seconds) { l.now = max(l.now, at) }
 
-// handle runs one event and the functions that it deferred.
+// handle runs one event or timer, and then the deferred functions.
 func (l *Loop) handle(e event) {
 	l.AdvanceTo(e.at)
 	l.runRecovered(e.run)
--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -35,9 +35,10 @@
 // SetNextTimerDue records when the next timer of the loop is due.
 func (d *StallDetector) SetNextTimerDue(at policy.Seconds) { d.nextTimerDue.Store(at) }
 
-// recordStall records a stall that has ended.
+// recordStall records that the loop did not run from start, when a timer was due, until end. A stall that starts within
+// StallWindow after the end of the previous one continues it, and keeps its start.
 func (d *StallDetector) recordStall(start, end policy.Seconds) {
-	if start > d.stallEnd.Load()+StallWindow { // otherwise it continues the previous stall
+	if start > d.stallEnd.Load()+StallWindow {
 		d.stallStart.Store(start)
 	}
 	d.stallEnd.Store(end)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -15,8 +15,8 @@
 
 const notQueued = -1
 
-// timerHeap is a heap of timers ordered by the time at which they are due. Each open request and each attempt in
-// flight holds at most one timer until it ends. The decision module and the loop's owner add timers of their own.
+// timerHeap is a heap of timers ordered by the time at which they are due. Stopped timers are removed from it, so that
+// timers of ended requests and attempts do not accumulate.
 type timerHeap []*Timer
 
 // Len implements heap.Interface.
--- a/internal/netcalls/calls.go
+++ b/internal/netcalls/calls.go
@@ -1,5 +1,5 @@
-// Package netcalls holds the calls on the program's sockets, many of which tests can replace to inject failures. It
-// classifies the errors of the calls, and retries calls that failed because this machine lacks a resource.
+// Package netcalls holds calls on the program's sockets. Tests can replace those in Calls to inject failures. The
+// package also classifies the errors of the calls, and retries calls that failed for a transient reason.
 package netcalls
 
 import (
--- a/internal/netcalls/errors.go
+++ b/internal/netcalls/errors.go
@@ -26,8 +26,8 @@
 	return IsShortage(err) || isErrno(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EIO, syscall.ENETDOWN)
 }
 
-// IsLocalFault reports whether a dial failed for a reason on this machine, which says nothing about the endpoint:
-// there was no descriptor, port, buffer or route, or this machine aborted the connection or did not permit it. An
+// IsLocalFault reports whether a dial failed for a reason on this machine, which says nothing about the endpoint. For
+// example, there was no free descriptor or port, or this machine aborted the connection or did not permit it. An
 // unreachable host, a refused dial and a timeout are not local faults, as the endpoint may be their cause.
 func IsLocalFault(err error) bool {
 	return IsShortage(err) || isErrno(
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -15,8 +15,8 @@
 // progressCheckInterval limits how long one write blocks before WriteAll checks whether any bytes were written.
 const progressCheckInterval = time.Second
 
-// WriteAll writes all of b. At least once per second it checks its progress, and calls onProgress if some bytes were
-// written but not all. Once stallTimeout has passed without progress, it gives up with an error that wraps
+// WriteAll writes all of b. About once per second, or per stallTimeout if that is shorter, it checks its progress. It
+// calls onProgress if bytes were written since the last check and some are left. Once stallTimeout has passed without progress, it gives up with an error that wraps
 // os.ErrDeadlineExceeded. It first tries to write once more, as the time may have passed because this process was
 // stopped for a while. It leaves no write deadline on the connection.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
@@ -77,7 +77,8 @@
 	return max(n, 0), err
 }
 
-// NoDataPending reports whether a connection is open and has no unread bytes.
+// NoDataPending reports whether a connection is open and has neither unread bytes nor a pending end of the stream or
+// error.
 func NoDataPending(raw syscall.RawConn) bool {
 	var buf [1]byte
 	var err error
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -21,7 +21,7 @@
 )
 
 // ErrQueueFull reports that a datagram was dropped because the send queue is full.
-var ErrQueueFull = errors.New("datagram dropped: send queue is full")
+var ErrQueueFull = errors.New("send queue is full")
 
 // UnknownPeerError reports that no gateway has the given number.
 type UnknownPeerError struct{ Number int }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 	writeDeadline policy.Seconds   // clock time by which the last byte must be written; +Inf for no limit
 	timer         *eventloop.Timer // fires at timeoutAt
 	conn          *backendConn     // carries the attempt; nil before the write starts and after the attempt has ended
-	done          bool
+	done          bool             // the attempt has ended; its outcome may not have been reported yet
 }
 
 // attemptKind tells the first attempt of a request, a retry and a hedged request apart. The trace holds its text.
@@ -25,8 +25,8 @@
 
 const (
 	firstAttempt attemptKind = "first"
-	retry        attemptKind = "retry" // all earlier attempts have ended
-	hedge        attemptKind = "hedge" // an earlier attempt is in flight
+	retry        attemptKind = "retry" // the outcomes of all earlier attempts have been reported
+	hedge        attemptKind = "hedge" // the outcome of an earlier attempt has not been reported
 )
 
 // nextAttemptKind derives the kind of a request's next attempt from its earlier attempts.
@@ -49,7 +49,7 @@
 }
 
 // malformedReply returns the result of an attempt whose reply can't be used. Its status is Error: the endpoint was
-// reachable, and may have executed the request.
+// reachable, and may have executed the command.
 func malformedReply(err error) attemptResult {
 	return attemptResult{status: policy.Error, malformed: err}
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -22,10 +22,12 @@
 	trace     *tracer
 }
 
-// send makes an attempt of a request. The attempt times out after timeout, or at the request's deadline if that is
-// earlier. A timeout of 0 stands for the deadline. An attempt beyond the maximum number of attempts ends as NotSent.
-// Within the maximum, an attempt with a negative timeout ends as Timeout, and any other ends as NotSent if
-// mustNotStart or hasPendingEnd reports true.
+// send makes an attempt of a request. The attempt times out after timeout, but at the latest at the request's deadline;
+// a timeout of 0 stands for the deadline. In three cases the attempt ends without being started. The first case that
+// applies determines its status:
+//   - The request has already had its maximum number of attempts: NotSent.
+//   - The timeout is negative: Timeout.
+//   - mustNotStart or hasPendingEnd reports true: NotSent.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
@@ -202,8 +204,8 @@
 	}
 }
 
-// reportOutcome forwards the value of a request's successful attempt to the client. It reports the outcome to the
-// trace and to the decision module.
+// reportOutcome reports the outcome of an attempt to the trace and to the decision module. It forwards the value of a
+// request's successful attempt to the client.
 func (runner *attemptRunner) reportOutcome(a *attempt, result attemptResult, at policy.Seconds) {
 	decider, loop := runner.services.decider, runner.services.loop
 	elapsed := max(at-a.createdAt, 0)
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -41,12 +41,12 @@
 	writeMu  sync.Mutex // held while a writer runs
 	writeErr error      // error of the writer; guarded by writeMu
 
-	attempt   *attempt // nil while the connection is idle
-	idleSince policy.Seconds
-	closed    bool
+	attempt   *attempt       // nil while the connection is idle
+	idleSince policy.Seconds // event time at which the connection last returned to the pool
+	closed    bool           // close was called; the reader or the writer may close conn before that
 }
 
-// close closes the connection and removes it from the pool. The cause is the error that ended the connection, or nil
+// close closes the connection, logs why, and removes it from the pool. The cause is the error that ended the connection, or nil
 // if there was no error. Event loop only.
 func (c *backendConn) close(why closeReason, cause error) {
 	if c.closed {
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -14,9 +14,9 @@
 
 // acquireIdle takes a connection to an endpoint out of the pool, or returns nil if none is usable. Among the
 // connections that have been idle for at least minReuseDelay, it takes the most recently used one. If there are none,
-// it takes the connection that has been idle for longest. If the chosen connection is unusable, acquireIdle closes it
-// and chooses another. The socket is checked for unread bytes and the end of the stream, as the reader may not have
-// detected them yet.
+// it takes the connection that has been idle for longest. If the chosen connection is unusable or has been idle for
+// longer than idleTimeout, acquireIdle closes it and chooses another. The socket is checked for unread bytes and the
+// end of the stream, as the reader may not have detected them yet.
 func (s *endpointSet) acquireIdle(e *endpoint) *backendConn {
 	now := s.services.loop.Now()
 	for len(e.idle) > 0 {
@@ -36,15 +36,15 @@
 }
 
 // usable reports whether the connection may carry another command. The endpoint must be in service, and must have the
-// same address and start time as at the dial. Its zone and cell must be the same too, as they determine the dedup group
-// for which the decision module has chosen the endpoint.
+// same address and start time as at the dial. Its zone and cell must be the same too: they make up the dedup group, on
+// which the choice of the endpoint may have depended.
 func (c *backendConn) usable() bool {
 	e, dialed := c.endpoint, c.dialedAs
 	return !c.closed && !c.unusable.Load() && e.state == policy.InService && dialed.Addr == e.Addr &&
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign writes the command of the attempt that has waited longest to a connection. Attempts that must not be sent any
+// assign gives a connection to the attempt that has waited longest, and writes its command. Attempts that must not be sent any
 // more end as NotSent instead. If no attempt is left, assign returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
@@ -101,8 +101,8 @@
 }
 
 // dialWithRetry dials an address. While the dial fails because of a local fault, it retries until
-// localFaultRetryTimeout has passed. After the first such failure, the event loop evicts backend and client
-// connections if no descriptor is left.
+// localFaultRetryTimeout has passed. If the first dial fails because no descriptor is free, the event loop evicts
+// connections meanwhile.
 func (s *endpointSet) dialWithRetry(addr string) (netcalls.Conn, error) {
 	shared := s.services
 	startedAt := shared.clock.Now()
@@ -164,8 +164,9 @@
 }
 
 // dialSucceeded starts the reader of a new connection, and assigns the connection if it is usable, or closes it. It
-// returns the status of the attempts that are left without a dial. The status is NotSent if the connection is unusable
-// because the endpoint has changed since the dial, and ConnectFailed otherwise.
+// returns the status of the attempts that are left without a dial. The status is NotSent if the endpoint has changed
+// since the dial, and ConnectFailed otherwise. If the reader has already found the connection unusable, only a change
+// of the endpoint's address counts.
 func (s *endpointSet) dialSucceeded(c *backendConn) policy.AttemptStatus {
 	go c.read()
 	if c.usable() {
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -11,9 +11,10 @@
 
 const (
 	// duplicateWindow is the time for which a duplicate of a reply may still arrive after the reply. If the write of
-	// the next command starts within that time, the reply to it is taken for a duplicate if it equals the earlier
-	// reply, or if both are rejections. Two replies with values differ in the value or the load report. Two errors may
-	// be equal without being duplicates: the second attempt ends as Error in any case, but its connection is closed.
+	// the next command starts within that time, the next reply is taken for a duplicate if it equals the earlier reply,
+	// or if both are rejections. Genuine replies with values are not equal, as the values or the load reports differ.
+	// Genuine errors may be equal. Taking one for a duplicate only costs the connection, as its attempt ends as Error
+	// in any case.
 	duplicateWindow policy.Seconds = 0.1
 	// maxLoggedBytes is the maximum number of bytes of a malformed reply that are logged.
 	maxLoggedBytes = 40
@@ -25,8 +26,8 @@
 )
 
 // backendReader reads the replies on one connection, and detects the end of the connection even while it is idle. It
-// belongs to a goroutine that the event loop starts. That goroutine ends when the connection ends, or after input that
-// belongs to no command or is not a usable reply.
+// belongs to a goroutine that the event loop starts. That goroutine ends when the connection ends, after input that
+// belongs to no command or is not a usable reply, or if the input budget has no memory left for more input.
 type backendReader struct {
 	conn     *backendConn
 	services *services
@@ -34,7 +35,8 @@
 	history  reply.History
 }
 
-// read reads replies until the connection has ended or must not be used any more, and then closes it.
+// read reads replies until the connection has ended or must not be used any more. It then closes the connection, and
+// posts its end to the event loop.
 func (c *backendConn) read() {
 	shared := c.services
 	r := &backendReader{conn: c, services: shared, buffer: readbuf.NewBuffer(shared.inputBudget)}
@@ -96,7 +98,8 @@
 		r.handleMalformedReply(at, content, err)
 		return false
 	}
-	// This detects duplicates that were still in transit when the command was written.
+	// A duplicate of a reply that was received after duplicatesSince may still have been in transit when the write of
+	// the command started.
 	duplicatesSince := c.writeStartedAt.Load() - c.set.duplicateWindow
 	if r.history.IsDuplicate(content[:size], received.Status, duplicatesSince) {
 		r.handleMalformedReply(at, content, errDuplicateReply)
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,11 +12,12 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its attempt had left when the write started. At the end of the write, the stated time may
-	// exceed the actual remaining time by at most 0.15 s.
+	// states the time that its attempt had left when the write started. This must not exceed the time left at the end
+	// of the write by more than 0.15 s, so the timeout is shorter than that.
 	writeTimeout policy.Seconds = 0.1
-	// A command longer than longCommandSize bytes may take longer to write, and states less remaining time than its
-	// attempt has. The time is reduced by the fraction writeReserveShare, but by at most maxWriteReserve.
+	// A request with more than longCommandSize bytes of arguments may take longer to write. Its command states less
+	// time than its attempt has left: the time is reduced by the fraction writeReserveShare, but by at most
+	// maxWriteReserve.
 	longCommandSize                  = 16 << 10
 	writeReserveShare                = 0.25
 	maxWriteReserve   policy.Seconds = 0.5
