--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,9 +21,9 @@
 	DefaultReadTimeout = 2500 * time.Millisecond
 
 	// pollRetryShare is the interval between the polls of a silent agent, as a fraction of the grace period for
-	// attempts on draining endpoints. These attempts must end within that period, which starts when the agent knows
-	// that the endpoint drains, even if the client has no watch open. So the client must reach a recovered agent
-	// within a fraction of the period.
+	// attempts on draining endpoints. The period starts when the agent knows that the endpoint drains, even if the
+	// client has no watch open. The attempts must end within the period, so the client must reach a recovered agent
+	// within a fraction of it.
 	pollRetryShare       = 0.3
 	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// ListJSON returns an endpoint list in the JSON form of the discovery API. The entries are pairs of an id and a state.
+// ListJSON returns an endpoint list in the JSON form of the discovery API. entries holds an id and a state for each
+// endpoint.
 func ListJSON(version int, full bool, entries ...string) string {
 	var endpoints []string
 	for i := 0; i < len(entries); i += 2 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,13 +31,13 @@
 type Loop struct {
 	clock     Clock
 	events    chan event
-	ended     chan struct{} // closed when Run has returned
-	now       policy.Seconds
+	ended     chan struct{}  // closed when Run has returned
+	now       policy.Seconds // event time
 	timers    timerHeap
 	wakeTimer *time.Timer
 	wakeAt    policy.Seconds // when wakeTimer fires; 0 if it is set for no timer
 	stalls    StallDetector
-	deferred  []func()
+	deferred  []func() // functions passed to Defer that have not run
 	onPanic   func(cause any, stack []byte)
 
 	// PauseForReaders pauses the loop so that the goroutines that read sockets can run. It may be replaced before Run.
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -94,9 +94,9 @@
 	return !runner.mustNotStart(a) && (a.request == nil || !runner.hasPendingEnd(a.request))
 }
 
-// hasPendingEnd reports whether hasPendingReply or clientDisconnected reports true. The client is checked even before
-// the first attempt: the request may have been unread in its socket for a long time, and the client may have
-// disconnected meanwhile.
+// hasPendingEnd reports whether no further attempt should start, because hasPendingReply reports true or the client has
+// disconnected. The client is checked even before the first attempt: the request may have been unread in its socket for
+// a long time, and the client may have disconnected meanwhile.
 func (runner *attemptRunner) hasPendingEnd(r *request) bool {
 	return runner.hasPendingReply(r) || runner.clientDisconnected(r.client)
 }
