--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -20,9 +20,9 @@
 	stallEnd     AtomicTime
 }
 
-// OnTimeUntil returns the latest time at which the process is known to have kept up with the clock: now, or the start
+// LastOnTime returns the latest time at which the process is known to have kept up with the clock: now, or the start
 // of a stall that is in progress or ended less than StallWindow ago.
-func (d *StallDetector) OnTimeUntil(now policy.Seconds) policy.Seconds {
+func (d *StallDetector) LastOnTime(now policy.Seconds) policy.Seconds {
 	if due := d.nextTimerDue.Load(); due > 0 && now-due > StallThreshold {
 		return due
 	}
--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -80,7 +80,7 @@
 		// The bytes may have arrived at any time since the socket was last empty.
 		arrived.earliest = t.lastEmptyAt
 	} else {
-		arrived.earliest = max(stalls.OnTimeUntil(endedAt), t.lastEmptyAt)
+		arrived.earliest = max(stalls.LastOnTime(endedAt), t.lastEmptyAt)
 	}
 	if age, ok := lastDataAge(raw); ok && !filled {
 		arrived.lastByte = max(endedAt-age, t.lastEmptyAt)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -131,7 +131,7 @@
 	}
 	c.reader = clientReader{
 		client: c, services: shared, parser: l.parser, buffer: readbuf.NewBuffer(shared.inputBudget),
-		arrivals: arrivalTracker{lastEmptyAt: shared.loop.StallDetector().OnTimeUntil(at)},
+		arrivals: arrivalTracker{lastEmptyAt: shared.loop.StallDetector().LastOnTime(at)},
 	}
 	return c
 }
