--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -185,8 +185,8 @@
 }
 
 // nextBackoff returns the backoff after a watch that ended with an error. updated says whether the watch changed
-// c.version. The backoff is short if it did, or if the error is not ErrUnusableList. Otherwise it doubles with each unusable list in a row, up to
-// maxUnusableBackoff, as each complete list costs the agent work.
+// c.version. The backoff is short if it did, or if the error does not wrap ErrUnusableList. Otherwise it doubles with
+// each unusable list in a row, up to maxUnusableBackoff, as each complete list costs the agent work.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusableList) {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -7,8 +7,8 @@
 )
 
 // poll polls the agent and returns the body of the first response with HTTP status 200. An agent may never respond to
-// polls that were sent while it was down. So poll starts another poll after each PollRetryInterval. The first poll stays
-// open in case the agent is only slow.
+// polls that were sent while it was down. So poll starts another poll after each PollRetryInterval. The first poll
+// stays open in case the agent is only slow.
 //
 // Once all polls so far have failed, poll returns the error of the one that failed last. When ctx ends, the polls and
 // the returned response end too.
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -16,9 +16,9 @@
 const progressCheckInterval = time.Second
 
 // WriteAll writes all of b. About once per second, or per stallTimeout if that is shorter, it checks its progress. It
-// calls onProgress if bytes were written since the last check and some are left. Once stallTimeout has passed without progress, it gives up with an error that wraps
-// os.ErrDeadlineExceeded. It first tries to write once more, as the time may have passed because this process was
-// stopped for a while. It leaves no write deadline on the connection.
+// calls onProgress if bytes were written since the last check and some are left. Once stallTimeout has passed without
+// progress, it gives up with an error that wraps os.ErrDeadlineExceeded. It first tries to write once more, as the time
+// may have passed because this process was stopped for a while. It leaves no write deadline on the connection.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // fails only on a closed connection
 	lastProgress := time.Now()
--- a/internal/proxy/backend_conn.go
+++ b/internal/proxy/backend_conn.go
@@ -46,8 +46,8 @@
 	closed    bool           // close was called; the reader or the writer may close conn before that
 }
 
-// close closes the connection, logs why, and removes it from the pool. The cause is the error that ended the connection, or nil
-// if there was no error. Event loop only.
+// close closes the connection, logs why, and removes it from the pool. The cause is the error that ended the
+// connection, or nil if there was no error. Event loop only.
 func (c *backendConn) close(why closeReason, cause error) {
 	if c.closed {
 		return
--- a/internal/proxy/backend_pool.go
+++ b/internal/proxy/backend_pool.go
@@ -44,8 +44,8 @@
 		dialed.StartedMS == e.StartedMS && dialed.Zone == e.Zone && dialed.Cell == e.Cell
 }
 
-// assign gives a connection to the attempt that has waited longest, and writes its command. Attempts that must not be sent any
-// more end as NotSent instead. If no attempt is left, assign returns the connection to the pool.
+// assign gives a connection to the attempt that has waited longest, and writes its command. Attempts that must not be
+// sent any more end as NotSent instead. If no attempt is left, assign returns the connection to the pool.
 func (s *endpointSet) assign(c *backendConn) {
 	e := c.endpoint
 	for len(e.waiting) > 0 {
--- a/internal/proxy/backend_writer.go
+++ b/internal/proxy/backend_writer.go
@@ -12,8 +12,8 @@
 
 const (
 	// writeTimeout limits the write of the part of a command that the socket does not accept at once. The command
-	// states the time that its attempt had left when the write started. This must not exceed the time left at the end
-	// of the write by more than 0.15 s, so the timeout is shorter than that.
+	// states the time that its attempt had left when the write started. The stated time must not exceed the time left
+	// at the end of the write by more than 0.15 s, so the timeout is shorter than that.
 	writeTimeout policy.Seconds = 0.1
 	// A request with more than longCommandSize bytes of arguments may take longer to write. Its command states less
 	// time than its attempt has left: the time is reduced by the fraction writeReserveShare, but by at most
