--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestSilentAgentIsPolledAgain checks that the client starts further polls while an agent does not respond, and uses
-// the first response to any of them. An agent may never respond to a poll that was sent while it was down.
+// the first response to any of these polls. An agent may never respond to a poll that was sent while it was down.
 func TestSilentAgentIsPolledAgain(t *testing.T) {
 	list := discoverytest.ListJSON(7, false, "x", "in_service")
 	pollOften := func(o *Options) { o.PollRetryInterval = 75 * time.Millisecond }
@@ -190,8 +190,8 @@
 	backingOff := make(chan struct{}, 1)
 	for _, tc := range []struct {
 		during  string
-		refuses bool
-		reach   func(*testing.T, *runningClient, chan discoverytest.Poll)
+		refuses bool                                                      // the old address refuses connections
+		reach   func(*testing.T, *runningClient, chan discoverytest.Poll) // waits until the client is in that state
 	}{
 		{during: "a backoff", refuses: true, reach: func(t *testing.T, _ *runningClient, _ chan discoverytest.Poll) {
 			receive(t, backingOff)
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -87,13 +87,13 @@
 	return c.now
 }
 
-// brokenAgent is an agent that fails each poll in the same way until it recovers. Connections that failed before the
-// recovery stay as they are.
+// brokenAgent is an agent that fails each poll in the same way until it recovers. The recovery does not change its
+// response to earlier polls.
 type brokenAgent struct {
 	mu      sync.Mutex
 	healthy bool
 	fail    func(*agentConn)
-	trickle []*agentConn // connections that get one more byte with each step
+	trickle []*agentConn // connections that get one more byte of a list with each step
 }
 
 // agentConn is a connection from a client. Its writes ignore errors, as the client may have closed the connection.
@@ -150,7 +150,7 @@
 	a.fail(conn)
 }
 
-// step sends one more byte on each connection in trickle.
+// step sends one more byte of a list on each connection in trickle.
 func (a *brokenAgent) step() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -168,14 +168,14 @@
 // failureMode is a way in which an agent, or the dial to it, fails.
 type failureMode struct {
 	name string
-	fail func(*brokenAgent, *agentConn) // handles a poll; nil if dial is set
-	dial func(context.Context) (net.Conn, error)
+	fail func(*brokenAgent, *agentConn)          // handles a poll; nil if dial is set
+	dial func(context.Context) (net.Conn, error) // replaces each dial to the agent; nil if fail is set
 	// updates is the number of updates that the client gets before the failure.
 	updates int
 }
 
 func failureModes() []failureMode {
-	half := discoverytest.ListJSON(6, true, "x", "in_service")[:30]
+	partialList := discoverytest.ListJSON(6, true, "x", "in_service")[:30]
 	chunks := func(parts ...string) func(*brokenAgent, *agentConn) {
 		return func(_ *brokenAgent, c *agentConn) { c.writeChunks(parts...) }
 	}
@@ -184,8 +184,8 @@
 		{name: "closed", fail: func(_ *brokenAgent, c *agentConn) { c.close() }},
 		{name: "hung", fail: func(*brokenAgent, *agentConn) {}},
 		{name: "hung with headers", fail: chunks()},
-		{name: "hung in a body", fail: chunks(half)},
-		{name: "a body that breaks off", fail: func(_ *brokenAgent, c *agentConn) { c.writeChunks(half); c.close() }},
+		{name: "hung in a body", fail: chunks(partialList)},
+		{name: "a body that breaks off", fail: func(_ *brokenAgent, c *agentConn) { c.writeChunks(partialList); c.close() }},
 		{name: "an HTTP error", fail: func(_ *brokenAgent, c *agentConn) {
 			c.write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			c.close()
@@ -212,15 +212,15 @@
 // recovery is a way in which the change that the test waits for becomes available to the client.
 type recovery struct {
 	name          string
-	extraSteps    int  // steps of the clock before the recovery, beyond recoverySteps
+	extraSteps    int  // steps of the clock before the recovery, in addition to recoverySteps
 	switchAddress bool // the client gets the address of a healthy agent; otherwise its agent recovers
 }
 
 var recoveries = []recovery{
 	{name: "the agent recovers"},
-	{name: "the agent recovers, a wait later", extraSteps: 1},
+	{name: "the agent recovers, one clock step later", extraSteps: 1},
 	{name: "SIGHUP", switchAddress: true},
-	{name: "SIGHUP, a wait later", extraSteps: 1, switchAddress: true},
+	{name: "SIGHUP, one clock step later", extraSteps: 1, switchAddress: true},
 }
 
 // TestChangeIsAppliedInTimeAfterAnyFailure checks that the client receives a change in time after each kind of failure.
@@ -243,15 +243,15 @@
 	address string
 	clock   *fakeClock
 	client  *runningClient
-	healthy chan struct{} // closed once dials to the agent succeed
+	healthy chan struct{} // closed when the agent recovers
 	dials   chan struct{} // receives a value for each dial
 }
 
 const (
-	maxRecoveryTime        = 4 * time.Second
-	maxRecoveryConnections = 50
-	recoverySteps          = 21
-	maxStepsToChange       = 200
+	maxRecoveryTime  = 4 * time.Second
+	maxDials         = 50
+	recoverySteps    = 21
+	maxStepsToChange = 200
 	// stepSettleTime is the real time that the client and the agent get to act on a step of the clock before the
 	// recovery. After the recovery, awaitChange gives them 20 times as long.
 	stepSettleTime = 10 * time.Millisecond
@@ -336,9 +336,9 @@
 	rt.recover(t, recoveredBy)
 	rt.awaitChange(t)
 	if took := rt.clock.time() - from; took > maxRecoveryTime {
-		t.Errorf("the client received the change too late, after %v", took)
+		t.Errorf("the client received the change after %v, later than maxRecoveryTime", took)
 	}
-	if n := len(rt.dials); n > maxRecoveryConnections {
-		t.Errorf("too many dials: %d in %v", n, rt.clock.time())
+	if n := len(rt.dials); n > maxDials {
+		t.Errorf("%d dials in %v, more than maxDials", n, rt.clock.time())
 	}
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	listedAt  = 105.0 // when the endpoint is first listed
-	restartAt = 111.0
+	listedAt  = 105.0 // event time at which the endpoint is first listed
+	restartAt = 111.0 // event time at which the endpoint restarts
 )
 
 // TestStartTimesAcrossClockSteps checks the start time of an endpoint if the wall clock is stepped. The step comes
@@ -73,8 +73,8 @@
 	}
 }
 
-// want returns the expected start time. If the wall clock may have shown the listed time twice, the later occurrence is
-// expected, as a start time that is too early could overload the endpoint.
+// want returns the expected start time. If the wall clock may have shown the stated start time twice, the later
+// occurrence is expected, as a start time that is too early could overload the endpoint.
 func (tc stepCase) want() float64 {
 	shownAgainAt := tc.startAt - tc.step
 	shownTwice := tc.step < 0 && tc.startAt < tc.stepAt && shownAgainAt >= tc.stepAt-1 && shownAgainAt <= listedAt
@@ -84,9 +84,9 @@
 	return tc.startAt
 }
 
-// TestStartTimesAfterProcessRestart checks that a listed start in the future is taken for the current time. A listed
-// start is in the future if the wall clock was set back after the start, and this process started after that step. An
-// endpoint with a start in the future would keep its minimum capacity until that time.
+// TestStartTimesAfterProcessRestart checks that a stated start in the future is taken for the time at which EventTime
+// is first called for it. The stated start is in the future if the wall clock was set back after the start, and this
+// process started after that step. If the future time was used, the endpoint would have its minimum capacity until then.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
--- a/internal/netcalls/retry_test.go
+++ b/internal/netcalls/retry_test.go
@@ -12,10 +12,10 @@
 // startRetryTimeout during a shortage.
 func TestRetryAtStartGivesUp(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		errno    syscall.Errno
-		maxCalls int
-		took     time.Duration
+		name      string
+		errno     syscall.Errno
+		wantCalls int
+		took      time.Duration
 	}{
 		{"not transient", syscall.EACCES, 1, 0},
 		{"shortage beyond the timeout", syscall.ENFILE, int(startRetryTimeout/RetryInterval) + 1, startRetryTimeout},
@@ -29,7 +29,7 @@
 				func() time.Time { return now },
 				func() (int, error) { calls++; return 0, tc.errno },
 			)
-			if !errors.Is(err, tc.errno) || calls != tc.maxCalls || now.Sub(begun) != tc.took {
+			if !errors.Is(err, tc.errno) || calls != tc.wantCalls || now.Sub(begun) != tc.took {
 				t.Errorf("got the error %v after %d calls in %v", err, calls, now.Sub(begun))
 			}
 		})
--- a/internal/netcalls/socket_io_test.go
+++ b/internal/netcalls/socket_io_test.go
@@ -42,8 +42,8 @@
 	return local, raw, remote
 }
 
-// TestWriteAllLeavesNoDeadline checks that writes succeed after the deadline that WriteAll had set has passed. A Write
-// would fail if WriteAll left its deadline on the connection.
+// TestWriteAllLeavesNoDeadline checks that WriteAll leaves no deadline on the connection. Later writes must succeed, even
+// after the time of the deadline that WriteAll sets for itself.
 func TestWriteAllLeavesNoDeadline(t *testing.T) {
 	calls := System()
 	local, raw, remote := connectedPair(t)
@@ -55,7 +55,7 @@
 	if err := calls.WriteAll(local, raw, []byte("short"), stall, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2 * stall) // until the deadline of that write has passed
+	time.Sleep(2 * stall) // until after the deadline that the second WriteAll set
 	if n, err := calls.TryWrite(raw, []byte("x")); n != 1 || err != nil {
 		t.Errorf("TryWrite after WriteAll: got %d, %v, want 1 byte written", n, err)
 	}
--- a/internal/peerlink/link_test.go
+++ b/internal/peerlink/link_test.go
@@ -37,11 +37,11 @@
 	if err := link.Send(policy.Broadcast, nil); !errors.As(err, &unsendable) || unsendable.To.IsValid() {
 		t.Errorf("Send to all gateways without a broadcast address: got the error %v, want an UnsendableError", err)
 	}
-	sent := 0
+	sendCalls := 0
 	for ; err == nil; err = link.Send(0, make([]byte, MaxDatagramSize)) {
-		sent++
+		sendCalls++
 	}
-	if capacity := extraQueueSize + len(peers); !errors.Is(err, ErrQueueFull) || sent < capacity || sent > capacity+2 {
-		t.Errorf("got the error %v after %d queued datagrams, want ErrQueueFull once the queue is full", err, sent)
+	if capacity := extraQueueSize + len(peers); !errors.Is(err, ErrQueueFull) || sendCalls < capacity || sendCalls > capacity+2 {
+		t.Errorf("got the error %v from call %d of Send, want ErrQueueFull once the queue is full", err, sendCalls)
 	}
 }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -111,9 +111,9 @@
 	})
 }
 
-// TestAbandonedAttemptClosesItsConnection checks that the connection of an attempt is not reused after the attempt has
-// timed out or was cancelled. A late reply on it would be taken for the reply to another request.
-func TestAbandonedAttemptClosesItsConnection(t *testing.T) {
+// TestConnectionOfAbandonedAttemptIsNotReused checks that the connection of an attempt gets no other command after the
+// attempt has timed out or was cancelled. Its late reply would be taken for the reply to that command.
+func TestConnectionOfAbandonedAttemptIsNotReused(t *testing.T) {
 	for _, how := range []string{"timeout", "cancel"} {
 		t.Run(how, func(t *testing.T) {
 			h, c, b, _ := startWithAttempt(t)
--- a/internal/proxy/backend_pool_test.go
+++ b/internal/proxy/backend_pool_test.go
@@ -10,9 +10,9 @@
 	"reedlead/policy"
 )
 
-// TestPooledConnections checks that a connection is reused until the endpoint closes it, and that the proxy closes a
-// connection after its idle timeout. An attempt on a connection that the endpoint has closed would end as Reset, and
-// its request would count as possibly executed.
+// TestPooledConnections checks that a connection is reused until the endpoint closes it, and that a connection gets no
+// command after its idle timeout. An attempt on a connection that the endpoint has closed would end as Reset, and its
+// request would count as possibly executed.
 func TestPooledConnections(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	h := startProxy(t, testConfig(addr), sendEachRequest(0))
--- a/internal/proxy/backend_writer_test.go
+++ b/internal/proxy/backend_writer_test.go
@@ -10,7 +10,7 @@
 	"reedlead/policy"
 )
 
-// deadlineField matches the field of a request that states the remaining time in milliseconds.
+// deadlineField matches the field of a command that states the remaining time in milliseconds.
 var deadlineField = regexp.MustCompile(`d=(\d+)`)
 
 // startWithIdleConnection starts a proxy with an idle connection to its endpoint. It returns the connection of a
@@ -26,7 +26,7 @@
 	return h, c, b
 }
 
-// TestRemainingTimeIsComputedAtWrite checks that a command does not state more time than its client has left. The
+// TestRemainingTimeIsComputedAtWrite checks that a command does not state more time than its request has left. The
 // remaining time must be computed from the clock, as event time does not advance while an event is handled.
 func TestRemainingTimeIsComputedAtWrite(t *testing.T) {
 	h, c, b := startWithIdleConnection(t)
@@ -59,7 +59,7 @@
 }
 
 // TestSlowCommandWriteIsCutOff checks that the write of a long command is aborted if it takes longer than the reserve of
-// the command plus writeTimeout. A command that is completed later states more time than its attempt has left.
+// the command plus writeTimeout. A command that was completed later would state too much remaining time.
 func TestSlowCommandWriteIsCutOff(t *testing.T) {
 	listener, h := startWithSmallSockets(t, func(h *harness) { h.proxy.endpoints.writeTimeout = 0.01 })
 	c := h.client()
--- a/internal/proxy/discovery_integration_test.go
+++ b/internal/proxy/discovery_integration_test.go
@@ -29,7 +29,7 @@
 		"version goes back": discoverytest.ListJSON(3, false, "y", "terminating"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			watches := 0 // needs no lock, as the client does not open two watches at a time
+			watches := 0 // needs no lock, as the agent responds before the client would poll again
 			a := discoverytest.NewScriptedAgent(t, func(query string) []string {
 				if query == "" {
 					return []string{discoverytest.ListJSON(8, true, "z", "in_service", "odd", "odd")}
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -20,26 +20,28 @@
 	"reedlead/policy"
 )
 
-// fleetSize is the size of the fleet that the measured gateway is part of.
+// fleetSize is the size of the fleet for which the measured gateway is configured.
 type fleetSize struct{ gateways, endpoints int }
 
-// gatewayUsage is the resource usage of a process that runs one gateway with its endpoint and its client.
+// gatewayUsage is the resource usage of a process that runs one gateway, one client and the listener that stands
+// for all endpoints.
 type gatewayUsage struct {
-	cpu         time.Duration
-	heapMB      float64 // MiB
-	connections int     // number of connections made to endpoints
+	cpu         time.Duration // processor time while the requests are sent
+	heapMiB     float64       // after the requests
+	connections int           // number of connections made to endpoints
 }
 
-// BenchmarkFleetSize runs one gateway in a fleet of the usual size and in the largest fleet. It measures the processor
-// time and the heap of the process, and the number of connections to endpoints. The gateway uses the real decision
-// module. Endpoints reply at once, and the first gateway of the customer changes with each request.
+// BenchmarkFleetSize runs one gateway that is configured for a fleet of the usual size or a larger one. It measures the
+// processor time and the heap of the process, and the number of connections made to endpoints. The gateway uses the
+// real decision module. The other gateways do not run, and one listener that replies at once stands for all endpoints.
+// Each request names another first gateway than the request before.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
 			for b.Loop() {
 				g := measureUsage(b, size)
 				b.ReportMetric(g.cpu.Seconds()*1000, "cpu-ms/play")
-				b.ReportMetric(g.heapMB, "heap-MB")
+				b.ReportMetric(g.heapMiB, "heap-MB")
 				b.ReportMetric(float64(g.connections), "connections/play")
 			}
 		})
@@ -78,7 +80,8 @@
 	return c
 }
 
-// measureUsage runs one gateway in a fleet of a given size, sends it requests, and returns the resource usage.
+// measureUsage runs one gateway that is configured for a fleet of a given size, sends it requests, and returns the
+// resource usage.
 func measureUsage(b *testing.B, size fleetSize) gatewayUsage {
 	b.Helper()
 	address, connections, closeEndpoint := listenReplyingEndpoint(b)
@@ -156,8 +159,8 @@
 	return listener.Addr().String(), connections, func() { _ = listener.Close() }
 }
 
-// replyToAll replies to each request on a connection at once, with a different value each time. It ends with the
-// connection.
+// replyToAll replies to each request on a connection at once, with a different value each time. It returns when a
+// read or a write fails.
 func replyToAll(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	buf, n := make([]byte, 16<<10), 0
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// faultyConn is a connection whose first reads and writes fail, and which reads and writes only a few bytes at a time.
+// faultyConn is a connection whose first reads and writes fail. The others pass at most partSize bytes at a time.
 type faultyConn struct {
 	netcalls.Conn
 	read, write *injectedFailures
-	partSize    int // maximum bytes at a time; 0 for no limit
+	partSize    int // in bytes; 0 for no limit
 }
 
 func (c *faultyConn) firstPart(b []byte) []byte {
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestListenErrorsAtStart checks that the process retries to open its sockets at the start if the calls fail
+// TestListenErrorsAtStart checks that a starting process retries the calls that open its sockets if they fail
 // temporarily.
 func TestListenErrorsAtStart(t *testing.T) {
 	for _, errno := range []syscall.Errno{
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestTransientReadAndWriteErrors checks that a temporary error of a read or a write closes no connection and loses no
-// reply. It also checks that commands and replies stay intact if they are read and written in small parts.
+// TestTransientReadAndWriteErrors checks that requests succeed despite temporary errors of reads and writes, and if
+// commands and replies are read and written in small parts.
 func TestTransientReadAndWriteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
@@ -242,8 +242,8 @@
 	}
 }
 
-// failReadsAndWrites makes the first five reads and the first five writes of each connection fail, and every second
-// non-blocking write. All reads and writes are limited to partSize bytes; 0 for no limit.
+// failReadsAndWrites makes calls fail: the first five reads and the first five blocking writes of each connection, and
+// every second non-blocking write. The other calls read or write at most partSize bytes; 0 stands for no limit.
 func failReadsAndWrites(h *harness, errno syscall.Errno, partSize int) {
 	faulty := func(conn netcalls.Conn) netcalls.Conn {
 		return &faultyConn{conn, newInjectedFailures(5, errno, "read"), newInjectedFailures(5, errno, "write"), partSize}
