--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -48,7 +48,7 @@
 		address, polls := discoverytest.NewManualAgent(t)
 		client := runClient(t, address, pollOften)
 		first, second := firstTwo(t, polls)
-		for range maxConcurrentRetries { // until the second poll, unlike the first, is cancelled
+		for range maxConcurrentRetries { // the last one cancels the second poll; the first stays open
 			receive(t, polls)
 		}
 		first.Write(list)
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -169,7 +169,7 @@
 type failureMode struct {
 	name string
 	fail func(*brokenAgent, *agentConn)          // handles a poll; nil if dial is set
-	dial func(context.Context) (net.Conn, error) // replaces each dial to the agent; nil if fail is set
+	dial func(context.Context) (net.Conn, error) // replaces the dials until the agent recovers; nil if fail is set
 	// updates is the number of updates that the client gets before the failure.
 	updates int
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -38,8 +38,8 @@
 	restartAt = 111.0 // event time at which the endpoint restarts
 )
 
-// TestStartTimesAcrossClockSteps checks the start time of an endpoint if the wall clock is stepped. The step comes
-// before or after the start, and before or after the endpoint is first listed.
+// TestStartTimesAcrossClockSteps checks the event time of an endpoint's start if the wall clock is stepped. The step
+// comes before or after the start, and before or after the endpoint is first listed.
 func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []float64{-3600, -90, -2, 2, 90, 3600} {
 		for _, startAt := range []float64{60, 102.5, 104.5} {
@@ -86,7 +86,7 @@
 
 // TestStartTimesAfterProcessRestart checks that a stated start in the future is taken for the time at which EventTime
 // is first called for it. The stated start is in the future if the wall clock was set back after the start, and this
-// process started after that step. If the future time was used, the endpoint would have its minimum capacity until then.
+// process started after that step. With the future time, the endpoint would have its minimum capacity until then.
 func TestStartTimesAfterProcessRestart(t *testing.T) {
 	var starts StartTimes
 	starts.Sample(100, 1e9)
