--- a/policy/api.go
+++ b/policy/api.go
@@ -303,7 +303,8 @@
 	// Fail gives the final reply to a request that the client may not safely send again, because it may have
 	// executed, or whose class is unknown.
 	Fail(id string, reason Reason)
-	// Cancel cancels an attempt in flight. HandleOutcome receives its end.
+	// Cancel cancels an attempt in flight. The Gateway counts the attempt as in flight until HandleOutcome
+	// reports its end.
 	Cancel(id string, attempt int)
 	// SetTimer schedules a call of HandleTimer with token after delay.
 	SetTimer(token uint64, delay Seconds)
--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -16,7 +16,7 @@
 )
 
 // attemptWatcher checks the open requests at each timer tick for conditions that no event reports: an owner
-// that sends no grant, an endpoint that does not reply, and attempts slow enough to hedge.
+// that sends no grant in time, an endpoint that does not reply, and an attempt that is slow enough to hedge.
 type attemptWatcher struct {
 	clock    *eventClock
 	requests *requestTable
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -12,8 +12,8 @@
 // it.
 type eventClock struct {
 	now Seconds
-	// resumedAt is the time of the first event after the last stall. Time without a reply before it may be due
-	// to the stall, so it does not count against other processes.
+	// resumedAt is the time of the first event after the last stall. Time without a reply before resumedAt may
+	// be due to the stall, so it does not count against other processes.
 	resumedAt Seconds
 }
 
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// resize scales the limit when the number of endpoints changes from before to after.
+// resize adapts the limit and endpointsPerGateway when the number of endpoints changes from before to after.
 func (l *concurrencyLimiter) resize(before, after int) {
 	l.endpointsPerGateway = float64(after) / float64(l.gatewayCount)
 	l.limit *= float64(max(1, after)) / float64(max(1, before))
@@ -95,7 +95,7 @@
 func (l *concurrencyLimiter) observe(elapsed, objective Seconds, timedOut, spareCapacity bool) {
 	l.meanAttemptDuration += latencyMeanGain * (elapsed - l.meanAttemptDuration)
 	l.latencyRatio += latencyMeanGain * (elapsed/objective - l.latencyRatio)
-	// An attempt tells about one endpoint only, so it reduces at most that endpoint's part of the limit.
+	// An attempt tells about one endpoint only, so it does not reduce a large limit in proportion.
 	endpointShare := min(1, initialConcurrencyPerEndpoint/l.limit)
 	if timedOut && !spareCapacity {
 		l.limit *= 1 - timeoutDecrease*endpointShare
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -11,8 +11,8 @@
 
 func (q *dispatchQueue) add(r *request) { q.requests = append(q.requests, r) }
 
-// dequeueFunc calls dequeue for each request, from the highest to the lowest priority, and removes those for
-// which it returns true.
+// dequeueFunc calls dequeue for each request, from the highest to the lowest priority, and removes the
+// requests for which dequeue returns true.
 func (q *dispatchQueue) dequeueFunc(dequeue func(*request) bool) {
 	if q.isEmpty() {
 		return
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -103,7 +103,7 @@
 }
 
 // observeSend decays meanInFlight to now and adds a new attempt, weighted by its expected duration.
-// meanLatency is the mean latency of its class. It must be called before startAttempt, which updates
+// meanLatency is the mean latency of its class. observeSend must be called before startAttempt, which updates
 // lastSentAt.
 func (e *endpoint) observeSend(now, meanLatency Seconds) {
 	expected := min(e.latencyFactor*meanLatency/inFlightTimeConstant, 1)
--- a/policy/final_reply.go
+++ b/policy/final_reply.go
@@ -23,7 +23,7 @@
 }
 
 // rejectOrFail rejects a request if the client may safely send it again, and fails it otherwise. In both
-// cases it finishes the request, and cancels the attempts in flight if attempts can be cancelled.
+// cases it finishes the request. If attempts can be cancelled, it also cancels those in flight.
 func (f *finalReplier) rejectOrFail(r *request, reason Reason) {
 	if r.clientMayRetry() {
 		f.actions.Reject(r.ID, f.maxRetryAfter, reason)
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -9,7 +9,8 @@
 	maxHealthCheckCredits  = 2.0
 )
 
-// healthChecker schedules health checks if endpoints report their load only in replies to them.
+// healthChecker selects the endpoints to check. It is enabled if the settings allow health checks, and
+// endpoints report their load only in replies to them.
 type healthChecker struct {
 	clock     *eventClock
 	slowStart *slowStart
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,8 +11,8 @@
 	return &retryPolicy{maxAttempts: max(1, settings.MaxAttempts), clock: clock}
 }
 
-// allowsAttempt reports whether an attempt of the request may be sent to some endpoint. Whether a
-// particular endpoint may receive it also depends on request.deduplicates.
+// allowsAttempt reports whether an attempt of the request may be sent. endpointPicker decides which endpoint,
+// if any, receives it.
 func (p *retryPolicy) allowsAttempt(r *request) bool {
 	switch {
 	case len(r.attempts) >= p.maxAttempts:
@@ -30,7 +30,7 @@
 	return p.clock.now+r.class.meanLatency <= r.lastUsefulReplyAt()
 }
 
-// rejectionReason returns the reason why allowsAttempt returned false.
+// rejectionReason returns the reason for rejecting a request after allowsAttempt has returned false.
 func (p *retryPolicy) rejectionReason(r *request) Reason {
 	if len(r.attempts) > 0 && p.inTime(r) {
 		return AttemptsExhausted
