--- a/internal/proxy/arrival.go
+++ b/internal/proxy/arrival.go
@@ -10,9 +10,9 @@
 )
 
 // The deadline of a request counts from the arrival of its last byte at this machine. The reader may read that byte
-// much later, if too many commands are open or the process is stalled. The kernel does not report when each byte
-// arrived, so the arrival time is estimated. Where the arrival time is uncertain, the estimate is early rather than
-// late, because a late estimate would extend the deadline.
+// much later, for instance after a stall of the process or a wait for a permit (see acquirePermit). The kernel does not
+// report when each byte arrived, so the arrival time is estimated. Where it is uncertain, the estimate is early rather
+// than late, because a late estimate would extend the deadline.
 
 // arrival holds the estimated arrival times of the bytes of one read.
 type arrival struct {
@@ -32,7 +32,9 @@
 // arrivalTracker records the estimated arrival times of the bytes in a connection's read buffer. The connection's
 // reader owns it.
 type arrivalTracker struct {
-	lastEmptyAt policy.Seconds // when a read last emptied the socket; at first when it was accepted or a stall began
+	// lastEmptyAt is the time at which a read last emptied the socket. Until a read has done so, it is the time at which
+	// the connection was accepted, or the start of a stall that was in progress then or had just ended.
+	lastEmptyAt policy.Seconds
 	reads       []bufferedRead // reads with bytes in the buffer, oldest first
 }
 
@@ -50,7 +52,8 @@
 	t.reads = append(t.reads, bufferedRead{end, arrived})
 }
 
-// commandArrival returns the estimated arrival time of the command that ends at the buffer offset end.
+// commandArrival returns the estimated arrival time of the command that ends at the buffer offset end. If no recorded
+// read reaches that offset, it returns lastEmptyAt.
 func (t *arrivalTracker) commandArrival(end int) policy.Seconds {
 	for _, read := range t.reads {
 		if end <= read.end {
--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -185,7 +185,8 @@
 	return func() bool { return netcalls.ClosedByPeer(open.client.rawConn) }
 }
 
-// pingedClient connects a client that has received a reply to a PING, and returns both ends of the connection.
+// pingedClient connects a client, which must be the only one, and waits for the reply to a PING. It returns both ends of
+// the connection.
 func (h *harness) pingedClient() (c *testConn, conn *clientConn) {
 	h.t.Helper()
 	c = h.client()
@@ -242,7 +243,7 @@
 // TestDisconnectIsDetectedBehindLargeInput checks that a disconnect is detected behind more commands than the receive
 // buffer of a socket holds. Without reading ahead, the FIN behind them would not arrive.
 func TestDisconnectIsDetectedBehindLargeInput(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	_, available := h.resourceUsage()
 	c := h.client()
 	var all strings.Builder
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// To stop the listener, the event loop sets a deadline on it. After each timeout of accept, the next
-	// deadline is listenerQuietPeriod later. An accept that times out after at least half of that time counts as a quiet
-	// period.
+	// listenerQuietPeriod is the time from a timeout of accept to the next deadline, once the event loop has set the first
+	// deadline to stop the listener. If accept times out after waiting for at least half of it, that is a quiet period:
+	// no connection seems to be waiting.
 	listenerQuietPeriod = 10 * time.Millisecond
 	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. Connections may be accepted
-	// between them, but a timeout after a shorter wait resets the count.
+	// between quiet periods, but a timeout after a shorter wait resets the count.
 	quietPeriodsToClose = 2
 )
 
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// handleError handles a read error: an interruption for a pause, the timeout of a command or the end of the connection.
-// It reports whether to continue.
+// handleError handles a read error. The event loop may have interrupted the read for a pause, a command may have timed
+// out, or the connection may have ended. It reports whether to continue.
 func (r *clientReader) handleError(at policy.Seconds, err error) (more bool) {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
@@ -186,8 +186,9 @@
 	return used, true
 }
 
-// handleCommand posts one complete command, which arrived at arrivedAt, to the event loop as an event of the time at.
-// If the command is invalid, it returns the error to send to the client.
+// handleCommand posts an event for one complete command to the event loop. at is the time of the event, and arrivedAt is
+// the estimated arrival time of the command. If the command is invalid, handleCommand posts nothing and returns the
+// error to send to the client.
 func (r *clientReader) handleCommand(at, arrivedAt policy.Seconds, args [][]byte) error {
 	shared, c := r.services, r.client
 	requests := c.set.requests
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -130,7 +130,7 @@
 
 // makeRoom evicts idle and stalled connections, the lowest eviction rank first, until fewer than limit connections
 // are open. Connections whose close was requested are not counted. newcomer, which may be nil, is neither counted nor
-// evicted. makeRoom reports whether limit or more remain because no other one can be evicted.
+// evicted. makeRoom returns true if limit or more connections remain and none of them can be evicted.
 func (s *clientSet) makeRoom(newcomer *clientConn) (overLimit bool) {
 	for {
 		candidate, others := s.evictionCandidate(newcomer)
@@ -171,13 +171,13 @@
 // evictionRank is the order of eviction: connections of the lowest rank are evicted first.
 type evictionRank int
 
-// Ranks of a connection, by its state.
+// Ranks of idle and stalled connections, in the order of eviction.
 const (
 	rankLastReplyQueued evictionRank = iota // the connection's last reply was queued
 	rankNothingReceived                     // the client has not sent any bytes
 	rankIdle                                // a command was handled, none is open, and no reply is left to write
-	// rankUnhandledInput is the rank of a connection whose first input, or whose close by the client, is not handled
-	// yet. It stays open until then, so evicting it frees no descriptor immediately.
+	// rankUnhandledInput: the client has sent its first input or closed the connection, and the event loop has not handled
+	// that yet. Until it has, an eviction frees no descriptor.
 	rankUnhandledInput
 	rankStalled // the client does not read its replies
 )
--- a/internal/proxy/client_writer.go
+++ b/internal/proxy/client_writer.go
@@ -19,8 +19,8 @@
 	maxKeptOutput = 4 * readbuf.InitialSize
 )
 
-// flush queues the replies that are due, in the order of their commands, and writes them. While a writer goroutine is
-// running, it only queues them: writeFinished writes them later. Event loop only.
+// flush queues the replies that are due, in the order of their commands, and writes them. If a writer goroutine is
+// running, writeFinished writes them later. Event loop only.
 func (c *clientConn) flush() {
 	if c.closed {
 		return
--- a/internal/proxy/client_writer_test.go
+++ b/internal/proxy/client_writer_test.go
@@ -11,7 +11,7 @@
 // TestStalledClientIsEvicted checks that an idle client is evicted before a client that does not read its replies. If
 // no client is idle, a client is evicted if the write of its replies has made no progress for a long time.
 func TestStalledClientIsEvicted(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 		h.proxy.clients.limit = 2
 		h.decider.onRequest = func(q policy.Request) {
 			h.proxy.requests.reply(h.proxy.requests.byID[q.ID], []byte(strings.Repeat("x", 60_000)), noReason)
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -30,7 +30,7 @@
 			if tc.before != "" {
 				timeout = time.Hour // must not pass before the first reply, even on a busy machine
 			}
-			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.commandTimeout = timeout })
+			h := startProxy(t, testConfig(unreachableAddress), func(h *harness) { h.proxy.clients.commandTimeout = timeout })
 			c := h.client()
 			if tc.before != "" {
 				if c.write(tc.before); c.readLine() != "+PONG" {
@@ -45,7 +45,7 @@
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), nil)
+		h := startProxy(t, testConfig(unreachableAddress), nil)
 		c := h.client()
 		c.write(encodeCommand(lookCommand("a")...))
 		receive(t, h.decider.requests)
@@ -63,7 +63,7 @@
 // TestMalformedInputBehindRequestKeepsItsReply checks that an open request gets its reply if malformed input follows it:
 // the connection stays open until all earlier commands have their replies.
 func TestMalformedInputBehindRequestKeepsItsReply(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + "*1\r\n$60000000\r\n")
 	receive(t, h.decider.requests)
@@ -84,7 +84,7 @@
 // TestConnectionClosesAfterMaxBadCommands checks that a connection is closed after maxBadCommands invalid commands, so
 // that a client cannot keep the event loop busy with them.
 func TestConnectionClosesAfterMaxBadCommands(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	c := h.client()
 	c.write(strings.Repeat(encodeCommand("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
@@ -100,7 +100,7 @@
 // TestSilentClientsAreEvictedFirst checks that clients that have sent nothing are evicted before idle clients that have
 // sent a command.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) { h.proxy.clients.limit = 2 })
 	pinged := h.client()
 	pinged.mustPing()
 	silent := h.client()
@@ -117,7 +117,7 @@
 // TestIdleClientsTimeOut checks that a connection that has been idle for too long after a command is closed, and that a
 // connection with an open request does not count as idle.
 func TestIdleClientsTimeOut(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	busy, idle := h.client(), h.client()
 	h.openRequest(busy, "a")
 	idle.mustPing()
@@ -144,13 +144,13 @@
 	b.readCommand()
 	var completed *request
 	h.onLoop(func() { completed = h.proxy.requests.byID["a"] })
-	if openTimers, less := h.resourceUsage(); openTimers != timers+2 || less >= available {
-		t.Errorf("%d timers and %d bytes available during the request, %d and %d before, want 2 timers more and fewer bytes", openTimers, less, timers, available)
+	if timersDuring, availableDuring := h.resourceUsage(); timersDuring != timers+2 || availableDuring >= available {
+		t.Errorf("%d timers and %d bytes available during the request, %d and %d before, want 2 timers more and fewer bytes", timersDuring, availableDuring, timers, available)
 	}
 	b.write(valueReply)
 	receive(t, h.decider.outcomes)
-	if again, now := h.resourceUsage(); again != timers || now != available || completed.Args != nil {
-		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request, want the same; arguments %q, want none", again, now, timers, available, completed.Args)
+	if timersAfter, availableAfter := h.resourceUsage(); timersAfter != timers || availableAfter != available || completed.Args != nil {
+		t.Errorf("%d timers and %d bytes available after the reply, %d and %d before the request, want the same; arguments %q, want none", timersAfter, availableAfter, timers, available, completed.Args)
 	}
 }
 
@@ -158,7 +158,7 @@
 // connections together, and that the whole budget is available again once the requests are done and the connections
 // closed.
 func TestClientsShareInputBudget(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 		h.proxy.inputBudget = readbuf.NewBudget(30_000, 30_000)
 	})
 	big := func(id string) string {
@@ -188,7 +188,7 @@
 // TestPipelinedRepliesAreWrittenOnceInOrder checks that replies are written in the order of the commands even if a
 // later command is decided first, and that only the reply of the first decision on a request is written.
 func TestPipelinedRepliesAreWrittenOnceInOrder(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	c := h.client()
 	c.write(encodeCommand(lookCommand("a")...) + encodeCommand(lookCommand("b")...) +
 		encodeCommand("PING") + encodeCommand("SELECT", "0"))
@@ -215,7 +215,7 @@
 	requestWith := func(old, replaced string) string {
 		return encodeCommand("CALL.GET", testCustomer, "a", strings.Replace(fields, old, replaced, 1))
 	}
-	h := startProxy(t, testConfig(unreachableAgent), nil)
+	h := startProxy(t, testConfig(unreachableAddress), nil)
 	for want, input := range map[string]string{
 		"-ERR Protocol error: expected '*'":           "GET / HTTP/1.1\r\n",
 		"-ERR Protocol error: invalid length":         "*2\r\n$-2\r\nab\r\n",
@@ -267,7 +267,7 @@
 // TestLongestIdleClientIsEvicted checks that a new connection beyond the limit evicts the connection that has been idle
 // for longest, so that descriptors do not run out.
 func TestLongestIdleClientIsEvicted(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { h.proxy.clients.limit = 2 })
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) { h.proxy.clients.limit = 2 })
 	var conns []*testConn
 	for range 3 {
 		c := h.client()
@@ -286,7 +286,7 @@
 // allowance, are rejected with a reply. The connection is served once another one is idle and can be evicted. Closing
 // the connection immediately would lose the request that its client has already sent.
 func TestClientsBeyondLimitGetBusyReply(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 		h.proxy.clients.limit, h.proxy.clients.overLimitAllowance = 1, 1
 	})
 	busy := h.client()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -71,9 +71,9 @@
 	d.clients.closeIdle()
 }
 
-// expire runs at the timeout of the drain, sigkillMargin before SIGKILL. It fails the open requests, so that their
-// replies can still reach the clients, and rejects later requests. sigkillMargin/2 later it shuts down the sending
-// sides of the connections, and sigkillMargin/4 after that it closes those that are still open.
+// expire runs at the timeout of the drain, sigkillMargin before SIGKILL. It fails the open requests, early
+// enough for the error replies to reach the clients, and rejects later requests. sigkillMargin/2 later it shuts down
+// the sending sides of the connections, and sigkillMargin/4 after that it closes those that are still open.
 func (d *drain) expire() {
 	d.timedOut = true
 	if !d.acceptingStopped {
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -55,7 +55,7 @@
 // fleetConfig returns the configuration of one gateway. All its endpoints have the given address.
 func fleetConfig(size fleetSize, address string) config.Config {
 	c := config.Config{
-		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024, MemoryMB: 192, Seed: 1,
+		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAddress, MaxDescriptors: 1024, MemoryMB: 192, Seed: 1,
 		Settings: settings.Settings{DialTimeout: time.Second, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: size.gateways,
 			MaxRequestUnits: 6, MaxAttempts: 4, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true, PeerMessages: true, PeerMessageRate: 40,
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -106,9 +106,8 @@
 	reloads   chan config.Config
 }
 
-// unreachableAgent is an address that refuses connections. It stands for the discovery agent in testConfig, and for
-// endpoints in tests.
-const unreachableAgent = "127.0.0.1:1"
+// unreachableAddress is an address that refuses connections, for a discovery agent or an endpoint.
+const unreachableAddress = "127.0.0.1:1"
 
 // inService returns an endpoint list entry whose state is in service.
 func inService(id, addr string) discovery.Endpoint {
@@ -118,7 +117,7 @@
 // testConfig returns a configuration with the endpoints s0, s1, ... at the given addresses.
 func testConfig(addresses ...string) config.Config {
 	c := config.Config{
-		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAgent, MaxDescriptors: 1024,
+		Name: "n0", ListenAddress: "127.0.0.1:0", DiscoveryAddress: unreachableAddress, MaxDescriptors: 1024,
 		Settings: settings.Settings{DialTimeout: time.Minute, Settings: policy.Settings{
 			ConnectionIdleTimeout: 15, GatewayCount: 2, MaxRequestUnits: 6,
 			MaxAttempts: 5, MaxRetryAfter: 1, RetryAfter: true, Cancellation: true,
@@ -160,8 +159,8 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// startProxy starts a proxy, and ends it when the test ends. change, which may be nil, modifies the harness before the
-// start.
+// startProxy starts a proxy, and ends it when the test ends. Before the start, it calls change on the harness, unless
+// change is nil.
 func startProxy(t *testing.T, cfg config.Config, change func(*harness)) *harness {
 	t.Helper()
 	p, err := open(context.Background(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), netcalls.System())
@@ -177,7 +176,7 @@
 	p.endpoints.writeTimeout = 3600
 	p.discovery.PollRetryInterval = time.Hour // a poll without a response is not repeated during a test
 	polled := make(chan struct{})
-	if cfg.DiscoveryAddress == unreachableAgent { // after a failed poll, wait forever, so that polls cause no later events
+	if cfg.DiscoveryAddress == unreachableAddress { // after a failed poll, wait forever, so that polls cause no later events
 		p.discovery.After = func(time.Duration) <-chan time.Time {
 			close(polled)
 			return nil
@@ -233,19 +232,19 @@
 func (h *harness) whileLoopBlocked(action func(), condition func() bool, next func()) {
 	h.t.Helper()
 	waiting, resume, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	held := false
+	conditionMet := false
 	h.proxy.loop.Post(0, func() {
 		defer close(done)
 		close(waiting)
 		<-resume
-		held = waitFor(condition)
+		conditionMet = waitFor(condition)
 		next()
 	})
 	receive(h.t, waiting)
 	action()
 	close(resume)
 	<-done // waitFor returns after testTimeout at the latest
-	if !held {
+	if !conditionMet {
 		h.t.Fatal("timed out waiting for the condition while the event loop was blocked")
 	}
 }
@@ -341,9 +340,9 @@
 	}
 }
 
-// startWithAttempt starts a proxy with one endpoint and sends request a through it. c is the client's end of its
-// connection, and b is the endpoint's end of the connection on which it has read the command. conns receives further
-// connections to the endpoint.
+// startWithAttempt starts a proxy with one endpoint, and sends request a to the proxy. c is the connection of the
+// client. b is the endpoint's end of the backend connection, on which the endpoint has read the command. conns receives
+// further connections to the endpoint.
 func startWithAttempt(t *testing.T) (h *harness, c, b *testConn, conns chan *testConn) {
 	t.Helper()
 	addr, conns := listenEndpoint(t)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -152,8 +152,8 @@
 	return redcon.AppendError(nil, "BUSY "+strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 }
 
-// reply gives a request its final reply. It does nothing if the request is done. why is the reason for a rejection or an
-// error, and noReason for a value.
+// reply gives a request its final reply. It does nothing if the request is done. The parameter why is the reason for a
+// rejection or an error, and noReason for a value.
 func (t *requestTable) reply(r *request, reply []byte, why policy.Reason) {
 	if r.done {
 		return
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -18,7 +18,7 @@
 		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+			h := startProxy(t, testConfig(unreachableAddress), rejectEachRequest)
 			c := h.client()
 			c.mustPing()
 			h.whileLoopBlocked(func() { c.send(lookCommand("a")...) }, h.queued(1), func() { end(h) })
@@ -33,7 +33,7 @@
 		})
 	}
 	t.Run("behind a reply in a graceful shutdown", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), nil)
+		h := startProxy(t, testConfig(unreachableAddress), nil)
 		c := h.client()
 		h.openRequest(c, "a")
 		h.onLoop(h.proxy.drain.stopAccepting)
@@ -42,7 +42,7 @@
 		c.wantLines("-ERR failed", "-BUSY 500", "")
 	})
 	t.Run("at the end of a graceful shutdown", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), nil)
+		h := startProxy(t, testConfig(unreachableAddress), nil)
 		c := h.client()
 		h.openRequest(c, "a")
 		h.whileLoopBlocked(func() { c.send(lookCommand("b")...) }, h.queued(1), func() {
@@ -57,7 +57,7 @@
 // TestPartialCommandIsServedBeforeClose checks that a drain does not close a connection on which a part of a command
 // was read, and that the command is served when its rest arrives.
 func TestPartialCommandIsServedBeforeClose(t *testing.T) {
-	h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+	h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 		rejectEachRequest(h)
 		h.proxy.clients.commandTimeout = time.Hour
 	})
@@ -76,13 +76,13 @@
 // were accepted while the event loop was busy nor those that are still in the backlog.
 func TestPendingConnectionsAreAcceptedAtShutdown(t *testing.T) {
 	t.Run("accepted", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+		h := startProxy(t, testConfig(unreachableAddress), rejectEachRequest)
 		var c *testConn
 		h.whileLoopBlocked(func() { c = h.client(); c.send(lookCommand("a")...) }, h.queued(2), h.proxy.drain.stopAccepting)
 		c.wantLines("-BUSY 500", "")
 	})
 	t.Run("in the backlog", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 			rejectEachRequest(h)
 			h.proxy.clients.connSlots = make(chan struct{}, 1) // one connection takes the only slot
 		})
@@ -102,16 +102,16 @@
 // TestShutdownEndsBeforeSIGKILL checks that the drain times out after the accept grace and at most 200 ms before
 // SIGKILL arrives. The time of SIGKILL depends on the longest request timeout.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
-	for _, deadlineS := range []float64{0.35, 2, 6} {
-		cfg := testConfig(unreachableAgent)
+	for _, longestTimeout := range []float64{0.35, 2, 6} {
+		cfg := testConfig(unreachableAddress)
 		for i := range cfg.Settings.Classes {
-			cfg.Settings.Classes[i].Timeout = deadlineS / float64(i+1)
+			cfg.Settings.Classes[i].Timeout = longestTimeout / float64(i+1)
 		}
-		kill := time.Duration(min(deadlineS, 3)*float64(time.Second)) + 700*time.Millisecond
+		sigkillAfter := time.Duration(min(longestTimeout, 3)*float64(time.Second)) + 700*time.Millisecond
 		h := startProxy(t, cfg, nil)
 		h.onLoop(func() {
-			if d := h.proxy.drain.timeout; d >= kill || d < kill-200*time.Millisecond || d <= h.proxy.drain.acceptGrace {
-				t.Errorf("request timeout %g s: the drain times out after %v, SIGKILL arrives after %v, want a timeout after the accept grace and at most 200 ms before SIGKILL", deadlineS, d, kill)
+			if d := h.proxy.drain.timeout; d >= sigkillAfter || d < sigkillAfter-200*time.Millisecond || d <= h.proxy.drain.acceptGrace {
+				t.Errorf("longest request timeout %g s: the drain times out after %v, SIGKILL arrives after %v, want a timeout after the accept grace and at most 200 ms before SIGKILL", longestTimeout, d, sigkillAfter)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 		"evicted":  (*harness).evictIdleClient,
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := startProxy(t, testConfig(unreachableAgent), rejectEachRequest)
+			h := startProxy(t, testConfig(unreachableAddress), rejectEachRequest)
 			c := h.client()
 			for i := range 3 {
 				c.send(lookCommand(fmt.Sprint("a", i))...)
@@ -183,14 +183,14 @@
 		receive(t, h.ended)
 	})
 	t.Run("with nothing open", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+		h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 			h.proxy.drain.acceptGrace, h.proxy.drain.timeout = time.Millisecond, time.Hour
 		})
 		h.terminate()
 		receive(t, h.ended) // once the accept grace is over
 	})
 	t.Run("that takes too long", func(t *testing.T) {
-		h := startProxy(t, testConfig(unreachableAgent), nil)
+		h := startProxy(t, testConfig(unreachableAddress), nil)
 		c := h.client()
 		h.openRequest(c, "mute")
 		h.onLoop(func() { h.proxy.drain.stopAccepting(); h.proxy.drain.expire() })
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// wantNoDatagramLost checks that no datagram is lost if one event queues one to each other gateway.
+// wantNoDatagramLost checks that no datagram is lost if a single event queues a datagram to every other gateway.
 func (h *harness) wantNoDatagramLost() {
 	h.t.Helper()
 	h.onLoop(func() {
@@ -145,7 +145,7 @@
 }
 
 // TestReadyWithoutDiscovery checks when a gateway is ready while discovery does not reply: immediately if its initial
-// list has an endpoint in service, and otherwise from readyAt on. Until then, discovery has time to provide endpoints.
+// list has an endpoint in service, and otherwise from readyAt on. That gives discovery time to provide endpoints.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, endpoints := range map[string][]discovery.Endpoint{
 		"no list":       nil,
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -107,7 +107,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			fault := newInjectedFailures(3, errno, "accept")
-			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) {
+			h := startProxy(t, testConfig(unreachableAddress), func(h *harness) {
 				shortenRetryPauses(h)
 				rejectEachRequest(h)
 				accept := h.proxy.calls.Accept
@@ -298,7 +298,7 @@
 			return &failAfterReadConn{conn, newInjectedFailures(1, errno, "read").err}
 		}
 		t.Run("client, "+errno.Error(), func(t *testing.T) {
-			h := startProxy(t, testConfig(unreachableAgent), func(h *harness) { wrapClientConns(h, failAfterRead) })
+			h := startProxy(t, testConfig(unreachableAddress), func(h *harness) { wrapClientConns(h, failAfterRead) })
 			h.client().send(lookCommand("a")...)
 			if id := receive(t, h.decider.disconnected); id != "a" {
 				t.Errorf("the client's disconnect was reported for request %q, want a", id)
--- a/internal/proxy/test_conn_test.go
+++ b/internal/proxy/test_conn_test.go
@@ -128,11 +128,12 @@
 	}
 }
 
-// wantValue checks that the next reply is "v", the value that valueReply holds. what names the reply in the error.
-func (c *testConn) wantValue(what string) {
+// wantValue checks that the next reply is "v", the value that valueReply holds. Otherwise, the test error contains
+// replyName.
+func (c *testConn) wantValue(replyName string) {
 	c.t.Helper()
 	if length, value := c.readLine(), c.readLine(); length != "$1" || value != "v" {
-		c.t.Errorf("%s: got %q, %q, want the value v", what, length, value)
+		c.t.Errorf("%s: got %q, %q, want the value v", replyName, length, value)
 	}
 }
 
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -29,7 +29,8 @@
 // enabled reports whether the log level includes the trace.
 func (t *tracer) enabled() bool { return t.services.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// accepted logs when a request's last byte arrived, when the event loop handled the request, and its deadline.
+// accepted logs that a request was opened, with its connection, the estimated arrival time of its last byte, the current
+// time and the deadline.
 func (t *tracer) accepted(r *request) {
 	if !t.enabled() {
 		return
@@ -40,8 +41,8 @@
 	)
 }
 
-// attemptSent logs that the command of an attempt was completely written. The write began at writeStarted and ended at
-// the time at. Any goroutine may call attemptSent, because the fields that it reads no longer change.
+// attemptSent logs that the command of an attempt was completely written. writeStarted and at are the times at which the
+// write began and ended. Any goroutine may call attemptSent, because the fields that it reads no longer change.
 func (t *tracer) attemptSent(a *attempt, to discovery.Endpoint, writeStarted, at policy.Seconds) {
 	if !t.enabled() || a.request == nil {
 		return
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -31,7 +31,7 @@
 		receive(t, h.decider.outcomes)
 		got := regexp.MustCompile(`(?m)^.*level=(WARN|INFO).*\n`).ReplaceAllString(log.text(), "")
 		if !regexp.MustCompile(want).MatchString(got) {
-			t.Errorf("the trace at level %v is not as expected: %q", level, got)
+			t.Errorf("at level %v the trace is %q, want that of request a at debug level and none at info level", level, got)
 		}
 	}
 }
