--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -107,7 +107,7 @@
 
 // updateDeadline sets a read deadline when a command is first found unfinished, and clears it when no command is
 // unfinished. Further parts of the command do not extend the deadline, and the first command of the connection keeps
-// the one that run has set. used is the total length of the commands that were handled; unfinished reports whether a
+// the deadline that run has set. used is the total length of the commands that were handled; unfinished is true if a
 // part of another command follows them.
 func (r *clientReader) updateDeadline(used int, unfinished bool) {
 	switch {
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -95,9 +95,10 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, and connections with maxPipelined unfinished commands
-// whose client has disconnected. If more than limit are open, it evicts idle and stalled ones. The idle timeout applies
-// only after the first command: until then, the reader enforces the command timeout.
+// sweep closes connections that have been idle for too long. It also closes a connection whose client has disconnected
+// if the connection has maxPipelined or more unfinished commands. If more than limit are open, it evicts idle and
+// stalled ones. The idle timeout applies only after the first command: until then, the reader enforces the command
+// timeout.
 func (s *clientSet) sweep() {
 	now := s.services.loop.Now()
 	for c := range s.conns {
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -15,7 +15,7 @@
 	// them.
 	evictionDivisor = 8
 	// limitRecoveryDivisor determines how fast a lowered client limit recovers: each check that finds a free descriptor
-	// raises it by 1/limitRecoveryDivisor of the configured limit.
+	// raises it by about 1/limitRecoveryDivisor of the configured limit.
 	limitRecoveryDivisor = 32
 )
 
