--- a/policy/attempt_watcher_test.go
+++ b/policy/attempt_watcher_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// After a stall of the gateway, the reply to an attempt may still be unread in its socket. The gateway must
-// not treat the attempt as slow and hedge it.
+// A gateway reads no replies during a stall. After the stall, it must not take an attempt for slow and hedge
+// it, because the reply may have arrived without being read.
 func TestNoHedgeAfterOwnStall(t *testing.T) {
 	attempts := func(from, to Seconds, stalled bool) int {
 		g, recorded := newLargeFleetGateway(t)
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestNewClientTimeoutIsNotTakenForRetries checks that the requests of a customer below its rate are all sent
-// after its clients have changed their timeout.
+// once the detector has adapted to a new client timeout.
 func TestNewClientTimeoutIsNotTakenForRetries(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	now := 100.0
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestClientRetriesAreDetected checks that a client's retry is rejected if its reply is expected after the
-// latency objective. A retry keeps the deadline of the first attempt, and its latency objective counts from
-// that attempt.
+// TestClientRetriesAreDetected checks that a client's retry is rejected if no reply is expected within the
+// latency objective, which counts from the client's first attempt. A request with an uncommonly short time
+// until its deadline counts as a retry only if its customer had a recent rejection or exceeds its rate.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	for i := range 40 {
@@ -51,7 +51,7 @@
 	}
 	g.quota.customers.find(Request{Customer: "x", Plan: "basic"}).rejectedAt = 149
 	if sent, rejected := send("late", "x", 0.8); sent != 0 || rejected != 1 {
-		t.Fatal("a retry past its objective was forwarded")
+		t.Fatal("a retry past its objective was not rejected")
 	}
 	if sent, _ := send("soon", "x", 1.7); sent != 1 {
 		t.Fatal("a retry that can still meet its objective was rejected")
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestEventClockCountsFromTheEndOfAStall checks that since does not count the time before the end of a
-// stall. A stalled gateway reads no replies, so that time says nothing about other processes.
+// TestEventClockCountsFromTheEndOfAStall checks that eventClock.since does not count the time before the
+// end of a stall. A stalled gateway reads no replies, so that time says nothing about other processes.
 func TestEventClockCountsFromTheEndOfAStall(t *testing.T) {
 	clock := &eventClock{now: 100}
 	clock.advance(100.05)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -26,7 +26,8 @@
 }
 
 // TestSmallLimitAllowsShortBursts checks that a gateway of a large fleet sends several requests that arrive
-// at once. Its limit is below 3 attempts, so without the burst allowance some of the requests would wait.
+// at the same time, without queuing any. Its limit is below 3 attempts, so some of the requests would wait
+// without the burst allowance.
 func TestSmallLimitAllowsShortBursts(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
 	if g.limiter.limit >= 3 {
@@ -105,13 +106,13 @@
 		limiter.observe(0.01, 1, false, true)
 	}
 	if limiter.limit != 10*maxConcurrencyPerEndpoint {
-		t.Errorf("fast replies raise the limit to %v, want the maximum", limiter.limit)
+		t.Errorf("fast replies raise the limit to %v, want 10 × maxConcurrencyPerEndpoint", limiter.limit)
 	}
 	for range 10_000 {
 		limiter.observe(1, 1, true, false)
 	}
 	if limiter.limit != 10*minConcurrencyPerEndpoint {
-		t.Errorf("timeouts lower the limit to %v, want the minimum", limiter.limit)
+		t.Errorf("timeouts lower the limit to %v, want 10 × minConcurrencyPerEndpoint", limiter.limit)
 	}
 }
 
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// A request that could not be written to an endpoint is rejected after firstWriteFraction of the time until
-// its deadline, so that the client still has time for a retry.
+// A queued request that was never written to an endpoint is rejected after firstWriteFraction of the time
+// from its arrival to its deadline, so that the client still has time for a retry.
 func TestUnwrittenRequestIsRejectedEarly(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
 	g.HandleEndpoints(100, nil, true)
--- a/policy/endpoint_picker_test.go
+++ b/policy/endpoint_picker_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestIdleConnectionsCountWhileTheyLast checks that connections in use and closed connections do not count as
-// idle. An attempt without a reply closes its connection, and an endpoint closes an idle connection after the
+// idle. An attempt that times out closes its connection, and an endpoint closes an idle connection after the
 // idle timeout.
 func TestIdleConnectionsCountWhileTheyLast(t *testing.T) {
 	g, r := newLargeFleetGateway(t)
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -34,7 +34,7 @@
 	e.observeSend(100, 0.3)
 	e.startAttempt(100, 30)
 	if math.Abs(e.meanInFlight-0.3) > 1e-9 {
-		t.Fatalf("the mean is %v after an attempt of 0.3 s in 1 s, want 0.3", e.meanInFlight)
+		t.Fatalf("the mean is %v after the first attempt, of 0.3 s, want 0.3", e.meanInFlight)
 	}
 	if got := e.meanInFlight * e.inFlightDecay(100+2*inFlightTimeConstant); math.Abs(got-0.3*math.Exp(-2)) > 1e-9 {
 		t.Errorf("the mean is %v after two time constants, want 0.3 × exp(-2)", got)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -18,23 +18,23 @@
 
 	defaultServiceRate          = 20.0 // attempts per second that a warm endpoint serves on average
 	endpointQueueLength         = 25.0 // attempts of mean duration; an endpoint with a longer queue rejects
-	networkDelay        Seconds = 0.01
+	networkDelay        Seconds = 0.01 // delay of a success or rejection
 
 	listDelay       Seconds = 0.5 // maximum time until a gateway learns that an endpoint has restarted
 	faultyListDelay Seconds = 3   // listDelay with faults
 
-	burstDuration       Seconds = 3   // duration of the burst of requests that starts at restartAt, with faults
-	burstFactor                 = 2.0 // multiplies the request rate during the burst
-	gatewayRestartShare         = 0.9 // probability that a gateway restarts, with faults
-	gatewayRestartDelay Seconds = 4   // maximum time from restartAt to the restart of a gateway
+	burstDuration             Seconds = 3   // duration of the burst of requests that starts at restartAt, with faults
+	burstFactor                       = 2.0 // multiplies the request rate during the burst
+	gatewayRestartProbability         = 0.9 // probability that a gateway restarts, with faults
+	gatewayRestartDelay       Seconds = 4   // maximum time from restartAt to the restart of a gateway
 
 	clientTimeout Seconds = 1.5
 )
 
 // Retries of simulated clients.
 const (
-	clientRetryRate = 0.7 // probability of a retry after a rejection or failure
-	maxClientRetry  = 3
+	clientRetryProbability = 0.7 // probability of a retry after a rejection or failure
+	maxClientRetries       = 3   // per request
 )
 
 // fleetCase configures a simulation.
@@ -68,7 +68,8 @@
 	return min(1, settings.SlowStartMinCapacity+(1-settings.SlowStartMinCapacity)*age/settings.SlowStartDuration)
 }
 
-// serve returns the status and the end time of an attempt that is sent now.
+// serve queues or rejects an attempt that is sent now, and returns its status and the time at which it ends.
+// rate is the number of attempts per second that the endpoint serves on average.
 func (e *simulatedEndpoint) serve(now, timeout Seconds, rate float64, random *rand.Rand) (AttemptStatus, Seconds) {
 	if e.busyUntil > now+endpointQueueLength/rate {
 		return Rejected, now + networkDelay
@@ -80,9 +81,9 @@
 	return OK, e.busyUntil + networkDelay
 }
 
-// maxSentWithin counts the attempts in each window that starts with an attempt after the restart. It returns
+// worstWindow counts the attempts in each window that starts with an attempt after the restart. It returns
 // the largest ratio of such a count to the bound of the window, and a description of that window.
-func (e *simulatedEndpoint) maxSentWithin(window Seconds, bound func(from Seconds) float64) (ratio float64, windowDescription string) {
+func (e *simulatedEndpoint) worstWindow(window Seconds, bound func(from Seconds) float64) (ratio float64, windowDescription string) {
 	for i, from := range e.sent {
 		if e.restartedAt == 0 || from < e.restartedAt {
 			continue
@@ -138,8 +139,8 @@
 	settings       Settings
 	random         *rand.Rand
 	gateways       []*simulatedGateway
-	weights        []float64 // cumulative traffic weights of the gateways
-	list           []Endpoint
+	weights        []float64  // cumulative traffic weights of the gateways
+	list           []Endpoint // endpoint list before the restarts
 	endpoints      map[string]*simulatedEndpoint
 	clientAttempts map[string]clientAttempt // by request ID
 	events         simulationEvents
@@ -219,7 +220,7 @@
 
 // announceRestarts schedules the times at which the gateway learns of the restarts of endpoints, a random
 // time for each endpoint. With faults, it also schedules a restart of the gateway, with the probability
-// gatewayRestartShare.
+// gatewayRestartProbability.
 func (f *fleetSimulation) announceRestarts(gateway *simulatedGateway) {
 	delay := listDelay
 	if f.faults {
@@ -233,7 +234,7 @@
 			gateway.policy.HandleEndpoints(now, []Endpoint{entry}, false)
 		})
 	}
-	if f.faults && f.random.Float64() < gatewayRestartShare {
+	if f.faults && f.random.Float64() < gatewayRestartProbability {
 		f.schedule(restartAt+gatewayRestartDelay*f.random.Float64(), func(now Seconds) {
 			gateway.start(now, f.list)
 			gateway.policy.HandleEndpoints(now, known, false)
@@ -266,12 +267,12 @@
 }
 
 // retry sends a rejected or failed request again after a random delay, to a random gateway. It does so with
-// the probability clientRetryRate, at most maxClientRetry times per request, and only if more than 0.05 s are
-// then left until the deadline.
+// the probability clientRetryProbability, at most maxClientRetries times per request, and only if more than
+// 0.05 s are then left until the deadline.
 func (f *fleetSimulation) retry(id string) {
 	attempt := f.clientAttempts[id]
 	delete(f.clientAttempts, id)
-	if f.random.Float64() > clientRetryRate || attempt.previousAttempts >= maxClientRetry {
+	if f.random.Float64() > clientRetryProbability || attempt.previousAttempts >= maxClientRetries {
 		return
 	}
 	f.schedule(f.now+0.1+0.3*f.random.Float64(), func(now Seconds) {
@@ -282,7 +283,8 @@
 }
 
 // overloadBound returns the largest number of attempts that an endpoint may get in a window starting at from:
-// the overload limit at its capacity at that time, plus a margin for random variation.
+// OverloadMultiple times the attempts that it serves on average in OverloadWindow with its capacity at from,
+// plus a margin for random variation.
 func (f *fleetSimulation) overloadBound(e *simulatedEndpoint, from Seconds) float64 {
 	allowed := f.settings.OverloadMultiple * f.serviceRate * e.capacity(from, f.settings) * f.settings.OverloadWindow
 	if allowed < 30 {
@@ -291,12 +293,12 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// worstOverload calls maxSentWithin for each endpoint, with windows of OverloadWindow and overloadBound as
+// worstOverload calls worstWindow for each endpoint, with windows of OverloadWindow and overloadBound as
 // the bound. It returns the largest ratio and the description of its window.
 func (f *fleetSimulation) worstOverload() (ratio float64, windowDescription string) {
 	for _, e := range f.endpoints {
 		bound := func(from Seconds) float64 { return f.overloadBound(e, from) }
-		if r, description := e.maxSentWithin(f.settings.OverloadWindow, bound); r > ratio {
+		if r, description := e.worstWindow(f.settings.OverloadWindow, bound); r > ratio {
 			ratio, windowDescription = r, description
 		}
 	}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A gateway of a large fleet learns the utilization and outlier scores of endpoints from the messages of
-// other gateways, and forwards them.
+// A gateway learns the utilization and outlier scores of endpoints from the messages of other gateways, and
+// forwards them.
 func TestGossipIsForwarded(t *testing.T) {
 	a, ra, ask := newTestMember(t, withGatewayCount(100))
 	b, rb := newTestGateway(t, func(s *Settings) { s.GatewayCount, s.Self = 100, 1 })
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -177,8 +177,9 @@
 // withGatewayCount sets the size of the fleet.
 func withGatewayCount(n int) func(*Settings) { return func(s *Settings) { s.GatewayCount = n } }
 
-// ownerReply returns the index of the owner and its encoded reply to the first record of the last message
-// that the gateway has sent. change modifies the reply before it is encoded.
+// ownerReply makes up an owner's reply to the first record of the last message that the gateway has sent. It
+// returns the index of that owner and the encoded reply, which has the sequence number seq. change modifies
+// the record of the reply before it is encoded.
 func ownerReply(t *testing.T, r *recorder, seq uint16, change func(*usageRecord)) (from int, data []byte) {
 	t.Helper()
 	sent := r.ofKind("send_to_peer", "")
@@ -222,8 +223,7 @@
 	g.HandleRequest(now, Request{ID: id, Class: "read", Deadline: now + g.classes.byName["read"].Timeout, GatewayCount: 1, Units: 1})
 }
 
-// newTestMemberWithSlots is like newTestMember, with 100 gateways and a plan that allows two concurrent
-// attempts.
+// newTestMemberWithSlots is like newTestMember, with 100 gateways and a MaxConcurrent of 2.
 func newTestMemberWithSlots(t *testing.T) (*Gateway, *recorder, func(now float64, id string, units float64) *customer) {
 	t.Helper()
 	return newTestMember(t, func(s *Settings) { s.GatewayCount, s.Plans[0].MaxConcurrent = 100, 2 })
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -15,7 +15,7 @@
 	for name, tc := range map[string]struct {
 		class  string
 		events func(g *Gateway)
-		want   []float64
+		want   []float64 // writeWithin of each send; 0 means that there is no limit
 	}{
 		"after a reset": {"put", func(g *Gateway) {
 			g.HandleOutcome(100.3, Outcome{RequestID: "k", Attempt: 0, Status: Reset})
@@ -206,8 +206,8 @@
 	}
 }
 
-// observeSend writes an attempt at once or after a random delay. An attempt that would be written after its
-// writeWithin ends at once with the status NotSent.
+// observeSend writes an attempt at once or after a random delay. An attempt that would be written later than
+// its writeWithin allows ends at once with the status NotSent.
 func (s *retryScenario) observeSend(now Seconds, send action) {
 	s.t.Helper()
 	sent := &recordedAttempt{endpoint: send.endpoint, group: s.groups[send.endpoint], writtenAt: now + s.rng.Float64()*0.5}
@@ -223,8 +223,8 @@
 	s.attempts = append(s.attempts, sent)
 }
 
-// checkRetry fails the test if an attempt could execute the request a second time. The window starts with the
-// first attempt that may have executed.
+// checkRetry fails the test if an attempt could execute the request a second time. The idempotency window
+// starts when the first attempt that may have executed is written.
 func (s *retryScenario) checkRetry(sent *recordedAttempt) {
 	s.t.Helper()
 	for _, earlier := range s.attempts {
@@ -251,7 +251,8 @@
 	}
 }
 
-// endSomeAttempts ends a random choice of the written attempts, with any status except OK and NotSent.
+// endSomeAttempts ends a random choice of the written attempts in flight, with any status except OK and
+// NotSent.
 func (s *retryScenario) endSomeAttempts(now Seconds) {
 	for i, sent := range s.attempts {
 		if !sent.done && now >= sent.writtenAt && s.rng.IntN(10) == 0 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -35,7 +35,7 @@
 			g.HandleTimer(now, 1)
 		}
 		if sent["s1"] < 1 || sent["s1"] > maxSent || sent["s2"] < 100 {
-			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v, want few at s1 and at least 100 at s2", status, sent)
+			t.Errorf("all attempts at s1 end with %v: attempts by endpoint are %v, want 1 to 24 at s1 and at least 100 at s2", status, sent)
 		}
 	}
 }
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestLargeFleetScoresByTheTimeoutFraction checks that in a large fleet a single timeout does not raise the
+// TestLargeFleetScoresByAttemptWeight checks that in a large fleet a single timeout does not raise the
 // score to suspectScore, and a single success does not reset it. If one timeout raised it that far, gossip
 // could make all gateways leave the endpoint at once and overload the others.
-func TestLargeFleetScoresByTheTimeoutFraction(t *testing.T) {
+func TestLargeFleetScoresByAttemptWeight(t *testing.T) {
 	g, _ := newLargeFleetGateway(t)
 	requestClass, e := g.classes.byName["read"], g.endpoints.byID["s00"]
 	attempt := func(now Seconds, id string, status AttemptStatus) {
@@ -124,7 +124,7 @@
 	g.gossip.updates = nil
 	attempt(101.5, "c", OK)
 	if score := g.outliers.score(e, requestClass.index); score >= high || score < suspectScore {
-		t.Fatalf("one reply lowers the score from %.2f to %.2f, want a partial decrease", high, score)
+		t.Fatalf("one reply lowers the score from %.2f to %.2f, want a lower score of at least suspectScore", high, score)
 	}
 	if len(g.gossip.updates) != 1 || g.gossip.updates[0].value >= high {
 		t.Fatalf("the lower score is not published: %v", g.gossip.updates)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -18,8 +18,8 @@
 			first := recorded.ofKind("send", "p")[0]
 			recorded.actions = nil
 			g.HandleOutcome(100.2, Outcome{RequestID: "p", Endpoint: first.endpoint, Status: status, Elapsed: 0.2})
-			replies := len(recorded.ofKind("send", "p")) + len(recorded.ofKind("fail", "p")) + len(recorded.ofKind("reject", "p"))
-			if len(recorded.ofKind(want, "p")) != 1 || replies != 1 {
+			actionCount := len(recorded.ofKind("send", "p")) + len(recorded.ofKind("fail", "p")) + len(recorded.ofKind("reject", "p"))
+			if len(recorded.ofKind(want, "p")) != 1 || actionCount != 1 {
 				t.Errorf("want one %s, got %v", want, recorded.actions)
 			}
 		})
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -85,8 +85,8 @@
 		g.HandleEndpoints(100, list, true)
 		warming, all := 0, 0
 		fraction := 0.0
-		// Each round covers the ages from 5 s to 6 s, at which the endpoints have 0.6 to 0.68 of their
-		// capacity.
+		// In each round, the warming endpoints age from 5 s to 6 s, and their capacity grows from 0.6 to 0.68 of
+		// the capacity of a warm endpoint.
 		for round := range 2000 / rate {
 			for i := range rate {
 				now := 105 + float64(i)/float64(rate)
@@ -216,7 +216,7 @@
 }
 
 // TestUnspentCreditsExpire checks that a credit expires if it is not spent within the overload window.
-// Otherwise many gateways could spend old credits at the same time and overload the endpoint.
+// If old credits stayed valid, many gateways could spend them at the same time and overload the endpoint.
 func TestUnspentCreditsExpire(t *testing.T) {
 	s := newTestSlowStart(1)
 	classes := []*class{newClass(testSettings().Classes[0], 0)}
