--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestClientRetriesAreDetected checks that a client's retry is rejected if no reply is expected within the
-// latency objective, which counts from the client's first attempt. A request with an uncommonly short time
+// TestClientRetriesAreDetected checks that a client's retry is rejected if no useful reply is expected. The
+// latency objective of a retry counts from the client's first attempt. A request with an uncommonly short time
 // until its deadline counts as a retry only if its customer had a recent rejection or exceeds its rate.
 func TestClientRetriesAreDetected(t *testing.T) {
 	g, recorded := newTestGateway(t, withSingleGateway)
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -18,7 +18,7 @@
 
 	defaultServiceRate          = 20.0 // attempts per second that a warm endpoint serves on average
 	endpointQueueLength         = 25.0 // attempts of mean duration; an endpoint with a longer queue rejects
-	networkDelay        Seconds = 0.01 // delay of a success or rejection
+	networkDelay        Seconds = 0.01 // time that a success or rejection takes to reach the gateway
 
 	listDelay       Seconds = 0.5 // maximum time until a gateway learns that an endpoint has restarted
 	faultyListDelay Seconds = 3   // listDelay with faults
