--- a/policy/attempt_watcher.go
+++ b/policy/attempt_watcher.go
@@ -98,7 +98,7 @@
 }
 
 // hedge sends a hedged request to another endpoint in addition to a slow attempt. If only cancellation is
-// allowed, it cancels the slow attempt instead, so that its outcome leads to a retry. It does neither if both
+// allowed, it cancels the slow attempt instead, so that the request can be retried. It does neither if both
 // are disabled, retryPolicy allows no attempt, or the picker returns no other endpoint.
 func (w *attemptWatcher) hedge(r *request, slow *attempt) {
 	before := r.firstExecution
