--- a/policy/grants.go
+++ b/policy/grants.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// retransmit repeats the reports whose reply is overdue. A repeated report goes to another gateway if the
+// handleOverdueReplies repeats the reports whose reply is overdue. A repeated report goes to another gateway if the
 // previous recipient has become unreachable. After maxOverdueReplies in a row for a customer, the local
 // window decides on the customer's waiting requests instead.
-func (q *quotaController) retransmit() {
+func (q *quotaController) handleOverdueReplies() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
 			q.reporter.repeatReport(c)
@@ -57,7 +57,7 @@
 		switch {
 		case record.planIndex >= len(q.customers.plansByIndex):
 		case record.fromOwner && c != nil && c.report.gateway == from:
-			q.applyGrant(c, record)
+			q.applyReply(c, record)
 		case !record.fromOwner:
 			report := memberReport{
 				usageRecord: record, from: from, incarnation: received.incarnation, receivedAt: q.clock.now,
@@ -78,10 +78,10 @@
 	return c.applyUsageReport(report, q.protocol.format, q.protocol.queryBackoff)
 }
 
-// applyGrant handles the owner's reply to a report: it updates the view of the quota and decides on the
+// applyReply handles the owner's reply to a report: it updates the view of the quota and decides on the
 // requests whose units the report asked for. It schedules another report if granted units are unused or
 // further requests wait.
-func (q *quotaController) applyGrant(c *customer, reply usageRecord) {
+func (q *quotaController) applyReply(c *customer, reply usageRecord) {
 	// grantedTotal is the number of units that the owner has counted or reserved for this gateway so far.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
 	c.quota.remainingKnown, c.quota.window = true, tokenBucket{tokens: reply.remaining, updatedAt: q.clock.now}
--- a/policy/grants_test.go
+++ b/policy/grants_test.go
@@ -43,7 +43,7 @@
 	if len(*sent) != 1 || (*sent)[0].records[0].wantedUnits != 2 {
 		t.Fatalf("sent %+v, want one report that asks for the 2 units of the first request", *sent)
 	}
-	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 2, remaining: 6, wantedUnits: 2})
+	q.applyReply(c, usageRecord{key: c.key, fromOwner: true, total: 2, remaining: 6, wantedUnits: 2})
 	if len(decided.dispatched) != 1 || decided.dispatched[0] != "first" || len(decided.rejected) != 0 {
 		t.Fatalf("decided %+v, want only the first request dispatched", decided)
 	}
@@ -51,7 +51,7 @@
 	if len(*sent) != 2 || (*sent)[1].records[0].wantedUnits != 4 {
 		t.Fatalf("sent %+v, want a second report that asks for the 4 units of the other requests", *sent)
 	}
-	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
+	q.applyReply(c, usageRecord{key: c.key, fromOwner: true, total: 4, remaining: 4, wantedUnits: 4})
 	if len(decided.dispatched) != 2 || len(decided.rejected) != 1 || decided.rejected[0] != "third" || decided.reason[0] != QuotaExceeded {
 		t.Fatalf("decided %+v after a grant of 2 units, want the second request dispatched and the third rejected", decided)
 	}
@@ -60,7 +60,7 @@
 func TestBackoffRejectsAllWaitingRequests(t *testing.T) {
 	q, decided, _ := newTestController(&eventClock{now: 100})
 	c := awaitGrants(q, "first", "second")
-	q.applyGrant(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
+	q.applyReply(c, usageRecord{key: c.key, fromOwner: true, remaining: 1, wantedUnits: 2, backoff: 0.5})
 	if len(decided.dispatched) != 0 || len(decided.rejected) != 2 || len(c.awaitingOwner) != 0 {
 		t.Fatalf("decided %+v, want both requests rejected", decided)
 	}
@@ -79,7 +79,7 @@
 			t.Fatalf("the local window decided after %d unanswered reports, want %d", len(*sent), maxOverdueReplies)
 		}
 		clock.now += grantTimeout + timerInterval
-		q.retransmit()
+		q.handleOverdueReplies()
 		q.reporter.sendDue()
 	}
 	if len(decided.dispatched) != 1 || len(c.awaitingOwner) != 0 || c.totalUnits != 2 {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -28,7 +28,7 @@
 // handleTimer handles overdue replies, decides again on requests that wait for a concurrency slot, and
 // sends the reports that are due.
 func (q *quotaController) handleTimer() {
-	q.retransmit()
+	q.handleOverdueReplies()
 	q.reconsiderSlotWaiters()
 	q.reporter.sendDue()
 }
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -8,7 +8,7 @@
 
 // The number of points on the ring. More points spread customers more evenly; fewer points use less memory.
 const (
-	pointsPerGateway    = 512  // maximum per gateway, used in small fleets
+	maxPointsPerGateway = 512  // maximum per gateway, used in small fleets
 	minPointsPerGateway = 8    // minimum per gateway, even if the total exceeds maxRingPoints
 	maxRingPoints       = 8192 // total that the gateways of a large fleet share
 )
@@ -27,7 +27,7 @@
 
 // newOwnerRing returns the ring of the gateways 0 to gatewayCount-1.
 func newOwnerRing(gatewayCount int) ownerRing {
-	perGateway := min(pointsPerGateway, max(minPointsPerGateway, maxRingPoints/gatewayCount))
+	perGateway := min(maxPointsPerGateway, max(minPointsPerGateway, maxRingPoints/gatewayCount))
 	points := make([]ringPoint, 0, gatewayCount*perGateway)
 	for gateway := range gatewayCount {
 		for i := range perGateway {
