--- a/policy/admission.go
+++ b/policy/admission.go
@@ -15,7 +15,7 @@
 func (a admission) String() string {
 	switch a {
 	case notAdmitted:
-		return "reject"
+		return "not_admitted"
 	case admitRequest:
 		return "admit"
 	case askOwner:
@@ -44,8 +44,8 @@
 }
 
 // newRequest creates the state of a request that has just arrived. It finds or adds the request's customer
-// and adds the units to the customer's demand. It also passes the time until its deadline to the
-// client-retry detector of its class.
+// and adds the units to the customer's demand. It also passes the time until the deadline to the client-retry
+// detector of the request's class.
 func (a *requestAdmitter) newRequest(incoming Request, requestClass *class) *request {
 	now := a.clock.now
 	remaining := incoming.Deadline - now
@@ -77,8 +77,8 @@
 
 // priorityAt returns the priority of the request: the priority weight of its class, times the weight factor
 // of its plan if it has one. If the reply is expected after the latency objective, the priority is
-// multiplied by LateWeightFraction. It does not depend on the units of the request, because more units
-// increase both the value of the reply and the work.
+// multiplied by LateWeightFraction. The priority does not depend on the units of the request, because more
+// units increase both the value of the reply and the work.
 func (r *request) priorityAt(now Seconds) float64 {
 	weightFactor := 1.0
 	if r.plan != nil {
@@ -122,7 +122,7 @@
 }
 
 // chargeActualUnits corrects the charge for a request from the estimate in Request.Units to the actual units,
-// if the reply states them.
+// if a successful reply states them.
 func (a *requestAdmitter) chargeActualUnits(r *request, outcome Outcome) {
 	if outcome.Status == OK && a.actualUnitsInReply && r.charged && outcome.ActualUnits > 0 {
 		a.quota.charge(r.customer, outcome.ActualUnits-r.Units)
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -81,8 +81,8 @@
 		return true
 	}
 	c.refillCeilingShare(now)
-	// The share was refilled to the burst from ceilingShareSize. This expression may round differently; the
-	// tolerance covers the difference.
+	// This expression for the burst may round differently than ceilingShareSize. If it exceeds the burst from
+	// there by more than the tolerance, the share never counts as full.
 	shareFull := c.ceilingShare.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
 	if !c.isPrimaryOwner {
 		return shareFull
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -38,21 +38,21 @@
 	primaryOwner   int
 	isPrimaryOwner bool
 
-	usedAt     Seconds // time of the last request, or of the last report that was sent or received
+	usedAt     Seconds // time of the last request, sent report or received report
 	rejectedAt Seconds // time of the last rejection by finalReplier.reject
 
 	// Usage at this gateway only.
 	totalUnits        float64 // units charged, less those refunded, since the customer was added
 	acknowledgedUnits float64 // the part of totalUnits that the owner has counted
 	demand            demandMeter
-	inFlight          int
+	inFlight          int // attempts in flight
 
-	// The state of the quota and the ceiling.
+	// The units left of the quota and the ceiling, as far as this gateway knows.
 	quota        quotaView   // at a member
 	ledger       *ledger     // at the owner; see currentLedger and becomeMember
-	localWindow  tokenBucket // used while the owner does not reply
-	ceilingShare tokenBucket
-	ceilingPool  tokenBucket
+	localWindow  tokenBucket // used if the owner does not reply
+	ceilingShare tokenBucket // this gateway's share
+	ceilingPool  tokenBucket // used only at the primary owner
 
 	// awaitingOwner holds the requests that wait for a grant from the owner, in the order in which they began
 	// to wait.
@@ -135,8 +135,8 @@
 	return t
 }
 
-// find returns the customer of a request, and adds it to the table if it is new. It also records the
-// customer's gateways if they are not known yet.
+// find returns the customer of a request, and adds it to the table if it is new. It also records that the
+// customer is used now and, if they are not known yet, the customer's gateways.
 func (t *customerTable) find(r Request) *customer {
 	hash := hashName(r.Customer)
 	key := uint32(hash >> 32)
--- a/policy/grants.go
+++ b/policy/grants.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // awaitGrant queues a request for a grant from its customer's owner. If no other request of the customer
-// waits, it calls askForGrant. Otherwise the customer's next report asks for the units of the request.
+// waits, it calls askForGrant. Otherwise, the customer's next report asks for the units of the request.
 func (q *quotaController) awaitGrant(r *request) {
 	c := r.customer
 	c.awaitingOwner, r.awaitingOwner = append(c.awaitingOwner, r), true
@@ -33,9 +33,10 @@
 	}
 }
 
-// handleOverdueReplies repeats the reports whose reply is overdue. A repeated report goes to another gateway if the
-// previous recipient has become unreachable. After maxOverdueReplies in a row for a customer, the local
-// window decides on the customer's waiting requests instead.
+// handleOverdueReplies repeats the reports whose reply is overdue. A repeated report goes to the customer's
+// current owner, which may have changed because the previous one became unreachable. After maxOverdueReplies
+// in a row for a customer, the local window decides on the customer's requests that wait for a grant, and the
+// report is not repeated.
 func (q *quotaController) handleOverdueReplies() {
 	q.reporter.forEachOverdue(func(c *customer) {
 		if exhausted := q.reporter.recordOverdue(c); !exhausted {
@@ -47,9 +48,9 @@
 	})
 }
 
-// handleRecords handles the usage records of a message from another gateway. It answers all reports with a
-// single message. A record from an owner goes to applyGrant, unless the customer is unknown or its last
-// report was for another gateway.
+// handleRecords handles the usage records of a message from another gateway. It ignores records with an
+// unknown plan, and answers the reports with a single message. A record from an owner goes to applyReply,
+// unless the customer is unknown or its latest report, sent or scheduled, is for another gateway.
 func (q *quotaController) handleRecords(from int, received message) {
 	replies := q.protocol.newMessage()
 	for _, record := range received.records {
@@ -79,8 +80,8 @@
 }
 
 // applyReply handles the owner's reply to a report: it updates the view of the quota and decides on the
-// requests whose units the report asked for. It schedules another report if granted units are unused or
-// further requests wait.
+// requests whose units the report asked for. It schedules another report if granted units are unused, or if
+// no expected reply covers the requests that still wait.
 func (q *quotaController) applyReply(c *customer, reply usageRecord) {
 	// grantedTotal is the number of units that the owner has counted or reserved for this gateway so far.
 	grantedTotal := c.totalUnits + q.protocol.format.roundDifference(reply.total-c.totalUnits)
@@ -99,7 +100,7 @@
 }
 
 // decideAskedWaiters decides on the requests whose units the last report asked for. If the reply has a
-// backoff, it also queues or rejects all other waiting requests.
+// backoff, the function also queues or rejects all other requests that wait for a grant.
 func (q *quotaController) decideAskedWaiters(c *customer, reply usageRecord, grantedTotal float64) {
 	asked := min(c.report.askedCount, len(c.awaitingOwner))
 	c.report.askedCount, c.report.overdueReplies = 0, 0
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -25,7 +25,7 @@
 	incarnation uint8
 	totalUnits  float64 // last reported count plus the units granted since
 	demand      demandMeter
-	inFlight    int
+	inFlight    int // last reported attempts in flight plus one for each grant since
 	reportedAt  Seconds
 }
 
@@ -62,8 +62,8 @@
 // membersDemand returns the total demand at all members in units per second.
 func (l *ledger) membersDemand(now Seconds) float64 { return max(l.demand.rateAt(now), 0) }
 
-// charge takes units from the window until its level is 0. It does not lower a level that is already
-// negative. Negative units are returned to the window.
+// charge lowers the level of the window by units, but not below 0. A level that is already negative is not
+// lowered. Negative units raise the level.
 func (l *ledger) charge(units float64) {
 	l.window.tokens = max(l.window.tokens-units, min(l.window.tokens, 0))
 }
@@ -125,7 +125,7 @@
 // gateway's view as a member.
 //
 // An owner other than the primary owner may be partitioned from gateways that admit requests of the same
-// customer. While its ledger has no members, it therefore refills the ledger only at the rate divided by
+// customer. While its ledger has no members, the ledger is therefore refilled only at the rate divided by
 // the number of the customer's gateways.
 func (c *customer) currentLedger(now Seconds) *ledger {
 	if c.ledger == nil {
--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -1,11 +1,11 @@
 package policy
 
-// The local window decides on the requests that wait for a grant if the owner does not reply. It holds only
-// this gateway's fraction of the quota, because other gateways may still admit requests of the same
-// customer.
+// The local window decides on the requests that wait for a grant if the owner does not reply. It
+// refills only at this gateway's fraction of the rate, because other gateways may still admit requests of the
+// same customer.
 
 // localWindowSize returns the rate, in units per second, and the burst of the local window. The burst is at
-// least Settings.MaxRequestUnits, so that the largest request fits.
+// least Settings.MaxRequestUnits, so that a request of that size fits.
 func (c *customer) localWindowSize() (rate, burst float64) {
 	gateways := c.gateways()
 	return c.plan.Rate / gateways, max(c.plan.Burst/gateways, c.plan.maxRequestUnits)
--- a/policy/local_window_test.go
+++ b/policy/local_window_test.go
@@ -43,7 +43,7 @@
 		g.HandleTimer(now, 1)
 		replyToAll(g, r, &seen, now)
 	}
-	// The quota is 2 units per second for 50 s and a burst of 8, shared by 4 gateways.
+	// The quota allows 2 units per second for 50 s and a burst of 8. Four gateways share it.
 	if forwarded := len(r.ofKind("send", "")); forwarded < 20 || forwarded > 50 {
 		t.Fatalf("%d units were sent in isolation, want 20 to 50: a quarter of the quota is 27, the whole quota 108", forwarded)
 	}
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -93,8 +93,8 @@
 
 // usageRecord is the part of a message that concerns one customer: a report from a member to the owner, or
 // the owner's reply. Some fields differ between reports and replies:
-//   - total is the member's count of units in a report. In a reply, it is the count up to which the owner has
-//     acknowledged or reserved units.
+//   - total is the member's count of units in a report. In a reply, it is the number of units that the owner
+//     has counted or reserved for the member.
 //   - remaining is the number of units left of the whole quota: the member's estimate in a report, and the
 //     level of the ledger in a reply.
 //   - demand and inFlight are those of the member in a report, and of all other gateways in a reply.
@@ -105,7 +105,7 @@
 	planIndex        int     // index of the plan in the settings
 	fromOwner        bool    // the sender is the customer's owner
 	remainingKnown   bool    // remaining is based on an owner's reply or a ledger, not assumed
-	ceilingPool      bool    // report: the recipient is the primary owner; reply: it reserved units of its pool
+	ceilingPool      bool    // report: to the primary owner; reply: the owner reserved units of its pool
 	total            float64 // units, modulo 16384
 	remaining        float64 // units, -64 to 8000
 	demand           float64 // units per second, up to 16383.75
@@ -117,7 +117,7 @@
 	backoff          Seconds // time during which the member must not ask again, up to 12.75; replies only
 }
 
-// scale returns the record with all units multiplied by factor.
+// scale returns the record with all units and the demand multiplied by factor.
 func (r usageRecord) scale(factor float64) usageRecord {
 	r.total *= factor
 	r.remaining *= factor
--- a/policy/message_codec_test.go
+++ b/policy/message_codec_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// plansLike returns n plans. The last one has the limits of p; the others have a burst of 1 unit.
+// plansLike returns n plans. The last one has the limits of p. The others have a rate of 0.1 and a burst of 1.
 func plansLike(p Plan, n int) (list []Plan) {
 	last := p
 	for i := range n - 1 {
--- a/policy/owner.go
+++ b/policy/owner.go
@@ -23,8 +23,8 @@
 }
 
 // owner returns the current owner of the customer: its primary owner or, while that is unreachable, the
-// next of the customer's gateways on the ring that is reachable. It returns this gateway if peer messages
-// are disabled or the customer has a single gateway.
+// next of the customer's gateways on the ring that is reachable. It returns this gateway if none of them is
+// reachable, if peer messages are disabled, or if the customer has a single gateway.
 func (d *ownerDirectory) owner(c *customer) int {
 	switch {
 	case !d.peerMessages || c.gatewayCount == 1:
--- a/policy/peer.go
+++ b/policy/peer.go
@@ -29,7 +29,7 @@
 type peer struct {
 	// unansweredReports counts the reports without a reply since the last message accepted from the peer.
 	unansweredReports int
-	lastUnansweredAt  Seconds
+	lastUnansweredAt  Seconds // time of the last increase of unansweredReports
 	// incarnation and sequence identify the newest message accepted from the peer.
 	incarnation uint8
 	sequence    uint16
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -71,8 +71,8 @@
 	q.charge(c, r.Units)
 }
 
-// charge adds units to the customer's usage, and schedules a report to the owner unless a grant covers the
-// units. Negative units are returned to the quota.
+// charge adds units to the customer's usage. Negative units are returned to the quota. A member also
+// schedules a report, for negative units and for units that no grant covers.
 func (q *quotaController) charge(c *customer, units float64) {
 	if q.isOwner(c) {
 		c.currentLedger(q.clock.now).charge(units)
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -74,12 +74,12 @@
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional
 // to its part of the total demand. age is the time since the view was last set: by a reply, by a ledger, or
 // when the customer was added. The member also admits a request beyond its share if enough units would be
-// left even if the other gateways had used units at twice their demand for that time.
+// left even if the other gateways had used units at twice their demand for age plus clockUncertainty.
 //
-// If the remaining units are unknown or older than maxReplyAge, the member admits a request only if they
-// are enough for the same request at every gateway of the customer. It does not admit a request that
-// exceeds remaining units younger than minReportInterval. In all other cases, it asks the owner. If the
-// plan has no rate, it admits every request.
+// If the view is older than maxReplyAge, or not based on a reply or a ledger, the member admits a request
+// only if the remaining units are enough for the same request at every gateway of the customer. If a request
+// exceeds the remaining units and the view is younger than minReportInterval, the member does not admit it.
+// In all other cases, the member asks the owner. If the plan has no rate, it admits every request.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -8,9 +8,9 @@
 
 // The number of points on the ring. More points spread customers more evenly; fewer points use less memory.
 const (
-	maxPointsPerGateway = 512  // maximum per gateway, used in small fleets
-	minPointsPerGateway = 8    // minimum per gateway, even if the total exceeds maxRingPoints
-	maxRingPoints       = 8192 // total that the gateways of a large fleet share
+	maxPointsPerGateway = 512  // used in small fleets
+	minPointsPerGateway = 8    // used in very large fleets, even if the total exceeds maxRingPoints
+	maxRingPoints       = 8192 // limits the total in other fleets
 )
 
 // ringPoint is a position of a gateway on the ring. Each gateway has several.
@@ -63,7 +63,8 @@
 	return x ^ x>>31
 }
 
-// hashName hashes the name of a customer or an endpoint.
+// hashName returns the hash of a customer's name or an endpoint's ID. It is the same at all gateways, because
+// peer messages identify customers and endpoints by parts of it.
 func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name)) // never fails
--- a/policy/slot_queue.go
+++ b/policy/slot_queue.go
@@ -92,8 +92,8 @@
 	})
 }
 
-// pruneWaiters removes the waiting requests that are done, and rejects those that can no longer be
-// served in time or within the quota.
+// pruneWaiters removes the waiting requests that are done or no longer worth queueing, and rejects the
+// latter.
 func (q *quotaController) pruneWaiters(c *customer) {
 	c.slotWaiters = slices.DeleteFunc(c.slotWaiters, func(r *request) bool {
 		if r.done {
--- a/policy/slot_queue_test.go
+++ b/policy/slot_queue_test.go
@@ -125,7 +125,7 @@
 		g.HandleTimer(100.03+age, 1)
 		send(100.03+age, "next", 1)
 		if forwarded := len(r.ofKind("send", "next")) == 1; forwarded != (age < maxInFlightAge) {
-			t.Errorf("with a reply %.2f s old: sent = %v", age, forwarded)
+			t.Errorf("with a reply %.2f s old: sent without asking = %v, want the opposite", age, forwarded)
 		}
 	}
 }
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -6,17 +6,18 @@
 	// minReportInterval is the minimum time from one batch to the next batch for the same owner. Urgent
 	// batches do not wait for it.
 	minReportInterval Seconds = 0.1
-	// reportFraction is the fraction of Settings.PeerMessageRate that a gateway may use for its own reports. It
-	// is less than half because each report causes a reply, and PeerMessageRate must cover both.
+	// reportFraction limits the messages with reports that a gateway sends, as a fraction of the messages that a
+	// gateway can receive (Settings.PeerMessageRate). It is less than half because each message with reports
+	// causes another with the replies.
 	reportFraction = 0.45
 	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch.
 	// minBatchTokens is the number for any other batch. Each message takes one from the budget, so the other
 	// batches leave at least one message for an urgent batch.
 	minUrgentTokens = 1
 	minBatchTokens  = 2
-	// grantTimeout is the time after which an unanswered report is repeated while requests wait for a grant.
+	// grantTimeout is the time after which a reply is overdue while requests wait for a grant.
 	grantTimeout Seconds = 0.08
-	// reportTimeout is the time after which any other unanswered report is repeated.
+	// reportTimeout is the time after which a reply is overdue while no request waits for a grant.
 	reportTimeout Seconds = 0.3
 	// maxOverdueReplies is the number of consecutive overdue replies after which the local window decides on
 	// the requests that wait for a grant.
@@ -44,7 +45,7 @@
 	pending   bool // the gateway is in usageReporter.pending
 	// urgent is set if a request waits for a grant, or if a freed concurrency slot is to be reported.
 	urgent bool
-	sentAt Seconds
+	sentAt Seconds // time of the last call of sendBatch
 }
 
 // usageReporter reports the usage of customers to their owners. It sends reports in batches within a message
@@ -54,10 +55,10 @@
 	self     int
 	protocol *peerProtocol
 	owners   ownerFinder
-	budget   tokenBucket // messages that may be sent
-	batches  []reportBatch
-	pending  []int       // gateways whose batches are not empty
-	watched  []*customer // customers for which a reply is expected
+	budget   tokenBucket   // messages that may be sent
+	batches  []reportBatch // by gateway
+	pending  []int         // gateways whose batches are not empty
+	watched  []*customer   // customers for which a reply is expected
 }
 
 // newUsageReporter returns a reporter with no reports scheduled and a budget of minBatchTokens messages.
@@ -97,8 +98,8 @@
 	}
 }
 
-// askForGrant schedules an urgent report for the first request that waits for a grant, and sends it at once
-// if the budget allows. The wait for the reply starts even if the report is not sent yet.
+// askForGrant schedules an urgent report for the first request that waits for a grant, and sends the batches
+// that are due. The wait for the reply starts even if the report is not sent yet.
 func (u *usageReporter) askForGrant(c *customer) {
 	c.report.overdueReplies, c.report.awaitingReplySince = 0, u.clock.now
 	u.watchForReply(c)
@@ -106,7 +107,8 @@
 	u.sendDue()
 }
 
-// sendDue sends the batches that are due, as far as the budget allows.
+// sendDue sends the batches that are due, as far as the budget allows. The budget holds at most the messages
+// of two report intervals, or minBatchTokens if that is more.
 func (u *usageReporter) sendDue() {
 	rate := u.protocol.messageRate * reportFraction
 	u.budget.refill(rate, max(minBatchTokens, rate*minReportInterval*2), u.clock.now)
@@ -198,9 +200,9 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue ends the wait for an overdue reply, and counts it against the recipient of the report if
-// the report was sent. It returns true after maxOverdueReplies overdue replies in a row. The report must
-// then not be repeated.
+// recordOverdue ends the wait for an overdue reply. If the report was sent, it is recorded as unanswered by
+// its recipient. After maxOverdueReplies overdue replies in a row, recordOverdue returns true, and the report
+// must not be repeated.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
 	if !c.report.scheduled { // a scheduled report has not been sent yet
 		u.protocol.recordUnanswered(c.report.gateway)
@@ -236,8 +238,9 @@
 	u.watched = slices.DeleteFunc(u.watched, func(c *customer) bool { return !c.report.watched })
 }
 
-// recordReply records that a reply has arrived. It ends the wait for a reply if no request waits for a
-// grant. It restarts the wait if requests wait for a grant and askedCount is 0.
+// recordReply records that a reply has arrived. If no request waits for a grant, it ends the wait for a
+// reply. If requests wait and no expected reply covers them, it restarts the wait, for the reply to their
+// next report.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.overdueReplies = 0, 0
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Regression test: members of a large fleet decided without asking the owner. With a hundred gateways, a member's share
-// is smaller than one request, and the owner's last reply is old. The members therefore admitted more than the quota,
-// or rejected requests although units were left. They must ask the owner and follow its reply.
+// Regression test: members of a large fleet decided without asking the owner, although their view of the quota was old
+// or not based on a reply. They admitted more than the quota, or rejected requests although units were left. Before the
+// first reply, a member must ask the owner, and then follow the reply.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
 		g, r, send := newTestMember(t, withGatewayCount(100))
