--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,9 +21,9 @@
 	DefaultReadTimeout = 2500 * time.Millisecond
 
 	// pollRetryShare is the interval between the polls of a silent agent, as a fraction of the grace period for
-	// attempts on draining endpoints. These attempts must end within that period, which starts when the agent knows
-	// that the endpoint drains, even if the client has no watch open. So the client must reach a recovered agent
-	// within a fraction of the period.
+	// attempts on draining endpoints. The period starts when the agent knows that the endpoint drains, even if the
+	// client has no watch open. The attempts must end within the period, so the client must reach a recovered agent
+	// within a fraction of it.
 	pollRetryShare       = 0.3
 	defaultDrainGrace    = 250 * time.Millisecond // if the settings have none
 	maxPollRetryInterval = 500 * time.Millisecond
@@ -38,7 +38,7 @@
 )
 
 var (
-	// ErrValueTooLong reports a value of more than 4 MiB.
+	// ErrValueTooLong reports that a value and the blank lines before it have more than 4 MiB.
 	ErrValueTooLong = errors.New("list value over 4 MiB")
 	// ErrUnusableList reports that a list, or a part of one, was received but can't be used.
 	ErrUnusableList = errors.New("unusable list")
@@ -184,9 +184,9 @@
 	}
 }
 
-// nextBackoff returns the backoff after a watch that ended with an error. The backoff is short if the watch brought an
-// update, or did not end with an unusable list. Otherwise it doubles with each unusable list in a row, up to
-// maxUnusableBackoff, as each complete list costs the agent work.
+// nextBackoff returns the backoff after a watch that ended with an error. updated says whether the watch changed
+// c.version. The backoff is short if it did, or if the error does not wrap ErrUnusableList. Otherwise it doubles with
+// each unusable list in a row, up to maxUnusableBackoff, as each complete list costs the agent work.
 func (c *Client) nextBackoff(err error, updated bool) time.Duration {
 	backoff := min(c.options.PollRetryInterval, maxBackoff)
 	if updated || !errors.Is(err, ErrUnusableList) {
--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -20,9 +20,9 @@
 	stallEnd     AtomicTime
 }
 
-// OnTimeUntil returns the latest time at which the process is known to have kept up with the clock: now, or the start
+// LastOnTime returns the latest time at which the process is known to have kept up with the clock: now, or the start
 // of a stall that is in progress or ended less than StallWindow ago.
-func (d *StallDetector) OnTimeUntil(now policy.Seconds) policy.Seconds {
+func (d *StallDetector) LastOnTime(now policy.Seconds) policy.Seconds {
 	if due := d.nextTimerDue.Load(); due > 0 && now-due > StallThreshold {
 		return due
 	}
@@ -35,9 +35,10 @@
 // SetNextTimerDue records when the next timer of the loop is due.
 func (d *StallDetector) SetNextTimerDue(at policy.Seconds) { d.nextTimerDue.Store(at) }
 
-// recordStall records a stall that has ended.
+// recordStall records that the loop did not run from start, when a timer was due, until end. A stall that starts within
+// StallWindow after the end of the previous one continues it, and keeps its start.
 func (d *StallDetector) recordStall(start, end policy.Seconds) {
-	if start > d.stallEnd.Load()+StallWindow { // otherwise it continues the previous stall
+	if start > d.stallEnd.Load()+StallWindow {
 		d.stallStart.Store(start)
 	}
 	d.stallEnd.Store(end)
