--- a/policy/local_window.go
+++ b/policy/local_window.go
@@ -1,8 +1,8 @@
 package policy
 
-// The local window decides on the requests that wait for a grant if the owner does not reply. It
-// refills only at this gateway's fraction of the rate, because other gateways may still admit requests of the
-// same customer.
+// The local window decides on the requests that wait for a grant if the owner does not reply. It refills only
+// at this gateway's fraction of the rate, because other gateways may still admit requests of the same
+// customer.
 
 // localWindowSize returns the rate, in units per second, and the burst of the local window. The burst is at
 // least Settings.MaxRequestUnits, so that a request of that size fits.
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -135,8 +135,8 @@
 	widePlanIndex    bool    // records have an additional byte for the plan index
 }
 
-// newMessageFormat returns the format whose wire units are large enough to represent the values that the
-// settings allow.
+// newMessageFormat returns the format for the settings. Its wire unit is so large that a record can hold the
+// rate and the burst of each plan and the units of the largest request that a quota admits.
 func newMessageFormat(settings Settings) messageFormat {
 	format := messageFormat{unitsPerWireUnit: 1, widePlanIndex: len(settings.Plans) > plansInFlags}
 	largestBurst := 0.0
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -2,8 +2,8 @@
 
 const (
 	// maxReplyAge is the maximum age of the owner's last reply at which a member admits requests from its share
-	// of the remaining units. With an older reply, the member asks the owner, unless the units are enough for
-	// the same request at every gateway of the customer.
+	// of the remaining units. With an older reply, the member admits only requests for which the remaining units
+	// would be enough at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
 	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on the number of
 	// attempts in flight that the reply states. It is shorter than maxReplyAge, because that number changes
@@ -74,7 +74,8 @@
 // admitFromShare decides on a request by this member's share of the remaining units, which is proportional
 // to its part of the total demand. age is the time since the view was last set: by a reply, by a ledger, or
 // when the customer was added. The member also admits a request beyond its share if enough units would be
-// left even if the other gateways had used units at twice their demand for age plus clockUncertainty.
+// left even if the other gateways had used units at twice their demand during a time of age plus
+// clockUncertainty.
 //
 // If the view is older than maxReplyAge, or not based on a reply or a ledger, the member admits a request
 // only if the remaining units are enough for the same request at every gateway of the customer. If a request
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -6,9 +6,9 @@
 	// minReportInterval is the minimum time from one batch to the next batch for the same owner. Urgent
 	// batches do not wait for it.
 	minReportInterval Seconds = 0.1
-	// reportFraction limits the messages with reports that a gateway sends, as a fraction of the messages that a
-	// gateway can receive (Settings.PeerMessageRate). It is less than half because each message with reports
-	// causes another with the replies.
+	// reportFraction limits the rate at which a gateway sends messages with reports, as a fraction of
+	// Settings.PeerMessageRate, the rate at which a gateway can receive messages. It is less than half because
+	// each message with reports causes another with the replies.
 	reportFraction = 0.45
 	// minUrgentTokens is the number of messages that the budget must hold to send an urgent batch.
 	// minBatchTokens is the number for any other batch. Each message takes one from the budget, so the other
@@ -200,9 +200,9 @@
 	return c.report.awaitingReplySince > 0 && u.clock.since(c.report.awaitingReplySince) > timeout
 }
 
-// recordOverdue ends the wait for an overdue reply. If the report was sent, it is recorded as unanswered by
-// its recipient. After maxOverdueReplies overdue replies in a row, recordOverdue returns true, and the report
-// must not be repeated.
+// recordOverdue ends the wait for an overdue reply. If the report was sent, recordOverdue adds it to the
+// unanswered reports of its recipient. After maxOverdueReplies overdue replies in a row, it returns true, and
+// the report must not be repeated.
 func (u *usageReporter) recordOverdue(c *customer) (exhausted bool) {
 	if !c.report.scheduled { // a scheduled report has not been sent yet
 		u.protocol.recordUnanswered(c.report.gateway)
