--- a/policy/quota.go
+++ b/policy/quota.go
@@ -28,7 +28,7 @@
 // handleTimer handles overdue replies, decides again on requests that wait for a concurrency slot, and
 // sends the reports that are due.
 func (q *quotaController) handleTimer() {
-	q.retransmit()
+	q.handleOverdueReplies()
 	q.reconsiderSlotWaiters()
 	q.reporter.sendDue()
 }
@@ -71,8 +71,8 @@
 	q.charge(c, r.Units)
 }
 
-// charge adds units to the customer's usage, and schedules a report to the owner unless a grant covers the
-// units. Negative units are returned to the quota.
+// charge adds units to the customer's usage. Negative units are returned to the quota. A member also
+// schedules a report, for negative units and for units that no grant covers.
 func (q *quotaController) charge(c *customer, units float64) {
 	if q.isOwner(c) {
 		c.currentLedger(q.clock.now).charge(units)
