--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -219,13 +219,13 @@
 	t.Helper()
 	l := listen(t)
 	value := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", size, strings.Repeat("v", size))
-	go serveEach(l, func(conn net.Conn) { replyToReads(conn, value) })
+	go serveEach(l, func(conn net.Conn) { replyToGets(conn, value) })
 	return l.Addr().String()
 }
 
-// replyToReads replies to each CALL.GET on one connection. It puts the request's id at the end of each value, because the
+// replyToGets replies to each CALL.GET on one connection. It puts the request's id at the end of each value, because the
 // gateway may take two equal replies on one connection for duplicates.
-func replyToReads(conn net.Conn, value string) {
+func replyToGets(conn net.Conn, value string) {
 	defer closeQuietly(conn)
 	id := ""
 	for r := bufio.NewReader(conn); ; {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -42,10 +42,10 @@
 	MaxFieldsLength = 1 << 10 // bytes, all fields together
 	MaxTimeoutMS    = 600_000 // longest timeout of a request, in milliseconds
 
-	customerLength     = 16 // hex digits
-	customerNumberBits = 33
-	maxNumber          = 1 << 30 // maximum number of units per request if the settings have no limit
-	maxQuotedBytes     = 40      // maximum number of bytes of a field that an error message quotes
+	customerLength      = 16 // hex digits
+	customerNumberBits  = 33
+	defaultMaxUnits     = 1 << 30 // maximum number of units per request if the settings have no limit
+	maxQuotedCharacters = 40      // maximum number of characters of a field that an error message quotes
 )
 
 var (
@@ -110,9 +110,9 @@
 // Parser parses requests and checks them against the settings. It is immutable, and so safe for concurrent use.
 type Parser struct {
 	classes      map[string]policy.Class
-	plans        map[string]string // maps each plan's name to itself
+	plans        map[string]string // maps each plan's name to itself, so that Request.Plan need not point into the parsed text
 	gatewayCount int
-	maxUnits     int // maximum number of units per request; 0 stands for maxNumber
+	maxUnits     int // maximum number of units per request; 0 stands for defaultMaxUnits
 }
 
 // NewParser returns a parser that checks classes, plans, gateways and units against the settings.
@@ -130,8 +130,8 @@
 	return p
 }
 
-// Parse parses the arguments of a request. args[0] must be Get or Post, in upper or lower case. Request.Args is
-// args itself, not a copy. The client gets the text of the error.
+// Parse parses the arguments of a request. args[0] must be Get or Post; case is ignored. Request.Args is args itself, not
+// a copy. The client gets the text of the error.
 func (p *Parser) Parse(args [][]byte) (*Request, error) {
 	post := bytes.EqualFold(args[argName], []byte(Post))
 	want := getArgs
@@ -224,7 +224,7 @@
 	for part := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		if !ok || name == "" {
-			return fmt.Errorf("malformed field %.*q", maxQuotedBytes, part)
+			return fmt.Errorf("malformed field %.*q", maxQuotedCharacters, part)
 		}
 		if i := slices.Index(fieldNames, name); i >= 0 {
 			field := fieldSet(1) << i
@@ -233,7 +233,7 @@
 			}
 			seen |= field
 			if !p.parseField(request, field, value) {
-				return fmt.Errorf("field %s: invalid value %.*q", name, maxQuotedBytes, value)
+				return fmt.Errorf("field %s: invalid value %.*q", name, maxQuotedCharacters, value)
 			}
 			if field == fieldTimeout {
 				request.timeoutValue = span{start + len(name) + len("="), start + len(part)}
@@ -251,7 +251,8 @@
 	return nil
 }
 
-// parseField stores the value of one field in request and reports whether the value is valid.
+// parseField reports whether the value of one field is valid. It stores the value in request, unless the field is the
+// idempotency key.
 func (p *Parser) parseField(request *Request, field fieldSet, value string) (ok bool) {
 	var number int
 	switch field {
@@ -270,7 +271,7 @@
 		ok = value == "0" || value == "1"
 		request.ClientRetry = value == "1"
 	case fieldUnits:
-		number, ok = parseDecimal(value, 1, cmp.Or(p.maxUnits, maxNumber))
+		number, ok = parseDecimal(value, 1, cmp.Or(p.maxUnits, defaultMaxUnits))
 		request.Units = float64(number)
 	case fieldGatewayCount:
 		request.GatewayCount, ok = parseDecimal(value, 1, p.gatewayCount)
