--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -49,7 +49,7 @@
 type audit struct {
 	attempts                int
 	retries                 int     // attempts other than the first of their request in the same log
-	keyedRetries            int     // retries with an idempotency key in the dedup group of the first attempt that may have executed
+	keyedRetries            int     // retries with an idempotency key, sent to the dedup group of the first attempt that may have executed
 	attemptsAfterDisconnect int     // attempts whose client had closed its connection when the attempt was logged
 	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of writing such an attempt, in seconds
 	minWindowLeft           float64 // shortest time left in the idempotency window at one of the keyedRetries, in seconds; negative after the window
@@ -148,7 +148,7 @@
 		return "the class must not execute twice"
 	}
 	if !first.sameDedupGroup(next) {
-		return "outside the deduplication scope"
+		return "outside the dedup group"
 	}
 	left := first.at + first.window - next.at
 	a.keyedRetries++
@@ -176,15 +176,15 @@
 	a.violations = append(a.violations, name+" "+requestID+": "+fmt.Sprintf(format, args...))
 }
 
-// report returns the counts and the violations, one per line.
+// report returns a summary of the counts and times, followed by one line for each violation.
 func (a *audit) report() string {
 	var out strings.Builder
 	writeLine := func(format string, args ...any) { out.WriteString(fmt.Sprintf(format, args...) + "\n") }
-	writeLine("attempts %d, of them retries %d, covered by an idempotency key %d", a.attempts, a.retries, a.keyedRetries)
+	writeLine("attempts %d, of them retries %d, with an idempotency key in the same dedup group %d", a.attempts, a.retries, a.keyedRetries)
 	if a.keyedRetries > 0 {
 		writeLine("shortest remaining idempotency window at a retry: %.3f s", a.minWindowLeft)
 	}
-	writeLine("attempts for disconnected clients: %d, %.3f s or less after the request had arrived",
+	writeLine("attempts for disconnected clients: %d, %.3f s at most from the request's arrival to the start of the write",
 		a.attemptsAfterDisconnect, a.maxAgeAfterDisconnect)
 	writeLine("violations: %d", len(a.violations))
 	for _, violation := range a.violations {
--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -55,7 +55,7 @@
 			"one attempt":                  {f.sentLine(), ""},
 			"retry within the window":      {f.sentLine() + f.sentLine("%T", "1", "%A", "100.9"), ""},
 			"retry after the window":       {f.sentLine() + f.sentLine("%T", "1", "%A", "101.25"), "0.250 s after the idempotency window"},
-			"retry in another dedup group": {f.sentLine() + f.sentLine("%T", "1", "%Z", "b"), "outside the deduplication scope"},
+			"retry in another dedup group": {f.sentLine() + f.sentLine("%T", "1", "%Z", "b"), "outside the dedup group"},
 			"window starts at the first attempt that may have executed": {
 				f.sentLine() + f.endedLine(f.rejected, "100.1") +
 					f.sentLine("%T", "1", "%A", "100.5") + f.sentLine("%T", "2", "%A", "101.25"), "",
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -39,7 +39,7 @@
 	rejection bool // the gateway rejected the request, so the client may repeat it
 }
 
-// idempotency says whether a request of a class may be attempted again after an attempt that may have executed: always,
+// idempotency says when a request of a class may be attempted again after an attempt that may have executed: always,
 // only where endpoints drop repeats of its idempotency key, or never.
 type idempotency string
 
@@ -97,8 +97,8 @@
 // logValues maps the keys of a log line to their values.
 type logValues map[string]string
 
-// text returns the value of the first key that the line has, or "" if the line has none of the keys. A value of the
-// previous version is translated to the present one.
+// text returns the value of the first of the given keys that the line has, or "" if the line has none of them. A value of
+// the previous version is translated to the present one.
 func (v logValues) text(keys ...string) string {
 	for _, key := range keys {
 		if value, ok := v[key]; ok {
--- a/cmd/audit/main.go
+++ b/cmd/audit/main.go
@@ -1,4 +1,4 @@
-// Command audit reads the debug logs of the gateways of one fleet and checks these rules:
+// Command audit reads debug logs, each from one gateway, and checks these rules within each log:
 //
 //   - After an attempt that may have executed, a request is attempted again only if its class is idempotent, or if the
 //     class has idempotency keys and the new attempt is in the dedup group and the idempotency window of the first
@@ -6,9 +6,11 @@
 //   - No attempt is sent after the final reply, or after the gateway has noticed that the client disconnected.
 //   - A request is rejected only if the gateway knows that it has not executed, or if it can be repeated safely.
 //
-// It prints the violations, each with the id of its request, and counts of attempts. One of the counts is the number of
-// attempts whose client had already closed its connection when the attempt was logged. The exit status is 1 if there are
-// violations, and 2 if the audit fails.
+// It does not compare attempts of the same request in different logs.
+//
+// It prints counts of attempts over all logs, and the violations, each with the name of its log and the id of its
+// request. One of the counts is the number of attempts whose client had already closed its connection when the attempt
+// was logged. The exit status is 1 if there are violations, and 2 if the audit fails.
 //
 // It understands the log lines of the present version and of the previous one; see event.go.
 package main
--- a/cmd/reedlead/descriptors_test.go
+++ b/cmd/reedlead/descriptors_test.go
@@ -81,16 +81,16 @@
 	}
 }
 
-// The number of idle clients exceeds the number of file descriptors that the process may open.
 const (
-	descriptorLimit = 72
-	idleClientCount = 150
-	reconnectPause  = 5 * time.Millisecond
+	descriptorLimit = 72                   // file descriptors that the gateway process may open
+	idleClientCount = 150                  // more than descriptorLimit
+	reconnectPause  = 5 * time.Millisecond // from the end of an idle client's connection to its next one
 )
 
 // TestIdleClientsLeaveDescriptors checks that the gateway can connect to discovery and to endpoints, and can reload its
-// configuration, while more idle clients than it has file descriptors reconnect whenever they are disconnected. The
-// process may open as many descriptors as configured in one case, and far fewer in the other.
+// configuration, while idle clients use up its file descriptors. There are more idle clients than descriptors, and each
+// reconnects whenever it is disconnected. The process may open as many descriptors as configured in one case, and far
+// fewer in the other.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	for _, configured := range []int{descriptorLimit, 1024} {
 		t.Run(fmt.Sprintf("limit %d, configured %d", descriptorLimit, configured), func(t *testing.T) {
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -44,7 +44,7 @@
 // endpointAttempt is an attempt whose command an endpoint has received completely.
 type endpointAttempt struct {
 	timeout  time.Duration // from field d of the command
-	written  time.Time     // when the proxy read the last byte of the command from the gateway
+	written  time.Time     // when the proxy or, if that is unknown, the endpoint read the last byte of the command
 	executed bool          // false if the endpoint rejected it
 }
 
@@ -57,7 +57,7 @@
 	reply     string
 }
 
-// faultRun records one run with faults. The violations are those of the rules of TestRequestsUnderFaults.
+// faultRun records one run with faults. The violations are of the rules of TestRequestsUnderFaults.
 type faultRun struct {
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
@@ -215,8 +215,8 @@
 		var text strings.Builder
 		commands, bodyMax := 1+c.rng.IntN(6), 20_000
 		if c.rng.Float64() < 0.1 {
-			// More requests than may be open on a connection. The others wait, and must be small enough for the gateway to
-			// read all of them ahead. It would otherwise notice a disconnect late.
+			// These are more requests than may be open on a connection, so some have to wait. Those must be small enough for
+			// the gateway to read all of them ahead; otherwise it would notice a disconnect late.
 			commands, bodyMax = 48, 16_000
 		}
 		for range commands {
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -17,7 +17,7 @@
 	errTruncatedList   = errors.New("input ended within an endpoint list")
 )
 
-// adapter holds the state of the process: its gateways by instance, and the endpoint lists by id.
+// adapter holds the gateways of the process, by instance, and the endpoint lists, by id.
 type adapter struct {
 	now      policy.Seconds
 	in       *simwire.Reader
@@ -83,8 +83,8 @@
 	return a.handleEvent()
 }
 
-// handleEvent decodes one event completely, then delivers it to its gateway. If there is no such gateway, the event is
-// dropped. A panic is reported as a FAULT, and the process continues with the next event.
+// handleEvent decodes the event on the current line and delivers it to its gateway. A delivery to a gateway that does not
+// exist is dropped. A panic is reported as a FAULT, and the process continues with the next event.
 func (a *adapter) handleEvent() error {
 	decode, known := decoders[a.line.Name]
 	if !known {
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// registerList reads a REGISTER line and the ITEM lines after it, and stores the list under its id.
+// registerList handles the current line, which is a REGISTER: it reads the ITEM lines after it and stores the list under
+// its id.
 func (a *adapter) registerList() error {
 	fields := fieldReader{line: &a.line}
 	id, count := fields.int("rosterId"), fields.int("lines")
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -76,7 +76,8 @@
 	return status
 }
 
-// loadReport returns nil if the line has no load report or an invalid one.
+// loadReport returns nil if the line has no load report. If the load report is invalid, it returns nil and keeps the
+// error.
 func (r *fieldReader) loadReport() *policy.LoadReport {
 	report := settings.EmptyLoadReport
 	found, err := r.line.Pairs("load", func(name string, value float64) { settings.SetLoadValue(&report, name, value) })
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,7 +43,7 @@
 var (
 	// ErrMissing reports that a required field is missing.
 	ErrMissing = errors.New("missing")
-	// ErrNotPositive reports timeouts that are not above 0.
+	// ErrNotPositive reports a timeout that is not above 0.
 	ErrNotPositive = errors.New("limits.dialTimeoutS and limits.connIdleS must be above 0")
 	// ErrPeerCount reports that the number of peer addresses differs from the number of gateways.
 	ErrPeerCount = errors.New("want one address per gateway")
@@ -96,8 +96,7 @@
 	Settings   json.RawMessage
 }
 
-// Parse parses the text of a configuration file. It checks addresses, the seed, the initial endpoints, and two timeouts
-// of the settings; policy.New checks the ranges of policy.Settings.
+// Parse parses and checks the text of a configuration file. It leaves the ranges of most settings to policy.New.
 func Parse(text []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -174,7 +173,7 @@
 	for number, text := range f.Peers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return &FieldError{"peers", fmt.Errorf("number %d: %w", number, err)}
+			return &FieldError{"peers", fmt.Errorf("address of gateway %d: %w", number, err)}
 		}
 		c.PeerAddresses = append(c.PeerAddresses, address)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 		{"127.0.0.1:8500", "", "discovery", "discovery: "},
 		{"8c1f30d27a5be964", "seed", "seed", "seed: "},
 		{`"balancers":2`, `"balancers":3`, "peers", "2 addresses given for 3"},
-		{"127.0.1.2:7946", "x", "peers", "peers: number 1"},
+		{"127.0.1.2:7946", "x", "peers", "peers: address of gateway 1"},
 		{"127.0.1.255:7946", "x", "peers_all", "peers_all: "},
 		{`"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`, "peer_listen", "peer_listen: "},
 		{"in_service", "resting", "known", "known: endpoint list entry"},
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -86,8 +86,9 @@
 	MaxUtilization = 4
 )
 
-// parseLoadReport parses a load report. It returns nil if text has none, or if any value is out of range: the report is
-// then corrupt, and its other values can't be trusted either.
+// parseLoadReport parses a load report and skips parts that are not name=number pairs. It returns nil if there is no such
+// pair. It also returns nil if a parsed number is out of range: such a report is corrupt, and its other values can't be
+// trusted either.
 func parseLoadReport(text string) *policy.LoadReport {
 	report, found := settings.EmptyLoadReport, false
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -17,8 +17,8 @@
 	// MaxLine is the largest size of a simple string, an error or an integer, including its type byte and '\r' but not
 	// the final '\n'.
 	MaxLine = 1 << 10
-	// MaxMessage bounds the size of a command or reply. It leaves room for one bulk string of MaxBulkString and several
-	// short elements.
+	// MaxMessage bounds the size of a command and of an incomplete reply. It leaves room for one bulk string of
+	// MaxBulkString and several short elements.
 	MaxMessage = MaxBulkString + 8*MaxLine
 
 	maxElements   = 16 // in an array
@@ -141,7 +141,7 @@
 // ReplySize returns the size of the reply at the start of b, or 0 if b does not hold all of it.
 func ReplySize(b []byte) (int, error) { return valueSize(b, 0) }
 
-// valueSize is like ReplySize for a value inside nested arrays; depth is their number.
+// valueSize is like ReplySize, for a value that is nested in depth arrays.
 func valueSize(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestSecondsKeepTheirSign checks that a dial timeout does not overflow, or round to 0, when it is converted to a
-// duration. A gateway does not start with a dial timeout that is not above 0.
+// duration. A gateway starts only if its dial timeout is above 0.
 func TestSecondsKeepTheirSign(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0":      0,
