--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -123,8 +123,9 @@
 	}
 }
 
-// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and resumes the process.
-// It then checks when the last reply arrived, and the timeouts of the attempts.
+// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and then a PING unless
+// requestsAhead is 0. It resumes the process, and checks when the last reply to a request arrived and the timeouts of the
+// attempts.
 func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
--- a/cmd/reedlead/program_test.go
+++ b/cmd/reedlead/program_test.go
@@ -18,9 +18,9 @@
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	listen string
+	listen string // address for clients
 	log    *logBuffer
-	ended  chan error
+	ended  chan error // receives the result of cmd.Wait
 }
 
 // programConfig holds the part of a program's configuration that tests set. Zero values stand for defaults.
--- a/cmd/reedlead/slow_client_test.go
+++ b/cmd/reedlead/slow_client_test.go
@@ -57,8 +57,8 @@
 }
 
 // TestWriteDeadlineDoesNotOutliveItsWrite checks that a client whose socket was full is served for more than 5 s after it
-// has read everything. The gateway sets a write deadline when a socket is full. An earlier version did not remove it: it
-// expired after 5 s, and the gateway closed the connection without a reply to the next request.
+// has read everything. The gateway sets a write deadline when a socket is full. An earlier version did not remove it: the
+// deadline expired after 5 s, and the gateway closed the connection without a reply to the next request.
 func TestWriteDeadlineDoesNotOutliveItsWrite(t *testing.T) {
 	t.Parallel()
 	replies := (sendBufferMax(t) + 100_000) / slowValueSize // more than the send buffer of the gateway's socket holds
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -42,7 +42,7 @@
 	return err
 }
 
-// FuzzParse checks that every accepted request is within its bounds, and that parsing the command forwarded to the
+// FuzzParse checks that every accepted request is within the bounds, and that parsing the command forwarded to the
 // endpoint gives the same request.
 func FuzzParse(f *testing.F) {
 	f.Add(Get, testCustomer, "a", "c=look,t=basic,d=600000,units=2,spread=2,first=1", "")
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -235,8 +235,8 @@
 	connection *Connection
 	direction  *Direction
 	rng        *rand.Rand
-	endAfter   int  // bytes after which the proxy ends the direction as an injected fault; 0 means never
-	reset      bool // the injected fault is a reset, not a half-close
+	endAfter   int  // bytes of this direction after which the proxy injects a reset or half-close; 0 means never
+	reset      bool // the fault after endAfter bytes is a reset, not a half-close
 }
 
 const (
--- a/internal/readbuf/readbuf_test.go
+++ b/internal/readbuf/readbuf_test.go
@@ -45,7 +45,7 @@
 	one.Discard(one.Len())
 	other.Free()
 	if budget.Available() != size {
-		t.Errorf("%d of %d bytes are available after both buffers were emptied", budget.Available(), size)
+		t.Errorf("%d of %d bytes are available after one buffer was emptied and the other freed, want all", budget.Available(), size)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -103,7 +103,7 @@
 	// attempt in flight; 0 means no limit.
 	MaxOpenRequests int
 	// DrainGrace is the time within which a gateway must stop sending to an endpoint that starts to drain. Package
-	// discovery derives PollRetryInterval from it, or from a default if it is 0.
+	// discovery derives its poll retry interval from it, or from a default if it is 0.
 	DrainGrace time.Duration
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestSecondsKeepTheirSign checks that a dial timeout does not overflow, or round to 0, when it is converted to a
-// duration. A gateway starts only if its dial timeout is above 0.
+// TestSecondsKeepTheirSign checks that a dial timeout does not overflow when it is converted to a duration, and that a
+// positive one does not round to 0. A gateway starts only if its dial timeout is above 0.
 func TestSecondsKeepTheirSign(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0":      0,
