--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -68,8 +68,8 @@
 }
 
 const (
-	timeoutSlack = 150 * time.Millisecond // tolerance for an attempt's timeout above the time that remains until the deadline
-	replySlack   = 500 * time.Millisecond // tolerance for a reply after the deadline of its request
+	timeoutSlack = 150 * time.Millisecond // by which an attempt's timeout may exceed the time that remains until the deadline
+	replySlack   = 500 * time.Millisecond // by which a reply may be later than the deadline of its request
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -32,7 +32,7 @@
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
 	idempotencyWindow = 800 * time.Millisecond
-	disconnectSlack   = 100 * time.Millisecond // tolerance for an attempt written after its client has disconnected
+	disconnectSlack   = 100 * time.Millisecond // by which an attempt may be written later than its client's disconnect
 	suspendEvery      = 600 * time.Millisecond // from the end of a suspension to the start of the next
 	// suspendFor must be less than timeoutSlack. If the process is suspended after it has computed a timeout and before it
 	// writes the command, the timeout is too long by suspendFor.
