--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -54,7 +54,8 @@
 }
 
 // FuzzParse checks that no input makes the parser panic, which would end the process. It also checks that every value is
-// exactly one non-null bulk string, and that the utilization and service time of a load report are within their bounds.
+// exactly one non-null bulk string, and that the utilization and service time of a load report do not exceed their upper
+// bounds.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n", "-BUSY\r\n", "-ERR failed cpu_share=1\r\n",
