--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -68,8 +68,8 @@
 }
 
 const (
-	timeoutSlack = 150 * time.Millisecond // tolerance for an attempt's timeout above the time that remains until the deadline
-	replySlack   = 500 * time.Millisecond // tolerance for a reply after the deadline of its request
+	timeoutSlack = 150 * time.Millisecond // by which an attempt's timeout may exceed the time that remains until the deadline
+	replySlack   = 500 * time.Millisecond // by which a reply may be later than the deadline of its request
 	arrivalClass = `[{"name":"look","aimS":0.9,"deadlineS":0.9,"effect":"retryable","worth":1}]`
 )
 
@@ -123,8 +123,9 @@
 	}
 }
 
-// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and resumes the process.
-// It then checks when the last reply arrived, and the timeouts of the attempts.
+// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and then a PING unless
+// requestsAhead is 0. It resumes the process, and checks when the last reply to a request arrived and the timeouts of the
+// attempts.
 func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
