--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -27,13 +27,13 @@
 // applies determines its status:
 //   - The request has already had its maximum number of attempts: NotSent.
 //   - The timeout is negative: Timeout.
-//   - mustNotStart or hasPendingEnd reports true: NotSent.
+//   - mustNotStart or mayBeEnding reports true: NotSent.
 func (runner *attemptRunner) send(r *request, endpointID string, timeout, writeWithin policy.Seconds) {
 	a := runner.newAttempt(r, endpointID, timeout, writeWithin)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	tooMany := len(r.attempts) > max(1, runner.settings.MaxAttempts)
-	noLongerNeeded := !tooMany && (runner.mustNotStart(a) || runner.hasPendingEnd(r))
+	noLongerNeeded := !tooMany && (runner.mustNotStart(a) || runner.mayBeEnding(r))
 	switch {
 	case tooMany || noLongerNeeded && timeout >= 0:
 		runner.finishDeferred(a, policy.NotSent)
@@ -91,13 +91,13 @@
 
 // mayStillStart reports whether an attempt that has waited for a connection may still be written to it.
 func (runner *attemptRunner) mayStillStart(a *attempt) bool {
-	return !runner.mustNotStart(a) && (a.request == nil || !runner.hasPendingEnd(a.request))
+	return !runner.mustNotStart(a) && (a.request == nil || !runner.mayBeEnding(a.request))
 }
 
-// hasPendingEnd reports whether no further attempt should start, because hasPendingReply reports true or the client has
-// disconnected. The client is checked even before the first attempt: the request may have been unread in its socket for
-// a long time, and the client may have disconnected meanwhile.
-func (runner *attemptRunner) hasPendingEnd(r *request) bool {
+// mayBeEnding reports whether the request may be about to end, so that no further attempt should start: hasPendingReply
+// reports true, or the client has disconnected. The client is checked even before the first attempt: the request may
+// have been unread in its socket for a long time, and the client may have disconnected meanwhile.
+func (runner *attemptRunner) mayBeEnding(r *request) bool {
 	return runner.hasPendingReply(r) || runner.clientDisconnected(r.client)
 }
 
