--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -131,7 +131,7 @@
 	unusableBackoff time.Duration // minimum backoff after the next unusable list
 }
 
-// New returns a client that starts with a watch for the changes after a version of the list.
+// New returns a client that starts with a watch at address for the changes of the list after the given version.
 func New(address string, version int64, options Options) *Client {
 	return &Client{
 		options: options, address: address, version: version, unusableBackoff: minUnusableBackoff,
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -28,15 +28,16 @@
 	Polls chan string
 }
 
-// NewScriptedAgent starts an agent that responds to each poll with the lines that response returns for its query. If
-// the last line is empty, the response stays open. The agent is stopped at the end of the test.
-func NewScriptedAgent(t *testing.T, response func(query string) []string) *ScriptedAgent {
+// NewScriptedAgent starts an agent that responds to each poll with the lines that linesFor returns for the query of
+// the poll. If the last line is empty, the agent does not end the response. The agent is stopped at the end of the
+// test.
+func NewScriptedAgent(t *testing.T, linesFor func(query string) []string) *ScriptedAgent {
 	t.Helper()
 	agent := &ScriptedAgent{Polls: make(chan string, 64)}
 	ended := make(chan struct{})
 	agent.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		agent.Polls <- request.URL.RequestURI()
-		lines := response(request.URL.RawQuery)
+		lines := linesFor(request.URL.RawQuery)
 		write(w, strings.Join(lines, "\n")+"\n")
 		if len(lines) > 0 && lines[len(lines)-1] == "" {
 			select {
--- a/internal/discovery/recovery_time_test.go
+++ b/internal/discovery/recovery_time_test.go
@@ -219,8 +219,8 @@
 var recoveries = []recovery{
 	{name: "the agent recovers"},
 	{name: "the agent recovers, one clock step later", extraSteps: 1},
-	{name: "SIGHUP", switchAddress: true},
-	{name: "SIGHUP, one clock step later", extraSteps: 1, switchAddress: true},
+	{name: "the address is switched", switchAddress: true},
+	{name: "the address is switched, one clock step later", extraSteps: 1, switchAddress: true},
 }
 
 // TestChangeIsAppliedInTimeAfterAnyFailure checks that the client receives a change in time after each kind of failure.
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -14,8 +14,8 @@
 	// maxEpochs is the maximum number of epochs that are kept. An endpoint is usually listed a few seconds after its
 	// start, and the wall clock is stepped at most a few times in between.
 	maxEpochs = 16
-	// startTolerance is the time by which a start may lie outside of an epoch, or in the future, because endpoints and
-	// this process read their clocks at different moments.
+	// startTolerance is the time by which a start may lie before an epoch or in the future, because endpoints and this
+	// process read their clocks at different moments.
 	startTolerance policy.Seconds = 0.5
 )
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -95,10 +95,10 @@
 	return err
 }
 
-// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. Input restarts
-// the read timer only between values: a blank line, which is the heartbeat of a watch, or the first part of a value.
-// The rest of the value must arrive before the timer fires, as a value that arrives byte by byte would otherwise delay
-// the next poll without bound. The size of a value is limited as well.
+// valueReader reads a stream of JSON values, which may be indented and have blank lines between them. A blank line
+// between values, which is the heartbeat of a watch, restarts the read timer. So do the first part of a value and
+// endValue. The rest of a value must arrive before the timer fires, as a value that arrives byte by byte would
+// otherwise delay the next poll without bound. The size of a value is limited as well.
 type valueReader struct {
 	source         io.Reader
 	decoder        *json.Decoder
--- a/internal/eventloop/stall_detector.go
+++ b/internal/eventloop/stall_detector.go
@@ -32,7 +32,7 @@
 	return now
 }
 
-// SetNextTimerDue records when the next timer of the loop is due.
+// SetNextTimerDue records when the loop is due to wake for a timer. The timer may be stopped before then.
 func (d *StallDetector) SetNextTimerDue(at policy.Seconds) { d.nextTimerDue.Store(at) }
 
 // recordStall records that the loop did not run from start, when a timer was due, until end. A stall that starts within
--- a/internal/netcalls/socket_io.go
+++ b/internal/netcalls/socket_io.go
@@ -15,10 +15,11 @@
 // progressCheckInterval limits how long one write blocks before WriteAll checks whether any bytes were written.
 const progressCheckInterval = time.Second
 
-// WriteAll writes all of b. About once per second, or per stallTimeout if that is shorter, it checks its progress. It
-// calls onProgress if bytes were written since the last check and some are left. Once stallTimeout has passed without
-// progress, it gives up with an error that wraps os.ErrDeadlineExceeded. It first tries to write once more, as the time
-// may have passed because this process was stopped for a while. It leaves no write deadline on the connection.
+// WriteAll writes all of b. About once per second, or per stallTimeout if that is shorter, it checks its progress. Each
+// check tries to write once more, as the time may have passed because this process was stopped for a while. It calls
+// onProgress if bytes were written since the last check and some are left. Once stallTimeout has passed without
+// progress, WriteAll gives up with an error that wraps os.ErrDeadlineExceeded. It leaves no write deadline on the
+// connection.
 func (c *Calls) WriteAll(conn net.Conn, raw syscall.RawConn, b []byte, stallTimeout time.Duration, onProgress func()) error {
 	defer func() { _ = conn.SetWriteDeadline(time.Time{}) }() // fails only on a closed connection
 	lastProgress := time.Now()
@@ -62,8 +63,8 @@
 	return max(n, 0), err
 }
 
-// TryRead reads the bytes that have arrived on a connection, without blocking. It returns EAGAIN if there are none, and
-// io.EOF at the end of the stream.
+// TryRead reads the bytes that have arrived on a connection, without blocking. It returns EAGAIN if there are none,
+// EINTR if the call was interrupted, and io.EOF at the end of the stream.
 func TryRead(raw syscall.RawConn, b []byte) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -44,7 +44,7 @@
 // Event is the result of receiving a datagram: a Message or a Dropped.
 type Event interface{ isEvent() }
 
-// Message is a datagram from a gateway. With a broadcast, the sender may be this gateway.
+// Message is a datagram from a gateway. The sender may be this gateway, as a broadcast may also reach its sender.
 type Message struct {
 	From int // the number of the gateway
 	Data []byte
--- a/internal/proxy/backend_reader.go
+++ b/internal/proxy/backend_reader.go
@@ -14,7 +14,7 @@
 	// the next command starts within that time, the next reply is taken for a duplicate if it equals the earlier reply,
 	// or if both are rejections. Genuine replies with values are not equal, as the values or the load reports differ.
 	// Genuine errors may be equal. Taking one for a duplicate only costs the connection, as its attempt ends as Error
-	// in any case.
+	// in any case. The attempt of a genuine rejection that is taken for a duplicate ends as Error, not as Rejected.
 	duplicateWindow policy.Seconds = 0.1
 	// maxLoggedBytes is the maximum number of bytes of a malformed reply that are logged.
 	maxLoggedBytes = 40
--- a/internal/proxy/fleet_size_test.go
+++ b/internal/proxy/fleet_size_test.go
@@ -34,7 +34,7 @@
 // BenchmarkFleetSize runs one gateway that is configured for a fleet of the usual size or a larger one. It measures the
 // processor time and the heap of the process, and the number of connections made to endpoints. The gateway uses the
 // real decision module. The other gateways do not run, and one listener that replies at once stands for all endpoints.
-// Each request names another first gateway than the request before.
+// The field first of the command, which names a gateway, differs from request to request.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, size := range []fleetSize{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%d gateways, %d endpoints", size.gateways, size.endpoints), func(b *testing.B) {
