--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -33,8 +33,8 @@
 	addresses chan string
 }
 
-// runClient starts a client that has version 4 of the list. Unless change replaces it, the poll retry interval is so
-// long that no poll is retried, even in a slow test.
+// runClient starts a client that has version 4 of the list. The poll retry interval is so long that no poll is retried,
+// even in a slow test, unless the function change replaces the interval.
 func runClient(t *testing.T, address string, change func(*Options)) *runningClient {
 	t.Helper()
 	r := &runningClient{t: t, updates: make(chan []string, 64), addresses: make(chan string)}
