--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -27,8 +27,8 @@
 // unixMS returns the start time that the endpoint list states for a start at a given event time.
 func (c steppedClock) unixMS(at float64) int64 { return int64(math.Round(c.wall(at) * 1000)) }
 
-// stepCase is a step of the wall clock by step seconds at stepAt, and the start of an endpoint at startAt. Both times
-// are event times.
+// stepCase holds the size of a step of the wall clock in seconds, and the event times of the step and of an endpoint's
+// start.
 type stepCase struct {
 	step, stepAt, startAt float64
 }
