--- a/policy/api.go
+++ b/policy/api.go
@@ -70,8 +70,8 @@
 type Class struct {
 	Name string
 	// LatencyObjective is the time within which a reply earns the full PriorityWeight. It counts from the
-	// arrival of the request. For a detected client retry it counts from Timeout before the deadline, when the
-	// client is assumed to have first sent the request.
+	// arrival of the request. For a detected client retry it counts from the time at which the client is
+	// assumed to have first sent the request, if that is earlier: the deadline minus Timeout.
 	LatencyObjective Seconds
 	// ObjectiveLatencyMultiple extends the objective by this multiple of the mean latency of the class.
 	ObjectiveLatencyMultiple float64
--- a/policy/class.go
+++ b/policy/class.go
@@ -23,7 +23,7 @@
 	retryDetector    clientRetryDetector
 }
 
-// newClass returns a class without statistics.
+// newClass returns a class without recorded latencies. Its meanLatency starts at an estimate.
 func newClass(settings Class, index int) *class {
 	return &class{
 		Class:         settings,
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -78,8 +78,9 @@
 
 // likelyRetrying reports whether clients of the customer may be retrying: a rejection of the customer was
 // recorded at this gateway less than timeout ago, or the customer's demand exceeds the rate of its plan. Only
-// then does a short remaining time count as a sign of a retry. Without this condition, first attempts with
-// short deadlines could be rejected although they are within the quota.
+// then does an unusual remaining time count as a sign of a retry. Without this condition, a first attempt
+// with an unusually short deadline would get an earlier objective, and could be rejected although it is
+// within the quota.
 func (c *customer) likelyRetrying(now, timeout Seconds) bool {
 	return now-c.rejectedAt < timeout ||
 		c.plan.Rate > 0 && c.demand.rateAt(now)+c.quota.othersDemand > c.plan.Rate
--- a/policy/endpoint_picker.go
+++ b/policy/endpoint_picker.go
@@ -56,7 +56,8 @@
 	return p.pickCheapest(r)
 }
 
-// pickWarming returns the first warming endpoint that has a credit and may receive the request, or nil.
+// pickWarming returns the first available warming endpoint that creditAvailable and allowedOnWarming accept
+// and whose outlier score is below suspectScore, or nil.
 func (p *endpointPicker) pickWarming(r *request) *endpoint {
 	for _, e := range p.endpoints.listed {
 		if p.slowStart.warmUpFraction(e) < 1 && e.available(p.clock.now) && p.slowStart.creditAvailable(e) &&
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -38,8 +38,8 @@
 
 // Ejection of an endpoint, which applies to all classes.
 const (
-	// consecutiveFailuresToEject is the number of consecutive refused or lost connections at which an endpoint
-	// is ejected. A single failure may be a fault of the connection rather than of the endpoint.
+	// consecutiveFailuresToEject is the number of connections refused or lost since the last success at which
+	// an endpoint is ejected. A single failure may be a fault of the connection rather than of the endpoint.
 	consecutiveFailuresToEject = 2
 
 	ejectionPeriod      Seconds = 0.5  // minimum; multiplied by a random factor from 1 to 2
@@ -155,7 +155,8 @@
 }
 
 // recordConnectionFailure records a refused or lost connection. It raises the score for all classes, and
-// ejects the endpoint if it has had at least consecutiveFailuresToEject failures in a row.
+// ejects the endpoint if at least consecutiveFailuresToEject connections have been refused or lost since its
+// last success.
 func (d *outlierDetector) recordConnectionFailure(e *endpoint) {
 	e.consecutiveConnectionFailures++
 	if e.consecutiveConnectionFailures < consecutiveFailuresToEject {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -161,14 +161,15 @@
 // creditPerRequest returns the credit that a request of mean work adds to a warming endpoint: the fraction of
 // this gateway's work that the endpoint may receive.
 //
-// maxShare is the upper limit. It assumes that the capacity of a warm endpoint is at least an equal share of
-// the completed work. A warming endpoint has the fraction warmUpFraction of that capacity, and fails if it
-// receives overloadMultiple times as much.
+// In a small fleet this is maxShare, the largest fraction that should not overload the endpoint. The endpoint
+// has the fraction warmUpFraction of the capacity of a warm endpoint, and fails above overloadMultiple times
+// that. The capacity of a warm endpoint is estimated as an equal share of the completed work, which is
+// assumed to be at least minCompletedFraction of the offered work.
 //
-// A gateway of a large fleet does not see the load that the other gateways send to an endpoint, and this
-// load varies randomly. It therefore uses reducedShare while warm endpoints can take the remaining work. The
-// more of the capacity is warming, the less they can take, so requiredShare rises to maxShare. The larger of
-// reducedShare and requiredShare counts, up to maxShare.
+// In a large fleet, most of the load of an endpoint comes from other gateways, unseen and varying at random.
+// As a margin, the credit is then only reducedShare. The more of the capacity is warming, the less work the
+// warm endpoints can take instead, so the credit is at least requiredShare, which rises to maxShare. The
+// credit never exceeds maxShare.
 func (s *slowStart) creditPerRequest(warmUpFraction float64) float64 {
 	completedFraction := min(max(s.completedWork/max(s.offeredWork, workEpsilon), minCompletedFraction), 1)
 	maxShare := warmUpFraction * s.overloadMultiple / max(s.inServiceCount, 1) * completedFraction
