--- a/internal/proxy/client_disconnect_test.go
+++ b/internal/proxy/client_disconnect_test.go
@@ -150,7 +150,8 @@
 	} else { // unlike after a reset, the commands before a FIN can still be read
 		c.closeWrite()
 	}
-	// If the reply to r0 can be written, the reader gets a permit for the next command.
+	// After a FIN, the reply to r0 can still be written, which releases a permit: the reader then handles the next command.
+	// After a reset, the write fails.
 	h.whileLoopBlocked(func() {}, closed, func() { h.proxy.Fail("r0", policy.DeadlineTooClose) })
 	h.awaitClientDisconnected(conns, fmt.Sprint("r", maxPipelined-1))
 	h.eventually("requests and connections are removed", func() bool { return len(h.proxy.requests.byID) == 0 && h.proxy.clients.open() == 0 })
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// listenerQuietPeriod is the time from a timeout of accept to the next deadline, once the event loop has set the first
-	// deadline to stop the listener. If accept times out after waiting for at least half of it, that is a quiet period:
-	// no connection seems to be waiting.
+	// listenerQuietPeriod is the time from a timeout of accept to its next deadline while the listener is being stopped.
+	// An accept that waits for at least half of it and times out counts as a quiet period.
 	listenerQuietPeriod = 10 * time.Millisecond
-	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. Connections may be accepted
-	// between quiet periods, but a timeout after a shorter wait resets the count.
+	// quietPeriodsToClose is the number of quiet periods after which the listener is closed. An accepted
+	// connection does not reset the count. A timeout after less than half of listenerQuietPeriod does, as such an accept
+	// may not have checked for connections.
 	quietPeriodsToClose = 2
 )
 
--- a/internal/proxy/client_pipeline.go
+++ b/internal/proxy/client_pipeline.go
@@ -21,7 +21,8 @@
 
 // replyPipeline keeps the replies of a connection in the order of its commands. The event loop owns it.
 type replyPipeline struct {
-	slots           []*pipelineSlot  // open commands and final replies behind them; at most maxPipelined and the last reply
+	// slots holds the open commands and the final replies behind them: at most maxPipelined, plus one for the last reply.
+	slots           []*pipelineSlot
 	pending         []byte           // queued replies that are neither written nor handed to a writer goroutine
 	unwritten       []unwrittenReply // replies that are pending or with a writer, oldest first
 	lastReplyQueued bool             // the last reply of the connection was queued
--- a/internal/proxy/client_set.go
+++ b/internal/proxy/client_set.go
@@ -55,7 +55,8 @@
 	// event loop removes it when it closes the connection.
 	connSlots chan struct{}
 
-	stallTimeout   time.Duration // see the constants of these names
+	// These hold the constants of the same names. Tests change commandTimeout.
+	stallTimeout   time.Duration
 	commandTimeout time.Duration
 }
 
@@ -113,7 +114,8 @@
 	s.enforceLimit() // add also evicts, but there may be no new connection
 }
 
-// enforceLimit evicts connections if more than limit are open, not counting those whose close was requested.
+// enforceLimit evicts connections if more than limit are open, until fewer than limit are or none can be evicted.
+// Connections whose close was requested are not counted.
 func (s *clientSet) enforceLimit() {
 	if s.notClosing() > s.limit {
 		s.makeRoom(nil)
@@ -174,11 +176,12 @@
 
 // Ranks of idle and stalled connections, in the order of eviction.
 const (
-	rankLastReplyQueued evictionRank = iota // the connection's last reply was queued
+	rankLastReplyQueued evictionRank = iota // the last reply was written, and the reader is still discarding input
 	rankNothingReceived                     // the client has not sent any bytes
 	rankIdle                                // a command was handled, none is open, and no reply is left to write
 	// rankUnhandledInput: the client has sent its first input or closed the connection, and the event loop has not handled
-	// that yet. Until it has, an eviction frees no descriptor.
+	// that yet. An eviction now would usually free no descriptor: readerPaused keeps a connection open if it has unread
+	// input or has queued a reply since the close request.
 	rankUnhandledInput
 	rankStalled // the client does not read its replies
 )
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// acceptGrace is the time after the shutdown signal during which connections are accepted. The signal announces a
-	// planned restart: clients may open connections for 0.4 s after it, and connections lost from 0.7 s on count as
-	// failures. The listener closes between these times.
+	// acceptGrace is the time from the shutdown signal until the listener starts to close. Clients may open connections
+	// for 0.4 s after the signal, so it must not close earlier. A connection that arrives as it closes may be lost, which
+	// counts as a failure from 0.7 s after the signal on, so it must close before that.
 	acceptGrace = 500 * time.Millisecond
 	// SIGKILL may follow the shutdown signal after min(longest timeout of a request class, maxSigkillTimeout) +
 	// sigkillDelay. Requests that are still open sigkillMargin before SIGKILL get an error reply. The sending sides of
--- a/internal/proxy/event_order_test.go
+++ b/internal/proxy/event_order_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestNoHedgedRequestAfterDialWhileEndIsPending checks that a hedged request whose dial completes is not sent if the
-// connection of the first attempt has ended, even if the event loop has not handled that end yet. Handling it may
-// finish the request, and a finished request must not be sent again.
+// TestNoHedgedRequestAfterDialWhileEndIsPending checks that a hedged request whose dial completes is not sent while
+// the end of the first attempt's connection waits to be handled by the event loop. Handling it may finish the request,
+// and a finished request must not be sent again.
 func TestNoHedgedRequestAfterDialWhileEndIsPending(t *testing.T) {
 	addr, conns := listenEndpoint(t)
 	other, others := listenEndpoint(t)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -26,7 +26,7 @@
 	done      bool             // it has its final reply, or its connection was abandoned
 }
 
-// Reasons for which the proxy itself, not the decision module, rejects or fails a request.
+// Reasons for which the proxy itself, not the decision module, rejects or fails a request; noReason is for values.
 const (
 	shuttingDown           policy.Reason = "shutting_down"
 	connectionLimitReached policy.Reason = "connection_limit_reached"
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -57,8 +57,8 @@
 // TestThousandGatewaysAndEndpoints checks that a proxy supports 1,024 gateways and as many endpoints:
 //   - The initial list, a complete list with indentation and a change are applied, and the proxy is ready before
 //     discovery replies.
-//   - Messages pass in both directions between the first gateway and the last, and one event can send a message to
-//     each other gateway without a loss in the send queue.
+//   - Messages pass in both directions between the first gateway and the last, and a single event can send one
+//     message to every other gateway without losing any in the send queue.
 //   - A request may be spread over all gateways.
 //   - The heap of both gateways and the test takes at most 128 MB.
 func TestThousandGatewaysAndEndpoints(t *testing.T) {
--- a/internal/proxy/system_calls_test.go
+++ b/internal/proxy/system_calls_test.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestTransientReadAndWriteErrors checks that requests succeed despite temporary errors of reads and writes, and if
-// commands and replies are read and written in small parts.
+// TestTransientReadAndWriteErrors checks that requests succeed despite temporary errors of reads and writes, and
+// also when commands and replies pass in small parts.
 func TestTransientReadAndWriteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM} {
 		for _, partSize := range []int{1, 2, 3, 7, 64, 0} {
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -59,7 +59,8 @@
 	)
 }
 
-// attemptEnded logs how an attempt ended.
+// attemptEnded logs the status of an attempt that ended at the given time, and why its reply is malformed, if it is. It
+// does not log health checks.
 func (t *tracer) attemptEnded(a *attempt, result attemptResult, at policy.Seconds) {
 	if !t.enabled() || a.request == nil {
 		return
