--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -81,8 +81,9 @@
 		return true
 	}
 	c.refillCeilingShare(now)
-	// This expression for the burst may round differently than ceilingShareSize. If it exceeds the burst from
-	// there by more than the tolerance, the share never counts as full.
+	// The order of operations differs from ceilingShareSize, so the burst may round differently. With a very
+	// large burst, the difference can exceed the tolerance. The share then never counts as full, and the
+	// customer is not evicted.
 	shareFull := c.ceilingShare.tokens >= p.CeilingBurst*(1-ceilingPoolFraction)/c.gateways()-tolerance
 	if !c.isPrimaryOwner {
 		return shareFull
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -111,7 +111,8 @@
 // addMember adds the member that sent a report. The member's total starts at the units that an owner has
 // acknowledged, so that recordUsage charges only the unacknowledged ones. After a restart of the owner or a
 // change of ownership, the ledger is new and may lack earlier usage. Until ledgerRecoveryPeriod has passed,
-// it therefore adopts the remaining units of the report if they are known and lower.
+// addMember therefore lowers the level to the remaining units of the report, if they are known. It first adds
+// the unacknowledged units to them, because recordUsage charges these afterwards.
 func (l *ledger) addMember(report memberReport) *member {
 	if report.remainingKnown && report.receivedAt-l.createdAt < ledgerRecoveryPeriod {
 		l.window.tokens = min(l.window.tokens, max(report.remaining+report.unacknowledged, 0))
--- a/policy/message_codec.go
+++ b/policy/message_codec.go
@@ -99,7 +99,8 @@
 //     level of the ledger in a reply.
 //   - demand and inFlight are those of the member in a report, and of all other gateways in a reply.
 //
-// Units are encoded in quarters of a wire unit, and the ranges of their fields are in wire units.
+// The fields hold units, but the ranges given below are in wire units: multiply them by
+// messageFormat.unitsPerWireUnit. On the wire, units and demand are sent in quarters of a wire unit.
 type usageRecord struct {
 	key              uint32  // upper 32 bits of the customer's hash
 	planIndex        int     // index of the plan in the settings
--- a/policy/quota_view.go
+++ b/policy/quota_view.go
@@ -1,13 +1,13 @@
 package policy
 
 const (
-	// maxReplyAge is the maximum age of the owner's last reply at which a member admits requests from its share
-	// of the remaining units. With an older reply, the member admits only requests for which the remaining units
+	// maxReplyAge is the maximum age of a member's view at which the member admits requests from its share of
+	// the remaining units. With an older view, the member admits only requests for which the remaining units
 	// would be enough at every gateway of the customer.
 	maxReplyAge Seconds = 0.5
-	// maxInFlightAge is the maximum age of the owner's last reply at which a member relies on the number of
-	// attempts in flight that the reply states. It is shorter than maxReplyAge, because that number changes
-	// with every attempt.
+	// maxInFlightAge is the maximum age of a member's view at which the member relies on
+	// quotaView.othersInFlight. It is shorter than maxReplyAge, because the number of attempts in flight
+	// changes with every attempt.
 	maxInFlightAge Seconds = 0.1
 	// lowPriorityReserve is the fraction of the burst that requests with a priorityDeficit of 1 must leave for
 	// those of higher priority while the demand of their customer exceeds the rate.
@@ -71,16 +71,18 @@
 		(age > maxInFlightAge || c.inFlight+c.quota.othersInFlight+1 >= p.MaxConcurrent)
 }
 
-// admitFromShare decides on a request by this member's share of the remaining units, which is proportional
-// to its part of the total demand. age is the time since the view was last set: by a reply, by a ledger, or
-// when the customer was added. The member also admits a request beyond its share if enough units would be
-// left even if the other gateways had used units at twice their demand during a time of age plus
-// clockUncertainty.
+// admitFromShare decides on a request by this member's view of the quota. age is the time since the view was
+// last set: by a reply, by a ledger, or when the customer was added. If the plan has no rate, admitFromShare
+// admits every request.
 //
-// If the view is older than maxReplyAge, or not based on a reply or a ledger, the member admits a request
-// only if the remaining units are enough for the same request at every gateway of the customer. If a request
-// exceeds the remaining units and the view is younger than minReportInterval, the member does not admit it.
-// In all other cases, the member asks the owner. If the plan has no rate, it admits every request.
+// A view is fresh if it is based on a reply or a ledger and not older than maxReplyAge. With a fresh view,
+// the member admits a request that fits into its share of the remaining units, which is proportional to its
+// part of the total demand. It also admits a request that would still fit after the other gateways had used
+// units at twice their demand for age plus clockUncertainty. With any other view, it admits a request only if
+// the remaining units are enough for the same request at every gateway of the customer.
+//
+// While the view is younger than minReportInterval, the member does not admit other requests that exceed the
+// remaining units. For the rest, it asks the owner.
 func (c *customer) admitFromShare(r *request, remaining float64, age, now Seconds) admission {
 	p, demand, othersDemand := r.plan, c.demand.rateAt(now), c.quota.othersDemand
 	need := r.Units
--- a/policy/usage_reports.go
+++ b/policy/usage_reports.go
@@ -34,8 +34,8 @@
 	// askedCount is the number of waiting requests whose units the last report asked for. It is 0 once the
 	// reply has arrived or is overdue.
 	askedCount int
-	// overdueReplies is the number of consecutive overdue replies, including those to reports that were still
-	// scheduled.
+	// overdueReplies is the number of consecutive overdue replies. A reply can be overdue before the report
+	// is sent, because the wait for a grant starts when the report is scheduled.
 	overdueReplies int
 }
 
@@ -58,7 +58,7 @@
 	budget   tokenBucket   // messages that may be sent
 	batches  []reportBatch // by gateway
 	pending  []int         // gateways whose batches are not empty
-	watched  []*customer   // customers for which a reply is expected
+	watched  []*customer   // customers that forEachOverdue checks
 }
 
 // newUsageReporter returns a reporter with no reports scheduled and a budget of minBatchTokens messages.
@@ -217,7 +217,8 @@
 }
 
 // repeatReport schedules another report on the customer, to its current owner. If requests wait for a
-// grant, the wait for the reply starts at once.
+// grant, the wait for the reply starts at once, even if this gateway has become the owner and no report is
+// scheduled.
 func (u *usageReporter) repeatReport(c *customer) {
 	waiting := len(c.awaitingOwner) > 0
 	u.scheduleReport(c, waiting)
@@ -239,8 +240,8 @@
 }
 
 // recordReply records that a reply has arrived. If no request waits for a grant, it ends the wait for a
-// reply. If requests wait and no expected reply covers them, it restarts the wait, for the reply to their
-// next report.
+// reply. If requests wait but no report whose reply is still expected has asked for their units, it restarts
+// the wait: the reply to their next report must arrive in time.
 func (u *usageReporter) recordReply(c *customer) {
 	if len(c.awaitingOwner) == 0 {
 		c.report.awaitingReplySince, c.report.overdueReplies = 0, 0
--- a/policy/usage_reports_test.go
+++ b/policy/usage_reports_test.go
@@ -4,7 +4,8 @@
 
 // Regression test: members of a large fleet decided without asking the owner, although their view of the quota was old
 // or not based on a reply. They admitted more than the quota, or rejected requests although units were left. Before the
-// first reply, a member must ask the owner, and then follow the reply.
+// first reply, a member must ask the owner if the units are not enough for the same request at every gateway, and then
+// follow the reply.
 func TestMemberAwaitsTheOwnersGrant(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
 		g, r, send := newTestMember(t, withGatewayCount(100))
@@ -85,8 +86,8 @@
 }
 
 // Regression test: the loss of two replies made their owner count as unreachable. The next gateway on the ring then
-// became the owner and granted units without knowing the customer's usage. This happened between gateways that
-// exchange few messages, because any other message from the owner resets the count.
+// became the owner and granted units without knowing the customer's usage. It happened only if the owner sent few
+// other messages, because each accepted message resets the number of unanswered reports.
 func TestTwoLostRepliesKeepAnOwnerReachable(t *testing.T) {
 	g, r, send := newTestMember(t, withGatewayCount(100))
 	c := send(100, "q", 2)
