--- a/cmd/audit/audit.go
+++ b/cmd/audit/audit.go
@@ -42,14 +42,14 @@
 // requestHistory holds what one gateway has logged about a request so far.
 type requestHistory struct {
 	attempts  []*attempt
-	completed bool // it got its final reply, or the gateway noticed that the client had disconnected
+	completed bool // the request got its final reply, or the gateway logged that the client had disconnected
 }
 
 // audit counts attempts and collects violations over all logs.
 type audit struct {
 	attempts                int
 	retries                 int     // attempts other than the first of their request in the same log
-	keyedRetries            int     // retries with an idempotency key, sent to the dedup group of the first attempt that may have executed
+	keyedRetries            int     // retries with an idempotency key that stayed in the dedup group of the request's first attempt that may have executed
 	attemptsAfterDisconnect int     // attempts whose client had closed its connection when the attempt was logged
 	maxAgeAfterDisconnect   float64 // longest time from a request's arrival to the start of writing such an attempt, in seconds
 	minWindowLeft           float64 // shortest time left in the idempotency window at one of the keyedRetries, in seconds; negative after the window
--- a/cmd/audit/audit_test.go
+++ b/cmd/audit/audit_test.go
@@ -47,8 +47,8 @@
 	return strings.Replace(f.completed, "%W", reply, 1)
 }
 
-// TestAuditReportsViolations checks that the audit reports the violation of each log that has one, and nothing for the
-// other logs. The logs hold the lines of the present version or of the previous one.
+// TestAuditReportsViolations checks that the audit reports the violation in each log that has one, and none for the
+// other logs. Each case runs with the log lines of the present and of the previous version of the gateway.
 func TestAuditReportsViolations(t *testing.T) {
 	for version, f := range formats {
 		for name, tc := range map[string]struct{ log, want string }{
@@ -95,8 +95,9 @@
 	}
 }
 
-// TestAttemptsForDisconnectedClientsAreCounted checks that the audit counts attempts that were sent after the client had
-// disconnected, and retries, for the log lines of both versions.
+// TestAttemptsForDisconnectedClientsAreCounted checks that the report counts retries, and attempts whose client had
+// closed its connection when they were logged, and gives the longest time from a request's arrival to the start of
+// writing such an attempt. It runs with the log lines of both versions of the gateway.
 func TestAttemptsForDisconnectedClientsAreCounted(t *testing.T) {
 	for version, f := range formats {
 		t.Run(version, func(t *testing.T) {
--- a/cmd/audit/event.go
+++ b/cmd/audit/event.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// eventKind is the kind of event that a trace line records.
+// eventKind says what a log line reports. The audit ignores lines of kind otherEvent.
 type eventKind int
 
 const (
--- a/cmd/reedlead/arrival_test.go
+++ b/cmd/reedlead/arrival_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// receivedAttempt is an attempt that an endpoint received.
+// receivedAttempt is what hangingEndpoint records of an attempt.
 type receivedAttempt struct {
 	id      string
 	timeout time.Duration // from field d of the command
@@ -123,9 +123,9 @@
 	}
 }
 
-// checkArrivalAfterSuspension suspends the process, sends requestsAhead requests and one more, and then a PING unless
-// requestsAhead is 0. It resumes the process, and checks when the last reply to a request arrived and the timeouts of the
-// attempts.
+// checkArrivalAfterSuspension sends requestsAhead + 1 requests while the process is suspended, followed by a PING if
+// requestsAhead is not 0. After resuming the process, it checks that the last reply to a request is not late, that no
+// attempt's timeout exceeds the client's remaining time, and that no attempt is sent if the deadline has passed.
 func checkArrivalAfterSuspension(t *testing.T, deadline time.Duration, requestsAhead int) {
 	t.Helper()
 	endpoint := startHangingEndpoint(t)
@@ -157,6 +157,6 @@
 	}
 	excess, attempts := endpoint.maxTimeoutExcess(sent, deadline)
 	if excess > timeoutSlack || deadline < suspension && attempts > 0 {
-		t.Errorf("%d attempts, the largest timeout exceeds the client's remaining time by %v", attempts, excess)
+		t.Errorf("got %d attempts, the latest timeout ends %v late; want no late timeout, and no attempt after the deadline", attempts, excess)
 	}
 }
--- a/cmd/reedlead/faults_test.go
+++ b/cmd/reedlead/faults_test.go
@@ -32,7 +32,7 @@
 	faultLimits = `"dialTimeoutS":0.3,"connIdleS":2,"maxAttempts":4,"cancel":true,"parallelTries":true,
 		"retryAfter":true,"maxRetryAfterS":0.5`
 	idempotencyWindow = 800 * time.Millisecond
-	disconnectSlack   = 100 * time.Millisecond // by which an attempt may be written later than its client's disconnect
+	disconnectSlack   = 100 * time.Millisecond // how long after its client's disconnect an attempt may still be written
 	suspendEvery      = 600 * time.Millisecond // from the end of a suspension to the start of the next
 	// suspendFor must be less than timeoutSlack. If the process is suspended after it has computed a timeout and before it
 	// writes the command, the timeout is too long by suspendFor.
@@ -57,7 +57,8 @@
 	reply     string
 }
 
-// faultRun records one run with faults. The violations are of the rules of TestRequestsUnderFaults.
+// faultRun records one run with faults. The field violations holds the breaches of the rules that
+// TestRequestsUnderFaults states.
 type faultRun struct {
 	mu         sync.Mutex
 	attempts   map[string][]endpointAttempt
--- a/internal/reply/history.go
+++ b/internal/reply/history.go
@@ -23,10 +23,10 @@
 	receivedAt policy.Seconds
 }
 
-// IsDuplicate reports whether reply b may be a duplicate of an earlier reply. It compares b only with replies that were
-// received later than the time since. A reply with the same bytes counts as a duplicate. A second rejection counts as a
-// duplicate even if its bytes differ: if the gateway mistook a duplicate for the rejection of the present command, it
-// would retry a command that the endpoint may be executing.
+// IsDuplicate reports whether reply b may be a duplicate of an earlier reply. It ignores earlier replies with
+// receivedAt <= since. A reply with the same bytes counts as a duplicate. A second rejection counts as a duplicate even
+// if its bytes differ: if the gateway mistook a duplicate for the rejection of the present command, it would retry a
+// command that the endpoint may be executing.
 func (h *History) IsDuplicate(b []byte, status policy.AttemptStatus, since policy.Seconds) bool {
 	hash := maphash.Bytes(hashSeed, b)
 	for _, past := range h.replies {
--- a/internal/reply/history_test.go
+++ b/internal/reply/history_test.go
@@ -39,6 +39,6 @@
 		h.Add([]byte("later"), policy.OK, 2)
 	}
 	if len(h.replies) != maxPastReplies || h.IsDuplicate([]byte("oldest"), policy.OK, 0) {
-		t.Errorf("the history holds %d replies or still contains the oldest", len(h.replies))
+		t.Errorf("got %d replies, want maxPastReplies without the oldest", len(h.replies))
 	}
 }
